--- a/src/main/java/clovermill/net/Connection.java
+++ b/src/main/java/clovermill/net/Connection.java
@@ -4,7 +4,6 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
-import java.util.ArrayDeque;
 
 /**
  * One TCP connection of the event loop. It owns its channel and what waits to be written, and gives both
@@ -37,8 +36,6 @@
         void closed(IOException cause);
     }
 
-    private record Piece(ByteBuffer bytes, Runnable done) {}
-
     private static final Runnable NOTHING = () -> {};
     /** What one connection may write in one turn: a big answer must not hold up the others. */
     private static final int TURN_BYTES = 1 << 18;
@@ -53,11 +50,9 @@
     private final SelectionKey key;
     private final Listener acceptedBy;
     private final int reads;
-    private final ArrayDeque<Piece> out = new ArrayDeque<>();
+    private final WriteQueue out = new WriteQueue();
     private Handler handler;
     private ByteBuffer kept;
-    private long queuedBytes;
-    private long writtenBytes;
     private boolean connecting;
     private boolean open = true;
     private boolean paused;
@@ -91,12 +86,12 @@
 
     /** Bytes that have been sent here and are not yet written to the socket. */
     public long queuedBytes() {
-        return queuedBytes;
+        return out.queuedBytes();
     }
 
     /** Bytes that have been written to the socket since it came up. */
     public long writtenBytes() {
-        return writtenBytes;
+        return out.writtenBytes();
     }
 
     /** Queues bytes for writing at the end of this turn. */
@@ -110,8 +105,7 @@
             done.run();
             return;
         }
-        out.add(new Piece(bytes, done));
-        queuedBytes += bytes.remaining();
+        out.add(bytes, done);
         markDirty();
     }
 
@@ -191,10 +185,7 @@
         open = false;
         EventLoop.release(channel, acceptedBy);
         kept = null;
-        queuedBytes = 0;
-        while (!out.isEmpty()) {
-            EventLoop.guarded(out.poll().done); // else a fault would keep the rest, and the owner, from hearing of it
-        }
+        out.clear();
         handler.closed(cause);
     }
 
@@ -282,17 +273,11 @@
             boolean wrote = !out.isEmpty();
             for (int turn = 0; turn < TURN_BYTES && !out.isEmpty();) {
                 ByteBuffer buffer = loop.writeBuffer().clear();
-                for (Piece piece : out) {
-                    int part = Math.min(buffer.remaining(), piece.bytes.remaining());
-                    buffer.put(piece.bytes.slice(piece.bytes.position(), part));
-                    if (!buffer.hasRemaining()) {
-                        break;
-                    }
-                }
+                out.copyTo(buffer);
                 int filled = buffer.flip().remaining();
                 int count = channel.write(buffer);
                 turn += count;
-                written(count);
+                out.written(count);
                 if (count < filled) {
                     break;
                 }
@@ -310,22 +295,6 @@
         }
     }
 
-    private void written(int count) {
-        queuedBytes -= count;
-        writtenBytes += count;
-        int left = count;
-        while (!out.isEmpty()) {
-            ByteBuffer bytes = out.peek().bytes;
-            int part = Math.min(left, bytes.remaining());
-            bytes.position(bytes.position() + part);
-            left -= part;
-            if (bytes.hasRemaining()) {
-                return;
-            }
-            out.poll().done.run();
-        }
-    }
-
     private void interest() {
         if (open) {
             key.interestOps(connecting ? SelectionKey.OP_CONNECT
