--- a/src/main/java/clovermill/net/Connection.java
+++ b/src/main/java/clovermill/net/Connection.java
@@ -202,10 +202,7 @@
         }
         try {
             if (connecting && key.isConnectable()) {
-                channel.finishConnect();
-                connecting = false;
-                markDirty();
-                handler.connected();
+                finishConnect();
             }
             if (open && !paused && key.isReadable()) {
                 read();
@@ -221,11 +218,19 @@
         }
     }
 
+    private void finishConnect() throws IOException {
+        if (channel.finishConnect()) { // false where a signal has interrupted the look at it
+            connecting = false;
+            markDirty();
+            handler.connected();
+        }
+    }
+
     private void read() throws IOException {
         ByteBuffer buffer = loop.readBuffer();
         for (int i = 0; i < reads && open && !paused && !ended; i++) {
-            int count = channel.read(buffer.clear());
-            if (count < 0) {
+            int count = TransferCount.read(channel, buffer.clear());
+            if (count == TransferCount.END_OF_STREAM) {
                 ended = true;
                 handler.ended();
             } else if (count > 0) {
@@ -275,7 +280,7 @@
                 ByteBuffer buffer = loop.writeBuffer().clear();
                 out.copyTo(buffer);
                 int filled = buffer.flip().remaining();
-                int count = channel.write(buffer);
+                int count = TransferCount.write(channel, buffer);
                 turn += count;
                 out.written(count);
                 if (count < filled) {
--- /dev/null
+++ b/src/test/java/clovermill/net/ScriptedSocket.java
@@ -0,0 +1,179 @@
+package clovermill.net;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.net.SocketAddress;
+import java.net.SocketOption;
+import java.nio.ByteBuffer;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.Selector;
+import java.nio.channels.SocketChannel;
+import java.nio.channels.spi.SelectorProvider;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.Set;
+
+/** A socket channel whose calls return or throw what a test has set down, as the JDK's does for the errors of the system. */
+final class ScriptedSocket extends SocketChannel {
+
+    /** What {@code read} and {@code write} return on Java 17 where the system call ends with EINTR. */
+    static final int INTERRUPTED = -3;
+
+    /** What the calls to come return, an {@link IOException} where they fail; bytes where there is nothing left. */
+    final Deque<Object> reads = new ArrayDeque<>();
+    final Deque<Object> writes = new ArrayDeque<>();
+    final Deque<Object> connects = new ArrayDeque<>();
+    final StringBuilder written = new StringBuilder();
+
+    ScriptedSocket() {
+        super(SelectorProvider.provider());
+    }
+
+    private static Object next(Deque<Object> results, Object otherwise) throws IOException {
+        Object result = results.isEmpty() ? otherwise : results.poll();
+        if (result instanceof IOException failure) {
+            throw failure;
+        }
+        return result;
+    }
+
+    @Override
+    public int read(ByteBuffer buffer) throws IOException {
+        int count = (Integer) next(reads, 0);
+        for (int i = 0; i < count; i++) {
+            buffer.put((byte) 'r');
+        }
+        return count;
+    }
+
+    @Override
+    public int write(ByteBuffer buffer) throws IOException {
+        int count = Math.min(buffer.remaining(), (Integer) next(writes, buffer.remaining()));
+        for (int i = 0; i < count; i++) {
+            written.append((char) buffer.get());
+        }
+        return count;
+    }
+
+    @Override
+    public boolean finishConnect() throws IOException {
+        return (Boolean) next(connects, true);
+    }
+
+    /** A key of no selector, always ready for whatever is asked. */
+    SelectionKey key() {
+        return new SelectionKey() {
+            private int interest;
+
+            @Override
+            public ScriptedSocket channel() {
+                return ScriptedSocket.this;
+            }
+
+            @Override
+            public Selector selector() {
+                return null;
+            }
+
+            @Override
+            public boolean isValid() {
+                return ScriptedSocket.this.isOpen();
+            }
+
+            @Override
+            public void cancel() {}
+
+            @Override
+            public int interestOps() {
+                return interest;
+            }
+
+            @Override
+            public SelectionKey interestOps(int operations) {
+                interest = operations;
+                return this;
+            }
+
+            @Override
+            public int readyOps() {
+                return interest;
+            }
+        };
+    }
+
+    @Override
+    public SocketChannel bind(SocketAddress local) {
+        throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public <T> SocketChannel setOption(SocketOption<T> name, T value) {
+        throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public <T> T getOption(SocketOption<T> name) {
+        throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public Set<SocketOption<?>> supportedOptions() {
+        return Set.of();
+    }
+
+    @Override
+    public SocketChannel shutdownInput() {
+        return this;
+    }
+
+    @Override
+    public SocketChannel shutdownOutput() {
+        return this;
+    }
+
+    @Override
+    public Socket socket() {
+        throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public boolean isConnected() {
+        return true;
+    }
+
+    @Override
+    public boolean isConnectionPending() {
+        return false;
+    }
+
+    @Override
+    public boolean connect(SocketAddress remote) {
+        throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public SocketAddress getRemoteAddress() {
+        return null;
+    }
+
+    @Override
+    public SocketAddress getLocalAddress() {
+        return null;
+    }
+
+    @Override
+    public long read(ByteBuffer[] buffers, int offset, int length) {
+        throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public long write(ByteBuffer[] buffers, int offset, int length) {
+        throw new UnsupportedOperationException();
+    }
+
+    @Override
+    protected void implCloseSelectableChannel() {}
+
+    @Override
+    protected void implConfigureBlocking(boolean block) {}
+}
