--- a/src/main/java/clovermill/net/EventLoop.java
+++ b/src/main/java/clovermill/net/EventLoop.java
@@ -24,7 +24,7 @@
     /** A paused connection keeps at most this much that it has read. */
     private static final int READ_BYTES = 1 << 15;
     private static final int WRITE_BYTES = 1 << 16;
-    private static final int BACKLOG = 1024;
+    static final int BACKLOG = 1024;
 
     private final Clock clock;
     private final Deadlines deadlines;
@@ -79,6 +79,13 @@
         return new Listener(this, passed, selector, false, false, most, makeRoom, handlers);
     }
 
+    /** As {@link #listenOn}, with the call that takes a connection given by a test. */
+    Listener listenOn(ServerSocketChannel passed, Listener.Acceptor acceptor, int most,
+            Function<Connection, Connection.Handler> handlers) throws IOException {
+        passed.configureBlocking(false);
+        return new Listener(this, passed, acceptor, selector, false, false, most, () -> {}, handlers);
+    }
+
     /** Takes datagrams on an address. */
     public Datagrams datagrams(InetSocketAddress address, Consumer<ByteBuffer> received) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
@@ -121,7 +128,7 @@
             Function<Connection, Connection.Handler> handlers, Listener acceptedBy) throws IOException {
         try {
             channel.configureBlocking(false);
-            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            setNoDelay(channel);
             SelectionKey key = channel.register(selector, interest);
             Connection connection = new Connection(this, channel, key, connecting, acceptedBy);
             key.attach(connection);
@@ -133,6 +140,15 @@
         }
     }
 
+    /** A connection that has been reset already, or cannot have the option, is served without: at worst later. */
+    private static void setNoDelay(SocketChannel channel) {
+        try {
+            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+        } catch (IOException failure) {
+            LOG.log(Level.DEBUG, "a connection goes without TCP_NODELAY: {0}", failure.getMessage());
+        }
+    }
+
     /** Runs {@code task} on the loop's thread; the only call that other threads may make. */
     public void post(Runnable task) {
         posted.add(task);
--- a/src/main/java/clovermill/net/Listener.java
+++ b/src/main/java/clovermill/net/Listener.java
@@ -11,14 +11,22 @@
 /** A listening socket of the event loop; it counts the connections accepted from it that are open. */
 public final class Listener implements AutoCloseable {
 
+    /** The system's call that takes one connection, null where none waits. */
+    interface Acceptor {
+        SocketChannel accept() throws IOException;
+    }
+
     private static final System.Logger LOG = System.getLogger(Listener.class.getName());
     /** What is accepted in one turn: a storm of connects must not hold up those that are served. */
     private static final int TURN_ACCEPTS = 16;
-    /** After a failed accept (no descriptor is left, say) the listener rests this long. */
+    /** So often in a row none is found before none is there: an interrupted call (EINTR) finds none either. */
+    private static final int MAX_EMPTY_ACCEPTS = 16;
+    /** After an accept that this machine had no descriptor or memory for, the listener rests this long. */
     private static final long ACCEPT_REST_US = 50_000;
 
     private final EventLoop loop;
     private final ServerSocketChannel channel;
+    private final Acceptor acceptor;
     private final SelectionKey key;
     private final Function<Connection, Connection.Handler> handlers;
     private final Runnable makeRoom;
@@ -32,8 +40,15 @@
     Listener(EventLoop loop, ServerSocketChannel channel, Selector selector, boolean owned, boolean first,
             int maxConnections, Runnable makeRoom, Function<Connection, Connection.Handler> handlers)
             throws IOException {
+        this(loop, channel, channel::accept, selector, owned, first, maxConnections, makeRoom, handlers);
+    }
+
+    Listener(EventLoop loop, ServerSocketChannel channel, Acceptor acceptor, Selector selector, boolean owned,
+            boolean first, int maxConnections, Runnable makeRoom,
+            Function<Connection, Connection.Handler> handlers) throws IOException {
         this.loop = loop;
         this.channel = channel;
+        this.acceptor = acceptor;
         this.owned = owned;
         this.first = first;
         this.maxConnections = maxConnections;
@@ -57,17 +72,31 @@
         if (!accepting) {
             return; // found ready in the same turn in which that was said
         }
-        try {
-            SocketChannel peer = next();
-            for (int i = 1; peer != null; i++) {
+        for (int i = 0; i < TURN_ACCEPTS && mayAccept(); i++) {
+            try {
+                SocketChannel peer = acceptor.accept();
+                if (peer == null) {
+                    return;
+                }
                 take(peer);
-                peer = i < TURN_ACCEPTS ? next() : null;
+            } catch (IOException failure) {
+                if (!SocketErrors.isOfOneConnection(failure)) {
+                    logFailure(failure);
+                    key.interestOps(0);
+                    loop.deadlines().add(loop.clock().micros() + ACCEPT_REST_US, this::listen);
+                    return;
+                }
+                LOG.log(Level.DEBUG, "a connection was lost before it was accepted: {0}", failure.getMessage());
             }
-        } catch (IOException failure) {
-            logFailure(failure);
+        }
+    }
+
+    private boolean mayAccept() {
+        boolean room = openConnections <= maxConnections;
+        if (!room) {
             key.interestOps(0);
-            loop.deadlines().add(loop.clock().micros() + ACCEPT_REST_US, this::listen);
         }
+        return room;
     }
 
     /**
@@ -75,19 +104,27 @@
      * another: the end of the listening socket would reset them.
      */
     public void acceptAll() {
-        try {
-            SocketChannel peer = channel.accept();
-            while (peer != null) {
-                take(peer);
-                peer = openConnections > maxConnections + TURN_ACCEPTS ? null : channel.accept();
+        int lost = 0;
+        for (int empty = 0; empty < MAX_EMPTY_ACCEPTS && lost < EventLoop.BACKLOG
+                && openConnections <= maxConnections + TURN_ACCEPTS;) {
+            try {
+                SocketChannel peer = acceptor.accept();
+                empty = peer == null ? empty + 1 : 0;
+                if (peer != null) {
+                    take(peer);
+                }
+            } catch (IOException failure) {
+                lost++;
+                if (!SocketErrors.isOfOneConnection(failure)) {
+                    logFailure(failure);
+                    return;
+                }
             }
-        } catch (IOException failure) {
-            logFailure(failure);
         }
     }
 
     /** Takes an accepted connection in; one that cannot be taken in gives its place and its descriptor back. */
-    private void take(SocketChannel peer) throws IOException {
+    private void take(SocketChannel peer) {
         openConnections++;
         if (openConnections > maxConnections) {
             try {
@@ -98,21 +135,17 @@
                 throw fault;
             }
         }
-        loop.adopt(peer, this, handlers);
+        try {
+            loop.adopt(peer, this, handlers);
+        } catch (IOException failure) {
+            LOG.log(Level.WARNING, "a connection could not be taken in: {0}", failure.getMessage());
+        }
     }
 
     private static void logFailure(IOException failure) {
         LOG.log(Level.WARNING, "accepting failed: {0}", failure.getMessage());
     }
 
-    private SocketChannel next() throws IOException {
-        if (openConnections > maxConnections) {
-            key.interestOps(0);
-            return null;
-        }
-        return channel.accept();
-    }
-
     /** Has so many connections be open from now on; for those beyond it room is asked for at once. */
     public void limit(int connections) {
         maxConnections = connections;
