--- a/src/main/java/clovermill/cache/CacheConnection.java
+++ b/src/main/java/clovermill/cache/CacheConnection.java
@@ -4,8 +4,6 @@
 import clovermill.CacheRouter.Result;
 import clovermill.config.LoadReports;
 import clovermill.host.Answer;
-import clovermill.host.Ask;
-import clovermill.host.Upstream;
 import clovermill.net.Body;
 import clovermill.net.Budget;
 import clovermill.net.Connection;
@@ -79,12 +77,12 @@
         return connected && connection.queuedBytes() == 0;
     }
 
-    CacheExchange send(String id, Ask ask, String source, List<ByteBuffer> request, Upstream.Ending ending) {
-        CacheExchange exchange = new CacheExchange(this, id, ask, source, request, ending);
+    CacheExchange send(CacheRequest request) {
+        CacheExchange exchange = new CacheExchange(this, request);
         if (connected) {
             pool.cancel(dialOrIdle);
         }
-        open.put(id, exchange);
+        open.put(exchange.id, exchange);
         waiting.add(exchange);
         // Guards the drain and purge rules: what could not be begun in a dial's time must not go out later.
         exchange.beginBy = pool.dialDeadline(() -> withdraw(exchange, Result.UNCONNECTED));
@@ -148,7 +146,7 @@
         if (connected && connection.queuedBytes() == 0 && !waiting.isEmpty()) {
             for (CacheExchange next = waiting.poll(); next != null; next = waiting.poll()) {
                 pool.cancel(next.beginBy);
-                if (next.ending.mayBegin()) {
+                if (next.mayBegin(pool.now())) {
                     begin(next);
                 } else {
                     open.remove(next.id, next);
@@ -161,7 +159,7 @@
 
     private void begin(CacheExchange exchange) {
         unheardSinceUs = unheardSinceUs == 0 ? pool.now() : unheardSinceUs;
-        List<ByteBuffer> parts = exchange.begin();
+        List<ByteBuffer> parts = exchange.begin(pool.now());
         for (ByteBuffer part : parts.subList(0, parts.size() - 1)) {
             connection.send(part);
         }
--- a/src/main/java/clovermill/cache/CacheExchange.java
+++ b/src/main/java/clovermill/cache/CacheExchange.java
@@ -9,33 +9,26 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Set;
+import java.util.function.Predicate;
 
 /** An exchange on its connection: queued there, then sent, then ended or given up. */
 final class CacheExchange implements Upstream.Exchange {
 
     final String id;
-    /** Null for a probe. */
-    final Ask ask;
-    /** From where a miss is filled; null where it is not. */
-    final String source;
     final Upstream.Ending ending;
     private final CacheConnection connection;
-    private final List<ByteBuffer> request;
+    private final CacheRequest request;
     private boolean begun;
     private boolean whole;
     private boolean revoked;
     /** By when it must have begun. */
     Deadline beginBy;
 
-    /** {@code ask} and {@code source} may be null. */
-    CacheExchange(CacheConnection connection, String id, Ask ask, String source, List<ByteBuffer> request,
-            Upstream.Ending ending) {
+    CacheExchange(CacheConnection connection, CacheRequest request) {
         this.connection = connection;
-        this.id = id;
-        this.ask = ask;
-        this.source = source;
         this.request = request;
-        this.ending = ending;
+        this.id = request.id();
+        this.ending = request.ending();
     }
 
     @Override
@@ -56,13 +49,23 @@
 
     /** Whether a miss of it is to be filled from one of these members. */
     boolean isFilledFrom(Set<String> members) {
-        return source != null && members.contains(source);
+        return request.isFilledFrom(members);
     }
 
-    /** The parts of the request, to be written from now on. */
-    List<ByteBuffer> begin() {
+    /** Whether it asks for one of these. */
+    boolean isFor(Predicate<Ask> which) {
+        return request.isFor(which);
+    }
+
+    /** Whether it may begin now: somebody waits for it, and has time left. */
+    boolean mayBegin(long nowUs) {
+        return nowUs < request.dueUs() && ending.mayBegin();
+    }
+
+    /** The parts of the request, to be written from now on; they tell the member the time that is left now. */
+    List<ByteBuffer> begin(long nowUs) {
         begun = true;
-        return request;
+        return request.encoder().apply(request.dueUs() - nowUs);
     }
 
     /** All of it has been written, or never will be. */
--- a/src/main/java/clovermill/cache/CachePool.java
+++ b/src/main/java/clovermill/cache/CachePool.java
@@ -11,14 +11,11 @@
 import clovermill.net.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.StringJoiner;
 import java.util.function.Predicate;
 
 /** The connections to all members, known by their ids, and the requests in the lines protocol. */
@@ -115,7 +112,7 @@
     /** Withdraws what is queued for these objects: it would take a copy from before their purge. */
     public void withdraw(Predicate<Ask> purged) {
         for (Peer peer : List.copyOf(peers.values())) {
-            withdraw(peer, each -> each.ask != null && purged.test(each.ask), Result.NOT_SENT);
+            withdraw(peer, each -> each.isFor(purged), Result.NOT_SENT);
         }
     }
 
@@ -128,24 +125,24 @@
     @Override
     public Exchange send(Order order, Ending ending) {
         Ask ask = order.ask();
-        String head = "want " + ask.id() + " " + fields(order) + " " + ask.body().length + "\r\n";
-        return send(order.member(), ask.id(), ask, order.source(), ask.body().length == 0
-                ? List.of(text(head + "\r\n"))
-                : List.of(text(head), ByteBuffer.wrap(ask.body()), text("\r\n")), ending);
+        long dueUs = clock.micros() + order.timeoutUs();
+        return send(new CacheRequest(order.member(), ask.id(), ask, order.source(), dueUs,
+                leftUs -> RequestLine.want(order, leftUs), ending));
     }
 
     @Override
     public void probe(String member, Ending ending) {
         String tag = "p" + probes++;
         Deadline[] timeout = new Deadline[1];
-        List<ByteBuffer> line = List.of(text("there " + tag + "\r\n"));
-        Exchange exchange = send(member, tag, null, null, line, (result, note, waited, answer) -> {
+        Ending probed = (result, note, waited, answer) -> {
             deadlines.cancel(timeout[0]);
             if (answer != null) {
                 answer.body().close();
             }
             ending.ended(result, note, waited, null);
-        });
+        };
+        Exchange exchange = send(new CacheRequest(member, tag, null, null, Long.MAX_VALUE,
+                leftUs -> RequestLine.there(tag), probed));
         timeout[0] = deadlines.add(clock.micros() + limits.dialUs(), () -> {
             if (exchange != NONE) {
                 exchange.giveUp();
@@ -162,22 +159,21 @@
         }
     }
 
-    private Exchange send(String member, String id, Ask ask, String source, List<ByteBuffer> request,
-            Ending ending) {
-        Peer peer = peers.get(member);
+    private Exchange send(CacheRequest request) {
+        Peer peer = peers.get(request.member());
         CacheConnection connection;
         try {
-            connection = peer == null ? null : connectionFor(peer, id);
+            connection = peer == null ? null : connectionFor(peer, request.id());
         } catch (IOException refused) {
-            ending.ended(Result.UNCONNECTED, Note.NONE, 0, null);
+            request.ending().ended(Result.UNCONNECTED, Note.NONE, 0, null);
             return NONE;
         }
         if (connection == null) {
             // No such member any more, or a limit on this side: that speaks against no member.
-            ending.ended(Result.NOT_SENT, Note.NONE, 0, null);
+            request.ending().ended(Result.NOT_SENT, Note.NONE, 0, null);
             return NONE;
         }
-        return connection.send(id, ask, source, request, ending);
+        return connection.send(request);
     }
 
     /**
@@ -240,47 +236,4 @@
     void cancel(Deadline deadline) {
         deadlines.cancel(deadline);
     }
-
-    private static ByteBuffer text(String text) {
-        return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
-    }
-
-    private static String fields(Order order) {
-        Ask ask = order.ask();
-        StringJoiner fields = new StringJoiner(",");
-        fields.add("kind=" + ask.className()).add("obj=" + ask.object()).add("seg=" + ask.part());
-        fields.add("ms=" + Math.max(1, order.timeoutUs() / 1000));
-        if (ask.token() != null) {
-            fields.add("token=" + ask.token());
-        }
-        if (order.source() != null) {
-            fields.add("src=" + order.source());
-        }
-        if (order.rank() > 0) {
-            fields.add("keep=" + order.rank());
-        }
-        if (order.maxAgeUs() > 0) {
-            fields.add("maxage=" + Math.max(1, order.maxAgeUs() / 1000));
-        }
-        StringJoiner flags = new StringJoiner("+");
-        if (order.join()) {
-            flags.add("join");
-        }
-        if (order.heldOnly()) {
-            flags.add("held");
-        }
-        if (order.parentKeepsNone()) {
-            flags.add("nocopy");
-        }
-        if (order.renew()) {
-            flags.add("renew");
-        }
-        if (flags.length() > 0) {
-            fields.add("flags=" + flags);
-        }
-        if (ask.have() != null) {
-            fields.add("have=" + ask.have());
-        }
-        return fields.toString();
-    }
 }
--- a/src/test/java/clovermill/cache/CachePoolTest.java
+++ b/src/test/java/clovermill/cache/CachePoolTest.java
@@ -101,9 +101,13 @@
     }
 
     private Attempt send(String id, String object, String source, int bodyBytes) {
+        return send(id, object, source, bodyBytes, 1_000_000);
+    }
+
+    private Attempt send(String id, String object, String source, int bodyBytes, long timeoutUs) {
         Attempt attempt = new Attempt();
         Ask ask = new Ask(id, 0, "page", object, 0, 17, 1, 1_000_000, false, null, null, new byte[bodyBytes]);
-        attempt.exchange = pool.send(new Upstream.Order(ask, "m", 1_000_000, source, 0, 0, false, false, false, false),
+        attempt.exchange = pool.send(new Upstream.Order(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
                 attempt);
         return attempt;
     }
@@ -279,6 +283,27 @@
         assertThat(behind.result).isEqualTo(Result.OK);
     }
 
+    /** The connection comes up 300 ms after the request was queued. */
+    @Test
+    void aRequestTellsTheTimeThatIsLeftWhenItIsWritten() throws IOException {
+        Attempt queued = send("00000000000000a1", "aa", null, 0);
+        nowUs += 300_000;
+        until(() -> !accepted.isEmpty() && queued.exchange.begun());
+        assertThat(reads("ms=700 0")).isTrue();
+    }
+
+    @Test
+    void aRequestWithoutTimeLeftIsNotWritten() throws IOException {
+        stuck();
+        Attempt late = send("00000000000000a2", "bb", null, 0, 100_000);
+        Attempt inTime = send("00000000000000a3", "bb", null, 0, 100_001);
+        nowUs += 100_000;
+        assertThat(reads("want 00000000000000a3")).isTrue();
+        assertThat(late.result).isEqualTo(Result.NOT_SENT);
+        assertThat(inTime.result).isNull();
+        assertThat(read.indexOf("want 00000000000000a2")).isNegative();
+    }
+
     private void answer(int connection, String text) throws IOException {
         accepted.get(connection).write(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
     }
