--- a/src/main/java/clovermill/cache/CacheConnection.java
+++ b/src/main/java/clovermill/cache/CacheConnection.java
@@ -9,8 +9,8 @@
 import clovermill.net.Connection;
 import clovermill.net.Deadlines.Deadline;
 import clovermill.net.ProtocolException;
+import clovermill.net.SocketErrors;
 import java.io.IOException;
-import java.net.ConnectException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -280,7 +280,7 @@
         pool.closed(this);
         parser.close();
         waiting.clear();
-        Result unsent = connected || cause != null && !(cause instanceof ConnectException) ? Result.NOT_SENT
+        Result unsent = connected || cause != null && !SocketErrors.isOfPeer(cause) ? Result.NOT_SENT
                 : Result.UNCONNECTED;
         while (!open.isEmpty()) {
             CacheExchange exchange = open.remove(open.keySet().iterator().next());
--- a/src/main/java/clovermill/cache/CachePool.java
+++ b/src/main/java/clovermill/cache/CachePool.java
@@ -6,16 +6,20 @@
 import clovermill.host.Upstream;
 import clovermill.net.Budget;
 import clovermill.net.Clock;
+import clovermill.net.Connection;
 import clovermill.net.Deadlines.Deadline;
 import clovermill.net.Deadlines;
 import clovermill.net.EventLoop;
+import clovermill.net.SocketErrors;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Function;
 import java.util.function.Predicate;
 
 /** The connections to all members, known by their ids, and the requests in the lines protocol. */
@@ -29,20 +33,32 @@
     /** A single member gets this part of all connections at most. */
     private static final int MEMBER_PART = 8;
 
+    /** Dials an address, as {@link EventLoop#connect}. */
+    interface Dialer {
+        Connection connect(InetSocketAddress address, Function<Connection, Connection.Handler> handlers)
+                throws IOException;
+    }
+
     private static final Exchange NONE = () -> false;
 
-    private final EventLoop loop;
+    private final Dialer dialer;
     private final Clock clock;
     private final Deadlines deadlines;
     private final Budget budget;
     private final Limits limits;
     private final Map<String, Peer> peers = new HashMap<>();
+    /** Each holds a request, so there are no more than requests in progress. */
+    private final Set<DelayedDial> delayed = new LinkedHashSet<>();
     private int bound;
     private int dialled;
     private long probes;
 
     public CachePool(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, Limits limits) {
-        this.loop = loop;
+        this(loop::connect, clock, deadlines, budget, limits);
+    }
+
+    CachePool(Dialer dialer, Clock clock, Deadlines deadlines, Budget budget, Limits limits) {
+        this.dialer = dialer;
         this.clock = clock;
         this.deadlines = deadlines;
         this.budget = budget;
@@ -107,6 +123,7 @@
             withdraw(peer.getValue(), each -> itself || each.isFilledFrom(members),
                     itself ? Result.UNCONNECTED : Result.NOT_SENT);
         }
+        withdrawDelayed(each -> members.contains(each.member()) || each.isFilledFrom(members));
     }
 
     /** Withdraws what is queued for these objects: it would take a copy from before their purge. */
@@ -114,6 +131,12 @@
         for (Peer peer : List.copyOf(peers.values())) {
             withdraw(peer, each -> each.isFor(purged), Result.NOT_SENT);
         }
+        withdrawDelayed(each -> each.isFor(purged));
+    }
+
+    private void withdrawDelayed(Predicate<CacheRequest> which) {
+        List.copyOf(delayed).stream().filter(each -> which.test(each.request()))
+                .forEach(each -> each.end(Result.NOT_SENT));
     }
 
     private static void withdraw(Peer peer, Predicate<CacheExchange> which, Result result) {
@@ -160,11 +183,23 @@
     }
 
     private Exchange send(CacheRequest request) {
+        Exchange exchange = trySend(request);
+        if (exchange != null) {
+            return exchange;
+        }
+        return new DelayedDial(this, request, clock.micros() + limits.dialUs() - DelayedDial.PAUSE_US);
+    }
+
+    /** Sends a request, or ends it; null where this machine could not dial for the moment, which is no end. */
+    Exchange trySend(CacheRequest request) {
         Peer peer = peers.get(request.member());
         CacheConnection connection;
         try {
             connection = peer == null ? null : connectionFor(peer, request.id());
-        } catch (IOException refused) {
+        } catch (IOException failure) {
+            if (!SocketErrors.isOfPeer(failure)) {
+                return null;
+            }
             request.ending().ended(Result.UNCONNECTED, Note.NONE, 0, null);
             return NONE;
         }
@@ -176,6 +211,16 @@
         return connection.send(request);
     }
 
+    /** It waits for a further dial, during which it may be withdrawn. */
+    void delays(DelayedDial waiting) {
+        delayed.add(waiting);
+    }
+
+    /** It waits for no further dial. */
+    void dialled(DelayedDial waiting) {
+        delayed.remove(waiting);
+    }
+
     /**
      * The connection with the fewest requests, or null where none is to be had. While those are more than a
      * few, a further connection comes up beside it: one answer that is spoilt costs all that share its
@@ -202,13 +247,24 @@
         if (few || inUse >= most || dialled >= bound) {
             return best;
         }
-        loop.connect(peer.address, connection -> {
+        try {
+            dial(peer);
+        } catch (IOException failure) {
+            if (best == null) {
+                throw failure;
+            }
+            return best;
+        }
+        return best != null ? best : peer.connections.get(peer.connections.size() - 1);
+    }
+
+    private void dial(Peer peer) throws IOException {
+        dialer.connect(peer.address, connection -> {
             CacheConnection added = new CacheConnection(this, connection, budget);
             peer.connections.add(added);
             return added;
         });
         dialled++;
-        return best != null ? best : peer.connections.get(peer.connections.size() - 1);
     }
 
     void closed(CacheConnection connection) {
@@ -224,6 +280,10 @@
         return deadlines.add(clock.micros() + limits.idleUs(), expired);
     }
 
+    Deadline deadline(long delayUs, Runnable expired) {
+        return deadlines.add(clock.micros() + delayUs, expired);
+    }
+
     long now() {
         return clock.micros();
     }
