--- a/src/main/java/clovermill/store/Volume.java
+++ b/src/main/java/clovermill/store/Volume.java
@@ -33,6 +33,12 @@
     /** Puts a file in the place of another, whole or not at all; it lasts when this returns. */
     void replace(Path file, byte[] content) throws IOException;
 
+    /**
+     * Gives a whole file of this volume the place of another in the same folder, or leaves both; the name lasts when
+     * this returns. After a failure either file may stand there: the caller writes anew.
+     */
+    void rename(Path from, Path to) throws IOException;
+
     /** Takes a file away for good. */
     void delete(Path file) throws IOException;
 
@@ -52,37 +58,94 @@
     /** Files by way of NIO. */
     final class LocalVolume implements Volume {
 
+        /** Makes the names in a folder last. */
+        @FunctionalInterface
+        interface FolderSync {
+            void sync(Path folder) throws IOException;
+        }
+
+        private final FolderSync folders;
+
+        LocalVolume() {
+            this(LocalVolume::syncFolder);
+        }
+
+        /** {@code folders} stands in for the sync of a folder, so that a test can have it fail. */
+        LocalVolume(FolderSync folders) {
+            this.folders = folders;
+        }
+
         @Override
         public Output create(Path file) throws IOException {
             FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-            syncFolder(file);
+            try {
+                syncName(file);
+            } catch (IOException failure) {
+                // The next try must find neither the file in its way nor its descriptor open.
+                alsoTry(failure, channel::close);
+                alsoTry(failure, () -> Files.deleteIfExists(file));
+                throw failure;
+            }
             return new LocalOutput(channel);
         }
 
         @Override
         public void replace(Path file, byte[] content) throws IOException {
             Path fresh = file.resolveSibling(file.getFileName() + ".new");
-            try (FileChannel channel = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                    StandardOpenOption.TRUNCATE_EXISTING)) {
+            try {
+                write(fresh, content);
+                CrashPoint.reached("store.replace.before-rename");
+                Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
+            } catch (IOException failure) {
+                // A half file takes room on a disk that may be full; pages of a failed sync are not written over.
+                alsoTry(failure, () -> Files.deleteIfExists(fresh));
+                throw failure;
+            }
+            CrashPoint.reached("store.replace.after-rename");
+            syncName(file);
+        }
+
+        private static void write(Path fresh, byte[] content) throws IOException {
+            Files.deleteIfExists(fresh);
+            try (FileChannel channel = FileChannel.open(fresh, StandardOpenOption.CREATE_NEW,
+                    StandardOpenOption.WRITE)) {
                 writeAll(channel, ByteBuffer.wrap(content));
                 CrashPoint.reached("store.replace.before-sync");
                 channel.force(true);
             }
-            CrashPoint.reached("store.replace.before-rename");
-            Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
-            CrashPoint.reached("store.replace.after-rename");
-            syncFolder(file);
+        }
+
+        @Override
+        public void rename(Path from, Path to) throws IOException {
+            Files.move(from, to, StandardCopyOption.ATOMIC_MOVE);
+            syncName(to);
         }
 
         @Override
         public void delete(Path file) throws IOException {
             Files.deleteIfExists(file);
-            syncFolder(file);
+            syncName(file);
+        }
+
+        /** What is done after a failure; its own failure is told with the first. */
+        private interface Step {
+            void run() throws IOException;
+        }
+
+        private static void alsoTry(IOException first, Step step) {
+            try {
+                step.run();
+            } catch (IOException second) {
+                first.addSuppressed(second);
+            }
         }
 
         /** A name in a folder lasts only when the folder itself has been synced. */
-        private static void syncFolder(Path file) throws IOException {
-            Path folder = file.toAbsolutePath().getParent();
+        private void syncName(Path file) throws IOException {
+            folders.sync(file.toAbsolutePath().getParent());
+        }
+
+        private static void syncFolder(Path folder) throws IOException {
             try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
                 channel.force(true);
             }
--- a/src/test/java/clovermill/store/FaultyVolume.java
+++ b/src/test/java/clovermill/store/FaultyVolume.java
@@ -69,6 +69,14 @@
         real.replace(file, content);
     }
 
+    @Override
+    public void rename(Path from, Path to) throws IOException {
+        if (syncFails) {
+            throw new IOException("Input/output error");
+        }
+        real.rename(from, to);
+    }
+
     @Override
     public void delete(Path file) throws IOException {
         real.delete(file);
