--- a/src/main/java/clovermill/accord/AccordTask.java
+++ b/src/main/java/clovermill/accord/AccordTask.java
@@ -47,7 +47,6 @@
     private final Place place;
     private final Meaning meaning;
     private final Post post;
-    private final RaftStorage disk;
     private final Random random;
     private final RaftScheduler agenda;
     private final Library library = new Library();
@@ -70,7 +69,6 @@
         this.place = place;
         this.meaning = meaning;
         this.post = post;
-        this.disk = disk;
         this.random = random;
         this.agenda = new RaftScheduler(nowUs);
         library.add(Document.EMPTY);
@@ -202,15 +200,8 @@
     @Override
     public long tick(long nowUs) {
         turnUs = nowUs;
-        if (disk != null && disk.failed()) {
-            throw new IllegalStateException("the voter's file cannot be written");
-        }
         long next = agenda.run(nowUs);
-        long joinAtUs = Long.MAX_VALUE;
-        if (member != null) {
-            member.restartIfStuck(nowUs);
-            joinAtUs = member.join(nowUs);
-        }
+        long memberAtUs = member == null ? Long.MAX_VALUE : tickMember(nowUs);
         if (!wanted.isEmpty() && nowUs >= handInAtUs) {
             handInAtUs = nowUs + place.terms().askUs() / 4;
             wanted.forEach((call, want) -> post.send(leases.leader(), new Letter.Submit(place.self(), call,
@@ -223,7 +214,17 @@
         }
         next = Math.min(next, agenda.run(nowUs));
         next = Math.min(next, wanted.isEmpty() ? Long.MAX_VALUE : handInAtUs);
-        return Math.min(next, joinAtUs);
+        return Math.min(next, memberAtUs);
+    }
+
+    /** A voter whose file has failed leads nothing until it is back. */
+    private long tickMember(long nowUs) {
+        long recoverAtUs = member.recover(nowUs);
+        if (voter() == null) {
+            leading = null;
+        }
+        member.restartIfStuck(nowUs);
+        return Math.min(recoverAtUs, member.join(nowUs));
     }
 
     private void joined(Letter.Joined joined) {
--- a/src/main/java/clovermill/consensus/FileRaftStorage.java
+++ b/src/main/java/clovermill/consensus/FileRaftStorage.java
@@ -27,6 +27,9 @@
  * A replica's promises in a file of checked frames, each on the disk before it is told. At a start the frames are read
  * and written anew into a fresh file, which then takes the place of the old; a torn tail was never told to anybody and
  * is cut. A file that is damaged in its middle, or is not there, is a lost disk: what was promised is not known.
+ *
+ * <p>After a write or a sync that failed the file takes no more, since a later sync may succeed without the pages that
+ * the failed one has dropped. {@link #recover} writes all that was handed in to a new file.
  */
 public final class FileRaftStorage implements RaftStorage {
 
@@ -115,23 +118,37 @@
     /** A fresh file with what is kept; the old one is there until the new one is whole. */
     private void begin(boolean withAll) throws IOException {
         Path fresh = file.resolveSibling("votes.fresh");
-        volume.delete(fresh);
-        if (writer != null) {
-            writer.close();
+        closeQuietly();
+        try {
+            volume.delete(fresh);
+            writer = new SegmentWriter(volume, fresh, magic);
+            if (withAll) {
+                kept.tellAll(this);
+            }
+            writer.force();
+            volume.rename(fresh, file);
+        } catch (IOException | UncheckedIOException failure) {
+            closeQuietly();
+            throw failure;
         }
-        writer = new SegmentWriter(volume, fresh, magic);
-        if (withAll) {
-            kept.tellAll(this);
+    }
+
+    /** Of a file that is left behind nothing is expected any more. */
+    private void closeQuietly() {
+        try {
+            if (writer != null) {
+                writer.close();
+            }
+        } catch (IOException failure) {
+            LOG.log(Level.DEBUG, "closing a file that is left behind failed", failure);
         }
-        writer.force();
-        Files.move(fresh, file, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
-        volume.delete(fresh); // and makes the new name last
     }
 
     private void add(int type, Content content) {
         if (replaying) {
             return;
         }
+        refuseAfterFailure();
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
             DataOutputStream out = new DataOutputStream(bytes);
@@ -152,6 +169,7 @@
         kept.clear();
         try {
             begin(false);
+            failed = false;
         } catch (IOException failure) {
             throw failed(failure);
         }
@@ -219,6 +237,7 @@
 
     @Override
     public void flush() {
+        refuseAfterFailure();
         try {
             writer.force();
         } catch (IOException failure) {
@@ -231,6 +250,29 @@
         return failed;
     }
 
+    @Override
+    public boolean recover() {
+        if (!failed) {
+            return true;
+        }
+        failed = false; // the new file is written by the same methods
+        try {
+            begin(true);
+            return true;
+        } catch (IOException | UncheckedIOException still) {
+            failed = true;
+            LOG.log(Level.DEBUG, "{0} cannot be written anew yet: {1}", file, still.toString());
+            return false;
+        }
+    }
+
+    /** A sync after one that failed may succeed without what that one has lost. */
+    private void refuseAfterFailure() {
+        if (failed) {
+            throw new UncheckedIOException(new IOException(file + " takes nothing more after a failure"));
+        }
+    }
+
     /** Who cannot keep a promise must not make it. */
     private UncheckedIOException failed(IOException failure) {
         failed = true;
--- a/src/main/java/clovermill/consensus/RaftMember.java
+++ b/src/main/java/clovermill/consensus/RaftMember.java
@@ -1,6 +1,9 @@
 package clovermill.consensus;
 
+import io.microraft.model.message.RaftMessage;
 import io.microraft.persistence.RestoredRaftState;
+import java.io.UncheckedIOException;
+import java.lang.System.Logger.Level;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -11,7 +14,8 @@
 
 /**
  * A process's place in a Raft group over its starts: it begins from its store; without one it asks the others, and
- * either founds the group with them or is taken in with a new identity, as it does not know what it promised. Not
+ * either founds the group with them or is taken in with a new identity, as it does not know what it promised. While its
+ * store has failed it takes no part: it sends nothing, answers nobody, and begins anew once all is written again. Not
  * thread-safe.
  *
  * @param <M> the state machine
@@ -38,6 +42,10 @@
      */
     public record Place(int self, List<Integer> nodes, long retryUs) {}
 
+    private static final System.Logger LOG = System.getLogger(RaftMember.class.getName());
+    /** How long after a failure, and after each try, the store is tried again. */
+    private static final long RECOVER_RETRY_US = 1_000_000;
+
     private final Place place;
     private final RaftStorage storage;
     private final RaftReplica.Host host;
@@ -48,6 +56,8 @@
     private RaftReplica<M> replica;
     private boolean admitted = true;
     private long joinAtUs;
+    private boolean steppedOut;
+    private long recoverAtUs;
 
     /**
      * A member that is yet to begin.
@@ -59,12 +69,20 @@
             Consumer<RaftReplica<M>> began, Outbox outbox) {
         this.place = place;
         this.storage = storage;
-        this.host = host;
+        this.host = new RaftReplica.Host(host.group(), host.config(), host.store(), host.scheduler(), host.random(),
+                (to, message) -> sendIfKept(to, message, host));
         this.machines = machines;
         this.began = began;
         this.outbox = outbox;
     }
 
+    /** What could not be written must not be acknowledged, by the replica's next message neither. */
+    private void sendIfKept(ReplicaId to, RaftMessage message, RaftReplica.Host owner) {
+        if (!storage.failed()) {
+            owner.send().accept(to, message);
+        }
+    }
+
     /** Begins from the store, if it holds anything. */
     public void restore() {
         RestoredRaftState restored = storage.restored();
@@ -103,9 +121,42 @@
         }
     }
 
+    /**
+     * Steps out when the store has failed, and comes back when all is written again; to be called at each turn. Returns
+     * when it is due next, or {@link Long#MAX_VALUE} while the store serves.
+     */
+    public long recover(long nowUs) {
+        if (!storage.failed() && !steppedOut) {
+            return Long.MAX_VALUE;
+        }
+        if (!steppedOut) {
+            stepOut(nowUs);
+        } else if (nowUs >= recoverAtUs) {
+            recoverAtUs = nowUs + RECOVER_RETRY_US;
+            if (storage.recover()) {
+                steppedOut = false;
+                LOG.log(Level.INFO, "replica {0}: its store is written anew, and it takes part again",
+                        Integer.toString(place.self()));
+                restore();
+                return Long.MAX_VALUE;
+            }
+        }
+        return recoverAtUs;
+    }
+
+    /** Not tried at once: what the replica has still queued must meet a store that refuses it. */
+    private void stepOut(long nowUs) {
+        steppedOut = true;
+        recoverAtUs = nowUs + RECOVER_RETRY_US;
+        LOG.log(Level.WARNING, "replica {0}: its store cannot be written; it takes no part until it can",
+                Integer.toString(place.self()));
+        stop();
+        replica = null;
+    }
+
     /** Asks to join, if that is due; returns when it is next, or {@link Long#MAX_VALUE}. */
     public long join(long nowUs) {
-        if (replica != null && admitted) {
+        if (replica != null && admitted || isOut()) {
             return Long.MAX_VALUE;
         }
         if (nowUs >= joinAtUs) {
@@ -127,8 +178,15 @@
         }
     }
 
-    /** Another process asks to join. */
+    private boolean isOut() {
+        return steppedOut || storage.failed();
+    }
+
+    /** Another process asks to join. It hears nothing while the store has failed: there may be a group. */
     public void onJoin(int from, long disk, boolean empty) {
+        if (isOut()) {
+            return;
+        }
         boolean group = replica != null && replica.committed();
         boolean member = replica != null && replica.votes(new ReplicaId(from, disk));
         if (!empty && !member && leads()) {
@@ -139,18 +197,31 @@
 
     /** Another process answers. */
     public void onJoined(int from, long disk, boolean group, boolean member) {
+        if (isOut()) {
+            return;
+        }
         if (replica == null) {
             groups.put(from, group);
-            if (group) { // what this one promised is lost: it learns first, and votes under another identity
-                storage.clear();
-                begin(new ReplicaId(place.self(), host.random().nextLong() >>> 1 | 1), null);
-                admitted = false;
+            if (group) {
+                beginAsAnother();
             }
         } else if (member && disk == replica.self().disk()) {
             admitted = true;
         }
     }
 
+    /** What this one promised is lost: it learns first, and votes under another identity. */
+    private void beginAsAnother() {
+        try {
+            storage.clear();
+        } catch (UncheckedIOException failure) {
+            LOG.log(Level.DEBUG, "the store could not be cleared; it is tried again when it can be written", failure);
+            return;
+        }
+        begin(new ReplicaId(place.self(), host.random().nextLong() >>> 1 | 1), null);
+        admitted = false;
+    }
+
     /** Ends its part. */
     public void stop() {
         if (replica != null) {
