--- a/src/main/java/clovermill/ledger/books/Books.java
+++ b/src/main/java/clovermill/ledger/books/Books.java
@@ -18,8 +18,10 @@
 import java.nio.file.StandardCopyOption;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HexFormat;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongConsumer;
@@ -48,6 +50,8 @@
     private final MVMap<String, long[]> open;
     private final MVMap<String, long[]> corrections;
     private final MVMap<Long, Long> lastSeq;
+    /** Epoch, first and last sequence of what was passed over, by their place in the order. */
+    private final MVMap<Long, long[]> holes;
     private final MVMap<Long, long[]> batches;
     private final MVMap<String, long[]> rows;
     private final MVMap<Long, String> acknowledged;
@@ -69,6 +73,7 @@
         open = store.openMap("open");
         corrections = store.openMap("corrections");
         lastSeq = store.openMap("lastSeq");
+        holes = store.openMap("holes");
         batches = store.openMap("batches");
         rows = store.openMap("rows");
         acknowledged = store.openMap("acknowledged");
@@ -128,8 +133,10 @@
         open.forEach((key, sums) -> openNow.put(key(key), new Totals(sums.clone())));
         Map<Accounts.Key, Totals> correctionsNow = new HashMap<>();
         corrections.forEach((key, sums) -> correctionsNow.put(key(key), new Totals(sums.clone())));
+        List<Accounts.Hole> holesNow = new ArrayList<>();
+        holes.values().forEach(each -> holesNow.add(new Accounts.Hole(each[0], each[1], each[2])));
         accounts = new Accounts(this::freeze, new Accounts.State(openNow, correctionsNow, new HashMap<>(lastSeq),
-                meta.getOrDefault("through", Long.MIN_VALUE), meta.getOrDefault("closings", 0L),
+                holesNow, meta.getOrDefault("through", Long.MIN_VALUE), meta.getOrDefault("closings", 0L),
                 meta.getOrDefault("entries", 0L), meta.getOrDefault("missing", 0L), meta.getOrDefault("repeated", 0L),
                 meta.getOrDefault("last", Long.MIN_VALUE)));
         position = new LogReader.Position(meta.getOrDefault("epoch", 0L),
@@ -189,6 +196,7 @@
         replace(open, accounts.open());
         replace(corrections, accounts.corrections());
         accounts.lastSeq().forEach(lastSeq::put);
+        saveHoles();
         meta.put("through", accounts.throughMs());
         meta.put("closings", accounts.closings());
         meta.put("entries", accounts.entries());
@@ -204,6 +212,14 @@
         CrashPoint.reached("books.after-commit");
     }
 
+    private void saveHoles() {
+        holes.clear();
+        long place = 0;
+        for (Accounts.Hole hole : accounts.holes()) {
+            holes.put(place++, new long[] {hole.epoch(), hole.from(), hole.to()});
+        }
+    }
+
     private static void replace(MVMap<String, long[]> map, Map<Accounts.Key, Totals> with) {
         map.clear();
         with.forEach((key, totals) -> map.put(text(key), totals.toArray()));
--- a/src/main/java/clovermill/ledger/decide/Accounts.java
+++ b/src/main/java/clovermill/ledger/decide/Accounts.java
@@ -1,6 +1,5 @@
 package clovermill.ledger.decide;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,7 +10,8 @@
  * Turns the entries of one instance's log into totals. A closing freezes the totals of the periods that it
  * closes into a batch, together with the corrections since the closing before; what is dated into a closed
  * period afterwards becomes a correction in the next batch and alters nothing. The same entries in the same order
- * give the same batches, however often they are read. Not thread-safe.
+ * give the same batches, however often they are read. An entry whose sequence was passed over counts when it comes
+ * after all: a segment in which a sync failed may have lost it and kept what stood behind it. Not thread-safe.
  */
 public final class Accounts {
 
@@ -32,14 +32,11 @@
     /** Sequences {@code from} to {@code to} of an epoch that the log does not hold. */
     public record Hole(long epoch, long from, long to) {}
 
-    /** More holes than these are counted, not listed. */
-    private static final int MOST_HOLES = 10_000;
-
     private final Consumer<Batch> closed;
     private final Map<Key, Totals> open = new HashMap<>();
     private final Map<Key, Totals> corrections = new HashMap<>();
     private final TreeMap<Long, Long> lastSeq = new TreeMap<>();
-    private final List<Hole> holes = new ArrayList<>();
+    private final SequenceHoles holes;
     private long missing;
     private long repeated;
     private long entries;
@@ -51,16 +48,22 @@
 
     /** {@code closed} gets each batch as it is frozen. */
     public Accounts(Consumer<Batch> closed) {
+        this(closed, List.of());
+    }
+
+    private Accounts(Consumer<Batch> closed, List<Hole> known) {
         this.closed = closed;
+        this.holes = new SequenceHoles(known);
     }
 
     /** What is needed to go on where another one stopped. */
     public record State(Map<Key, Totals> open, Map<Key, Totals> corrections, Map<Long, Long> lastSeq,
-            long throughMs, long closings, long entries, long missing, long repeated, long lastMs) {}
+            List<Hole> holes, long throughMs, long closings, long entries, long missing, long repeated,
+            long lastMs) {}
 
     /** Goes on from a state. */
     public Accounts(Consumer<Batch> closed, State state) {
-        this(closed);
+        this(closed, state.holes);
         open.putAll(state.open);
         corrections.putAll(state.corrections);
         lastSeq.putAll(state.lastSeq);
@@ -74,8 +77,8 @@
 
     /** The present state; it shares nothing that changes but the totals. */
     public State state() {
-        return new State(Map.copyOf(open), Map.copyOf(corrections), Map.copyOf(lastSeq), throughMs, closings, entries,
-                missing, repeated, lastMs);
+        return new State(Map.copyOf(open), Map.copyOf(corrections), Map.copyOf(lastSeq), holes.all(), throughMs,
+                closings, entries, missing, repeated, lastMs);
     }
 
     /** A new epoch begins: what it knew as closed is closed, whether or not the closing can still be read. */
@@ -98,16 +101,18 @@
     public boolean on(long epoch, long periodMs, Entry entry) {
         long last = lastSeq.getOrDefault(epoch, 0L);
         if (entry.seq() <= last) {
-            repeated++;
-            return false;
-        }
-        if (entry.seq() > last + 1) {
-            missing += entry.seq() - last - 1;
-            if (holes.size() < MOST_HOLES) {
+            if (!holes.fill(epoch, entry.seq())) {
+                repeated++;
+                return false;
+            }
+            missing--;
+        } else {
+            if (entry.seq() > last + 1) {
+                missing += entry.seq() - last - 1;
                 holes.add(new Hole(epoch, last + 1, entry.seq() - 1));
             }
+            lastSeq.put(epoch, entry.seq());
         }
-        lastSeq.put(epoch, entry.seq());
         entries++;
         if (entry instanceof Entry.Used used) {
             lastMs = Math.max(lastMs, used.takenMs());
@@ -161,9 +166,9 @@
         return corrections;
     }
 
-    /** The first of the holes; {@link #missing} counts what lies in all. */
+    /** The first of the holes that are left; {@link #missing} counts what lies in all. */
     public List<Hole> holes() {
-        return holes;
+        return holes.all();
     }
 
     /** Sequences that the log does not hold. */
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -99,12 +99,16 @@
     }
 
     private Totals sum() throws IOException {
+        return sum(ledgerFolder());
+    }
+
+    private Totals sum(LedgerFolder read) throws IOException {
         Totals sum = new Totals();
         Accounts accounts = new Accounts(batch -> {
             batch.totals().values().forEach(sum::add);
             batch.corrections().values().forEach(sum::add);
         });
-        new LogReader(ledgerFolder()).read(LogReader.Position.START,
+        new LogReader(read).read(LogReader.Position.START,
                 (header, entry) -> accounts.on(header.epoch(), header.periodMs(), entry));
         accounts.open().values().forEach(sum::add);
         accounts.corrections().values().forEach(sum::add);
@@ -174,6 +178,31 @@
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(1000);
     }
 
+    /** Has more than a block of records written between two syncs; of these the second fails, and has lost a page. */
+    private void loseAPage(Ledger ledger) {
+        disk.room = 100;
+        for (int i = 0; i < 2000; i++) {
+            use(ledger, 10);
+        }
+        until(() -> disk.room == 0);
+        disk.losesAtBytes = 40_000;
+        disk.room = Long.MAX_VALUE;
+        until(() -> disk.losesAtBytes == Long.MAX_VALUE);
+    }
+
+    /** What stands behind a page that a failed sync has lost must not hide the records that are written again. */
+    @Test
+    void aPageThatAFailedSyncHasLostIsWrittenAgainAndCounted() throws Exception {
+        Ledger ledger = open();
+        loseAPage(ledger);
+        ledger.close();
+        assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(20_000);
+        try (Books books = Books.open(ledgerFolder())) {
+            books.update(read -> {});
+            assertThat(books.accounts().missing()).isZero();
+        }
+    }
+
     /** Serving goes on while the disk takes long: no call of the loop's waits for it. */
     @Test
     void aSlowSyncDelaysNobody() throws Exception {
--- a/src/test/java/clovermill/ledger/decide/AccountsTest.java
+++ b/src/test/java/clovermill/ledger/decide/AccountsTest.java
@@ -114,6 +114,26 @@
         assertThat(accounts.missing()).isEqualTo(3);
     }
 
+    @Test
+    void whatFillsAHoleCountsOnceAndAHoleOutlivesItsState() {
+        Accounts first = new Accounts(batch -> {});
+        first.begin(4, 0, 0);
+        first.on(4, HOUR, used(1, 5, "a", 1));
+        first.on(4, HOUR, used(6, 6, "a", 1));
+        Accounts accounts = new Accounts(batch -> {}, first.state());
+        assertThat(accounts.on(4, HOUR, used(3, 5, "a", 10))).isTrue();
+        assertThat(accounts.on(4, HOUR, used(3, 5, "a", 10))).isFalse();
+        assertThat(accounts.holes()).containsExactly(new Accounts.Hole(4, 2, 2), new Accounts.Hole(4, 4, 5));
+        assertThat(accounts.on(4, HOUR, used(2, 5, "a", 10))).isTrue();
+        assertThat(accounts.on(4, HOUR, used(4, 5, "a", 10))).isTrue();
+        assertThat(accounts.on(4, HOUR, used(5, 5, "a", 10))).isTrue();
+        assertThat(accounts.on(4, HOUR, used(6, 5, "a", 10))).isFalse();
+        assertThat(accounts.missing()).isZero();
+        assertThat(accounts.holes()).isEmpty();
+        assertThat(accounts.repeated()).isEqualTo(2);
+        assertThat(accounts.open().values()).allMatch(totals -> totals.get(Totals.Sum.BYTES) == 42);
+    }
+
     /** Guards against a closing whose entry was damaged: the next segment's header tells of it. */
     @Test
     void aClosingThatCannotBeReadIsMadeUpFromTheNextHeader() {
