--- a/src/main/java/clovermill/ledger/Rescue.java
+++ b/src/main/java/clovermill/ledger/Rescue.java
@@ -1,6 +1,5 @@
 package clovermill.ledger;
 
-import clovermill.ledger.decide.Entry;
 import clovermill.store.CrashPoint;
 import clovermill.store.SegmentWriter;
 import clovermill.store.Volume;
@@ -36,31 +35,19 @@
 
     private static void write(LedgerFolder folder, Stage.Left left, List<LedgerFolder.Segment> segments,
             Volume volume) throws IOException {
-        long[] last = {0};
-        LogReader reader = new LogReader(folder);
-        LogHeader[] header = {null};
-        for (int i = segments.size() - 1; i >= 0 && last[0] == 0; i--) {
-            reader.read(segments.get(i), 0, new LogReader.Visitor() {
-                @Override
-                public void segment(Path file, LogHeader told) {
-                    header[0] = told;
-                    last[0] = Math.max(last[0], told.firstSeq() - 1);
-                }
-
-                @Override
-                public void entry(LogHeader told, Entry entry) {
-                    last[0] = Math.max(last[0], entry.seq());
-                }
-            });
+        Found found = find(folder, segments);
+        if (found == null) {
+            return;
         }
-        var missing = left.frames().tailMap(last[0], false);
-        if (missing.isEmpty() || header[0] == null) {
+        var missing = left.frames().tailMap(found.throughSeq, false);
+        if (missing.isEmpty()) {
             return;
         }
-        LogHeader known = header[0];
+        LogHeader known = found.header;
         LedgerStart state = LedgerStart.of(folder, false);
         int number = segments.get(segments.size() - 1).number() + 1;
-        try (SegmentWriter writer = new SegmentWriter(volume, folder.segment(left.epoch(), number), LogFormat.MAGIC)) {
+        Path file = folder.segment(left.epoch(), number);
+        try (SegmentWriter writer = new SegmentWriter(volume, file, LogFormat.MAGIC)) {
             writer.add(LogFormat.HEADER, new LogFormat().write(new LogHeader(known.folder(), known.instance(),
                     left.epoch(), number, missing.firstKey(), Math.max(known.openedMs(), state.lastMs()),
                     state.throughMs(), state.closings(), known.periodMs(), known.classes())));
@@ -69,8 +56,46 @@
                 CrashPoint.reached("rescue.append");
             }
             writer.force();
+        } catch (IOException failure) {
+            // What a sync that failed left in memory must not pass for written at the next start.
+            remove(file, volume, failure);
+            throw failure;
         }
         LOG.log(Level.INFO, "{0} records that a killed process had staged are written down now",
                 Integer.toString(missing.size()));
     }
+
+    /** The last header that can be read, and the sequence through which all is known to be written. */
+    private record Found(LogHeader header, long throughSeq) {}
+
+    /**
+     * Believes what was synced before the last segment was opened, and of that segment what stands there without a gap:
+     * behind a gap a sync has failed, and all that it was for is still staged.
+     */
+    private static Found find(LedgerFolder folder, List<LedgerFolder.Segment> segments) throws IOException {
+        LogReader reader = new LogReader(folder);
+        int last = segments.size() - 1;
+        for (int i = last; i >= 0; i--) {
+            LogHeader header = reader.header(segments.get(i));
+            if (header != null) {
+                long before = header.firstSeq() - 1;
+                return new Found(header, i < last ? before : unbrokenFrom(before, reader, segments.get(i)));
+            }
+        }
+        return null;
+    }
+
+    private static long unbrokenFrom(long before, LogReader reader, LedgerFolder.Segment segment) throws IOException {
+        long[] through = {before};
+        reader.read(segment, 0, (header, entry) -> through[0] += entry.seq() == through[0] + 1 ? 1 : 0);
+        return through[0];
+    }
+
+    private static void remove(Path file, Volume volume, IOException first) {
+        try {
+            volume.delete(file);
+        } catch (IOException second) {
+            first.addSuppressed(second);
+        }
+    }
 }
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -203,6 +203,49 @@
         }
     }
 
+    /** Guards against a start that believes a segment up to its last record, across what a failed sync has lost. */
+    @Test
+    void aProcessThatIsKilledAfterAFailedSyncHadLostAPageLosesNothing() throws Exception {
+        Ledger ledger = open();
+        disk.syncFailsAfterLoss = true;
+        loseAPage(ledger);
+        Path stage = folder.resolve("clovermill-" + ledgerFolder().identity().folder() + ".stage");
+        Path killed = folder.resolve("killed");
+        copy(folder.resolve("l"), killed);
+        Files.copy(stage, folder.resolve("kept"));
+        disk.syncFails = false;
+        ledger.close();
+        LedgerFolder after = new LedgerFolder(killed);
+        Files.copy(folder.resolve("kept"), stage);
+        Rescue.run(after, after.identity(), stage, disk);
+        assertThat(sum(after).get(Totals.Sum.BYTES)).isEqualTo(20_000);
+    }
+
+    /** A start that cannot write down what was staged leaves it staged, and no segment that a next start believes. */
+    @Test
+    void aRescueOnADiskThatFailsIsTriedAgainByTheNextStart() throws Exception {
+        Ledger ledger = open();
+        for (int i = 0; i < 30; i++) {
+            use(ledger, 10);
+        }
+        Path stage = folder.resolve("clovermill-" + ledgerFolder().identity().folder() + ".stage");
+        Path killed = folder.resolve("killed");
+        copy(folder.resolve("l"), killed);
+        Files.copy(stage, folder.resolve("kept"));
+        ledger.close();
+        Files.copy(folder.resolve("kept"), stage);
+        LedgerFolder after = new LedgerFolder(killed);
+        int segments = after.segments().size();
+        disk.syncFails = true;
+        assertThatThrownBy(() -> Rescue.run(after, after.identity(), stage, disk)).hasMessage("Input/output error");
+        assertThat(stage).exists();
+        assertThat(after.segments()).hasSize(segments);
+        disk.syncFails = false;
+        Rescue.run(after, after.identity(), stage, disk);
+        assertThat(stage).doesNotExist();
+        assertThat(sum(after).get(Totals.Sum.BYTES)).isEqualTo(300);
+    }
+
     /** Serving goes on while the disk takes long: no call of the loop's waits for it. */
     @Test
     void aSlowSyncDelaysNobody() throws Exception {
