--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -315,9 +315,24 @@
             stage.handOverLast();
         } while (!owed.isEmpty() && rested(untilNs));
         writer.close(Math.max(0, untilNs - System.nanoTime()) / 1_000_000);
+        tellLost();
         lock.close();
     }
 
+    /** Gaps for which there was no room to the end are known to nobody else: what they hold is told at least. */
+    private void tellLost() {
+        long requests = 0;
+        long bytes = 0;
+        for (Entry entry : owed) {
+            requests += entry instanceof Entry.Gap gap ? gap.count() : 0;
+            bytes += entry instanceof Entry.Gap gap ? gap.written() : 0;
+        }
+        if (!owed.isEmpty()) {
+            LOG.log(Level.ERROR, "the ledger ends with {0} requests of {1} bytes that are not written down anywhere",
+                    Long.toString(requests), Long.toString(bytes));
+        }
+    }
+
     /** Waits a little for the writer to give pages back; false when there is no time left. */
     private static boolean rested(long untilNs) {
         LockSupport.parkNanos(1_000_000);
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -27,6 +27,10 @@
 import java.util.List;
 import java.util.Random;
 import java.util.TreeMap;
+import java.util.logging.Handler;
+import java.util.logging.LogRecord;
+import java.util.logging.Logger;
+import java.util.logging.StreamHandler;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -57,8 +61,12 @@
     };
 
     private LedgerSettings settings(int queueKb, List<String> refuse) {
+        return settings(queueKb, refuse, 20_000L);
+    }
+
+    private LedgerSettings settings(int queueKb, List<String> refuse, long leaveMs) {
         return new LedgerSettings(folder.resolve("l").toString(), null, null, null, queueKb, folder.toString(), 0L,
-                0L, null, 1, 1L, 20_000L, null, "a",
+                0L, null, 1, 1L, leaveMs, null, "a",
                 List.of(new LedgerSettings.Tenant("b", "order", null)), refuse, null, null, null, null);
     }
 
@@ -146,6 +154,37 @@
         assertThat(sum.get(Totals.Sum.MISSED_REQUESTS)).isPositive();
     }
 
+    /** A director that ends while the disk is full and the queue too tells of what nobody else will know. */
+    @Test
+    void whatCannotBeWrittenDownToTheEndIsTold() throws Exception {
+        List<LogRecord> told = new ArrayList<>();
+        Handler handler = new StreamHandler() {
+            @Override
+            public void publish(LogRecord line) {
+                told.add(line);
+            }
+        };
+        Logger log = Logger.getLogger(Ledger.class.getName());
+        log.addHandler(handler);
+        try {
+            Ledger ledger = open(settings(16, List.of(), 50));
+            disk.room = 0;
+            for (int i = 0; i < 3000; i++) {
+                use(ledger, 10);
+            }
+            ledger.close();
+        } finally {
+            log.removeHandler(handler);
+        }
+        disk.room = Long.MAX_VALUE;
+        open().close();
+        long kept = sum().get(Totals.Sum.REQUESTS);
+        assertThat(kept).isBetween(100L, 2999L);
+        assertThat(told).filteredOn(line -> line.getMessage().contains("are not written down anywhere")).hasSize(1)
+                .allSatisfy(line -> assertThat(line.getParameters()).containsExactly(Long.toString(3000 - kept),
+                        Long.toString(10 * (3000 - kept))));
+    }
+
     /** A write that stops short leaves part of a record; all is written again behind it, and nothing counts twice. */
     @Test
     void aDiskThatFillsUpInTheMiddleOfARecordLosesNothing() throws Exception {
@@ -373,6 +412,43 @@
                 .allMatch(takenMs -> takenMs / HOUR == 1000);
     }
 
+    /**
+     * A step of an hour that outlasts the time to settle is taken over, and one back after it too: what is dated into a
+     * period that was closed early becomes a correction, nothing is lost or doubled, and the next period closes when
+     * its time has come.
+     */
+    @Test
+    void aStepThatIsTakenOverAndThenBackLosesNothingAndFreezesNothing() throws Exception {
+        Ledger ledger = open();
+        use(ledger, 1);
+        wallMs += HOUR;
+        for (int seconds = 0; seconds <= 400; seconds++) {
+            pass(1000);
+        }
+        use(ledger, 2);
+        wallMs -= HOUR;
+        for (int seconds = 0; seconds <= 400; seconds++) {
+            pass(1000);
+        }
+        use(ledger, 4);
+        pass(HOUR);
+        use(ledger, 8);
+        pass(HOUR);
+        ledger.close();
+        assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(15);
+        List<Entry.Close> closings = new ArrayList<>();
+        List<Long> takenHours = new ArrayList<>();
+        new LogReader(ledgerFolder()).read(LogReader.Position.START, (header, entry) -> {
+            if (entry instanceof Entry.Close close) {
+                closings.add(close);
+            } else if (entry instanceof Entry.Used used) {
+                takenHours.add(used.takenMs() / HOUR);
+            }
+        });
+        assertThat(takenHours).containsExactly(1000L, 1001L, 1000L, 1001L);
+        assertThat(closings).extracting(Entry.Close::throughMs).containsExactly(1001 * HOUR, 1002 * HOUR);
+    }
+
     private Exporter exporter() {
         return new Exporter(ledgerFolder(), new LedgerSettings.Export(folder.resolve("out").toString(), null, null,
                 null, null), Volume.local(), new Random(1));
