--- a/src/test/java/clovermill/ColdSumTest.java
+++ b/src/test/java/clovermill/ColdSumTest.java
@@ -44,7 +44,9 @@
     @CsvSource({"6,0.6,true,false,3", "30,0.6,true,false,3", "100,0.6,true,false,3", "30,0.9,true,false,3",
         "30,0.6,false,false,3", "6,0.6,true,true,3", "30,0.6,true,true,3", "100,0.6,true,true,3", "30,0.6,false,true,3",
         "30,0.6,true,false,1", "100,0.6,false,false,1", "30,0.6,true,true,1", "30,0.6,false,true,1",
-        "100,0.6,true,true,1"})
+        "100,0.6,true,true,1", "1,0.6,true,false,1", "1,0.9,true,false,3", "1,0.6,false,false,1", "1,0.6,true,true,1",
+        "1,0.9,false,true,1", "2,0.6,true,false,1", "2,0.6,true,false,2", "2,0.9,false,false,2", "2,0.6,true,true,1",
+        "2,0.9,false,true,2"})
     void theSumOfAllDirectorsStaysWithinWhatAColdMemberMayGet(int directors, double load, boolean toldSizes,
             boolean parent, int restarted) {
         double worst = Double.NEGATIVE_INFINITY;
