--- a/src/main/java/clovermill/config/Config.java
+++ b/src/main/java/clovermill/config/Config.java
@@ -23,10 +23,23 @@
 
     private static final long DEFAULT_IDLE_US = 30_000_000;
 
+    /** Where the text of a configuration comes from. */
+    @FunctionalInterface
+    public interface Source {
+
+        /** The whole text. */
+        String read() throws IOException;
+    }
+
     /** Reads a file; whatever is wrong with it is told in one line. */
     public static Config load(String file, String listen) throws Json.Malformed {
+        return load(() -> Files.readString(Path.of(file)), listen);
+    }
+
+    /** As {@link #load(String, String)}, from a source that may try again. */
+    public static Config load(Source source, String listen) throws Json.Malformed {
         try {
-            return read(Files.readString(Path.of(file)), listen);
+            return read(source.read(), listen);
         } catch (IOException | InvalidPathException failure) {
             throw new Json.Malformed("the file can't be read: " + failure.getMessage());
         }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -51,6 +51,9 @@
     private static final double IDLE_PART = 0.8;
 
     private final EventLoop loop;
+    private final StartupRetry startup;
+    /** Whether a client may have been taken; read by the thread of the signals. */
+    private volatile boolean listening;
     /**
      * A start uses up processor time ahead, of which the first requests are short then: without this pause all
      * stood still for some 0.4 s, and the module took the late answers for members without room.
@@ -78,16 +81,17 @@
     /**
      * Says that it is ready {@code settleUs} from now, once it is opened and its loop runs. Later
      * configurations come from {@code file}; {@code kept} is null where no ledger is kept, {@code fleetSettings} where
-     * the director acts alone.
+     * the director acts alone. What the machine refuses for a moment is tried again by {@code startup}.
      */
     Assembly(Config config, Path file, Clock clock, long settleUs, LedgerSettings kept, FleetSettings fleetSettings,
             AccordSettings agreed,
-            Platform platform) throws IOException, Json.Malformed {
+            Platform platform, StartupRetry startup) throws IOException, Json.Malformed {
         CacheRouter.Settings settings = config.settings();
         Commands known = Commands.read(config.known(), config.zones(), config.kinds());
         Deadlines deadlines = new Deadlines();
         Budget budget = new Budget(Runtime.getRuntime().maxMemory() / BODIES_PART);
-        loop = new EventLoop(clock, deadlines);
+        this.startup = startup;
+        loop = startup.get("the selector", () -> new EventLoop(clock, deadlines));
         Warmup.play(settings, known);
         Shares shares = new Shares(config.sockets());
         CachePool pool = new CachePool(loop, clock, deadlines, budget, new CachePool.Limits(
@@ -150,14 +154,33 @@
 
     /** Listens, and asks for the list. The loop is to run from now on. */
     void open() throws IOException {
-        channel.start();
         if (accord != null) {
             accord.start();
         }
         if (admin != null) {
-            admin.open(adminAddress);
+            startup.get("the operators' listening socket", () -> {
+                admin.open(adminAddress);
+                return admin;
+            });
         }
-        front.open();
+        startup.get("the clients' listening socket", this::listen);
+        channel.start();
+    }
+
+    private FrameFront listen() throws IOException {
+        listening = true;
+        try {
+            front.open();
+            return front;
+        } catch (IOException failure) {
+            listening = false;
+            throw failure;
+        }
+    }
+
+    /** Whether a client may have been taken. */
+    boolean listening() {
+        return listening;
     }
 
     /** The port on which clients are taken. */
--- a/src/main/java/clovermill/director/Platform.java
+++ b/src/main/java/clovermill/director/Platform.java
@@ -17,8 +17,13 @@
 record Platform(ServerSocketChannel passed, InetSocketAddress admin, Path shared) {
 
     /** What the variables of the environment tell; the names stand in the operators' page on upgrades. */
-    static Platform read(Map<String, String> environment, Config config) throws IOException, Json.Malformed {
-        ServerSocketChannel passed = PassedSocket.take(environment.get(PassedSocket.VARIABLE));
+    static Platform read(Map<String, String> environment, Config config, StartupRetry startup)
+            throws IOException, Json.Malformed {
+        String named = environment.get(PassedSocket.VARIABLE);
+        if (named != null) {
+            startup.get("the passed socket", System::inheritedChannel); // kept by the JVM once it was had
+        }
+        ServerSocketChannel passed = PassedSocket.take(named);
         String admin = environment.get("BALANCER_ADMIN");
         String folder = environment.get("TMPDIR");
         return new Platform(passed, admin == null ? config.admin() : Config.address(admin),
--- a/src/main/java/clovermill/director/ProcessSignals.java
+++ b/src/main/java/clovermill/director/ProcessSignals.java
@@ -42,8 +42,8 @@
             if (over) {
                 return;
             }
-            if (director == null) {
-                Runtime.getRuntime().halt(0); // nothing has been taken yet
+            if (director == null || !director.listening()) {
+                Runtime.getRuntime().halt(0); // nothing has been taken yet, and the loop may not run for seconds
             }
             director.loop().post(director::leave);
         }
--- a/src/main/java/clovermill/director/Rehearsal.java
+++ b/src/main/java/clovermill/director/Rehearsal.java
@@ -46,7 +46,7 @@
             Config config = Config.read(text, "127.0.0.1:0");
             InetSocketAddress anywhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
             Assembly director = new Assembly(config, Path.of(file), clock, 0, null, null, null,
-                    new Platform(null, anywhere, null));
+                    new Platform(null, anywhere, null), new StartupRetry(clock));
             director.open();
             Rehearsal rehearsal = new Rehearsal(director);
             InetSocketAddress front = new InetSocketAddress(InetAddress.getLoopbackAddress(), director.port());
--- a/src/main/java/clovermill/director/Service.java
+++ b/src/main/java/clovermill/director/Service.java
@@ -11,6 +11,7 @@
 import clovermill.settings.StructuredLog;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Optional;
@@ -66,9 +67,11 @@
             throw new BadStart("the configuration: BALANCER_CONFIG is not set");
         }
         try {
-            Config config = Config.load(file, System.getenv("BALANCER_LISTEN"));
-            Assembly director = new Assembly(config, Path.of(file), Clock.system(), Assembly.SETTLE_US, ledger, fleet,
-                    accord, Platform.read(System.getenv(), config));
+            Clock clock = Clock.system();
+            StartupRetry startup = new StartupRetry(clock);
+            Config config = load(file, startup);
+            Assembly director = new Assembly(config, Path.of(file), clock, Assembly.SETTLE_US, ledger, fleet,
+                    accord, Platform.read(System.getenv(), config, startup), startup);
             signals.serves(director);
             director.open();
             LOG.log(Level.INFO, "{0} serves clients on {1}", config.name(), config.listen());
@@ -82,6 +85,12 @@
         }
     }
 
+    /** The configuration; a file that is there and cannot be opened for a moment (EMFILE, EIO) is tried again. */
+    private static Config load(String file, StartupRetry startup) throws Json.Malformed {
+        return Config.load(() -> startup.get("the configuration", () -> Files.readString(Path.of(file))),
+                System.getenv("BALANCER_LISTEN"));
+    }
+
     /** The place and the reason; what a subsystem does not place itself is the ledger's. */
     private static String placed(IllegalArgumentException bad) {
         return bad.getMessage().startsWith("/") ? bad.getMessage() : "/ledger: " + bad.getMessage();
