--- a/src/main/java/clovermill/director/retune/Retuning.java
+++ b/src/main/java/clovermill/director/retune/Retuning.java
@@ -1,7 +1,6 @@
 package clovermill.director.retune;
 
 import clovermill.CacheRouter.Settings;
-import clovermill.CacheRouter;
 import clovermill.channel.CommandChannel;
 import clovermill.config.Config;
 import clovermill.config.Json;
@@ -80,8 +79,8 @@
         front.retune(classes.taken(), settings);
     }
 
-    /** The longest time that a request may be open, in microseconds. */
+    /** The longest deadline of a request under the configuration in force, in microseconds. */
     public long longestUs() {
-        return classes.terms().stream().mapToLong(CacheRouter.RequestClass::deadlineUs).max().orElse(0);
+        return classes.longestDeadlineUs();
     }
 }
--- a/src/main/java/clovermill/reload/decide/Classes.java
+++ b/src/main/java/clovermill/reload/decide/Classes.java
@@ -30,6 +30,8 @@
     private Map<String, RequestClass> target = new LinkedHashMap<>();
     private int attempts;
     private int targetAttempts;
+    private long longestUs;
+    private long targetLongestUs;
     private boolean overlaps;
 
     /** The classes of the start, numbered as they stand, and how often a request may be attempted. */
@@ -39,6 +41,8 @@
         this.wanted = List.copyOf(names);
         this.attempts = attempts;
         this.targetAttempts = attempts;
+        this.longestUs = longest(terms);
+        this.targetLongestUs = longestUs;
     }
 
     /** Whether there is a number left for each name that is new. */
@@ -61,6 +65,8 @@
         wanted = List.copyOf(newNames);
         attempts = Math.min(attempts, newAttempts);
         targetAttempts = newAttempts;
+        longestUs = Math.min(longestUs, longest(newTerms));
+        targetLongestUs = longest(newTerms);
         overlaps = true;
     }
 
@@ -69,6 +75,7 @@
         target.forEach((name, each) -> terms.set(names.indexOf(name), each));
         target = new LinkedHashMap<>();
         attempts = targetAttempts;
+        longestUs = targetLongestUs;
         overlaps = false;
     }
 
@@ -77,6 +84,18 @@
         return List.copyOf(terms);
     }
 
+    /**
+     * The longest deadline of the classes that the configuration has, in microseconds; the shorter of both while they
+     * overlap. The platform's kill follows it, so a class that was dropped no longer counts, however long it was.
+     */
+    public long longestDeadlineUs() {
+        return longestUs;
+    }
+
+    private static long longest(List<RequestClass> of) {
+        return of.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
+    }
+
     /** Names by number; null for those that are taken no more. */
     public List<String> taken() {
         List<String> result = new ArrayList<>(names);
