--- a/src/main/java/clovermill/front/FrameConnection.java
+++ b/src/main/java/clovermill/front/FrameConnection.java
@@ -29,6 +29,7 @@
     private boolean spoken;
     private boolean leaveAfterNext;
     private boolean closing;
+    private boolean cutOff;
     private boolean ended;
 
     FrameConnection(Connection connection, FrontParts shared) {
@@ -79,9 +80,23 @@
                 && (spoken || shared.clock().micros() >= sinceUs + ABOUT_TO_ASK_US);
     }
 
-    /** Closes whatever is open. */
+    /**
+     * Answers what has come and ends this side; at the next call a client that has not taken its answers by then is
+     * closed on. One whose end has begun has its 100 ms.
+     */
     void cutOff() {
-        connection.close();
+        if (lingeringClose.begun()) {
+            return;
+        }
+        if (cutOff) {
+            connection.close();
+            return;
+        }
+        cutOff = true;
+        workOn();
+        connection.readNow();
+        closing = true;
+        answerAll();
     }
 
     @Override
--- a/src/main/java/clovermill/front/Front.java
+++ b/src/main/java/clovermill/front/Front.java
@@ -25,7 +25,8 @@
 
     /**
      * Ends each connection on which nothing taken is open. New requests are turned away from now on if {@code
-     * turningAway}; what is left is closed as it is if {@code cuttingOff}.
+     * turningAway}. If {@code cuttingOff}, what has come is answered and what is left is closed, at the call after that
+     * also on clients that do not read.
      */
     void part(boolean turningAway, boolean cuttingOff);
 
