--- a/src/main/java/clovermill/front/BudgetWait.java
+++ b/src/main/java/clovermill/front/BudgetWait.java
@@ -10,26 +10,37 @@
 
     /** For so long that does not matter: half of what an attempt may begin late after its client has gone. */
     private static final long BLIND_US = 50_000;
+    /** Then the frame is given up: its request's answer must come half a second after its time at the latest. */
+    private static final long MOST_US = 400_000;
 
     private final Budget budget;
     private final Timeout blind;
+    private final Timeout most;
     private final Runnable over;
     private boolean waits;
 
-    /** {@code blind} is run where it takes long, {@code over} when there is room. */
-    BudgetWait(Budget budget, Clock clock, Deadlines deadlines, Runnable blind, Runnable over) {
+    /** {@code blind} is run where it takes long, {@code over} when there is room, {@code none} once if none comes. */
+    BudgetWait(Budget budget, Clock clock, Deadlines deadlines, Runnable blind, Runnable over, Runnable none) {
         this.budget = budget;
         this.blind = new Timeout(clock, deadlines, blind);
+        this.most = new Timeout(clock, deadlines, () -> {
+            waits = false;
+            none.run();
+        });
         this.over = over;
     }
 
     void begin() {
         waits = true;
-        blind.setAfter(BLIND_US);
+        if (!most.isSet()) { // else some room was found, and not enough
+            blind.setAfter(BLIND_US);
+            most.setAfter(MOST_US);
+        }
         budget.await(() -> {
-            waits = false;
-            blind.cancel();
-            over.run();
+            if (waits) {
+                waits = false;
+                over.run();
+            }
         });
     }
 
@@ -37,7 +48,14 @@
         return waits;
     }
 
+    /** The frame has its room. */
+    void end() {
+        blind.cancel();
+        most.cancel();
+    }
+
     void close() {
+        most.close();
         blind.close();
     }
 }
--- a/src/main/java/clovermill/front/ClientStreams.java
+++ b/src/main/java/clovermill/front/ClientStreams.java
@@ -29,15 +29,39 @@
         return open.isEmpty();
     }
 
-    /** Takes a request, or answers it at once. */
-    void take(long stream, ByteBuffer payload) throws ProtocolException {
-        Map<String, String> fields = Frames.fields(payload);
+    /** By when a request is to be answered that arrived at that moment, in microseconds of the clock. */
+    long answerByMicros(ByteBuffer payload, long arrivedMicros) throws ProtocolException {
+        long withinUs = shared.reader().answerWithinUs(Frames.fields(payload.duplicate().order(payload.order())));
+        return withinUs == Long.MAX_VALUE ? Long.MAX_VALUE : arrivedMicros + withinUs;
+    }
+
+    /** Answers a request that is not to be taken any more. */
+    void turnAway(long stream, ByteBuffer payload) throws ProtocolException {
+        if (free(stream)) {
+            connection.refuse(stream, shared.awayMs().getAsLong());
+            if (payload != null) {
+                notTaken(Frames.fields(payload));
+            }
+        }
+    }
+
+    /** Whether a request may come on that stream; it is marked as used, or an error is told. */
+    private boolean free(long stream) throws ProtocolException {
         if (stream == 0 || open.containsKey(stream)) {
             connection.fail(0);
-            return;
+            return false;
         }
         if (!used.use(stream)) {
             connection.fail(stream);
+            return false;
+        }
+        return true;
+    }
+
+    /** Takes a request that arrived at that moment of the clock, or answers it at once. */
+    void take(long stream, ByteBuffer payload, long arrivedMicros) throws ProtocolException {
+        Map<String, String> fields = Frames.fields(payload);
+        if (!free(stream)) {
             return;
         }
         int bodyBytes = payload.remaining();
@@ -51,7 +75,13 @@
         byte[] body = new byte[bodyBytes];
         payload.get(body);
         try {
-            Ask ask = shared.reader().read(fields, body);
+            Ask ask = shared.reader().read(fields, body).later(shared.clock().micros() - arrivedMicros);
+            if (ask.waitUs() <= 0) {
+                shared.budget().give(bodyBytes);
+                connection.refuse(stream, shared.awayMs().getAsLong());
+                shared.host().notTaken(ask, Usage.End.REFUSED);
+                return;
+            }
             ClientStream opened = new ClientStream(connection, stream, ask.id(), bodyBytes);
             open.put(stream, opened);
             connection.taken();
--- a/src/main/java/clovermill/front/FrameConnection.java
+++ b/src/main/java/clovermill/front/FrameConnection.java
@@ -18,6 +18,7 @@
     private final Connection connection;
     private final FrontParts shared;
     private final FrameParser parser;
+    private final ReadPause reading;
     private final FrameTimeout frameTimeout;
     private final HeldFrames held;
     private final ClientThrottle throttle;
@@ -35,13 +36,14 @@
     FrameConnection(Connection connection, FrontParts shared) {
         this.connection = connection;
         this.shared = shared;
-        this.parser = new FrameParser(shared.budget(), this::frame);
+        this.parser = new FrameParser(shared.budget(), this::frame, this::skipped);
+        this.reading = new ReadPause(connection, shared.clock());
         this.frameTimeout = new FrameTimeout(connection, shared.clock(), shared.deadlines(), parser, this::reject);
         this.streams = new ClientStreams(this, shared);
-        this.held = new HeldFrames(shared.budget());
+        this.held = new HeldFrames(shared.budget(), shared.clock(), shared.deadlines(), this::expired);
         this.throttle = new ClientThrottle(shared.clock(), shared.deadlines(), this::workOn);
         this.budgetWait = new BudgetWait(shared.budget(), shared.clock(), shared.deadlines(), streams::bar,
-                this::workOn);
+                this::workOn, this::skipFrame);
         this.writeTimeout = new WriteTimeout(connection, shared.clock(), shared.deadlines());
         this.lingeringClose = new LingeringClose(connection, shared.clock(), shared.deadlines());
         this.sinceUs = shared.clock().micros();
@@ -108,8 +110,10 @@
         try {
             parser.parse(data);
             if (parser.waitsForRoom()) {
-                connection.pause();
+                reading.pause();
                 budgetWait.begin();
+            } else {
+                budgetWait.end();
             }
             frameTimeout.update();
             rest();
@@ -123,7 +127,7 @@
     private void reject() {
         fail(0);
         closing = true;
-        connection.pause();
+        reading.pause();
         answerAll();
     }
 
@@ -156,8 +160,8 @@
      */
     boolean letGo() {
         connection.readNow();
-        if (connection.isOpen() && (!quiet() || spoken && parser.midFrame())) {
-            return false;
+        if (connection.isOpen() && (!quiet() || budgetWait.waits() || spoken && parser.midFrame())) {
+            return false; // what waits for room may be whole
         }
         if (parser.midFrame()) {
             fail(0);
@@ -182,19 +186,45 @@
         switch (type) {
             case Frames.GIVE_UP -> giveUp(stream); // whatever waits: its request must not go on
             case Frames.REQUEST, Frames.READY_QUESTION -> {
-                if (!waits || !held.add(type, stream, payload)) {
-                    take(type, stream, payload);
+                if (!waits || !hold(type, stream, payload)) {
+                    take(type, stream, payload, reading.arrivedMicros());
                 }
             }
             default -> throw new ProtocolException("an unknown type of frame");
         }
         if (held.full()) {
-            connection.pause();
+            reading.pause();
             streams.bar();
         }
         return !held.full();
     }
 
+    private boolean hold(int type, long stream, ByteBuffer payload) throws ProtocolException {
+        long arrivedMicros = reading.arrivedMicros();
+        return held.add(type, stream, payload, arrivedMicros, type != Frames.REQUEST ? Long.MAX_VALUE
+                : streams.answerByMicros(payload, arrivedMicros));
+    }
+
+    /** A frame's time is over while it is held. */
+    private void expired(HeldFrames.Frame frame) {
+        guarded(() -> streams.turnAway(frame.stream(), payload(frame)));
+        workOn(); // there may be room to read on
+    }
+
+    /** There was no room for a frame, which is read no further than to its end. */
+    private void skipFrame() {
+        parser.skipFrame();
+        workOn();
+    }
+
+    private void skipped(int type, long stream) throws ProtocolException {
+        if (type != Frames.REQUEST) {
+            throw new ProtocolException("a large frame that is no request");
+        }
+        spoken = true;
+        streams.turnAway(stream, null);
+    }
+
     private void giveUp(long stream) throws ProtocolException {
         if (streams.giveUp(stream)) {
             throttle.count();
@@ -203,9 +233,9 @@
         }
     }
 
-    private void take(int type, long stream, ByteBuffer payload) throws ProtocolException {
+    private void take(int type, long stream, ByteBuffer payload, long arrivedMicros) throws ProtocolException {
         if (type == Frames.REQUEST) {
-            streams.take(stream, payload);
+            streams.take(stream, payload, arrivedMicros);
         } else {
             connection.send(Frames.answer(Frames.READY_ANSWER, stream,
                     shared.ready().getAsBoolean() ? Frames.SERVED : Frames.REFUSED, Map.of(), 0));
@@ -217,23 +247,32 @@
         if (closing || !connection.isOpen()) {
             return;
         }
-        try {
-            while (!heldBack()) {
-                HeldFrames.Frame next = held.poll();
-                if (next == null) {
-                    break;
-                }
-                take(next.type(), next.stream(), ByteBuffer.wrap(next.payload()).order(ByteOrder.LITTLE_ENDIAN));
+        guarded(() -> {
+            for (HeldFrames.Frame next; !heldBack() && (next = held.poll()) != null;) {
+                take(next.type(), next.stream(), payload(next), next.arrivedMicros());
             }
+        });
+        if (!closing && !held.full() && !budgetWait.waits()) {
+            reading.resume();
+        }
+    }
+
+    private interface Step {
+        void run() throws ProtocolException;
+    }
+
+    private void guarded(Step step) {
+        try {
+            step.run();
         } catch (ProtocolException malformed) {
             reject();
-            return;
-        }
-        if (!held.full() && !budgetWait.waits()) {
-            connection.resume();
         }
     }
 
+    private static ByteBuffer payload(HeldFrames.Frame frame) {
+        return ByteBuffer.wrap(frame.payload()).order(ByteOrder.LITTLE_ENDIAN);
+    }
+
     /** A request has been taken here. */
     void taken() {
         if (leaveAfterNext) {
--- a/src/main/java/clovermill/front/HeldFrames.java
+++ b/src/main/java/clovermill/front/HeldFrames.java
@@ -1,9 +1,14 @@
 package clovermill.front;
 
 import clovermill.net.Budget;
+import clovermill.net.Clock;
+import clovermill.net.Deadlines;
+import clovermill.net.Timeout;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.Iterator;
+import java.util.List;
+import java.util.function.Consumer;
 
 /**
  * Frames of a client that is not worked on for a while, in their order. They are read all the same, so that its end and
@@ -11,8 +16,8 @@
  */
 final class HeldFrames {
 
-    /** One frame, as it came. */
-    record Frame(int type, long stream, byte[] payload) {}
+    /** One frame, as it came; both times in microseconds of the clock, the second that by which it is to be answered. */
+    record Frame(int type, long stream, byte[] payload, long arrivedMicros, long answerByMicros) {}
 
     /** What may be held: some hundreds of requests without a body, of which a usual client has 32 open at most. */
     private static final int MOST_BYTES = 1 << 16;
@@ -22,24 +27,55 @@
     private static final int MOST_SEEN = 1000;
 
     private final Budget budget;
+    private final Clock clock;
+    private final Timeout overdue;
+    private final Consumer<Frame> expired;
     private final ArrayDeque<Frame> frames = new ArrayDeque<>();
+    private long nextMicros = Long.MAX_VALUE;
     private int bytes;
     private int seen;
 
-    HeldFrames(Budget budget) {
+    /** {@code expired} gets each frame that has to be answered while it is held; it is no longer held then. */
+    HeldFrames(Budget budget, Clock clock, Deadlines deadlines, Consumer<Frame> expired) {
         this.budget = budget;
+        this.clock = clock;
+        this.expired = expired;
+        this.overdue = new Timeout(clock, deadlines, this::expire);
     }
 
-    /** Holds a frame, unless there is no room for it in the budget. */
-    boolean add(int type, long stream, ByteBuffer payload) {
+    private void expire() {
+        for (Frame each : List.copyOf(frames)) {
+            if (each.answerByMicros() <= clock.micros() && frames.remove(each)) {
+                give(each);
+                expired.accept(each);
+            }
+        }
+        watch();
+    }
+
+    /** Wakes up for the frame that is to be answered first. */
+    private void watch() {
+        long firstMicros = frames.stream().mapToLong(Frame::answerByMicros).min().orElse(Long.MAX_VALUE);
+        nextMicros = firstMicros;
+        if (firstMicros != Long.MAX_VALUE) {
+            overdue.setAt(firstMicros);
+        }
+    }
+
+    /** Holds a frame, unless there is no room for it in the budget; both times as in {@link Frame}. */
+    boolean add(int type, long stream, ByteBuffer payload, long arrivedMicros, long answerByMicros) {
         int size = payload.remaining() + FRAME_BYTES;
         if (!budget.take(size)) {
             return false;
         }
         byte[] copy = new byte[payload.remaining()];
         payload.get(copy);
-        frames.add(new Frame(type, stream, copy));
+        frames.add(new Frame(type, stream, copy, arrivedMicros, answerByMicros));
         bytes += size;
+        if (answerByMicros < nextMicros) {
+            nextMicros = answerByMicros;
+            overdue.setAt(answerByMicros);
+        }
         return true;
     }
 
@@ -88,6 +124,7 @@
     }
 
     void close() {
+        overdue.close();
         while (poll() != null) {
             continue;
         }
--- a/src/main/java/clovermill/front/RequestReader.java
+++ b/src/main/java/clovermill/front/RequestReader.java
@@ -69,7 +69,7 @@
         if (token == null && kind.effect() == Effect.DEDUPLICATED) {
             throw new BadRequest("once is missing");
         }
-        long waitUs = (long) (number(needed(fields, "wait"), kind.deadlineUs() / 1000.0) * 1000);
+        long waitUs = waitUs(fields, kind);
         double longestKb = paceKbPerS > 0 ? LONGEST_SENDING * kind.deadlineUs() / 1e6 * paceKbPerS : Integer.MAX_VALUE;
         String retry = fields.getOrDefault("retry", "0");
         if (waitUs == 0 || body.length > LARGEST_BODY || !retry.equals("0") && !retry.equals("1")) {
@@ -78,10 +78,28 @@
         return new Ask(hex(needed(fields, "id")), index, className, hex(needed(fields, "key")),
                 whole(fields.getOrDefault("seg", "0"), LAST_PART),
                 whole(fields.getOrDefault("bucket", "0"), LAST_GROUP),
-                number(fields.getOrDefault("kb", "0"), longestKb), waitUs - Math.min(marginUs, waitUs / MARGIN_PART),
+                number(fields.getOrDefault("kb", "0"), longestKb), withoutMargin(waitUs),
                 retry.equals("1"), token, word(fields.get("etag")), body);
     }
 
+    /** How long a request may wait for its answer, in microseconds; {@link Long#MAX_VALUE} where it names no time. */
+    long answerWithinUs(Map<String, String> fields) {
+        Integer index = classes.get(fields.get("class"));
+        try {
+            return index == null ? Long.MAX_VALUE : withoutMargin(waitUs(fields, kinds.get(index)));
+        } catch (BadRequest bad) {
+            return Long.MAX_VALUE; // it is answered as such when it is taken
+        }
+    }
+
+    private long withoutMargin(long waitUs) {
+        return waitUs - Math.min(marginUs, waitUs / MARGIN_PART);
+    }
+
+    private static long waitUs(Map<String, String> fields, RequestClass kind) throws BadRequest {
+        return (long) (number(needed(fields, "wait"), kind.deadlineUs() / 1000.0) * 1000);
+    }
+
     private static String needed(Map<String, String> fields, String name) throws BadRequest {
         String value = fields.get(name);
         if (value == null) {
--- a/src/main/java/clovermill/host/Ask.java
+++ b/src/main/java/clovermill/host/Ask.java
@@ -6,4 +6,11 @@
  * may be null. {@code waitUs} is the time left until the client gives up.
  */
 public record Ask(String id, int requestClass, String className, String object, int part, int group,
-        double sizeKb, long waitUs, boolean repeat, String token, String have, byte[] body) {}
+        double sizeKb, long waitUs, boolean repeat, String token, String have, byte[] body) {
+
+    /** The same request with so many microseconds less until its client gives up. */
+    public Ask later(long byUs) {
+        return new Ask(id, requestClass, className, object, part, group, sizeKb, waitUs - byUs, repeat, token, have,
+                body);
+    }
+}
--- a/src/test/java/clovermill/director/Scenario.java
+++ b/src/test/java/clovermill/director/Scenario.java
@@ -300,6 +300,7 @@
             party = new Party();
             SocketChannel channel = SocketChannel.open();
             channel.setOption(StandardSocketOptions.SO_RCVBUF, 1 << 16);
+            channel.setOption(StandardSocketOptions.TCP_NODELAY, true); // else a second request may come 40 ms later
             party.operator = name.startsWith("op");
             channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), party.operator
                     ? (name.endsWith("-previous") ? previous : director).adminPort()
--- a/src/test/java/clovermill/front/FrameParserTest.java
+++ b/src/test/java/clovermill/front/FrameParserTest.java
@@ -20,6 +20,10 @@
             Frames.answer(Frames.ANSWER, 3_000_000_000L, Frames.REFUSED, Map.of("after", "100"), 2);
     private final Budget budget = new Budget(100_000);
 
+    private static final FrameParser.Skipped NONE_SKIPPED = (type, stream) -> {
+        throw new AssertionError("a frame was passed over");
+    };
+
     private static byte[] input() {
         return ByteBuffer.allocate(ANSWER.remaining() + 2 + 9).put(ANSWER.duplicate()).put(new byte[] {8, 9})
                 .put(Frames.bare(Frames.GIVE_UP, 7)).array();
@@ -30,7 +34,7 @@
             String fields = type == Frames.ANSWER ? payload.get() + " " + new TreeMap<>(Frames.fields(payload)) : "";
             told.accept(type + " " + stream + " " + fields + " " + payload.remaining());
             return true;
-        });
+        }, NONE_SKIPPED);
         return parser::parse;
     }
 
@@ -56,12 +60,12 @@
     @Test
     void aLargeFrameTakesRoomAsItComesAndGivesItBack() throws Exception {
         ByteBuffer frame = ByteBuffer.allocate(60_000).order(ByteOrder.LITTLE_ENDIAN).putInt(0, 59_996);
-        FrameParser first = new FrameParser(budget, (type, stream, payload) -> true);
+        FrameParser first = new FrameParser(budget, (type, stream, payload) -> true, NONE_SKIPPED);
         first.parse(frame.duplicate().limit(4));
         assertThat(budget.used()).isZero();
         first.parse(frame.duplicate().position(4).limit(59_000));
         assertThat(budget.used()).isBetween(57_000L, 60_000L);
-        FrameParser second = new FrameParser(budget, (type, stream, payload) -> true);
+        FrameParser second = new FrameParser(budget, (type, stream, payload) -> true, NONE_SKIPPED);
         ByteBuffer rest = frame.duplicate();
         second.parse(rest);
         assertThat(second.waitsForRoom()).isTrue();
