--- a/src/main/java/clovermill/reload/ConfigWatch.java
+++ b/src/main/java/clovermill/reload/ConfigWatch.java
@@ -17,6 +17,7 @@
     private boolean settled = true;
     private boolean warned;
     private int missed;
+    private int unread;
 
     /** Takes the file of that look as known, without its being read. */
     ConfigWatch(Stamp known) {
@@ -28,6 +29,13 @@
         last = null;
         warned = false;
         missed = 0;
+        unread = 0;
+    }
+
+    /** What was to be read could not be read for now (no descriptor, say): the next look reads it again. */
+    void unread() {
+        settled = false;
+        unread++;
     }
 
     /** Whether the file is to be read now; {@code seen} is null where there is none. */
@@ -41,6 +49,7 @@
             last = seen;
             settled = false;
             warned = false;
+            unread = 0;
             return true;
         }
         boolean again = !settled;
@@ -50,7 +59,7 @@
 
     /** After a reading that failed, or a look that found no file: whether to say so, once for each such state. */
     boolean warns() {
-        boolean lasting = missed > 0 ? missed > 1 : settled;
+        boolean lasting = missed > 0 ? missed > 1 : settled || unread > 1;
         boolean says = lasting && !warned;
         warned |= lasting;
         return says;
--- a/src/main/java/clovermill/reload/Reloader.java
+++ b/src/main/java/clovermill/reload/Reloader.java
@@ -6,6 +6,7 @@
 import clovermill.net.Deadlines;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
+import java.nio.charset.CharacterCodingException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
@@ -26,6 +27,7 @@
     static final long SPAN_US = 4_000_000;
 
     private final Path file;
+    private final Config.Source source;
     private final Clock clock;
     private final Deadlines deadlines;
     private final Taker taker;
@@ -43,7 +45,13 @@
 
     /** {@code taker} gets each configuration that is whole; the file as it is now counts as known. */
     public Reloader(Path file, Clock clock, Deadlines deadlines, Config inForce, Taker taker) {
+        this(file, () -> Files.readString(file), clock, deadlines, inForce, taker);
+    }
+
+    /** As above, with the text of the file from {@code source}. */
+    Reloader(Path file, Config.Source source, Clock clock, Deadlines deadlines, Config inForce, Taker taker) {
         this.file = file;
+        this.source = source;
         this.clock = clock;
         this.deadlines = deadlines;
         this.inForce = inForce;
@@ -72,12 +80,19 @@
         ConfigWatch.Stamp seen = stamp();
         if (watch.look(seen)) {
             try {
-                Config read = Config.load(file.toString(), null);
+                Config read = Config.read(source.read(), null);
                 inForce.checkNext(read);
                 taker.take(read);
                 inForce = read;
             } catch (Json.Malformed bad) {
                 warn(bad.getMessage());
+            } catch (CharacterCodingException noText) {
+                warn("the file can't be read: " + noText.getMessage());
+            } catch (IOException unreadable) {
+                watch.unread();
+                deadlines.cancel(next); // it is owed, however long ago the signal came
+                next = deadlines.add(clock.micros() + LOOK_US, this::look);
+                warn("the file can't be read: " + unreadable.getMessage());
             }
         } else if (seen == null) {
             warn("there is no such file");
--- a/src/test/java/clovermill/reload/ReloaderTest.java
+++ b/src/test/java/clovermill/reload/ReloaderTest.java
@@ -6,6 +6,7 @@
 import clovermill.config.Config;
 import clovermill.net.Clock;
 import clovermill.net.Deadlines;
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -62,4 +63,26 @@
         look();
         assertThat(taken).containsExactly("the-third-of-all-files");
     }
+
+    /** The file stays as it is, so nothing but a further look would ever have it read. */
+    @Test
+    void aFileThatCannotBeReadForAWhileIsTakenAfterwards() throws Exception {
+        Path file = write("first");
+        List<String> taken = new ArrayList<>();
+        int[] failures = {10};
+        Reloader reloader = new Reloader(file, () -> {
+            if (failures[0]-- > 0) {
+                throw new IOException("Too many open files");
+            }
+            return Files.readString(file);
+        }, clock, deadlines, Config.load(file.toString(), null), config -> taken.add(config.name()));
+        write("second-file");
+        reloader.signalled();
+        for (int i = 0; i < 9; i++) {
+            look();
+        }
+        assertThat(taken).isEmpty();
+        look();
+        assertThat(taken).containsExactly("second-file");
+    }
 }
