--- a/src/test/java/clovermill/reload/decide/ClassesTest.java
+++ b/src/test/java/clovermill/reload/decide/ClassesTest.java
@@ -63,6 +63,20 @@
         assertThat(classes.bounded(TOLD).maxAttempts()).isEqualTo(8);
     }
 
+    /** The platform's kill follows it. */
+    @Test
+    void theLongestDeadlineIsTheShorterOfBothForAWhileAndThatOfTheNewTermsThen() {
+        Classes classes = new Classes(List.of("a", "b"), List.of(with(Effect.IDEMPOTENT, 3000, 0, 0),
+                with(Effect.IDEMPOTENT, 1000, 0, 0)), 2);
+        assertThat(classes.longestDeadlineUs()).isEqualTo(3000);
+        classes.change(List.of("b"), List.of(with(Effect.IDEMPOTENT, 2000, 0, 0)), 2);
+        assertThat(classes.longestDeadlineUs()).isEqualTo(2000);
+        classes.change(List.of("b"), List.of(with(Effect.IDEMPOTENT, 5000, 0, 0)), 2);
+        assertThat(classes.longestDeadlineUs()).as("clients may still follow the terms before").isEqualTo(2000);
+        classes.settle();
+        assertThat(classes.longestDeadlineUs()).as("the class that was dropped has none").isEqualTo(5000);
+    }
+
     @Test
     void namesThatNeverEndAreNotTaken() {
         List<String> many = new ArrayList<>();
