--- a/src/test/java/clovermill/director/Scenario.java
+++ b/src/test/java/clovermill/director/Scenario.java
@@ -160,7 +160,7 @@
 
     private Assembly started(long settleUs, LedgerSettings ledger) throws Exception {
         Config config = Config.read(configuration(), null);
-        Assembly assembly = new Assembly(config, file(), new Clock() {
+        Clock clock = new Clock() {
             @Override
             public long micros() {
                 return nowUs;
@@ -170,8 +170,9 @@
             public long unixMillis() {
                 return nowUs / 1000;
             }
-        }, settleUs, ledger, null, null, new Platform(passed, config.admin(),
-                passed == null ? null : folder.resolve("shared")));
+        };
+        Assembly assembly = new Assembly(config, file(), clock, settleUs, ledger, null, null, new Platform(passed,
+                config.admin(), passed == null ? null : folder.resolve("shared")), new StartupRetry(clock));
         assembly.open();
         return assembly;
     }
@@ -299,6 +300,7 @@
             party = new Party();
             SocketChannel channel = SocketChannel.open();
             channel.setOption(StandardSocketOptions.SO_RCVBUF, 1 << 16);
+            channel.setOption(StandardSocketOptions.TCP_NODELAY, true); // else a second request may come 40 ms later
             party.operator = name.startsWith("op");
             channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), party.operator
                     ? (name.endsWith("-previous") ? previous : director).adminPort()
