--- a/src/main/java/clovermill/channel/CommandChannel.java
+++ b/src/main/java/clovermill/channel/CommandChannel.java
@@ -45,7 +45,8 @@
     private Deadlines.Deadline silence;
     private Deadlines.Deadline redial;
     private long cursor;
-    private boolean heard;
+    /** When the last answer was read. */
+    private long answeredUs = Commands.NEVER_ANSWERED_US;
     private final Redial redials;
 
     public CommandChannel(EventLoop loop, Clock clock, Deadlines deadlines, InetSocketAddress address,
@@ -78,7 +79,7 @@
 
     /** Whether the channel has answered at least once. */
     public boolean heard() {
-        return heard;
+        return answeredUs != Commands.NEVER_ANSWERED_US;
     }
 
     /** Dials, and from then on keeps the channel up. */
@@ -134,15 +135,16 @@
             throw new ProtocolException(malformed.getMessage());
         }
         redials.reached();
-        heard = true;
-        long quietUs = quiet.heard(clock.micros());
+        long answeredBeforeUs = answeredUs;
+        answeredUs = clock.micros();
+        long quietUs = quiet.heard(answeredUs);
         if (quietUs > 0) {
             LOG.log(Level.INFO, "the command channel at {0} tells again, after {1} ms", address,
                     Long.toString(quietUs / 1000));
         }
         if (commands.cursor() > cursor) {
             cursor = commands.cursor();
-            commands.list().forEach(this::deliver);
+            commands.list().forEach(event -> deliver(event, answeredBeforeUs));
         }
         if (last) {
             connection.close();
@@ -152,9 +154,9 @@
     }
 
     /** An event that fails costs itself alone: asked for again it would fail again, and nothing behind it be heard. */
-    private void deliver(Commands.Command event) {
+    private void deliver(Commands.Command event, long answeredBeforeUs) {
         try {
-            news.accept(new Commands(event.cursor(), List.of(event)));
+            news.accept(new Commands(event.cursor(), List.of(event), answeredBeforeUs));
         } catch (RuntimeException fault) {
             LOG.log(Level.ERROR, "event " + event.cursor() + " of the command channel has failed", fault);
         }
--- a/src/main/java/clovermill/channel/Commands.java
+++ b/src/main/java/clovermill/channel/Commands.java
@@ -12,8 +12,19 @@
 /**
  * The numbered events of the command channel up to {@code cursor}, in order. The same form is used in the
  * configuration for what was known at the start.
+ *
+ * @param answeredUs the monotonic clock when the poll before the one that brought them was answered: they were made
+ *            later; {@link #NEVER_ANSWERED_US} where there was none
  */
-public record Commands(long cursor, List<Command> list) {
+public record Commands(long cursor, List<Command> list, long answeredUs) {
+
+    /** No poll was answered before: the events may be of any age. */
+    public static final long NEVER_ANSWERED_US = Long.MIN_VALUE / 2;
+
+    /** Events of any age. */
+    public Commands(long cursor, List<Command> list) {
+        this(cursor, list, NEVER_ANSWERED_US);
+    }
 
     /** One event; {@code cursor} is its number. */
     public sealed interface Command {
@@ -34,7 +45,8 @@
 
     /** Without the events up to a number: whoever resends them, none is taken twice. */
     public Commands after(long read) {
-        return new Commands(cursor, list.stream().filter(command -> command.cursor() > read).toList());
+        return new Commands(cursor, list.stream().filter(command -> command.cursor() > read).toList(),
+                answeredUs);
     }
 
     /**
--- a/src/main/java/clovermill/channel/Roster.java
+++ b/src/main/java/clovermill/channel/Roster.java
@@ -13,7 +13,7 @@
 import clovermill.outage.Outages;
 import java.lang.System.Logger.Level;
 import java.lang.System.Logger;
-import java.util.HashMap;
+import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -26,15 +26,11 @@
     private static final Logger LOG = System.getLogger(Roster.class.getName());
     private static final int MOST_KNOWN = 1000;
 
-    /** A start in Unix milliseconds, and what that is on the module's clock. */
-    private record Start(long ms, long us) {}
-
     private final Map<String, Entry> listed = new LinkedHashMap<>();
-    /**
-     * Translated once: the two clocks are read one after the other and in unlike units, so that the same start told
-     * again would come out up to a millisecond later, which the module takes for another start.
-     */
-    private final Map<String, Start> starts = new HashMap<>();
+    private final StartTimes starts;
+    private final PurgeAges purgeAges = new PurgeAges();
+    /** Whether the marks of another process were read before: what changes in them later has just happened. */
+    private boolean marksRead;
     private final Clock clock;
     private final CachePool pool;
     private final Host host;
@@ -57,6 +53,7 @@
         this.host = host;
         this.outages = outages;
         this.originKind = originKind;
+        this.starts = new StartTimes(clock.micros(), clock.unixMillis());
     }
 
     /** Whether a cache of that id was ever told of. */
@@ -77,24 +74,33 @@
         }
     }
 
-    /** The cache counts as the list tells again, and as started now: it was restarted meanwhile. */
-    public void putBack(String id) {
-        if (outages.putBack(id, clock.unixMillis())) {
+    /**
+     * The cache counts as the list tells again, and as started now: it was restarted meanwhile. {@code stampMs} is what
+     * its return is marked with for others; it tells this return from others and is no time here.
+     */
+    public void putBack(String id, long stampMs) {
+        if (outages.putBack(id, stampMs, clock.micros())) {
             changed(id);
         }
     }
 
-    /** Takes over what another process of this director was told: who is out, and since when others are back. */
+    /** Takes over what another process of this director was told: who is out, and with which stamps others are back. */
     public void outages(Set<String> out, Map<String, Long> back) {
         for (String id : out) {
             takeOut(id);
         }
         for (String id : outages.allOut()) {
             if (!out.contains(id)) {
-                putBack(id);
+                putBack(id, back.getOrDefault(id, 0L));
             }
         }
-        back.forEach(outages::returned);
+        back.forEach((id, stampMs) -> outages.returned(id, stampMs, returnedUs(stampMs)));
+        marksRead = true;
+    }
+
+    /** A return that is found marked at the first look may be long ago; a later one was made since the look before. */
+    private long returnedUs(long stampMs) {
+        return marksRead ? clock.micros() : starts.beforeStartUs(stampMs, clock.micros());
     }
 
     private void changed(String id) {
@@ -107,31 +113,46 @@
 
     /** Takes what was known at the start: one list, as remembered, and then the purges. */
     public void start(Commands known) {
+        List<Commands.Drop> drops = new ArrayList<>();
+        known.list().forEach(this::observeStamps);
         for (Commands.Command command : known.list()) {
             if (command instanceof Commands.Nodes nodes) {
-                update(nodes);
+                update(nodes, true);
             } else if (command instanceof Commands.Unusable unusable) {
                 tell(unusable);
+            } else if (command instanceof Commands.Drop drop) {
+                drops.add(drop);
             }
         }
         host.tell(new Members(ListScope.REMEMBERED, listed.values().stream().map(this::member).toList()));
-        for (Commands.Command command : known.list()) {
-            if (command instanceof Commands.Drop drop) {
-                purge(drop);
-            }
+        long[] agesUs = PurgeAges.agesAtStartUs(drops.stream().map(Commands.Drop::whenMs).toList());
+        for (int i = 0; i < agesUs.length; i++) {
+            purge(drops.get(i), agesUs[i]);
+        }
+    }
+
+    private void observeStamps(Commands.Command command) {
+        if (command instanceof Commands.Nodes nodes) {
+            nodes.entries().forEach(entry -> starts.observeStamp(entry.startedMs(), clock.micros()));
+        } else if (command instanceof Commands.Drop drop) {
+            starts.observeStamp(drop.whenMs(), clock.micros());
         }
     }
 
     /** Takes later events in their order. */
     public void apply(Commands news) {
+        boolean first = news.answeredUs() == Commands.NEVER_ANSWERED_US;
+        if (first) {
+            news.list().forEach(this::observeStamps);
+        }
         for (Commands.Command command : news.list()) {
             if (command instanceof Commands.Nodes nodes) {
-                Set<String> unfit = update(nodes);
+                Set<String> unfit = update(nodes, first);
                 host.tell(new Members(nodes.full() ? ListScope.FULL : ListScope.CHANGES,
                         nodes.entries().stream().map(this::member).toList()));
                 drop(unfit);
             } else if (command instanceof Commands.Drop drop) {
-                purge(drop);
+                purge(drop, purgeAges.ageUs(drop.whenMs(), clock.micros(), news.answeredUs()));
             } else if (command instanceof Commands.Unusable unusable) {
                 tell(unusable);
             }
@@ -148,16 +169,18 @@
         return !listed.isEmpty();
     }
 
-    /** Takes over a list; returns those that are to get nothing more. */
-    private Set<String> update(Commands.Nodes nodes) {
+    /** Takes over a list, {@code first} if it may tell of times before this process; returns who is to get no more. */
+    private Set<String> update(Commands.Nodes nodes, boolean first) {
         Set<String> unfit = new HashSet<>();
         if (nodes.full()) {
             unfit.addAll(listed.keySet());
             listed.clear();
-            starts.keySet().retainAll(nodes.entries().stream().map(entry -> entry.member().id()).toList());
         }
         for (Entry entry : nodes.entries()) {
             String id = entry.member().id();
+            if (first) {
+                starts.startedBeforeUs(id, entry.startedMs(), clock.micros());
+            }
             if (entry.member().kind() != originKind) {
                 caches.put(id, true);
             }
@@ -168,7 +191,6 @@
             }
             if (entry.member().availability() == Availability.GONE) {
                 listed.remove(id);
-                starts.remove(id);
             } else {
                 listed.put(id, entry);
                 pool.listed(id, entry.address(), entry.startedMs());
@@ -195,19 +217,15 @@
     /** The member on the module's clock, on which 0 means that it started long ago. */
     private Member member(Entry entry) {
         Member known = entry.member();
-        long startedMs = outages.startedMs(known.id(), entry.startedMs());
-        long startedUs = startedMs <= 0 ? 0 : starts.compute(known.id(), (id, told) -> told != null
-                && told.ms == startedMs ? told
-                        : new Start(startedMs,
-                                Math.max(1, clock.micros() - (clock.unixMillis() - startedMs) * 1000))).us;
+        long startedUs = outages.startedUs(known.id(),
+                starts.startedUs(known.id(), entry.startedMs(), clock.micros()));
         return new Member(known.id(), known.zone(), known.kind(), known.cell(), known.availability(),
                 known.weight(), startedUs);
     }
 
     /** What is queued for the object would take an older copy: the module, which knows by then, sends it anew. */
-    private void purge(Commands.Drop drop) {
-        host.tell(new Purge(drop.object(), drop.group(),
-                Math.max(0, clock.unixMillis() - drop.whenMs()) * 1000));
+    private void purge(Commands.Drop drop, long ageUs) {
+        host.tell(new Purge(drop.object(), drop.group(), ageUs));
         pool.withdraw(ask -> drop.object() == null ? ask.group() == drop.group()
                 : Long.parseUnsignedLong(ask.object(), 16) == drop.object());
     }
--- a/src/main/java/clovermill/director/operate/Operations.java
+++ b/src/main/java/clovermill/director/operate/Operations.java
@@ -38,8 +38,9 @@
             return false;
         }
         if (roster.isOut(id)) {
-            marks.putBack(id, clock.unixMillis());
-            roster.putBack(id);
+            long stampMs = clock.unixMillis();
+            marks.putBack(id, stampMs);
+            roster.putBack(id, stampMs);
         }
         return true;
     }
--- a/src/main/java/clovermill/director/operate/PeerOutages.java
+++ b/src/main/java/clovermill/director/operate/PeerOutages.java
@@ -18,8 +18,8 @@
         }
 
         @Override
-        public void putBack(String id, long nowMs) {
-            marks.putBack(id, nowMs);
+        public void putBack(String id, long stampMs) {
+            marks.putBack(id, stampMs);
             fleet.putOutage(id, false);
         }
     }
@@ -30,8 +30,9 @@
             marks.takeOut(id);
             roster.takeOut(id);
         } else if (!out && roster.isOut(id)) {
-            marks.putBack(id, clock.unixMillis());
-            roster.putBack(id);
+            long stampMs = clock.unixMillis();
+            marks.putBack(id, stampMs);
+            roster.putBack(id, stampMs);
         }
     }
 }
--- a/src/main/java/clovermill/director/operate/Sharing.java
+++ b/src/main/java/clovermill/director/operate/Sharing.java
@@ -49,7 +49,7 @@
 
     private Sharing(Path folder, Shares shares, Clock clock, Deadlines deadlines, Roster roster, FrameFront front,
             CachePool pool) throws IOException {
-        this.outages = new OutageFolder(folder);
+        this.outages = new OutageFolder(folder, clock::micros);
         this.presence = Presence.ofThisProcess(folder);
         this.shares = shares;
         this.clock = clock;
--- a/src/main/java/clovermill/outage/OutageFolder.java
+++ b/src/main/java/clovermill/outage/OutageFolder.java
@@ -10,14 +10,16 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
+import java.nio.file.attribute.FileTime;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.LongSupplier;
 
 /**
  * Marks in a folder that the processes of one director share: an empty file {@code out-ID} for each cache that is out,
- * and {@code back-ID} with the Unix millisecond of its return for one that came back. A mark is made before a call is
+ * and {@code back-ID} with the Unix millisecond of its return for one that came back, which tells one return from another. A mark is made before a call is
  * answered, and each file stands for itself, so that two processes need no lock. The folder lies in memory, and a look
  * that finds nothing new costs one call for its attributes: both may be done on the loop.
  */
@@ -29,16 +31,26 @@
     private static final System.Logger LOG = System.getLogger(OutageFolder.class.getName());
     private static final String OUT = "out-";
     private static final String BACK = "back-";
-    /** A folder that changed this short a time ago is read again: its time may be coarser than its changes. */
-    private static final long COARSE_MS = 50;
+    /** A folder whose time is new is read again after this long: its time may be coarser than its changes. */
+    private static final long COARSE_US = 50_000;
+    /** It is read again after this long in any case: a wall clock that is stepped back may give a time out twice. */
+    private static final long REREAD_US = 5_000_000;
 
     private final Path folder;
     /** What could not be marked, a full or read-only folder being the cause: true for out. It holds in this process. */
     private final Map<String, Boolean> unmarked = new HashMap<>();
-    private long readMs;
+    private final LongSupplier monotonicUs;
+    /** The folder's time when it was last read, compared for equality alone, and when that was first found. */
+    private FileTime changed;
+    private long changeFoundUs;
+    private long readUs;
 
-    /** Makes the folder if need be; throws what the file system says where that fails. */
-    public OutageFolder(Path folder) throws IOException {
+    /**
+     * Makes the folder if need be; throws what the file system says where that fails. {@code monotonicUs} reads a clock
+     * in microseconds that is never stepped.
+     */
+    public OutageFolder(Path folder, LongSupplier monotonicUs) throws IOException {
+        this.monotonicUs = monotonicUs;
         this.folder = Files.createDirectories(folder);
     }
 
@@ -56,8 +68,8 @@
 
     /** The mark of its being out goes last. */
     @Override
-    public void putBack(String id, long nowMs) {
-        boolean marked = write(mark(BACK, id), Long.toString(nowMs));
+    public void putBack(String id, long stampMs) {
+        boolean marked = write(mark(BACK, id), Long.toString(stampMs));
         try {
             Files.deleteIfExists(mark(OUT, id));
         } catch (IOException failure) {
@@ -82,11 +94,9 @@
     /** What the marks tell now; null where they have not changed since the last look, or cannot be read. */
     public Marks look() {
         try {
-            long changedMs = Files.getLastModifiedTime(folder).toMillis();
-            if (changedMs < readMs - COARSE_MS) {
+            if (!isToBeRead()) {
                 return null;
             }
-            readMs = System.currentTimeMillis();
             Set<String> out = new HashSet<>();
             Map<String, Long> back = new HashMap<>();
             try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
@@ -112,6 +122,20 @@
         }
     }
 
+    /** Notes a read. It is needed where the folder's time is another one than at the last read, or may be too coarse. */
+    private boolean isToBeRead() throws IOException {
+        FileTime now = Files.getLastModifiedTime(folder);
+        long nowUs = monotonicUs.getAsLong();
+        if (!now.equals(changed)) {
+            changed = now;
+            changeFoundUs = nowUs;
+        } else if (readUs - changeFoundUs > COARSE_US && nowUs - readUs < REREAD_US) {
+            return false;
+        }
+        readUs = nowUs;
+        return true;
+    }
+
     private static void readBack(Path file, String id, Map<String, Long> back) throws IOException {
         try {
             back.put(id, Long.parseLong(Files.readString(file)));
--- a/src/main/java/clovermill/outage/OutageMarks.java
+++ b/src/main/java/clovermill/outage/OutageMarks.java
@@ -9,12 +9,12 @@
         public void takeOut(String id) {}
 
         @Override
-        public void putBack(String id, long nowMs) {}
+        public void putBack(String id, long stampMs) {}
     };
 
     /** Marks a cache as out. */
     void takeOut(String id);
 
-    /** Marks a cache as back since a Unix millisecond. */
-    void putBack(String id, long nowMs);
+    /** Marks a cache as back, with a Unix millisecond that tells this return from others. */
+    void putBack(String id, long stampMs);
 }
--- a/src/main/java/clovermill/outage/Outages.java
+++ b/src/main/java/clovermill/outage/Outages.java
@@ -15,28 +15,41 @@
     private static final int MOST_BACK = 1000;
 
     private final Set<String> out = new HashSet<>();
-    /** Unix milliseconds of the last return, the longest ago first. */
-    private final Map<String, Long> back = new LinkedHashMap<>();
+    /** The last returns, the longest ago first. */
+    private final Map<String, Return> back = new LinkedHashMap<>();
+
+    /** A return: the stamp by which processes know it, and when it was on the monotonic clock, in microseconds. */
+    private record Return(long stampMs, long atUs) {}
 
     /** Takes a cache out; false if it was out before. */
     public boolean takeOut(String id) {
         return out.add(id);
     }
 
-    /** Puts a cache back at a Unix millisecond; false if it was not out. */
-    public boolean putBack(String id, long nowMs) {
+    /** Puts a cache back at a time of the monotonic clock; false if it was not out. */
+    public boolean putBack(String id, long stampMs, long nowUs) {
         if (!out.remove(id)) {
             return false;
         }
-        returned(id, nowMs);
+        remember(id, new Return(stampMs, nowUs));
         return true;
     }
 
-    /** Notes when a cache came back, as another process tells; what is known to be later stays. */
-    public void returned(String id, long atMs) {
-        long known = back.getOrDefault(id, 0L);
+    /**
+     * Notes a return as another process tells. The stamp known of the last return is no news; any other, be it earlier
+     * on a wall clock that was stepped, is a further return. A return never makes a cache older than it was known to be.
+     */
+    public void returned(String id, long stampMs, long atUs) {
+        Return known = back.get(id);
+        if (known != null && known.stampMs == stampMs) {
+            return;
+        }
+        remember(id, new Return(stampMs, known == null ? atUs : Math.max(known.atUs, atUs)));
+    }
+
+    private void remember(String id, Return last) {
         back.remove(id);
-        back.put(id, Math.max(known, atMs));
+        back.put(id, last);
         if (back.size() > MOST_BACK) {
             back.remove(back.keySet().iterator().next());
         }
@@ -53,10 +66,11 @@
     }
 
     /**
-     * The Unix millisecond from which a cache counts as started, 0 for long ago: it is restarted while it is out, and
-     * the list may tell that late or not at all.
+     * When a cache counts as started on the monotonic clock, in microseconds, 0 for long ago: it is restarted while it is
+     * out, and the list, which says {@code toldUs}, may tell that late or not at all.
      */
-    public long startedMs(String id, long toldMs) {
-        return Math.max(toldMs, back.getOrDefault(id, 0L));
+    public long startedUs(String id, long toldUs) {
+        Return known = back.get(id);
+        return known == null ? toldUs : Math.max(toldUs, known.atUs);
     }
 }
--- a/src/test/java/clovermill/channel/CommandChannelTest.java
+++ b/src/test/java/clovermill/channel/CommandChannelTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.net.Clock;
 import clovermill.net.Deadlines;
 import clovermill.net.EventLoop;
+import clovermill.net.ManualClock;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -19,22 +19,13 @@
 
     private static final int MOST_TURNS = 500;
 
-    private long nowUs = 1_700_000_000_000_000L;
     private final Deadlines deadlines = new Deadlines();
-    private final Clock clock = new Clock() {
-        @Override
-        public long micros() {
-            return nowUs;
-        }
-
-        @Override
-        public long unixMillis() {
-            return nowUs / 1000;
-        }
-    };
+    private final ManualClock clock = new ManualClock();
     private final List<Long> applied = new ArrayList<>();
+    private final List<Long> answeredUs = new ArrayList<>();
 
     private void apply(Commands news) {
+        answeredUs.add(news.answeredUs());
         for (Commands.Command event : news.list()) {
             if (event.cursor() == 2) {
                 throw new IllegalStateException("a fault while the event is applied");
@@ -79,4 +70,52 @@
         }
         assertThat(applied).containsExactly(3L);
     }
+
+    private static void answer(SocketChannel peer, int cursor) throws Exception {
+        String body = "{\"cursor\":" + cursor + ",\"cmds\":[" + drop(cursor) + "]}";
+        peer.write(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                .getBytes(StandardCharsets.US_ASCII)));
+    }
+
+    /** What a poll brings was made after the answer before, also where that came on an earlier connection. */
+    @Test
+    void eventsComeWithTheTimeOfTheAnswerBefore() throws Exception {
+        EventLoop loop = new EventLoop(clock, deadlines);
+        long firstUs;
+        long secondUs;
+        try (ServerSocketChannel listener = ServerSocketChannel.open()
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
+            new CommandChannel(loop, clock, deadlines, (InetSocketAddress) listener.getLocalAddress(),
+                    new CommandChannel.Terms(List.of("edge"), List.of("std"), 400_000, 500_000), 2, this::apply)
+                    .start();
+            try (SocketChannel peer = listener.accept()) {
+                peer.configureBlocking(false);
+                assertThat(request(loop, peer)).contains("resume=2&");
+                clock.passMillis(70);
+                firstUs = clock.micros();
+                answer(peer, 3);
+                assertThat(request(loop, peer)).contains("resume=3&");
+                clock.passMillis(80);
+                clock.stepMillis(3_600_000);
+                secondUs = clock.micros();
+                answer(peer, 4);
+                assertThat(request(loop, peer)).contains("resume=4&");
+            }
+            listener.configureBlocking(false);
+            SocketChannel next = null;
+            for (int i = 0; i < MOST_TURNS && next == null; i++) {
+                loop.turn(1);
+                clock.passMillis(20);
+                deadlines.sweep(clock.micros());
+                next = listener.accept();
+            }
+            try (SocketChannel peer = next) {
+                peer.configureBlocking(false);
+                assertThat(request(loop, peer)).contains("resume=4&");
+                answer(peer, 5);
+                assertThat(request(loop, peer)).contains("resume=5&");
+            }
+        }
+        assertThat(answeredUs).containsExactly(Commands.NEVER_ANSWERED_US, firstUs, secondUs);
+    }
 }
--- a/src/test/java/clovermill/channel/RosterTest.java
+++ b/src/test/java/clovermill/channel/RosterTest.java
@@ -3,65 +3,279 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.CacheRouter.Members;
+import clovermill.CacheRouter.Purge;
 import clovermill.cache.CachePool;
 import clovermill.config.Config;
 import clovermill.config.Json;
 import clovermill.host.Host;
 import clovermill.net.Budget;
-import clovermill.net.Clock;
 import clovermill.net.Deadlines;
 import clovermill.net.EventLoop;
+import clovermill.net.ManualClock;
 import clovermill.outage.Outages;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
+/** What the module is told of ages. Stamps are of the true time; the director's own wall clock is stepped. */
 class RosterTest {
 
-    private long nowUs = 1_700_000_000_000_900L;
-    private final Clock clock = new Clock() {
-        @Override
-        public long micros() {
-            return nowUs;
-        }
+    private static final long HOUR_MS = 3_600_000;
+    private static final long HOUR_US = HOUR_MS * 1000;
 
-        @Override
-        public long unixMillis() {
-            return nowUs / 1000;
-        }
-    };
+    private final ManualClock clock = new ManualClock();
     private final List<Long> startsUs = new ArrayList<>();
+    private final List<Long> agesUs = new ArrayList<>();
+    private Config config;
+    private Roster roster;
+    private long answeredUs = clock.micros();
 
-    /** A later one would be taken for another start, which voids what is known of the member and its debt. */
-    @Test
-    void aStartThatIsToldAgainIsTheSameOnTheModulesClock() throws Exception {
-        Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
+    @BeforeEach
+    void aDirectorThatKnowsNobody() throws Exception {
+        config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
+        processStarts();
+    }
+
+    private void processStarts() throws Exception {
         Deadlines deadlines = new Deadlines();
         CachePool pool = new CachePool(new EventLoop(clock, deadlines), clock, deadlines, new Budget(1000),
                 new CachePool.Limits(1, 1, 1, 1));
         Host host = new Host((atUs, event, out) -> {
             if (event instanceof Members news) {
                 news.members().forEach(member -> startsUs.add(member.startedUs()));
+            } else if (event instanceof Purge purge) {
+                agesUs.add(purge.ageUs());
             }
         }, config.settings(), clock, deadlines, pool);
-        Roster roster = new Roster(clock, pool, host, new Outages(), config.settings().originKind());
-        tell(roster, config, nowUs / 1000 - 500);
-        nowUs += 250_050;
-        tell(roster, config, nowUs / 1000 - 750);
-        nowUs += 250_050;
-        tell(roster, config, nowUs / 1000 - 200);
+        roster = new Roster(clock, pool, host, new Outages(), config.settings().originKind());
+        startsUs.clear();
+        agesUs.clear();
+    }
+
+    private Commands commands(String... events) throws Json.Malformed {
+        Commands read = Commands.read(Json.parse("{\"cursor\":9,\"cmds\":[" + String.join(",", events) + "]}"),
+                config.zones(), config.kinds());
+        return new Commands(read.cursor(), read.list(), answeredUs);
+    }
+
+    private static String listed(boolean full, String state, long startedMs) {
+        return "{\"cursor\":9,\"nodes\":{\"full\":" + full
+                + ",\"servers\":[{\"id\":\"s-1\",\"addr\":\"127.0.0.1:9\",\"zone\":\"edge\",\"kind\":\"std\",\"cell\":1,"
+                + "\"state\":\"" + state + "\",\"weight\":6,\"started_ms\":" + startedMs + "}]}}";
+    }
+
+    private static String drop(long madeMs) {
+        return "{\"cursor\":9,\"drop\":{\"family\":17,\"when\":" + madeMs + "}}";
+    }
+
+    /** The event of a poll; the poll after it is answered at once, with nothing. */
+    private void poll(String event) throws Exception {
+        roster.apply(commands(event));
+        answeredUs = clock.micros();
+    }
+
+    private long pollStart(long startedMs) throws Exception {
+        poll(listed(false, "ready", startedMs));
+        return startsUs.get(startsUs.size() - 1);
+    }
+
+    /** A purge that is told so many milliseconds after it was made; returns how old the module is told it is. */
+    private long pollPurge(long delayMs) throws Exception {
+        long madeMs = clock.trueMillis();
+        clock.passMillis(delayMs);
+        poll(drop(madeMs));
+        return agesUs.get(agesUs.size() - 1);
+    }
+
+    /** A later one would be taken for another start, which voids what is known of the member and its debt. */
+    @Test
+    void aStartThatIsToldAgainIsTheSameOnTheModulesClock() throws Exception {
+        pollStart(clock.unixMillis() - 500);
+        clock.passMicros(250_050);
+        pollStart(clock.unixMillis() - 750);
+        clock.passMicros(250_050);
+        pollStart(clock.unixMillis() - 200);
         assertThat(startsUs).hasSize(3);
         assertThat(startsUs.get(1)).isEqualTo(startsUs.get(0));
         assertThat(startsUs.get(2)).isGreaterThan(startsUs.get(0));
     }
 
-    private void tell(Roster roster, Config config, long startedMs) throws Json.Malformed {
-        roster.apply(Commands.read(Json.parse("{\"cursor\":9,\"cmds\":[{\"cursor\":9,\"nodes\":{\"full\":false,"
-                + "\"servers\":[{\"id\":\"s-1\",\"addr\":\"127.0.0.1:9\",\"zone\":\"edge\",\"kind\":\"std\",\"cell\":1,"
-                + "\"state\":\"ready\",\"weight\":6,\"started_ms\":" + startedMs + "}]}}]}"), config.zones(),
-                config.kinds()));
+    /** An age over the true one lets copies from before the purge be served; one far below it costs fills. */
+    @ParameterizedTest
+    @ValueSource(longs = {-HOUR_MS, -5_000, 5_000, HOUR_MS})
+    void aStepOfTheWallClockMakesNoPurgeOlderThanItIs(long stepMs) throws Exception {
+        assertThat(pollPurge(40)).as("the first one proves nothing").isZero();
+        clock.passMillis(200);
+        assertThat(pollPurge(140)).as("before the step").isBetween(99_000L, 100_000L);
+        clock.stepMillis(stepMs);
+        assertThat(pollPurge(140)).as("after the step").isBetween(99_000L, 100_000L);
+        clock.passMillis(700);
+        assertThat(pollPurge(240)).as("after the step").isBetween(198_000L, 200_000L);
+        clock.stepMillis(-stepMs);
+        assertThat(pollPurge(20)).as("after the step back, told sooner than any before").isZero();
+        assertThat(pollPurge(140)).isBetween(119_000L, 120_000L);
+        clock.stepMillis(-stepMs);
+        assertThat(pollPurge(140)).as("after a step the other way").isBetween(119_000L, 120_000L);
+    }
+
+    /** What is told late, after an outage of the channel too, counts as made when it is told. */
+    @ParameterizedTest
+    @ValueSource(longs = {-HOUR_MS, -5_000, 0, 5_000, HOUR_MS})
+    void aStepOfTheWritersClockMakesNoPurgeOlderThanItIs(long stepMs) throws Exception {
+        pollPurge(40);
+        clock.passMillis(8_000);
+        poll(drop(clock.trueMillis() + stepMs - 20));
+        assertThat(agesUs.get(1)).isZero();
+        clock.passMillis(1_000);
+        poll(drop(clock.trueMillis() + stepMs - 50));
+        assertThat(agesUs.get(2)).as("by the writer's new time").isBetween(stepMs == 0 ? 0L : 28_000L, 50_000L);
+        poll(drop(clock.trueMillis() - 3_000_000_000_000L));
+        assertThat(agesUs.get(3)).as("junk").isZero();
+    }
+
+    /** The purge was made after the answer before, whatever its stamp says. */
+    @Test
+    void noPurgeIsOlderThanTheAnswerToThePollBefore() throws Exception {
+        pollPurge(40);
+        pollPurge(40);
+        clock.passMillis(30);
+        poll(drop(clock.trueMillis() - 400));
+        assertThat(agesUs.get(2)).isEqualTo(30_000);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {-HOUR_MS, -5_000, 0, 5_000, HOUR_MS})
+    void aStartSeenForTheFirstTimeIsAsOfNowWhateverTheWallClockSays(long stepMs) throws Exception {
+        clock.passMillis(1_000);
+        clock.stepMillis(stepMs);
+        long startedMs = clock.trueMillis() - 300;
+        long startedUs = pollStart(startedMs);
+        assertThat(startedUs).as("after the step").isEqualTo(clock.micros());
+        clock.stepMillis(-stepMs);
+        clock.passMillis(1_000);
+        assertThat(pollStart(startedMs)).as("told again after a step back").isEqualTo(startedUs);
+        poll(listed(true, "ready", startedMs));
+        assertThat(startsUs.get(2)).as("in a whole list").isEqualTo(startedUs);
+        poll(listed(false, "gone", startedMs));
+        clock.stepMillis(-stepMs);
+        clock.passMillis(60_000);
+        poll(listed(true, "ready", startedMs));
+        assertThat(startsUs.get(4)).as("told gone and back: no other start").isEqualTo(startedUs);
+        clock.passMillis(1_000);
+        assertThat(pollStart(clock.trueMillis() - 100)).as("the next start").isEqualTo(clock.micros());
+        assertThat(pollStart(0)).as("long ago").isZero();
+    }
+
+    /** The configuration's purges: proven by their order alone, so the wall clock may be off by anything. */
+    @ParameterizedTest
+    @ValueSource(longs = {-HOUR_MS, -5_000, 0, 5_000, HOUR_MS})
+    void thePurgesKnownAtTheStartAreAsOldAsLaterOnesProve(long wrongMs) throws Exception {
+        clock.stepMillis(wrongMs);
+        processStarts();
+        long nowMs = clock.trueMillis();
+        roster.start(commands(drop(nowMs - 60_000), drop(nowMs - 2_000), drop(nowMs - 1_200), drop(nowMs - 1_300),
+                drop(nowMs - 100)));
+        assertThat(agesUs).containsExactly(2_800_000L, 1_800_000L, 1_000_000L, 1_000_000L, 0L);
+    }
+
+    /** An hour lies between them by the writer's clock, and a moment in truth. */
+    @ParameterizedTest
+    @ValueSource(longs = {-HOUR_MS, HOUR_MS})
+    void ofAGapBetweenPurgesKnownAtTheStartASecondIsBelieved(long stepMs) throws Exception {
+        processStarts();
+        long nowMs = clock.trueMillis();
+        roster.start(commands(drop(nowMs - stepMs), drop(nowMs)));
+        assertThat(agesUs.get(0)).isBetween(0L, 1_000_000L);
+        assertThat(agesUs.get(1)).isZero();
+    }
+
+    private long startedBefore(long agoMs, String... events) throws Exception {
+        processStarts();
+        List<String> all = new ArrayList<>(List.of(events));
+        all.add(listed(true, "ready", clock.trueMillis() - agoMs));
+        roster.start(commands(all.toArray(String[]::new)));
+        return (clock.micros() - startsUs.get(0)) / 1000;
+    }
+
+    /** A fleet that is taken for just started gets next to nothing from a director that restarts. */
+    @Test
+    void withARightClockAMemberKnownAtTheStartIsAsOldAsItsStampLessTheMargin() throws Exception {
+        assertThat(startedBefore(60_000)).isEqualTo(50_000);
+        assertThat(startedBefore(1_700_000)).isEqualTo(1_690_000);
+        assertThat(startedBefore(5_000)).isZero();
+        assertThat(startedBefore(2 * HOUR_MS, drop(clock.trueMillis() - 60_000))).isEqualTo(2 * HOUR_MS - 60_000);
+        assertThat(startedBefore(60_000, drop(clock.trueMillis()))).as("no margin is needed").isEqualTo(60_000);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {-HOUR_MS, -10_000, -5_000, 5_000, 10_000, HOUR_MS})
+    void withAWrongClockNoMemberKnownAtTheStartIsOlderThanItIs(long wrongMs) throws Exception {
+        clock.stepMillis(wrongMs);
+        for (long agoMs : new long[] {0, 3_000, 60_000}) {
+            assertThat(startedBefore(agoMs)).isBetween(0L, agoMs);
+            assertThat(startedBefore(agoMs, drop(clock.trueMillis() - 1_000))).isBetween(0L, agoMs);
+        }
+    }
+
+    /** The channel was out at the start: its first answer tells of times before, but the clock is that of the start. */
+    @ParameterizedTest
+    @ValueSource(longs = {-HOUR_MS, 0, HOUR_MS})
+    void aStepAfterTheProcesssStartMakesNoMemberOfTheFirstAnswerOlder(long stepMs) throws Exception {
+        processStarts();
+        clock.passMillis(20_000);
+        clock.stepMillis(stepMs);
+        answeredUs = Commands.NEVER_ANSWERED_US;
+        roster.apply(commands(listed(true, "ready", clock.trueMillis() - 60_000), drop(clock.trueMillis() - 500)));
+        assertThat(startsUs).containsExactly(clock.micros() - 59_500_000);
+        assertThat(agesUs).containsExactly(0L);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {-HOUR_MS, -5_000, 5_000, HOUR_MS})
+    void aReturnHereOrAtAnotherProcessIsAsOfNow(long stepMs) throws Exception {
+        pollStart(0);
+        roster.outages(Set.of(), Map.of());
+        roster.takeOut("s-1");
+        clock.stepMillis(stepMs);
+        long stampMs = clock.unixMillis();
+        roster.putBack("s-1", stampMs);
+        long backUs = clock.micros();
+        assertThat(startsUs.get(startsUs.size() - 1)).isEqualTo(backUs);
+        clock.passMillis(100);
+        clock.stepMillis(-stepMs);
+        roster.outages(Set.of(), Map.of("s-1", stampMs));
+        assertThat(pollStart(0)).as("its own mark is no further return").isEqualTo(backUs);
+        roster.outages(Set.of("s-1"), Map.of("s-1", stampMs));
+        clock.passMillis(100);
+        roster.outages(Set.of(), Map.of("s-1", clock.unixMillis()));
+        assertThat(startsUs.get(startsUs.size() - 1)).as("put back at the other process").isEqualTo(clock.micros());
+    }
+
+    @Test
+    void aReturnMarkedBeforeTheProcessBeganIsBelievedWithinTheBound() throws Exception {
+        pollStart(0);
+        long nowMs = clock.trueMillis();
+        for (long[] agoAndToldMs : new long[][] {{60_000, 50_000}, {5_000, 0}, {HOUR_MS, 0}, {-HOUR_MS, 0}}) {
+            processStarts();
+            pollStart(0);
+            roster.outages(Set.of(), Map.of("s-1", nowMs - agoAndToldMs[0]));
+            assertThat(pollStart(0)).isEqualTo(clock.micros() - agoAndToldMs[1] * 1000);
+        }
+    }
+
+    /** The shape of the fault as it was measured: a step forward made every purge an hour old. */
+    @Test
+    void afterAStepForwardByAnHourAPurgeIsNotAnHourOld() throws Exception {
+        pollPurge(40);
+        clock.stepMillis(HOUR_MS);
+        assertThat(pollPurge(40)).isLessThan(HOUR_US).isZero();
     }
 }
--- a/src/test/java/clovermill/director/Scenario.java
+++ b/src/test/java/clovermill/director/Scenario.java
@@ -1,8 +1,10 @@
 package clovermill.director;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import clovermill.config.Config;
 import clovermill.ledger.LedgerSettings;
-import clovermill.net.Clock;
+import clovermill.net.ManualClock;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -47,10 +49,12 @@
  *                                             whatever came before
  * expect s-1 want ID name=value !name         also never_mind ID, closed, nothing
  * expect channel resume=1                     at whatever party is polled; expect director stopped
+ * expect director marked ready                in the folder that the processes share; starts: it takes no connections
  * close c1                                    in both directions; with half: only sending; with reset: by a reset
  * close s-1 listener                          takes no connections, they are refused; with deaf: they never come up
  * close c1 deaf                               reads nothing from now on, until: open c1
  * wait 400                                    milliseconds
+ * step -3600000                               the wall clock by so many milliseconds; ${now} stays the true time
  * times 3 STEP                                the step with # standing for 10, 11 and 12
  * together STEP ;; STEP                       sends and closes that the director finds in one turn, in that order
  * </pre>
@@ -60,7 +64,7 @@
     private static final List<String> CODES = List.of("O served", "B refused", "E failed");
     private static final int TURNS = 400;
 
-    private long nowUs = 1_700_000_000_000_000L;
+    private final ManualClock clock = new ManualClock(1_700_000_000_000_000L);
     private final Map<String, Party> parties = new LinkedHashMap<>();
     private final List<SocketChannel> fillers = new ArrayList<>();
     private final Path folder;
@@ -160,18 +164,8 @@
 
     private Assembly started(long settleUs, LedgerSettings ledger) throws Exception {
         Config config = Config.read(configuration(), null);
-        Assembly assembly = new Assembly(config, file(), new Clock() {
-            @Override
-            public long micros() {
-                return nowUs;
-            }
-
-            @Override
-            public long unixMillis() {
-                return nowUs / 1000;
-            }
-        }, settleUs, ledger, null, null, new Platform(passed, config.admin(),
-                passed == null ? null : folder.resolve("shared")));
+        Assembly assembly = new Assembly(config, file(), clock, settleUs, ledger, null, null, new Platform(passed,
+                config.admin(), passed == null ? null : folder.resolve("shared")));
         assembly.open();
         return assembly;
     }
@@ -222,7 +216,7 @@
 
     /** Puts in addresses, and the present time for {@code ${now}}. */
     private String filled(String text) {
-        String result = text.replace("${now}", Long.toString(nowUs / 1000));
+        String result = text.replace("${now}", Long.toString(clock.trueMillis()));
         for (Map.Entry<String, Party> party : parties.entrySet()) {
             if (party.getValue().listener != null) {
                 result = result.replace("${" + party.getKey() + "}", party.getValue().address);
@@ -264,10 +258,11 @@
             }
             case "wait" -> {
                 for (long i = Long.parseLong(rest); i > 0; i -= 10) {
-                    nowUs += 1000 * Math.min(10, i);
+                    clock.passMillis(Math.min(10, i));
                     turn(0);
                 }
             }
+            case "step" -> clock.stepMillis(Long.parseLong(rest));
             case "send" -> send(parts[0], parts[1]);
             case "expect" -> expect(parts[0], parts[1]);
             case "start" -> {
@@ -377,6 +372,11 @@
     }
 
     private void expect(String who, String what) throws IOException {
+        if (what.startsWith("marked ")) {
+            String mark = Files.readString(folder.resolve("shared").resolve("here-" + ProcessHandle.current().pid()));
+            assertThat(mark.split(" ")[1]).isEqualTo(what.substring("marked ".length()));
+            return;
+        }
         if (who.equals("director")) {
             (previous != null ? previous : director).loop().run();
             previous = null;
