--- a/src/main/java/clovermill/director/operate/Sharing.java
+++ b/src/main/java/clovermill/director/operate/Sharing.java
@@ -33,7 +33,6 @@
     private final FrameFront front;
     private final CachePool pool;
     private Presence.Others others = Presence.Others.NONE;
-    private boolean saidReady;
 
     /** Shares by a folder; null if that is null, or, with a line in the log, if it cannot be used. */
     public static Sharing open(Path folder, Shares shares, Clock clock, Deadlines deadlines,
@@ -79,10 +78,7 @@
 
     private void look() {
         catchUp();
-        if (!saidReady && front.ready()) {
-            saidReady = true;
-            presence.ready();
-        }
+        presence.markReady(front.ready(), clock.micros());
         Presence.Others now = presence.look();
         if (now != others) {
             others = now;
