--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -13,13 +13,13 @@
 import clovermill.config.Config;
 import clovermill.config.Json;
 import clovermill.director.leave.Departure;
-import clovermill.director.operate.PeerOutages;
 import clovermill.director.operate.Operations;
+import clovermill.director.operate.PeerOutages;
 import clovermill.director.operate.PolicyDesk;
 import clovermill.director.operate.Sharing;
 import clovermill.director.retune.Retuning;
-import clovermill.fleet.Fleet;
-import clovermill.fleet.FleetSettings;
+import clovermill.fleet.GossipService;
+import clovermill.fleet.GossipSettings;
 import clovermill.front.FrameFront;
 import clovermill.host.Audit;
 import clovermill.host.Host;
@@ -31,8 +31,8 @@
 import clovermill.net.Deadlines;
 import clovermill.net.EventLoop;
 import clovermill.outage.OutageMarks;
-import clovermill.placement.Placement;
 import clovermill.outage.Outages;
+import clovermill.placement.Placement;
 import clovermill.reload.Reloader;
 import clovermill.store.Volume;
 import clovermill.upgrade.Shares;
@@ -71,7 +71,7 @@
     private final Reloader reloader;
     private final Ledger ledger;
     /** Null where this director is no member of a fleet. */
-    private final Fleet fleet;
+    private final GossipService fleet;
     /** Null where no policy of the whole fleet is kept. */
     private final Accord accord;
 
@@ -80,7 +80,7 @@
      * configurations come from {@code file}; {@code kept} is null where no ledger is kept, {@code fleetSettings} where
      * the director acts alone.
      */
-    Assembly(Config config, Path file, Clock clock, long settleUs, LedgerSettings kept, FleetSettings fleetSettings,
+    Assembly(Config config, Path file, Clock clock, long settleUs, LedgerSettings kept, GossipSettings fleetSettings,
             AccordSettings agreed,
             Platform platform) throws IOException, Json.Malformed {
         CacheRouter.Settings settings = config.settings();
@@ -96,8 +96,9 @@
         ledger = kept == null ? null : Ledger.open(kept, new Ledger.Director(config.name(), config.classes(),
                 settings.parentKind(), settings.originKind(), settings.allowed().maxOpen()), clock, deadlines,
                 loop::post, Volume.local());
-        fleet = fleetSettings == null ? null : new Fleet(fleetSettings, config.classes(), settings.answerSlackUs(),
-                clock, deadlines, ledger);
+        fleet = fleetSettings == null ? null
+                : new GossipService(fleetSettings, config.classes(), settings.answerSlackUs(),
+                        clock, deadlines, ledger);
         Audit audit = fleet == null ? ledger : fleet;
         Placement placement = agreed == null ? null : new Placement(clock, settings, config.zones(), config.classes(),
                 agreed.allBound(), audit);
--- a/src/main/java/clovermill/director/Service.java
+++ b/src/main/java/clovermill/director/Service.java
@@ -3,7 +3,7 @@
 import clovermill.accord.AccordSettings;
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.fleet.FleetSettings;
+import clovermill.fleet.GossipSettings;
 import clovermill.ledger.LedgerSettings;
 import clovermill.net.Clock;
 import clovermill.settings.LogSettings;
@@ -47,14 +47,14 @@
     private static void serve(String settings, ProcessSignals signals) throws BadStart, IOException {
         SettingsFile own = null;
         LedgerSettings ledger = null;
-        FleetSettings fleet = null;
+        GossipSettings fleet = null;
         AccordSettings accord = null;
         if (settings != null) {
             try {
                 own = SettingsFile.read(settings);
                 Optional<LogSettings> log = own.part("log", LogSettings.class);
                 ledger = own.part("ledger", LedgerSettings.class).orElse(null);
-                fleet = own.part("fleet", FleetSettings.class).orElse(null);
+                fleet = own.part("fleet", GossipSettings.class).orElse(null);
                 accord = own.part("accord", AccordSettings.class).orElse(null);
                 log.ifPresent(StructuredLog::start);
             } catch (SettingsFile.Fault fault) {
@@ -109,7 +109,7 @@
             SettingsFile own = SettingsFile.read(file);
             own.part("log", LogSettings.class);
             Optional<LedgerSettings> ledger = own.part("ledger", LedgerSettings.class);
-            Optional<FleetSettings> fleet = own.part("fleet", FleetSettings.class);
+            Optional<GossipSettings> fleet = own.part("fleet", GossipSettings.class);
             List<String> classes = config == null ? null : Config.load(config, null).classes();
             if (classes != null && ledger.isPresent()) {
                 ledger.get().check(classes);
--- a/src/main/java/clovermill/director/operate/PeerOutages.java
+++ b/src/main/java/clovermill/director/operate/PeerOutages.java
@@ -1,7 +1,7 @@
 package clovermill.director.operate;
 
 import clovermill.channel.Roster;
-import clovermill.fleet.Fleet;
+import clovermill.fleet.GossipService;
 import clovermill.net.Clock;
 import clovermill.outage.OutageMarks;
 import java.util.function.BiConsumer;
@@ -10,7 +10,7 @@
 public record PeerOutages(Roster roster, OutageMarks marks, Clock clock) implements BiConsumer<String, Boolean> {
 
     /** Outage marks for the other processes of this director that are also replicated to its peers. */
-    public record ReplicatedMarks(OutageMarks marks, Fleet fleet) implements OutageMarks {
+    public record ReplicatedMarks(OutageMarks marks, GossipService fleet) implements OutageMarks {
         @Override
         public void takeOut(String id) {
             marks.takeOut(id);
--- a/src/main/java/clovermill/emulator/TalkingFleet.java
+++ b/src/main/java/clovermill/emulator/TalkingFleet.java
@@ -1,10 +1,10 @@
 package clovermill.emulator;
 
-import clovermill.fleet.decide.FleetMember.Membership;
-import clovermill.fleet.decide.FleetMember.Outgoing;
-import clovermill.fleet.decide.FleetMember;
-import clovermill.fleet.decide.LeasedRate;
-import clovermill.fleet.decide.Message;
+import clovermill.fleet.decide.GossipMember.GroupMembership;
+import clovermill.fleet.decide.GossipMember.OutgoingMessage;
+import clovermill.fleet.decide.GossipMember;
+import clovermill.fleet.decide.GossipMessage;
+import clovermill.fleet.decide.RateLimitShare;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -14,7 +14,7 @@
 
 /**
  * Directors that gossip over links that lose, delay, duplicate and are cut, each by a clock of its own that is seconds
- * off and drifts, under one limit and with entries put at any of them. The members are the real {@link FleetMember};
+ * off and drifts, under one limit and with entries put at any of them. The members are the real {@link GossipMember};
  * one seed gives one run.
  */
 public final class TalkingFleet {
@@ -50,7 +50,7 @@
     private static final int FANOUT = 4;
     private static final double REPEATED = 0.02;
 
-    private record Packet(long atUs, long order, int to, Message message) implements Comparable<Packet> {
+    private record Packet(long atUs, long order, int to, GossipMessage message) implements Comparable<Packet> {
         @Override
         public int compareTo(Packet other) {
             return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
@@ -75,7 +75,7 @@
         private final double pace = 1 + DRIFT * (random.nextDouble() - 0.5);
         private final long offsetUs = (long) (random.nextDouble() * 20 * SECOND_US);
         private final long phaseUs = (long) (random.nextDouble() * INTERVAL_US);
-        private FleetMember member;
+        private GossipMember member;
         private long tickUs;
         private double due;
 
@@ -88,7 +88,7 @@
         }
 
         void start() {
-            member = new FleetMember(membership(number), List.of(new LeasedRate(terms, clock())), random.split(),
+            member = new GossipMember(membership(number), List.of(new RateLimitShare(terms, clock())), random.split(),
                     entry -> {}, clock());
             tickUs = nowUs + phaseUs;
         }
@@ -96,7 +96,7 @@
 
     private final Case plan;
     private final SplittableRandom random;
-    private final LeasedRate.Terms terms;
+    private final RateLimitShare.Terms terms;
     private final List<Peer> peers = new ArrayList<>();
     private final PriorityQueue<Packet> packets = new PriorityQueue<>();
     private final List<PutEntry> entries = new ArrayList<>();
@@ -112,15 +112,15 @@
     private TalkingFleet(Case plan, long seed) {
         this.plan = plan;
         this.random = new SplittableRandom(seed);
-        this.terms = new LeasedRate.Terms(plan.limit(), plan.directors(), BURST_S, TERM_US, DRIFT);
+        this.terms = new RateLimitShare.Terms(plan.limit(), plan.directors(), BURST_S, TERM_US, DRIFT);
         for (int i = 0; i < plan.directors(); i++) {
             peers.add(new Peer(i));
             peers.get(i).start();
         }
     }
 
-    private Membership membership(int number) {
-        return new Membership(number, plan.directors(), INTERVAL_US, FANOUT);
+    private GroupMembership membership(int number) {
+        return new GroupMembership(number, plan.directors(), INTERVAL_US, FANOUT);
     }
 
     /** Plays a case. */
@@ -154,8 +154,8 @@
             follow();
         }
         int lost = (int) entries.stream().filter(entry -> !setEverywhere(entry.key)).count();
-        return new Figures(most, LeasedRate.maxAdmitted(terms, 1), admitted / (plan.limit() * plan.seconds()),
-                staleUs / 1000, FleetMember.stalenessBoundMs(membership(0), plan.delayMs()), lost, mostAlone);
+        return new Figures(most, RateLimitShare.maxAdmitted(terms, 1), admitted / (plan.limit() * plan.seconds()),
+                staleUs / 1000, GossipMember.stalenessBoundMs(membership(0), plan.delayMs()), lost, mostAlone);
     }
 
     private void faults() {
@@ -189,8 +189,8 @@
     }
 
     /** Every message takes a time of its own, so that they overtake one another; some are lost and some come twice. */
-    private void send(Peer from, List<Outgoing> messages) {
-        for (Outgoing each : messages) {
+    private void send(Peer from, List<OutgoingMessage> messages) {
+        for (OutgoingMessage each : messages) {
             int copies = random.nextDouble() < plan.loss() ? 0 : random.nextDouble() < REPEATED ? 2 : 1;
             for (int i = 0; i < copies; i++) {
                 long delayUs = (long) (random.nextDouble() * plan.delayMs() * 1000);
--- a/src/main/java/clovermill/fleet/MessageCodec.java
+++ b/src/main/java/clovermill/fleet/GossipCodec.java
@@ -1,6 +1,6 @@
 package clovermill.fleet;
 
-import clovermill.fleet.decide.Message;
+import clovermill.fleet.decide.GossipMessage;
 import clovermill.fleet.decide.ReplicatedEntry;
 import clovermill.net.Peers;
 import java.nio.BufferUnderflowException;
@@ -23,15 +23,15 @@
  * signature:16
  * </pre>
  *
- * <p>Whatever is not exactly this, for this director and by this key, is a {@link BadMessage} and nothing else.
+ * <p>Whatever is not exactly this, for this director and by this key, is a {@link InvalidMessageException} and nothing else.
  */
-final class MessageCodec {
+final class GossipCodec {
 
     /** A datagram that is refused; the text says why, and holds nothing of its content. */
-    static final class BadMessage extends Exception {
+    static final class InvalidMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadMessage(String reason) {
+        InvalidMessageException(String reason) {
             super(reason, null, false, false);
         }
     }
@@ -46,13 +46,13 @@
     private final int self;
     private final Mac mac;
 
-    MessageCodec(int self, byte[] key) {
+    GossipCodec(int self, byte[] key) {
         this.self = self;
         mac = Peers.mac(key);
     }
 
     /** A message to a peer, ready to be sent. */
-    ByteBuffer write(int to, Message message) {
+    ByteBuffer write(int to, GossipMessage message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
         out.putInt(MAGIC).putShort((short) message.from()).putShort((short) to).putLong(message.boot())
                 .putLong(message.sequence()).putLong(message.digest()).put((byte) message.entries().size());
@@ -71,9 +71,9 @@
     }
 
     /** Reads a datagram from its position to its limit. */
-    Message read(ByteBuffer in) throws BadMessage {
+    GossipMessage read(ByteBuffer in) throws InvalidMessageException {
         if (in.remaining() < 4 + SIGNATURE_BYTES || in.remaining() > MAX_BYTES || in.getInt(in.position()) != MAGIC) {
-            throw new BadMessage("not of this protocol");
+            throw new InvalidMessageException("not of this protocol");
         }
         byte[] whole = new byte[in.remaining()];
         in.get(whole);
@@ -82,19 +82,19 @@
         // Compared in constant time, lest the time tells how much of a forged signature was right.
         byte[] right = Arrays.copyOf(mac.doFinal(), SIGNATURE_BYTES);
         if (!MessageDigest.isEqual(right, Arrays.copyOfRange(whole, signed, whole.length))) {
-            throw new BadMessage("not signed with the fleet's key, or changed on its way");
+            throw new InvalidMessageException("not signed with the fleet's key, or changed on its way");
         }
         try {
             return message(ByteBuffer.wrap(whole, 4, signed - 4));
         } catch (BufferUnderflowException cut) {
-            throw new BadMessage("shorter than it says");
+            throw new InvalidMessageException("shorter than it says");
         }
     }
 
-    private Message message(ByteBuffer in) throws BadMessage {
+    private GossipMessage message(ByteBuffer in) throws InvalidMessageException {
         int from = in.getShort() & 0xffff;
         if ((in.getShort() & 0xffff) != self) {
-            throw new BadMessage("meant for another director");
+            throw new InvalidMessageException("meant for another director");
         }
         long boot = in.getLong();
         long sequence = in.getLong();
@@ -104,37 +104,37 @@
             byte[] key = new byte[in.get() & 0xff];
             in.get(key);
             if (key.length == 0 || key.length > MAX_KEY_BYTES) {
-                throw new BadMessage("an entry without a key, or with too long a key");
+                throw new InvalidMessageException("an entry without a key, or with too long a key");
             }
             entries.add(new ReplicatedEntry(new String(key, StandardCharsets.UTF_8), in.get() == 1, in.getLong(),
                     in.getShort() & 0xffff));
         }
-        List<Message.LoanRequest> requests = new ArrayList<>();
+        List<GossipMessage.LoanRequest> requests = new ArrayList<>();
         for (int i = count(in); i > 0; i--) {
-            requests.add(new Message.LoanRequest(in.get() & 0xff, in.getLong(), amount(in)));
+            requests.add(new GossipMessage.LoanRequest(in.get() & 0xff, in.getLong(), amount(in)));
         }
-        List<Message.Loan> loans = new ArrayList<>();
+        List<GossipMessage.Loan> loans = new ArrayList<>();
         for (int i = count(in); i > 0; i--) {
-            loans.add(new Message.Loan(in.get() & 0xff, in.getLong(), amount(in)));
+            loans.add(new GossipMessage.Loan(in.get() & 0xff, in.getLong(), amount(in)));
         }
         if (in.hasRemaining()) {
-            throw new BadMessage("longer than it says");
+            throw new InvalidMessageException("longer than it says");
         }
-        return new Message(from, boot, sequence, digest, entries, requests, loans);
+        return new GossipMessage(from, boot, sequence, digest, entries, requests, loans);
     }
 
-    private static int count(ByteBuffer in) throws BadMessage {
+    private static int count(ByteBuffer in) throws InvalidMessageException {
         int count = in.get() & 0xff;
         if (count > MAX_ITEMS) {
-            throw new BadMessage("more items than any message has");
+            throw new InvalidMessageException("more items than any message has");
         }
         return count;
     }
 
-    private static double amount(ByteBuffer in) throws BadMessage {
+    private static double amount(ByteBuffer in) throws InvalidMessageException {
         double amount = in.getDouble();
         if (!(amount >= 0 && amount < Double.POSITIVE_INFINITY)) {
-            throw new BadMessage("an amount that is none");
+            throw new InvalidMessageException("an amount that is none");
         }
         return amount;
     }
--- a/src/main/java/clovermill/fleet/Fleet.java
+++ b/src/main/java/clovermill/fleet/GossipService.java
@@ -1,10 +1,10 @@
 package clovermill.fleet;
 
 import clovermill.CacheRouter.Members;
-import clovermill.fleet.decide.FleetMember.Outgoing;
-import clovermill.fleet.decide.FleetMember;
+import clovermill.fleet.decide.GossipMember.OutgoingMessage;
+import clovermill.fleet.decide.GossipMember;
+import clovermill.fleet.decide.GossipMessage;
 import clovermill.fleet.decide.LimitShare;
-import clovermill.fleet.decide.Message;
 import clovermill.fleet.decide.ReplicatedEntry;
 import clovermill.host.Ask;
 import clovermill.host.Audit;
@@ -24,12 +24,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * This director as a member of its fleet: owns the UDP socket and the {@link FleetMember}, calls it once an interval,
+ * This director as a member of its fleet: owns the UDP socket and the {@link GossipMember}, calls it once an interval,
  * and refuses requests beyond the fleet's limits. All on the loop's thread.
  */
-public final class Fleet implements Audit {
+public final class GossipService implements Audit {
 
-    private static final System.Logger LOG = System.getLogger(Fleet.class.getName());
+    private static final System.Logger LOG = System.getLogger(GossipService.class.getName());
     /** Ignored datagrams are logged at most this often. */
     private static final long LOG_INTERVAL_US = 10_000_000;
     private static final String CACHE_PREFIX = "cache/";
@@ -39,11 +39,11 @@
 
     private final Clock clock;
     private final Deadlines deadlines;
-    private final FleetMember.Membership membership;
-    private final FleetMember member;
-    private final MessageCodec codec;
+    private final GossipMember.GroupMembership membership;
+    private final GossipMember member;
+    private final GossipCodec codec;
     private final List<InetSocketAddress> addresses;
-    private final List<FleetSettings.Limit> limits;
+    private final List<GossipSettings.Limit> limits;
     private final long slackUs;
     private final Audit next;
     private Datagrams socket;
@@ -56,7 +56,7 @@
      * {@code next} is told of all requests too, and asked first; null for none. A request has ended {@code slackUs}
      * after its client has given up, at the latest.
      */
-    public Fleet(FleetSettings settings, List<String> classes, long slackUs, Clock clock, Deadlines deadlines,
+    public GossipService(GossipSettings settings, List<String> classes, long slackUs, Clock clock, Deadlines deadlines,
             Audit next) {
         settings.check(classes);
         this.clock = clock;
@@ -64,10 +64,10 @@
         this.next = next;
         this.membership = settings.membership();
         this.addresses = settings.addresses();
-        this.codec = new MessageCodec(membership.self(), settings.key());
+        this.codec = new GossipCodec(membership.self(), settings.key());
         this.limits = settings.limits();
         this.slackUs = slackUs;
-        this.member = new FleetMember(membership, settings.shares(clock.micros()), new SecureRandom(), this::updated,
+        this.member = new GossipMember(membership, settings.shares(clock.micros()), new SecureRandom(), this::updated,
                 clock.micros());
     }
 
@@ -95,7 +95,7 @@
     /** Replicates to all directors that operators took a cache out here, or put it back. */
     public void putOutage(String id, boolean out) {
         String key = CACHE_PREFIX + id;
-        boolean fits = key.getBytes(StandardCharsets.UTF_8).length <= MessageCodec.MAX_KEY_BYTES;
+        boolean fits = key.getBytes(StandardCharsets.UTF_8).length <= GossipCodec.MAX_KEY_BYTES;
         if (fits && member.put(key, out)) {
             send(member.tick(clock.micros()));
         } else if (!fits || member.isSet(key) != out) {
@@ -117,8 +117,8 @@
         send(member.tick(clock.micros()));
     }
 
-    private void send(List<Outgoing> messages) {
-        for (Outgoing each : socket == null ? List.<Outgoing>of() : messages) {
+    private void send(List<OutgoingMessage> messages) {
+        for (OutgoingMessage each : socket == null ? List.<OutgoingMessage>of() : messages) {
             socket.send(codec.write(each.to(), each.message()), addresses.get(each.to()));
         }
     }
@@ -126,12 +126,12 @@
     private void receive(ByteBuffer datagram) {
         long before = member.ignored();
         try {
-            Message message = codec.read(datagram);
+            GossipMessage message = codec.read(datagram);
             send(member.receive(message, clock.micros()));
             if (member.ignored() > before) {
                 ignore("of no member of the fleet, replayed or of an earlier start");
             }
-        } catch (MessageCodec.BadMessage bad) {
+        } catch (GossipCodec.InvalidMessageException bad) {
             ignore(bad.getMessage());
         }
     }
@@ -168,7 +168,7 @@
         }
     }
 
-    private static boolean counts(FleetSettings.Limit limit, Ask ask) {
+    private static boolean counts(GossipSettings.Limit limit, Ask ask) {
         return (limit.requestClass() == null || limit.requestClass().equals(ask.className()))
                 && (limit.groups() == null || ask.group() >= limit.groups().get(0)
                         && ask.group() <= limit.groups().get(1))
--- a/src/main/java/clovermill/fleet/FleetSettings.java
+++ b/src/main/java/clovermill/fleet/GossipSettings.java
@@ -1,9 +1,9 @@
 package clovermill.fleet;
 
-import clovermill.fleet.decide.FleetMember;
-import clovermill.fleet.decide.LeasedOpen;
-import clovermill.fleet.decide.LeasedRate;
+import clovermill.fleet.decide.ConcurrencyLimitShare;
+import clovermill.fleet.decide.GossipMember;
 import clovermill.fleet.decide.LimitShare;
+import clovermill.fleet.decide.RateLimitShare;
 import clovermill.net.Peers;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.net.InetSocketAddress;
@@ -14,7 +14,7 @@
  * The fleet's part of our settings: the addresses of all directors in the same order everywhere, which of them this
  * one is, the key, how often they send, and the limits. What is absent has its default.
  */
-public record FleetSettings(List<String> directors, int self, @JsonProperty("key_file") String keyFile,
+public record GossipSettings(List<String> directors, int self, @JsonProperty("key_file") String keyFile,
         @JsonProperty("interval_ms") Long intervalMs, Integer fanout, @JsonProperty("term_ms") Long termMs,
         @JsonProperty("burst_ms") Long burstMs, Double drift, List<Limit> limits) {
 
@@ -59,8 +59,8 @@
         return intervalMs == null ? 200 : intervalMs;
     }
 
-    FleetMember.Membership membership() {
-        return new FleetMember.Membership(self, directors.size(), interval() * 1000, fanout == null ? 4 : fanout);
+    GossipMember.GroupMembership membership() {
+        return new GossipMember.GroupMembership(self, directors.size(), interval() * 1000, fanout == null ? 4 : fanout);
     }
 
     /** This director's shares of the limits, in their order. */
@@ -71,8 +71,11 @@
         List<LimitShare> shares = new ArrayList<>();
         for (Limit limit : limits()) {
             shares.add(limit.open != null
-                    ? new LeasedOpen(new LeasedOpen.Terms(limit.open, directors.size(), termUs, maxDrift), self, nowUs)
-                    : new LeasedRate(new LeasedRate.Terms(limit.perSecond, directors.size(), burstS, termUs, maxDrift),
+                    ? new ConcurrencyLimitShare(
+                            new ConcurrencyLimitShare.Terms(limit.open, directors.size(), termUs, maxDrift), self,
+                            nowUs)
+                    : new RateLimitShare(
+                            new RateLimitShare.Terms(limit.perSecond, directors.size(), burstS, termUs, maxDrift),
                             nowUs));
         }
         return shares;
--- a/src/main/java/clovermill/fleet/decide/LeasedOpen.java
+++ b/src/main/java/clovermill/fleet/decide/ConcurrencyLimitShare.java
@@ -2,12 +2,12 @@
 
 /**
  * One director's share of a limit on how many requests the whole fleet has open at once (a distributed semaphore). A
- * share is a number of permits, lent as in {@link LeasedRate}; a request on a borrowed permit has to end before the
+ * share is a number of permits, lent as in {@link RateLimitShare}; a request on a borrowed permit has to end before the
  * loan does. So at every moment all directors together have at most the limit open, whatever becomes of messages;
  * what a director that died had open ends when the caches notice. Not thread-safe; times are microseconds of the
  * owner's clock.
  */
-public final class LeasedOpen implements LimitShare {
+public final class ConcurrencyLimitShare implements LimitShare {
 
     /** What all directors of a fleet have in common: permits, directors, the term of a loan, the bound on drift. */
     public record Terms(int permits, int directors, long termUs, double drift) {
@@ -24,18 +24,18 @@
     private final Terms terms;
     private final int own;
     private final int reserved;
-    private final Loans lent = new Loans();
-    private final Loans borrowed = new Loans();
+    private final LoanBook lent = new LoanBook();
+    private final LoanBook borrowed = new LoanBook();
     private long startedUs;
     private int open;
     private double refused;
     private long refusedUs;
 
     /** The director of a number, from 0; permits that cannot be divided evenly go to the first ones. */
-    public LeasedOpen(Terms terms, int self, long nowUs) {
+    public ConcurrencyLimitShare(Terms terms, int self, long nowUs) {
         this.terms = terms;
         this.own = terms.permits() / terms.directors() + (self < terms.permits() % terms.directors() ? 1 : 0);
-        this.reserved = (int) Math.ceil(LeasedRate.RESERVED_PART * own);
+        this.reserved = (int) Math.ceil(RateLimitShare.RESERVED_PART * own);
         this.startedUs = nowUs;
         this.refusedUs = nowUs;
     }
--- a/src/main/java/clovermill/fleet/decide/FleetMember.java
+++ b/src/main/java/clovermill/fleet/decide/GossipMember.java
@@ -21,10 +21,10 @@
  * sent further entries (anti-entropy). Not thread-safe; times are microseconds of the owner's clock, which is never
  * compared with another.
  */
-public final class FleetMember {
+public final class GossipMember {
 
     /** This director's number in the group, the group's size, and how often and to how many peers it sends. */
-    public record Membership(int self, int directors, long intervalUs, int fanout) {
+    public record GroupMembership(int self, int directors, long intervalUs, int fanout) {
 
         /** Intervals in which every peer is sent to once. */
         int round() {
@@ -33,7 +33,7 @@
     }
 
     /** A message to a peer. */
-    public record Outgoing(int to, Message message) {}
+    public record OutgoingMessage(int to, GossipMessage message) {}
 
     /** Called with each entry from a peer that changes the replicated map here. */
     public interface Listener {
@@ -41,7 +41,7 @@
     }
 
     /** What the failure detector says of a peer; nothing is requested from one that is unreachable. */
-    public enum State {
+    public enum PeerState {
         ALIVE, SUSPECT, UNREACHABLE
     }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    private final Membership membership;
+    private final GroupMembership membership;
     private final RandomGenerator random;
     private final Listener listener;
     private final long boot;
@@ -93,7 +93,7 @@
     private long ignored;
 
     /** {@code shares} are this director's shares of the limits, in the same order at all directors. */
-    public FleetMember(Membership membership, List<? extends LimitShare> shares, RandomGenerator random,
+    public GossipMember(GroupMembership membership, List<? extends LimitShare> shares, RandomGenerator random,
             Listener listener, long nowUs) {
         this.membership = membership;
         this.random = random;
@@ -113,7 +113,7 @@
      * Milliseconds after which an entry has reached all reachable directors where up to three in ten messages are
      * lost: three rounds, or twenty intervals in a small group, and the delay of one message.
      */
-    public static long stalenessBoundMs(Membership membership, long delayMs) {
+    public static long stalenessBoundMs(GroupMembership membership, long delayMs) {
         return Math.max(3 * membership.round(), 20) * membership.intervalUs() / 1000 + delayMs;
     }
 
@@ -153,26 +153,26 @@
     }
 
     /** What the failure detector says of a peer. */
-    public State state(int peer, long nowUs) {
+    public PeerState state(int peer, long nowUs) {
         long rounds = (nowUs - peers[peer].lastReceivedUs) / (membership.round() * membership.intervalUs());
         if (rounds < SUSPECT_ROUNDS) {
-            return State.ALIVE;
+            return PeerState.ALIVE;
         }
-        return rounds < UNREACHABLE_ROUNDS ? State.SUSPECT : State.UNREACHABLE;
+        return rounds < UNREACHABLE_ROUNDS ? PeerState.SUSPECT : PeerState.UNREACHABLE;
     }
 
     /** Sends entries and loan requests to the next few peers. */
-    public List<Outgoing> tick(long nowUs) {
-        List<Outgoing> out = new ArrayList<>();
+    public List<OutgoingMessage> tick(long nowUs) {
+        List<OutgoingMessage> out = new ArrayList<>();
         for (int i = 0; i < membership.fanout() && i < membership.directors() - 1; i++) {
             int to = nextPeer();
-            out.add(new Outgoing(to, message(to, loanRequests(to, nowUs), List.of())));
+            out.add(new OutgoingMessage(to, message(to, loanRequests(to, nowUs), List.of())));
         }
         return out;
     }
 
     /** Handles an authenticated message; returns the replies to be sent at once. */
-    public List<Outgoing> receive(Message message, long nowUs) {
+    public List<OutgoingMessage> receive(GossipMessage message, long nowUs) {
         if (message.from() < 0 || message.from() >= peers.length || message.from() == membership.self()
                 || !isNew(peers[message.from()], message)) {
             ignored++;
@@ -185,11 +185,11 @@
         peer.digest = message.digest();
         message.entries().forEach(this::merge);
         message.loans().forEach(loan -> borrow(loan, nowUs));
-        List<Message.Loan> loans = lend(message.loanRequests(), nowUs);
+        List<GossipMessage.Loan> loans = lend(message.loanRequests(), nowUs);
         // A differing digest is answered once for each of the peer's, lest two that differ reply without end.
         boolean sendsEntries = digestChanged && message.digest() != map.digest();
         return loans.isEmpty() && !sendsEntries ? List.of()
-                : List.of(new Outgoing(message.from(), message(message.from(), List.of(), loans)));
+                : List.of(new OutgoingMessage(message.from(), message(message.from(), List.of(), loans)));
     }
 
     private void merge(ReplicatedEntry entry) {
@@ -200,7 +200,7 @@
     }
 
     /** Takes a loan if this director requested it, and only once. */
-    private void borrow(Message.Loan loan, long nowUs) {
+    private void borrow(GossipMessage.Loan loan, long nowUs) {
         if (!isLimit(loan.limit())) {
             return;
         }
@@ -211,13 +211,13 @@
     }
 
     /** Grants what it can; one loan for each limit at most, so that all fit the datagram. */
-    private List<Message.Loan> lend(List<Message.LoanRequest> requests, long nowUs) {
-        List<Message.Loan> loans = new ArrayList<>();
-        for (Message.LoanRequest request : requests) {
+    private List<GossipMessage.Loan> lend(List<GossipMessage.LoanRequest> requests, long nowUs) {
+        List<GossipMessage.Loan> loans = new ArrayList<>();
+        for (GossipMessage.LoanRequest request : requests) {
             if (isLimit(request.limit()) && loans.size() < shares.size()) {
                 double granted = shares.get(request.limit()).lend(request.amount(), nowUs);
                 if (granted > 0) {
-                    loans.add(new Message.Loan(request.limit(), request.nonce(), granted));
+                    loans.add(new GossipMessage.Loan(request.limit(), request.nonce(), granted));
                 }
             }
         }
@@ -229,7 +229,7 @@
     }
 
     /** Whether a message comes from the peer's present incarnation, or a new one, and is no replay. */
-    private static boolean isNew(Peer peer, Message message) {
+    private static boolean isNew(Peer peer, GossipMessage message) {
         if (peer.known && message.boot() == peer.boot) {
             // Datagrams may be reordered; an overtaken one carries nothing that a later one does not.
             boolean later = message.sequence() > peer.lastSequence;
@@ -262,14 +262,14 @@
     }
 
     /** Requests for each limit's shortfall to one peer; none to one that is unreachable. */
-    private List<Message.LoanRequest> loanRequests(int to, long nowUs) {
-        List<Message.LoanRequest> requests = new ArrayList<>();
+    private List<GossipMessage.LoanRequest> loanRequests(int to, long nowUs) {
+        List<GossipMessage.LoanRequest> requests = new ArrayList<>();
         for (int i = 0; i < shares.size(); i++) {
             double shortfall = shares.get(i).shortfall(nowUs);
-            if (shortfall > 0 && state(to, nowUs) != State.UNREACHABLE) {
+            if (shortfall > 0 && state(to, nowUs) != PeerState.UNREACHABLE) {
                 long nonce = random.nextLong();
                 remember(pendingRequests.get(i), nonce, nowUs);
-                requests.add(new Message.LoanRequest(i, nonce, Math.min(shortfall, shares.get(i).maxRequest())));
+                requests.add(new GossipMessage.LoanRequest(i, nonce, Math.min(shortfall, shares.get(i).maxRequest())));
             }
         }
         return requests;
@@ -284,7 +284,7 @@
         }
     }
 
-    private Message message(int to, List<Message.LoanRequest> requests, List<Message.Loan> loans) {
+    private GossipMessage message(int to, List<GossipMessage.LoanRequest> requests, List<GossipMessage.Loan> loans) {
         Peer peer = peers[to];
         Map<String, ReplicatedEntry> entries = new HashMap<>();
         rumors.values().removeIf(rumor -> rumor.sendsLeft <= 0);
@@ -297,7 +297,8 @@
         if (entries.size() < MAX_MESSAGE_ENTRIES && (!peer.known || peer.digest != map.digest())) {
             map.nextPage(MAX_MESSAGE_ENTRIES - entries.size()).forEach(entry -> entries.put(entry.key(), entry));
         }
-        return new Message(membership.self(), boot, ++peer.sentSequence, map.digest(), List.copyOf(entries.values()),
+        return new GossipMessage(membership.self(), boot, ++peer.sentSequence, map.digest(),
+                List.copyOf(entries.values()),
                 requests, loans);
     }
 
--- a/src/main/java/clovermill/fleet/decide/Message.java
+++ b/src/main/java/clovermill/fleet/decide/GossipMessage.java
@@ -7,7 +7,7 @@
  * to this peer, the digest of the sender's {@link ReplicatedMap}, some of its entries, and loans requested and granted
  * by limit.
  */
-public record Message(int from, long boot, long sequence, long digest, List<ReplicatedEntry> entries,
+public record GossipMessage(int from, long boot, long sequence, long digest, List<ReplicatedEntry> entries,
         List<LoanRequest> loanRequests, List<Loan> loans) {
 
     /** Requests so much more of a limit; {@code nonce} comes back with the loan. */
--- a/src/main/java/clovermill/fleet/decide/Loans.java
+++ b/src/main/java/clovermill/fleet/decide/LoanBook.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /** Loans in one direction, by the time at which each expires. */
-final class Loans {
+final class LoanBook {
 
     /** Loans that are kept; at the bound nothing more is lent or borrowed. */
     static final int MAX_LOANS = 256;
--- a/src/main/java/clovermill/fleet/decide/LeasedRate.java
+++ b/src/main/java/clovermill/fleet/decide/RateLimitShare.java
@@ -14,7 +14,7 @@
  * {@code limit x (w + burst) + n}: see {@link #maxAdmitted}. Not thread-safe; times are microseconds of the owner's
  * clock.
  */
-public final class LeasedRate implements LimitShare {
+public final class RateLimitShare implements LimitShare {
 
     /**
      * What all directors of a fleet have in common: the limit by second, the number of directors, seconds of its
@@ -43,14 +43,14 @@
 
     private final Terms terms;
     private long startedUs;
-    private final Loans lent = new Loans();
-    private final Loans borrowed = new Loans();
+    private final LoanBook lent = new LoanBook();
+    private final LoanBook borrowed = new LoanBook();
     private double tokens;
     private long filledUs;
     private double demand;
     private long demandUs;
 
-    public LeasedRate(Terms terms, long nowUs) {
+    public RateLimitShare(Terms terms, long nowUs) {
         this.terms = terms;
         this.startedUs = nowUs;
         this.filledUs = nowUs;
--- a/src/test/java/clovermill/fleet/MessageCodecTest.java
+++ b/src/test/java/clovermill/fleet/GossipCodecTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.fleet.MessageCodec.BadMessage;
-import clovermill.fleet.decide.Message;
+import clovermill.fleet.GossipCodec.InvalidMessageException;
+import clovermill.fleet.decide.GossipMessage;
 import clovermill.fleet.decide.ReplicatedEntry;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
@@ -19,16 +19,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Datagrams of the fleet: whatever is cut, changed or not signed gives one kind of error and nothing else. */
-class MessageCodecTest {
+class GossipCodecTest {
 
     private static final byte[] KEY = new byte[16];
-    private static final Message FULL = new Message(3, -5, 77, 1234567890123L,
-            IntStream.range(0, 12).mapToObj(MessageCodecTest::entry).toList(),
-            List.of(new Message.LoanRequest(0, -1, 12.5), new Message.LoanRequest(15, 8, 0)),
-            List.of(new Message.Loan(1, 42, 1e9)));
+    private static final GossipMessage FULL = new GossipMessage(3, -5, 77, 1234567890123L,
+            IntStream.range(0, 12).mapToObj(GossipCodecTest::entry).toList(),
+            List.of(new GossipMessage.LoanRequest(0, -1, 12.5), new GossipMessage.LoanRequest(15, 8, 0)),
+            List.of(new GossipMessage.Loan(1, 42, 1e9)));
 
-    private final MessageCodec one = new MessageCodec(3, KEY);
-    private final MessageCodec other = new MessageCodec(4, KEY);
+    private final GossipCodec one = new GossipCodec(3, KEY);
+    private final GossipCodec other = new GossipCodec(4, KEY);
 
     private static ReplicatedEntry entry(int i) {
         return new ReplicatedEntry("cache/" + "x".repeat(50) + i, i % 2 == 0, 9 + i, 65_535);
@@ -43,27 +43,29 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() throws BadMessage {
+    void whatIsWrittenIsRead() throws InvalidMessageException {
         ByteBuffer datagram = one.write(4, FULL);
-        assertThat(datagram.remaining()).isLessThanOrEqualTo(MessageCodec.MAX_BYTES);
+        assertThat(datagram.remaining()).isLessThanOrEqualTo(GossipCodec.MAX_BYTES);
         assertThat(other.read(datagram)).isEqualTo(FULL);
     }
 
     @Test
     void aMessageWithAnotherKeyOrForAnotherDirectorIsRefused() {
-        assertThatThrownBy(() -> new MessageCodec(4, "another key here".getBytes()).read(one.write(4, FULL)))
-                .isInstanceOf(BadMessage.class).hasMessageContaining("not signed");
-        assertThatThrownBy(() -> new MessageCodec(5, KEY).read(one.write(4, FULL)))
-                .isInstanceOf(BadMessage.class).hasMessageContaining("another director");
+        assertThatThrownBy(() -> new GossipCodec(4, "another key here".getBytes()).read(one.write(4, FULL)))
+                .isInstanceOf(InvalidMessageException.class).hasMessageContaining("not signed");
+        assertThatThrownBy(() -> new GossipCodec(5, KEY).read(one.write(4, FULL)))
+                .isInstanceOf(InvalidMessageException.class).hasMessageContaining("another director");
     }
 
     @Test
     void signedButMalformedMessagesAreRefused() {
-        Message forged = new Message(3, 1, 1, 1, List.of(), List.of(new Message.LoanRequest(0, 1, Double.NaN)),
-                List.of());
+        GossipMessage forged =
+                new GossipMessage(3, 1, 1, 1, List.of(), List.of(new GossipMessage.LoanRequest(0, 1, Double.NaN)),
+                        List.of());
         assertThatThrownBy(() -> other.read(one.write(4, forged))).hasMessage("an amount that is none");
-        Message withoutKey = new Message(3, 1, 1, 1, List.of(new ReplicatedEntry("", true, 1, 1)), List.of(),
-                List.of());
+        GossipMessage withoutKey =
+                new GossipMessage(3, 1, 1, 1, List.of(new ReplicatedEntry("", true, 1, 1)), List.of(),
+                        List.of());
         assertThatThrownBy(() -> other.read(one.write(4, withoutKey))).hasMessageStartingWith("an entry without a key");
     }
 
@@ -79,6 +81,6 @@
             default -> random.nextBytes(bytes);
         }
         ByteBuffer spoilt = ByteBuffer.wrap(bytes);
-        assertThatThrownBy(() -> other.read(spoilt)).isInstanceOf(BadMessage.class);
+        assertThatThrownBy(() -> other.read(spoilt)).isInstanceOf(InvalidMessageException.class);
     }
 }
--- a/src/test/java/clovermill/fleet/decide/FleetMemberTest.java
+++ b/src/test/java/clovermill/fleet/decide/GossipMemberTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.fleet.decide.FleetMember.Membership;
-import clovermill.fleet.decide.FleetMember.Outgoing;
-import clovermill.fleet.decide.FleetMember.State;
+import clovermill.fleet.decide.GossipMember.GroupMembership;
+import clovermill.fleet.decide.GossipMember.OutgoingMessage;
+import clovermill.fleet.decide.GossipMember.PeerState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -13,21 +13,21 @@
 import org.junit.jupiter.api.Test;
 
 /** One member of a fleet among its peers, message by message. */
-class FleetMemberTest {
+class GossipMemberTest {
 
     private static final long INTERVAL = 200_000;
     private final List<String> updates = new ArrayList<>();
-    private final FleetMember one = member(0, 1);
-    private final FleetMember two = member(1, 2);
+    private final GossipMember one = member(0, 1);
+    private final GossipMember two = member(1, 2);
 
-    private FleetMember member(int self, long seed) {
-        LeasedRate.Terms terms = new LeasedRate.Terms(300, 3, 0.1, 2_000_000, 0.01);
-        return new FleetMember(new Membership(self, 3, INTERVAL, 2), List.of(new LeasedRate(terms, 0)),
+    private GossipMember member(int self, long seed) {
+        RateLimitShare.Terms terms = new RateLimitShare.Terms(300, 3, 0.1, 2_000_000, 0.01);
+        return new GossipMember(new GroupMembership(self, 3, INTERVAL, 2), List.of(new RateLimitShare(terms, 0)),
                 new SplittableRandom(seed),
                 entry -> updates.add(self + " " + entry.key() + " " + entry.value()), 0);
     }
 
-    private static Message to(int peer, List<Outgoing> messages) {
+    private static GossipMessage to(int peer, List<OutgoingMessage> messages) {
         return messages.stream().filter(each -> each.to() == peer).findFirst().orElseThrow().message();
     }
 
@@ -35,7 +35,7 @@
     void anEntryIsMergedAtThePeerOnce() {
         assertThat(one.put("cache/s-1", true)).isTrue();
         assertThat(one.put("cache/s-1", true)).as("put twice").isFalse();
-        Message message = to(1, one.tick(0));
+        GossipMessage message = to(1, one.tick(0));
         two.receive(message, 0);
         assertThat(two.isSet("cache/s-1")).isTrue();
         two.receive(message, 1);
@@ -47,10 +47,10 @@
     @Test
     void anUnsetKeyIsNotSetAgainByALateMessage() {
         one.put("cache/s-1", true);
-        Message late = to(2, one.tick(0));
+        GossipMessage late = to(2, one.tick(0));
         two.receive(to(1, one.tick(0)), 0);
         two.put("cache/s-1", false);
-        FleetMember three = member(2, 3);
+        GossipMember three = member(2, 3);
         three.receive(to(2, two.tick(1)), 1);
         three.receive(late, 2);
         assertThat(three.isSet("cache/s-1")).isFalse();
@@ -82,9 +82,9 @@
         for (int i = 0; i < 60; i++) {
             one.tick(i); // by now no entry is a rumor any more
         }
-        FleetMember restarted = member(1, 99);
+        GossipMember restarted = member(1, 99);
         for (int i = 0; i < 10; i++) {
-            for (Outgoing answer : one.receive(to(0, restarted.tick(i)), i)) {
+            for (OutgoingMessage answer : one.receive(to(0, restarted.tick(i)), i)) {
                 restarted.receive(answer.message(), i);
             }
             restarted.receive(to(1, one.tick(i)), i);
@@ -94,55 +94,57 @@
 
     @Test
     void messagesOfAnEarlierStartOrOfNoPeerAreIgnored() {
-        Message before = to(1, one.tick(0));
+        GossipMessage before = to(1, one.tick(0));
         two.receive(before, 0);
         two.receive(to(1, member(0, 50).tick(1)), 1);
         two.receive(to(1, one.tick(2)), 2);
         assertThat(two.ignored()).as("of the start before").isEqualTo(1);
-        two.receive(new Message(7, 1, 1, 0, List.of(), List.of(), List.of()), 3);
-        two.receive(new Message(1, 1, 1, 0, List.of(), List.of(), List.of()), 3);
+        two.receive(new GossipMessage(7, 1, 1, 0, List.of(), List.of(), List.of()), 3);
+        two.receive(new GossipMessage(1, 1, 1, 0, List.of(), List.of(), List.of()), 3);
         assertThat(two.ignored()).as("of no member, and of its own").isEqualTo(3);
     }
 
     @Test
     void aLoanThatWasNotRequestedOrIsRepeatedIsIgnored() {
         long now = 5_000_000;
-        two.receive(new Message(0, 1, 1, 0, List.of(), List.of(), List.of(new Message.Loan(0, 123, 50))), now);
+        two.receive(new GossipMessage(0, 1, 1, 0, List.of(), List.of(), List.of(new GossipMessage.Loan(0, 123, 50))),
+                now);
         assertThat(two.share(0).amount(now)).isEqualTo(100);
         for (long at = now - 1_000_000; at < now; at += 2_000) {
             two.share(0).admit(at, at);
         }
-        Message request = to(0, two.tick(now));
+        GossipMessage request = to(0, two.tick(now));
         assertThat(request.loanRequests()).hasSize(1);
-        Message answer = to(1, one.receive(request, now));
+        GossipMessage answer = to(1, one.receive(request, now));
         two.receive(answer, now);
         assertThat(two.share(0).amount(now)).isEqualTo(180);
-        two.receive(new Message(0, answer.boot(), answer.sequence() + 1, 0, List.of(), List.of(), answer.loans()), now);
+        two.receive(new GossipMessage(0, answer.boot(), answer.sequence() + 1, 0, List.of(), List.of(), answer.loans()),
+                now);
         assertThat(two.share(0).amount(now)).as("lent twice by the same nonce").isEqualTo(180);
     }
 
     @Test
     void repeatedRequestsForOneLimitInAMessageGetOneLoan() {
-        List<Message.LoanRequest> requests = new ArrayList<>();
+        List<GossipMessage.LoanRequest> requests = new ArrayList<>();
         for (int i = 0; i < 64; i++) {
-            requests.add(new Message.LoanRequest(0, i, 1));
+            requests.add(new GossipMessage.LoanRequest(0, i, 1));
         }
-        Message many = new Message(0, 1, 1, 0, List.of(), requests, List.of());
+        GossipMessage many = new GossipMessage(0, 1, 1, 0, List.of(), requests, List.of());
         assertThat(to(0, two.receive(many, 5_000_000)).loans()).hasSize(1);
     }
 
     @Test
     void everyPeerIsSentToInEveryRoundAndASilentOneBecomesUnreachable() {
-        Membership membership = new Membership(2, 10, INTERVAL, 4);
-        FleetMember among = new FleetMember(membership, List.of(), new SplittableRandom(4), entry -> {}, 0);
+        GroupMembership membership = new GroupMembership(2, 10, INTERVAL, 4);
+        GossipMember among = new GossipMember(membership, List.of(), new SplittableRandom(4), entry -> {}, 0);
         Set<Integer> targets = new HashSet<>();
         for (int i = 0; i < 3; i++) {
             among.tick(i * INTERVAL).forEach(each -> targets.add(each.to()));
         }
         assertThat(targets).containsExactlyInAnyOrder(0, 1, 3, 4, 5, 6, 7, 8, 9);
-        assertThat(among.state(1, 3 * INTERVAL)).isEqualTo(State.ALIVE);
-        assertThat(among.state(1, 7 * INTERVAL)).isEqualTo(State.SUSPECT);
-        assertThat(among.state(1, 16 * INTERVAL)).isEqualTo(State.UNREACHABLE);
+        assertThat(among.state(1, 3 * INTERVAL)).isEqualTo(PeerState.ALIVE);
+        assertThat(among.state(1, 7 * INTERVAL)).isEqualTo(PeerState.SUSPECT);
+        assertThat(among.state(1, 16 * INTERVAL)).isEqualTo(PeerState.UNREACHABLE);
     }
 
     @Test
--- a/src/test/java/clovermill/fleet/decide/LeasedRateTest.java
+++ b/src/test/java/clovermill/fleet/decide/RateLimitShareTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 
 /** A limit on the fleet, in shares that are lent for a term. */
-class LeasedRateTest {
+class RateLimitShareTest {
 
-    private static final LeasedRate.Terms TERMS = new LeasedRate.Terms(1000, 10, 0.1, 2_000_000, 0.01);
+    private static final RateLimitShare.Terms TERMS = new RateLimitShare.Terms(1000, 10, 0.1, 2_000_000, 0.01);
     private static final long SECOND = 1_000_000;
 
     /** Asked for so much by second from a time to another; how many were admitted. */
-    private static int asked(LeasedRate rate, double perSecond, long fromUs, long untilUs) {
+    private static int asked(RateLimitShare rate, double perSecond, long fromUs, long untilUs) {
         int admitted = 0;
         for (long now = fromUs; now < untilUs; now += (long) (SECOND / perSecond)) {
             admitted += rate.admit(now) ? 1 : 0;
@@ -27,7 +27,7 @@
 
     @Test
     void aDirectorThatIsCutOffAdmitsItsShareAndNoMore() {
-        LeasedRate rate = new LeasedRate(TERMS, 0);
+        RateLimitShare rate = new RateLimitShare(TERMS, 0);
         int first = asked(rate, 5000, 0, SECOND);
         assertThat(first).as("right after its start, what it never lends").isBetween(18, 32);
         asked(rate, 5000, SECOND, 3 * SECOND);
@@ -36,8 +36,8 @@
 
     @Test
     void aLenderCountsALoanForLongerThanTheBorrowerUsesIt() {
-        LeasedRate lender = new LeasedRate(TERMS, 0);
-        LeasedRate borrower = new LeasedRate(TERMS, 0);
+        RateLimitShare lender = new RateLimitShare(TERMS, 0);
+        RateLimitShare borrower = new RateLimitShare(TERMS, 0);
         long askedUs = 5 * SECOND;
         long gaveUs = askedUs + 300_000;
         double given = lender.lend(60, gaveUs);
@@ -52,23 +52,23 @@
 
     @Test
     void aLoanThatArrivesAfterItsTermIsIgnored() {
-        LeasedRate borrower = new LeasedRate(TERMS, 0);
+        RateLimitShare borrower = new RateLimitShare(TERMS, 0);
         borrower.borrow(60, 5 * SECOND, 5 * SECOND + TERMS.termUs());
         assertThat(borrower.rate(5 * SECOND + TERMS.termUs())).isCloseTo(100, within(1e-9));
     }
 
     @Test
     void aDirectorThatNeedsItsShareOrHasJustStartedLendsNothing() {
-        LeasedRate busy = new LeasedRate(TERMS, 0);
+        RateLimitShare busy = new RateLimitShare(TERMS, 0);
         asked(busy, 500, 4 * SECOND, 6 * SECOND);
         assertThat(busy.lend(50, 6 * SECOND)).isZero();
         assertThat(busy.shortfall(6 * SECOND)).isGreaterThan(100);
-        assertThat(new LeasedRate(TERMS, 7 * SECOND).lend(50, 8 * SECOND)).isZero();
+        assertThat(new RateLimitShare(TERMS, 7 * SECOND).lend(50, 8 * SECOND)).isZero();
     }
 
     @Test
     void requestsBeyondItsShareAreGrantedOnlyUpToTheReservedPart() {
-        LeasedRate idle = new LeasedRate(TERMS, 0);
+        RateLimitShare idle = new RateLimitShare(TERMS, 0);
         double all = 0;
         for (int i = 0; i < 1000; i++) {
             all += idle.lend(1e9, 5 * SECOND) + idle.lend(1, 5 * SECOND) + idle.lend(-5, 5 * SECOND);
@@ -77,16 +77,16 @@
         assertThat(idle.rate(5 * SECOND)).isGreaterThanOrEqualTo(20 - 1e-9);
     }
 
-    /** Loans that are lost, late and repeated among clocks that run apart, and starts at any time. */
+    /** LoanBook that are lost, late and repeated among clocks that run apart, and starts at any time. */
     @Property(tries = 200)
     void theSharesOfAllNeverExceedTheLimit(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int n = 4;
-        LeasedRate.Terms terms = new LeasedRate.Terms(400, n, 0.1, 2_000_000, 0.01);
+        RateLimitShare.Terms terms = new RateLimitShare.Terms(400, n, 0.1, 2_000_000, 0.01);
         double[] pace = random.doubles(n, 0.995, 1.005).toArray();
-        List<LeasedRate> all = new ArrayList<>();
+        List<RateLimitShare> all = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            all.add(new LeasedRate(terms, 0));
+            all.add(new RateLimitShare(terms, 0));
         }
         for (long now = 0; now < 20 * SECOND; now += 10_000) {
             int one = random.nextInt(n);
@@ -99,7 +99,7 @@
                     all.get(other).borrow(given, askedUs, (long) (now * pace[other]));
                 }
             } else if (random.nextInt(300) == 0) {
-                all.set(one, new LeasedRate(terms, here));
+                all.set(one, new RateLimitShare(terms, here));
             }
             double sum = 0;
             for (int i = 0; i < n; i++) {
--- a/src/test/java/clovermill/prove/capacity/StateProof.java
+++ b/src/test/java/clovermill/prove/capacity/StateProof.java
@@ -4,7 +4,7 @@
 import clovermill.accord.decide.Register;
 import clovermill.channel.Commands;
 import clovermill.config.Json;
-import clovermill.fleet.decide.FleetMember;
+import clovermill.fleet.decide.GossipMember;
 import clovermill.memory.PurgeLog;
 import clovermill.prove.capacity.LineFit.Point;
 import java.lang.reflect.Field;
@@ -282,8 +282,8 @@
         file.add("slope", "", "", "entries_most", MAX_ENTRIES, 0, "", "one more is not taken, and none is dropped");
     }
 
-    private FleetMember gossiped(int directors, int entries) {
-        FleetMember member = new FleetMember(new FleetMember.Membership(0, directors, 200_000, 4), List.of(),
+    private GossipMember gossiped(int directors, int entries) {
+        GossipMember member = new GossipMember(new GossipMember.GroupMembership(0, directors, 200_000, 4), List.of(),
                 new Random(7), entry -> {}, 0);
         for (int i = 0; i < entries; i++) {
             hold("an entry has a place", member.put(key(i), true));
@@ -297,7 +297,7 @@
     }
 
     /** Ticks until nothing is news any more, as news is held besides. */
-    private static void quieten(FleetMember member) {
+    private static void quieten(GossipMember member) {
         for (int i = 0; i < TICKS_UNTIL_QUIET; i++) {
             member.tick(i);
         }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -9,8 +9,8 @@
 import clovermill.channel.CommandChannel;
 import clovermill.channel.Commands;
 import clovermill.config.Config;
-import clovermill.fleet.Fleet;
-import clovermill.fleet.FleetSettings;
+import clovermill.fleet.GossipService;
+import clovermill.fleet.GossipSettings;
 import clovermill.net.Clock;
 import clovermill.net.Deadlines;
 import clovermill.net.EventLoop;
@@ -58,7 +58,7 @@
     }
 
     private final EventLoop loop;
-    private final Fleet fleet;
+    private final GossipService fleet;
     private final Accord accord;
     private final Thread thread;
 
@@ -69,7 +69,7 @@
         Deadlines deadlines = new Deadlines();
         loop = new EventLoop(clock, deadlines);
         SettingsFile own = SettingsFile.read(settings.toString());
-        fleet = new Fleet(own.part("fleet", FleetSettings.class).orElseThrow(), config.classes(),
+        fleet = new GossipService(own.part("fleet", GossipSettings.class).orElseThrow(), config.classes(),
                 config.settings().answerSlackUs(), clock, deadlines, null);
         AccordSettings agreed = own.part("accord", AccordSettings.class).orElseThrow();
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
