--- a/src/main/java/clovermill/emulator/eventlog/EventJudge.java
+++ b/src/main/java/clovermill/emulator/eventlog/EventJudge.java
@@ -1,10 +1,10 @@
 package clovermill.emulator.eventlog;
 
-import clovermill.eventlog.decide.Clear;
 import clovermill.eventlog.decide.Delivery;
 import clovermill.eventlog.decide.Entry;
 import clovermill.eventlog.decide.Event;
 import clovermill.eventlog.decide.Subject;
+import clovermill.eventlog.decide.TruncatedPrefix;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -25,7 +25,7 @@
     /** What one life of a director holds. */
     private static final class Director {
         private final Map<Subject, Entry> latest = new HashMap<>();
-        private Clear clear = Clear.NONE;
+        private TruncatedPrefix clear = TruncatedPrefix.NONE;
         private long last;
         /** Events of the list before this one are held; for speed only. */
         private int heldBefore;
@@ -114,7 +114,7 @@
             ordered(director, entry.sequence(), number, nowUs);
             place(entry, nowUs);
             director.apply(entry);
-        } else if (delivery instanceof Delivery.Cleared cleared) {
+        } else if (delivery instanceof Delivery.Truncated cleared) {
             ordered(director, cleared.clear().sequence(), number, nowUs);
             director.clear = cleared.clear();
         } else {
--- a/src/main/java/clovermill/emulator/eventlog/EventLogFleet.java
+++ b/src/main/java/clovermill/emulator/eventlog/EventLogFleet.java
@@ -1,20 +1,20 @@
 package clovermill.emulator.eventlog;
 
 import clovermill.emulator.world.World;
-import clovermill.eventlog.EventLogMail;
-import clovermill.eventlog.EventLogTask;
 import clovermill.eventlog.EventLogTask.Listener;
-import clovermill.eventlog.EventLogTask.Place;
-import clovermill.eventlog.EventLogTask.ReplicaBounds;
+import clovermill.eventlog.EventLogTask.Membership;
+import clovermill.eventlog.EventLogTask.ReplicaLimits;
+import clovermill.eventlog.EventLogTask;
+import clovermill.eventlog.EventLogTaskMessage;
 import clovermill.eventlog.decide.Delivery;
 import clovermill.eventlog.decide.Event;
+import clovermill.eventlog.decide.EventLog.AppendOutcome;
 import clovermill.eventlog.decide.EventLog;
-import clovermill.eventlog.decide.EventLog.Outcome;
+import clovermill.eventlog.decide.EventLogTiming;
 import clovermill.eventlog.decide.Follower;
 import clovermill.eventlog.decide.ReplicaFeed;
-import clovermill.eventlog.decide.Subject;
 import clovermill.eventlog.decide.Subject.Kind;
-import clovermill.eventlog.decide.Terms;
+import clovermill.eventlog.decide.Subject;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -34,7 +34,7 @@
     /** How many replicas there are. */
     public static final int REPLICAS = 4;
     /** A copy may be called proven for so long after a purge of it was acknowledged. */
-    public static final long STALENESS_US = Terms.DEFAULT.stalenessUs();
+    public static final long STALENESS_US = EventLogTiming.DEFAULT.stalenessUs();
     /** An event is in force at each director that can be reached after so long. */
     public static final long IN_FORCE_US = 7_100_000;
 
@@ -95,7 +95,7 @@
     private static final int MOST_SESSIONS = 4096;
 
     private final Size size;
-    private final World<EventLogMail> world;
+    private final World<EventLogTaskMessage> world;
     private final Random chance;
     private final EventJudge judge;
     private final EventLogTask[] tasks;
@@ -117,7 +117,7 @@
     public EventLogFleet(Size size, long seed) {
         int machines = REPLICAS + size.directors();
         this.size = size;
-        this.world = new World<>(machines, Terms.DEFAULT.drift(), seed);
+        this.world = new World<>(machines, EventLogTiming.DEFAULT.drift(), seed);
         this.chance = new Random(seed * 31 + 7);
         this.judge = new EventJudge(size.directors(), STALENESS_US, IN_FORCE_US, catchUpUs(size));
         this.tasks = new EventLogTask[machines];
@@ -209,9 +209,9 @@
     public void start(int machine) {
         Random own = new Random(world.random().nextLong());
         List<Integer> replicas = IntStream.range(0, REPLICAS).boxed().toList();
-        Place place = new Place(machine, world.size(), replicas, Terms.DEFAULT, KEY);
+        Membership place = new Membership(machine, world.size(), replicas, EventLogTiming.DEFAULT, KEY);
         EventLogTask.Link link = (to, bytes) -> send(machine, to, bytes);
-        ReplicaBounds bounds = new ReplicaBounds(new EventLog.Bounds(size.retentionBytes(), MOST_SESSIONS),
+        ReplicaLimits bounds = new ReplicaLimits(new EventLog.Bounds(size.retentionBytes(), MOST_SESSIONS),
                 ReplicaFeed.Bounds.DEFAULT, SNAPSHOT_EVERY);
         if (machine >= REPLICAS) {
             judge.started(machine - REPLICAS, world.nowUs());
@@ -245,7 +245,7 @@
         tap.sent(from, to, bytes);
         traffic[from] = traffic[from].out(bytes.length + HEADERS);
         traffic[to] = traffic[to].in(bytes.length + HEADERS);
-        world.send(from, to, new EventLogMail.Datagram(bytes));
+        world.send(from, to, new EventLogTaskMessage.DatagramReceived(bytes));
     }
 
     private boolean leavesBeforeDeath(int machine) {
@@ -334,8 +334,8 @@
                     world.nowUs() / 1000, Integer.toString(eventsMade)));
         }
         if (world.machine(machine).alive()) {
-            world.machine(machine).hand(new EventLogMail.Append(events, answer -> {
-                if (answer != null && answer.outcome() == Outcome.APPENDED) {
+            world.machine(machine).hand(new EventLogTaskMessage.AppendRequested(events, answer -> {
+                if (answer != null && answer.outcome() == AppendOutcome.APPENDED) {
                     judge.acknowledged(events, answer.last(), world.nowUs());
                 }
             }));
--- a/src/main/java/clovermill/eventlog/Replica.java
+++ b/src/main/java/clovermill/eventlog/EventLogReplica.java
@@ -5,7 +5,7 @@
 import clovermill.consensus.RaftScheduler;
 import clovermill.consensus.RaftStorage;
 import clovermill.eventlog.decide.EventLog;
-import clovermill.eventlog.decide.Message;
+import clovermill.eventlog.decide.EventLogMessage;
 import clovermill.eventlog.decide.ReplicaFeed;
 import io.microraft.RaftConfig;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * A replica of the log: takes part in Raft, appends for clients while it leads, proves its log each round by a read at
  * the leader, and feeds the directors that follow it. Not thread-safe.
  */
-final class Replica {
+final class EventLogReplica {
 
     /** Sends a packet to a process; one to the sender itself comes too, after this turn. */
     interface Link {
@@ -31,11 +31,11 @@
 
     private record Read(int from, long number) {}
 
-    private final EventLogTask.Place place;
-    private final EventLogTask.ReplicaBounds bounds;
+    private final EventLogTask.Membership place;
+    private final EventLogTask.ReplicaLimits bounds;
     private final RaftStorage storage;
     private final RaftScheduler scheduler;
-    private final RaftMember<EventLogMachine> member;
+    private final RaftMember<EventLogStateMachine> member;
     private final Link link;
     private ReplicaFeed feed;
     private List<Read> waiting = new ArrayList<>();
@@ -45,7 +45,7 @@
     private long roundAtUs;
     private long nowUs;
 
-    Replica(EventLogTask.Place place, EventLogTask.ReplicaBounds bounds, RaftStorage storage,
+    EventLogReplica(EventLogTask.Membership place, EventLogTask.ReplicaLimits bounds, RaftStorage storage,
             Random random, Link link, long nowUs) {
         this.place = place;
         this.bounds = bounds;
@@ -56,9 +56,9 @@
         RaftConfig config = RaftReplica.config().setAppendEntriesRequestBatchSize(APPEND_BATCH)
                 .setCommitCountToTakeSnapshot(bounds.snapshotEvery()).build();
         RaftReplica.Host host = new RaftReplica.Host(EventOperationCodec.GROUP, config, storage, scheduler, random,
-                (to, message) -> link.send(to.node(), new Packet.Raft(to.disk(), message)));
+                (to, message) -> link.send(to.node(), new Packet.RaftPacket(to.disk(), message)));
         this.member = new RaftMember<>(new RaftMember.Place(place.self(), place.replicas(), place.terms().roundUs()),
-                storage, host, () -> new EventLogMachine(bounds.log(), () -> random.nextLong() | 1), this::began,
+                storage, host, () -> new EventLogStateMachine(bounds.log(), () -> random.nextLong() | 1), this::began,
                 new Joins());
         member.restore();
     }
@@ -66,16 +66,16 @@
     private final class Joins implements RaftMember.Outbox {
         @Override
         public void join(int to, long disk, boolean empty) {
-            link.send(to, new Packet.Join(disk, empty));
+            link.send(to, new Packet.JoinRequest(disk, empty));
         }
 
         @Override
         public void joined(int to, long disk, boolean group, boolean votes) {
-            link.send(to, new Packet.Joined(disk, group, votes));
+            link.send(to, new Packet.JoinResponse(disk, group, votes));
         }
     }
 
-    private void began(RaftReplica<EventLogMachine> replica) {
+    private void began(RaftReplica<EventLogStateMachine> replica) {
         feed = new ReplicaFeed(place.terms(), bounds.feed(), replica.machine().log(), nowUs);
         reading = false;
     }
@@ -101,9 +101,9 @@
     void on(int from, Packet packet, long now) {
         nowUs = now;
         scheduler.run(now);
-        if (packet instanceof Packet.Join join) {
+        if (packet instanceof Packet.JoinRequest join) {
             member.onJoin(from, join.disk(), join.empty());
-        } else if (packet instanceof Packet.Joined joined) {
+        } else if (packet instanceof Packet.JoinResponse joined) {
             member.onJoined(from, joined.disk(), joined.group(), joined.member());
         } else if (member.replica() != null) {
             replicaOn(from, packet);
@@ -112,31 +112,33 @@
     }
 
     private void replicaOn(int from, Packet packet) {
-        if (packet instanceof Packet.Raft raft && raft.disk() == member.replica().self().disk()) {
+        if (packet instanceof Packet.RaftPacket raft && raft.disk() == member.replica().self().disk()) {
             member.replica().handle(raft.message(), nowUs);
-        } else if (packet instanceof Packet.Plain plain) {
+        } else if (packet instanceof Packet.EventLogPacket plain) {
             plainOn(from, plain.message());
         }
     }
 
-    private void plainOn(int from, Message message) {
-        if (message instanceof Message.Follow follow) {
+    private void plainOn(int from, EventLogMessage message) {
+        if (message instanceof EventLogMessage.Follow follow) {
             send(feed.on(from, follow, nowUs));
-        } else if (message instanceof Message.Open open) {
-            put(from, new EventLogMachine.OpenSession(), session -> new Message.Opened(open.nonce(), (Long) session));
-        } else if (message instanceof Message.Append append) {
-            put(from, new EventLogMachine.Append(append.session(), append.call(), append.events()),
-                    result -> new Message.Answered(append.session(), append.call(), (EventLog.Appended) result));
-        } else if (message instanceof Message.ReadIndex read && leads()) {
+        } else if (message instanceof EventLogMessage.OpenSession open) {
+            put(from, new EventLogStateMachine.OpenSession(),
+                    session -> new EventLogMessage.SessionOpened(open.nonce(), (Long) session));
+        } else if (message instanceof EventLogMessage.Append append) {
+            put(from, new EventLogStateMachine.Append(append.session(), append.call(), append.events()),
+                    result -> new EventLogMessage.AppendAnswer(append.session(), append.call(),
+                            (EventLog.AppendResult) result));
+        } else if (message instanceof EventLogMessage.ReadIndex read && leads()) {
             wait(new Read(from, read.number()));
-        } else if (message instanceof Message.ReadIndexAnswer answer && answer.number() == round) {
+        } else if (message instanceof EventLogMessage.ReadIndexAnswer answer && answer.number() == round) {
             feed.proven(answer.head(), roundBeganUs);
         }
     }
 
-    private void put(int from, Object operation, Function<Object, Message> answers) {
+    private void put(int from, Object operation, Function<Object, EventLogMessage> answers) {
         if (!leads()) {
-            plain(from, new Message.Redirect(member.replica().leader()));
+            plain(from, new EventLogMessage.Redirect(member.replica().leader()));
             return;
         }
         member.replica().replicate(operation, result -> {
@@ -162,21 +164,22 @@
         List<Read> batch = waiting;
         waiting = new ArrayList<>();
         reading = true;
-        RaftReplica<EventLogMachine> asked = member.replica();
-        asked.query(new EventLogMachine.ReadHead(), head -> {
+        RaftReplica<EventLogStateMachine> asked = member.replica();
+        asked.query(new EventLogStateMachine.ReadHead(), head -> {
             if (asked != member.replica()) {
                 return;
             }
             reading = false;
             if (head != null) {
-                batch.forEach(read -> plain(read.from(), new Message.ReadIndexAnswer(read.number(), (Long) head)));
+                batch.forEach(
+                        read -> plain(read.from(), new EventLogMessage.ReadIndexAnswer(read.number(), (Long) head)));
             }
             readHead();
         });
     }
 
-    private void plain(int to, Message message) {
-        link.send(to, new Packet.Plain(message));
+    private void plain(int to, EventLogMessage message) {
+        link.send(to, new Packet.EventLogPacket(message));
     }
 
     private void send(ReplicaFeed.Push push) {
@@ -211,7 +214,7 @@
         if (leader >= 0) {
             round++;
             roundBeganUs = nowUs;
-            plain(leader, new Message.ReadIndex(round));
+            plain(leader, new EventLogMessage.ReadIndex(round));
         }
     }
 
--- a/src/main/java/clovermill/eventlog/EventLogMachine.java
+++ b/src/main/java/clovermill/eventlog/EventLogStateMachine.java
@@ -10,7 +10,7 @@
 import java.util.function.LongSupplier;
 
 /** The log as Raft's state machine: the same operations in the same order give the same log on each replica. */
-final class EventLogMachine implements ReplicatedStateMachine {
+final class EventLogStateMachine implements ReplicatedStateMachine {
 
     /** The first entry of a leader's term; the first of all gives the log its name. */
     record NewTerm(long logId) {}
@@ -25,7 +25,7 @@
     record ReadHead() {}
 
     /** The first chunk of a snapshot. */
-    record SnapshotHead(EventLog.Head head) {}
+    record SnapshotHead(EventLog.LogState head) {}
 
     /** A chunk with some entries, which holds the numbers of all. */
     record SnapshotEntries(List<Entry> entries) {}
@@ -41,7 +41,7 @@
     private boolean applied;
 
     /** {@code names} draws the name of a new log, never 0. */
-    EventLogMachine(EventLog.Bounds bounds, LongSupplier names) {
+    EventLogStateMachine(EventLog.Bounds bounds, LongSupplier names) {
         this.log = new EventLog(bounds);
         this.names = names;
     }
--- a/src/main/java/clovermill/eventlog/EventLogTask.java
+++ b/src/main/java/clovermill/eventlog/EventLogTask.java
@@ -1,15 +1,15 @@
 package clovermill.eventlog;
 
 import clovermill.consensus.RaftStorage;
-import clovermill.eventlog.decide.Appender;
+import clovermill.eventlog.decide.AppendClient;
 import clovermill.eventlog.decide.Delivery;
+import clovermill.eventlog.decide.EventLog.AppendResult;
 import clovermill.eventlog.decide.EventLog;
-import clovermill.eventlog.decide.EventLog.Appended;
+import clovermill.eventlog.decide.EventLogMessage;
+import clovermill.eventlog.decide.EventLogTiming;
 import clovermill.eventlog.decide.Follower;
-import clovermill.eventlog.decide.Freshness;
-import clovermill.eventlog.decide.Message;
+import clovermill.eventlog.decide.FreshnessLease;
 import clovermill.eventlog.decide.ReplicaFeed;
-import clovermill.eventlog.decide.Terms;
 import clovermill.task.Task;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -23,7 +23,7 @@
  * A process's part in the event log: a replica where it has a storage, and otherwise a director that follows the log
  * and appends to it. All its state is its own; it meets others by signed datagrams only.
  */
-public final class EventLogTask implements Task<EventLogMail> {
+public final class EventLogTask implements Task<EventLogTaskMessage> {
 
     /**
      * Who it is among whom.
@@ -33,14 +33,14 @@
      * @param replicas the processes that keep the log, the same list everywhere
      * @param key the fleet's key
      */
-    public record Place(int self, int members, List<Integer> replicas, Terms terms, byte[] key) {}
+    public record Membership(int self, int members, List<Integer> replicas, EventLogTiming terms, byte[] key) {}
 
     /**
      * Bounds of a replica.
      *
      * @param snapshotEvery Raft entries from one snapshot of the log to the next
      */
-    public record ReplicaBounds(EventLog.Bounds log, ReplicaFeed.Bounds feed, int snapshotEvery) {}
+    public record ReplicaLimits(EventLog.Bounds log, ReplicaFeed.Bounds feed, int snapshotEvery) {}
 
     /** Sends a datagram to a process; it may be lost. */
     @FunctionalInterface
@@ -62,18 +62,18 @@
     private final int self;
     private final Link link;
     private final Listener listener;
-    private final Replica replica;
+    private final EventLogReplica replica;
     private final Follower follower;
-    private final Appender appender;
-    /** Who waits for which call; at most {@link Appender#MOST_WAITING}. */
-    private final Map<Long, Consumer<Appended>> calls = new HashMap<>();
+    private final AppendClient appender;
+    /** Who waits for which call; at most {@link AppendClient#MOST_WAITING}. */
+    private final Map<Long, Consumer<AppendResult>> calls = new HashMap<>();
     /** What this replica sends to itself in a turn; taken before the turn ends. */
     private final Deque<Packet> ownPackets = new ArrayDeque<>();
     private long tokens;
     private long badDatagrams;
-    private long toldUntilUs = Freshness.NEVER;
+    private long toldUntilUs = FreshnessLease.NEVER;
 
-    private EventLogTask(Place place, ReplicaBounds bounds, RaftStorage storage, Random random, Link link,
+    private EventLogTask(Membership place, ReplicaLimits bounds, RaftStorage storage, Random random, Link link,
             Listener listener, long nowUs) {
         long boot = random.nextLong();
         this.codec = new PacketCodec(place.self(), place.members(), place.key(), boot);
@@ -81,20 +81,20 @@
         this.link = link;
         this.listener = listener;
         this.replica = storage == null ? null
-                : new Replica(place, bounds, storage, random, this::send, nowUs);
+                : new EventLogReplica(place, bounds, storage, random, this::send, nowUs);
         this.follower = storage != null ? null
                 : new Follower(place.terms(), place.self(), place.replicas(), boot, random, nowUs);
-        this.appender = storage != null ? null : new Appender(place.replicas(), place.self(), random.nextLong());
+        this.appender = storage != null ? null : new AppendClient(place.replicas(), place.self(), random.nextLong());
     }
 
     /** A replica that begins now, from its storage. */
-    public static EventLogTask replica(Place place, ReplicaBounds bounds, RaftStorage storage, Random random,
+    public static EventLogTask replica(Membership place, ReplicaLimits bounds, RaftStorage storage, Random random,
             Link link, long nowUs) {
         return new EventLogTask(place, bounds, storage, random, link, null, nowUs);
     }
 
     /** A director that begins now and knows nothing. */
-    public static EventLogTask director(Place place, Random random, Link link, Listener listener, long nowUs) {
+    public static EventLogTask director(Membership place, Random random, Link link, Listener listener, long nowUs) {
         return new EventLogTask(place, null, null, random, link, listener, nowUs);
     }
 
@@ -151,25 +151,25 @@
         }
     }
 
-    private void send(int to, Message message) {
-        send(to, new Packet.Plain(message));
+    private void send(int to, EventLogMessage message) {
+        send(to, new Packet.EventLogPacket(message));
     }
 
     @Override
-    public void on(EventLogMail mail, long nowUs) {
-        if (mail instanceof EventLogMail.Datagram datagram) {
+    public void on(EventLogTaskMessage mail, long nowUs) {
+        if (mail instanceof EventLogTaskMessage.DatagramReceived datagram) {
             try {
                 PacketCodec.Received received = codec.read(datagram.bytes());
                 received(received.from(), received.packet(), nowUs);
-            } catch (PacketCodec.BadPacket bad) {
+            } catch (PacketCodec.InvalidPacketException bad) {
                 badDatagrams++;
             }
-        } else if (mail instanceof EventLogMail.Append append) {
+        } else if (mail instanceof EventLogTaskMessage.AppendRequested append) {
             append(append, nowUs);
         }
     }
 
-    private void append(EventLogMail.Append append, long nowUs) {
+    private void append(EventLogTaskMessage.AppendRequested append, long nowUs) {
         if (appender != null && appender.offer(++tokens, append.events(), nowUs)) {
             calls.put(tokens, append.done());
         } else {
@@ -181,7 +181,7 @@
         if (replica != null) {
             replica.on(from, packet, nowUs);
             takeOwn(nowUs);
-        } else if (packet instanceof Packet.Plain plain) {
+        } else if (packet instanceof Packet.EventLogPacket plain) {
             directorOn(from, plain.message(), nowUs);
         }
     }
@@ -192,16 +192,16 @@
         }
     }
 
-    private void directorOn(int from, Message message, long nowUs) {
-        if (message instanceof Message.Batch batch) {
+    private void directorOn(int from, EventLogMessage message, long nowUs) {
+        if (message instanceof EventLogMessage.Batch batch) {
             follower.on(from, batch, nowUs).forEach(listener::delivered);
             tellProven();
-        } else if (message instanceof Message.Opened opened) {
+        } else if (message instanceof EventLogMessage.SessionOpened opened) {
             appender.on(opened, nowUs);
-        } else if (message instanceof Message.Redirect redirect) {
+        } else if (message instanceof EventLogMessage.Redirect redirect) {
             appender.on(redirect, nowUs);
-        } else if (message instanceof Message.Answered answered) {
-            Appender.Done done = appender.on(answered, nowUs);
+        } else if (message instanceof EventLogMessage.AppendAnswer answered) {
+            AppendClient.CallResult done = appender.on(answered, nowUs);
             if (done != null) {
                 calls.remove(done.token()).accept(done.result());
             }
@@ -230,7 +230,7 @@
         if (follow != null) {
             send(follow.replica(), follow.follow());
         }
-        Appender.Request request = appender.tick(nowUs);
+        AppendClient.Request request = appender.tick(nowUs);
         if (request != null) {
             send(request.replica(), request.message());
         }
--- a/src/main/java/clovermill/eventlog/EventOperationCodec.java
+++ b/src/main/java/clovermill/eventlog/EventOperationCodec.java
@@ -2,8 +2,8 @@
 
 import clovermill.consensus.OperationCodec;
 import clovermill.consensus.RaftMessageCodec;
-import clovermill.eventlog.decide.Clear;
 import clovermill.eventlog.decide.EventLog;
+import clovermill.eventlog.decide.TruncatedPrefix;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -30,23 +30,23 @@
 
     @Override
     public void write(Object operation, DataOutputStream out) throws IOException {
-        if (operation instanceof EventLogMachine.NewTerm term) {
+        if (operation instanceof EventLogStateMachine.NewTerm term) {
             out.writeByte(NEW_TERM);
             out.writeLong(term.logId());
-        } else if (operation instanceof EventLogMachine.OpenSession) {
+        } else if (operation instanceof EventLogStateMachine.OpenSession) {
             out.writeByte(OPEN);
-        } else if (operation instanceof EventLogMachine.Append append) {
+        } else if (operation instanceof EventLogStateMachine.Append append) {
             out.writeByte(APPEND);
             out.writeLong(append.session());
             out.writeLong(append.call());
             EventCodec.writeEvents(append.events(), out);
-        } else if (operation instanceof EventLogMachine.SnapshotHead chunk) {
+        } else if (operation instanceof EventLogStateMachine.SnapshotHead chunk) {
             out.writeByte(HEAD);
             head(chunk.head(), out);
-        } else if (operation instanceof EventLogMachine.SnapshotEntries chunk) {
+        } else if (operation instanceof EventLogStateMachine.SnapshotEntries chunk) {
             out.writeByte(ENTRIES);
             EventCodec.writeEntries(0, chunk.entries(), out);
-        } else if (operation instanceof EventLogMachine.SnapshotSessions chunk) {
+        } else if (operation instanceof EventLogStateMachine.SnapshotSessions chunk) {
             out.writeByte(SESSIONS);
             sessions(chunk.sessions(), out);
         } else {
@@ -54,7 +54,7 @@
         }
     }
 
-    private static void head(EventLog.Head head, DataOutputStream out) throws IOException {
+    private static void head(EventLog.LogState head, DataOutputStream out) throws IOException {
         out.writeLong(head.logId());
         out.writeLong(head.head());
         out.writeLong(head.clear().sequence());
@@ -74,13 +74,13 @@
     @Override
     public Object read(int kind, DataInputStream in) throws IOException {
         return switch (kind) {
-            case NEW_TERM -> new EventLogMachine.NewTerm(in.readLong());
-            case OPEN -> new EventLogMachine.OpenSession();
-            case APPEND -> new EventLogMachine.Append(in.readLong(), in.readLong(), EventCodec.readEvents(in));
-            case HEAD -> new EventLogMachine.SnapshotHead(new EventLog.Head(in.readLong(), in.readLong(),
-                    new Clear(in.readLong(), in.readLong()), in.readLong()));
-            case ENTRIES -> new EventLogMachine.SnapshotEntries(EventCodec.readEntries(0, in));
-            case SESSIONS -> new EventLogMachine.SnapshotSessions(sessions(in));
+            case NEW_TERM -> new EventLogStateMachine.NewTerm(in.readLong());
+            case OPEN -> new EventLogStateMachine.OpenSession();
+            case APPEND -> new EventLogStateMachine.Append(in.readLong(), in.readLong(), EventCodec.readEvents(in));
+            case HEAD -> new EventLogStateMachine.SnapshotHead(new EventLog.LogState(in.readLong(), in.readLong(),
+                    new TruncatedPrefix(in.readLong(), in.readLong()), in.readLong()));
+            case ENTRIES -> new EventLogStateMachine.SnapshotEntries(EventCodec.readEntries(0, in));
+            case SESSIONS -> new EventLogStateMachine.SnapshotSessions(sessions(in));
             default -> throw new IOException("an unknown entry");
         };
     }
--- a/src/main/java/clovermill/eventlog/PacketCodec.java
+++ b/src/main/java/clovermill/eventlog/PacketCodec.java
@@ -1,11 +1,11 @@
 package clovermill.eventlog;
 
 import clovermill.consensus.RaftMessageCodec;
-import clovermill.eventlog.decide.Clear;
 import clovermill.eventlog.decide.EventLog;
-import clovermill.eventlog.decide.Message;
+import clovermill.eventlog.decide.EventLogMessage;
+import clovermill.eventlog.decide.LogRange;
 import clovermill.eventlog.decide.ReplayWindow;
-import clovermill.eventlog.decide.Slice;
+import clovermill.eventlog.decide.TruncatedPrefix;
 import clovermill.net.Peers;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -26,16 +26,16 @@
  * a clear = there:1, and if so sequence:8 made:8
  * </pre>
  *
- * <p>Whatever is not exactly this, for this process, by this key and for the first time, is a {@link BadPacket} and
+ * <p>Whatever is not exactly this, for this process, by this key and for the first time, is a {@link InvalidPacketException} and
  * nothing else. Not thread-safe.
  */
 final class PacketCodec {
 
     /** A datagram that is none of ours; the message says why, and holds nothing of what it carried. */
-    static final class BadPacket extends Exception {
+    static final class InvalidPacketException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadPacket(String reason) {
+        InvalidPacketException(String reason) {
             super(reason, null, false, false);
         }
     }
@@ -103,17 +103,17 @@
     }
 
     private void body(Packet packet, DataOutputStream out) throws IOException {
-        if (packet instanceof Packet.Plain plain) {
+        if (packet instanceof Packet.EventLogPacket plain) {
             plain(plain.message(), out);
-        } else if (packet instanceof Packet.Raft message) {
+        } else if (packet instanceof Packet.RaftPacket message) {
             out.writeByte(RAFT);
             out.writeLong(message.disk());
             raft.write(message.message(), out);
-        } else if (packet instanceof Packet.Join join) {
+        } else if (packet instanceof Packet.JoinRequest join) {
             out.writeByte(JOIN);
             out.writeLong(join.disk());
             out.writeBoolean(join.empty());
-        } else if (packet instanceof Packet.Joined joined) {
+        } else if (packet instanceof Packet.JoinResponse joined) {
             out.writeByte(JOINED);
             out.writeLong(joined.disk());
             out.writeBoolean(joined.group());
@@ -121,55 +121,55 @@
         }
     }
 
-    private static void plain(Message message, DataOutputStream out) throws IOException {
-        if (message instanceof Message.Follow follow) {
+    private static void plain(EventLogMessage message, DataOutputStream out) throws IOException {
+        if (message instanceof EventLogMessage.Follow follow) {
             out.writeByte(FOLLOW);
             out.writeLong(follow.boot());
             out.writeLong(follow.question());
             out.writeLong(follow.logId());
             out.writeLong(follow.position());
             out.writeBoolean(follow.wantsAnswer());
-        } else if (message instanceof Message.Batch batch) {
+        } else if (message instanceof EventLogMessage.Batch batch) {
             batch(batch, out);
-        } else if (message instanceof Message.Open open) {
+        } else if (message instanceof EventLogMessage.OpenSession open) {
             out.writeByte(OPEN);
             out.writeLong(open.nonce());
-        } else if (message instanceof Message.Opened opened) {
+        } else if (message instanceof EventLogMessage.SessionOpened opened) {
             out.writeByte(OPENED);
             out.writeLong(opened.nonce());
             out.writeLong(opened.session());
-        } else if (message instanceof Message.Append append) {
+        } else if (message instanceof EventLogMessage.Append append) {
             out.writeByte(APPEND);
             out.writeLong(append.session());
             out.writeLong(append.call());
             EventCodec.writeEvents(append.events(), out);
-        } else if (message instanceof Message.Answered answered) {
+        } else if (message instanceof EventLogMessage.AppendAnswer answered) {
             out.writeByte(ANSWERED);
             out.writeLong(answered.session());
             out.writeLong(answered.call());
             out.writeByte(answered.result().outcome().ordinal());
             out.writeLong(answered.result().last());
-        } else if (message instanceof Message.Redirect redirect) {
+        } else if (message instanceof EventLogMessage.Redirect redirect) {
             out.writeByte(REDIRECT);
             out.writeShort(redirect.leader());
-        } else if (message instanceof Message.ReadIndex read) {
+        } else if (message instanceof EventLogMessage.ReadIndex read) {
             out.writeByte(READ_INDEX);
             out.writeLong(read.number());
-        } else if (message instanceof Message.ReadIndexAnswer answer) {
+        } else if (message instanceof EventLogMessage.ReadIndexAnswer answer) {
             out.writeByte(READ_INDEX_ANSWER);
             out.writeLong(answer.number());
             out.writeLong(answer.head());
         }
     }
 
-    private static void batch(Message.Batch batch, DataOutputStream out) throws IOException {
+    private static void batch(EventLogMessage.Batch batch, DataOutputStream out) throws IOException {
         out.writeByte(BATCH);
         out.writeLong(batch.boot());
         out.writeLong(batch.question());
         out.writeLong(batch.logId());
         out.writeLong(batch.provenHead());
         out.writeLong(batch.proofAgeUs());
-        Slice slice = batch.slice();
+        LogRange slice = batch.slice();
         out.writeLong(slice.from());
         out.writeLong(slice.to());
         out.writeLong(slice.completeAt());
@@ -182,73 +182,74 @@
     }
 
     /** Reads a datagram. */
-    Received read(byte[] all) throws BadPacket {
+    Received read(byte[] all) throws InvalidPacketException {
         int signed = all.length - SIGNATURE;
         if (signed < HEADER) {
-            throw new BadPacket("too short");
+            throw new InvalidPacketException("too short");
         }
         mac.update(all, 0, signed);
         if (!MessageDigest.isEqual(Arrays.copyOf(mac.doFinal(), SIGNATURE), Arrays.copyOfRange(all, signed,
                 all.length))) {
-            throw new BadPacket("not signed with the fleet's key");
+            throw new InvalidPacketException("not signed with the fleet's key");
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(all, 0, signed))) {
             if (in.readInt() != MAGIC) {
-                throw new BadPacket("not of this protocol");
+                throw new InvalidPacketException("not of this protocol");
             }
             if (in.readUnsignedShort() != self) {
-                throw new BadPacket("for another process");
+                throw new InvalidPacketException("for another process");
             }
             int from = in.readUnsignedShort();
             if (from >= members) {
-                throw new BadPacket("from nobody of the fleet");
+                throw new InvalidPacketException("from nobody of the fleet");
             }
             if (!windows.computeIfAbsent(from, sender -> new ReplayWindow()).take(in.readLong(), in.readLong())) {
-                throw new BadPacket("a repeated one");
+                throw new InvalidPacketException("a repeated one");
             }
             Packet packet = packet(in);
             if (in.read() >= 0) {
-                throw new BadPacket("more follows the packet");
+                throw new InvalidPacketException("more follows the packet");
             }
             return new Received(from, packet);
         } catch (IOException | IllegalArgumentException | IndexOutOfBoundsException | ClassCastException bad) {
-            throw new BadPacket("not readable");
+            throw new InvalidPacketException("not readable");
         }
     }
 
-    private Packet packet(DataInputStream in) throws IOException, BadPacket {
+    private Packet packet(DataInputStream in) throws IOException, InvalidPacketException {
         int type = in.readUnsignedByte();
         return switch (type) {
-            case RAFT -> new Packet.Raft(in.readLong(), raft.read(in));
-            case JOIN -> new Packet.Join(in.readLong(), in.readBoolean());
-            case JOINED -> new Packet.Joined(in.readLong(), in.readBoolean(), in.readBoolean());
-            default -> new Packet.Plain(message(type, in));
+            case RAFT -> new Packet.RaftPacket(in.readLong(), raft.read(in));
+            case JOIN -> new Packet.JoinRequest(in.readLong(), in.readBoolean());
+            case JOINED -> new Packet.JoinResponse(in.readLong(), in.readBoolean(), in.readBoolean());
+            default -> new Packet.EventLogPacket(message(type, in));
         };
     }
 
-    private static Message message(int type, DataInputStream in) throws IOException, BadPacket {
+    private static EventLogMessage message(int type, DataInputStream in) throws IOException, InvalidPacketException {
         return switch (type) {
-            case FOLLOW -> new Message.Follow(in.readLong(), in.readLong(), in.readLong(), in.readLong(),
+            case FOLLOW -> new EventLogMessage.Follow(in.readLong(), in.readLong(), in.readLong(), in.readLong(),
                     in.readBoolean());
-            case BATCH -> new Message.Batch(in.readLong(), in.readLong(), in.readLong(), in.readLong(), in.readLong(),
-                    slice(in));
-            case OPEN -> new Message.Open(in.readLong());
-            case OPENED -> new Message.Opened(in.readLong(), in.readLong());
-            case APPEND -> new Message.Append(in.readLong(), in.readLong(), EventCodec.readEvents(in));
-            case ANSWERED -> new Message.Answered(in.readLong(), in.readLong(), new EventLog.Appended(
-                    EventLog.Outcome.values()[in.readUnsignedByte()], in.readLong()));
-            case REDIRECT -> new Message.Redirect(in.readShort());
-            case READ_INDEX -> new Message.ReadIndex(in.readLong());
-            case READ_INDEX_ANSWER -> new Message.ReadIndexAnswer(in.readLong(), in.readLong());
-            default -> throw new BadPacket("of an unknown kind: a later version may have sent it");
+            case BATCH ->
+                new EventLogMessage.Batch(in.readLong(), in.readLong(), in.readLong(), in.readLong(), in.readLong(),
+                        slice(in));
+            case OPEN -> new EventLogMessage.OpenSession(in.readLong());
+            case OPENED -> new EventLogMessage.SessionOpened(in.readLong(), in.readLong());
+            case APPEND -> new EventLogMessage.Append(in.readLong(), in.readLong(), EventCodec.readEvents(in));
+            case ANSWERED -> new EventLogMessage.AppendAnswer(in.readLong(), in.readLong(), new EventLog.AppendResult(
+                    EventLog.AppendOutcome.values()[in.readUnsignedByte()], in.readLong()));
+            case REDIRECT -> new EventLogMessage.Redirect(in.readShort());
+            case READ_INDEX -> new EventLogMessage.ReadIndex(in.readLong());
+            case READ_INDEX_ANSWER -> new EventLogMessage.ReadIndexAnswer(in.readLong(), in.readLong());
+            default -> throw new InvalidPacketException("of an unknown kind: a later version may have sent it");
         };
     }
 
-    private static Slice slice(DataInputStream in) throws IOException {
+    private static LogRange slice(DataInputStream in) throws IOException {
         long from = in.readLong();
         long to = in.readLong();
         long completeAt = in.readLong();
-        Clear clear = in.readBoolean() ? new Clear(in.readLong(), in.readLong()) : null;
-        return new Slice(from, to, completeAt, clear, EventCodec.readEntries(from, in));
+        TruncatedPrefix clear = in.readBoolean() ? new TruncatedPrefix(in.readLong(), in.readLong()) : null;
+        return new LogRange(from, to, completeAt, clear, EventCodec.readEntries(from, in));
     }
 }
--- a/src/main/java/clovermill/eventlog/decide/Appender.java
+++ b/src/main/java/clovermill/eventlog/decide/AppendClient.java
@@ -1,7 +1,7 @@
 package clovermill.eventlog.decide;
 
-import clovermill.eventlog.decide.EventLog.Appended;
-import clovermill.eventlog.decide.EventLog.Outcome;
+import clovermill.eventlog.decide.EventLog.AppendOutcome;
+import clovermill.eventlog.decide.EventLog.AppendResult;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
@@ -10,13 +10,13 @@
  * A client of the log: one call at a time, sent again until it is answered, first in a session that the log opens. A
  * call that is sent twice is one append. Not thread-safe.
  */
-public final class Appender {
+public final class AppendClient {
 
     /** A message for a replica. */
-    public record Request(int replica, Message message) {}
+    public record Request(int replica, EventLogMessage message) {}
 
     /** A call is over. */
-    public record Done(long token, Appended result) {}
+    public record CallResult(long token, AppendResult result) {}
 
     private record Call(long token, List<Event> events) {}
 
@@ -37,7 +37,7 @@
     private long sendAtUs;
 
     /** A client without a session; {@code nonce} is a random number for this start. */
-    public Appender(List<Integer> replicas, int self, long nonce) {
+    public AppendClient(List<Integer> replicas, int self, long nonce) {
         this.replicas = List.copyOf(replicas);
         this.target = self % replicas.size();
         this.nonce = nonce;
@@ -67,8 +67,8 @@
         }
         unanswered = true;
         sendAtUs = nowUs + RETRY_US;
-        Message message = session == 0 ? new Message.Open(nonce)
-                : new Message.Append(session, number, calls.getFirst().events());
+        EventLogMessage message = session == 0 ? new EventLogMessage.OpenSession(nonce)
+                : new EventLogMessage.Append(session, number, calls.getFirst().events());
         return new Request(replicas.get(target), message);
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** A session was opened. */
-    public void on(Message.Opened opened, long nowUs) {
+    public void on(EventLogMessage.SessionOpened opened, long nowUs) {
         if (opened.nonce() == nonce && session == 0) {
             session = opened.session();
             number = 1;
@@ -87,21 +87,21 @@
     }
 
     /** A call was answered; gives what is over, or null. */
-    public Done on(Message.Answered answered, long nowUs) {
+    public CallResult on(EventLogMessage.AppendAnswer answered, long nowUs) {
         if (answered.session() != session || answered.call() != number || calls.isEmpty()) {
             return null;
         }
         number++;
-        if (answered.result().outcome() != Outcome.APPENDED) {
+        if (answered.result().outcome() != AppendOutcome.APPENDED) {
             session = 0;
             nonce++;
         }
         again(nowUs);
-        return new Done(calls.removeFirst().token(), answered.result());
+        return new CallResult(calls.removeFirst().token(), answered.result());
     }
 
     /** A replica does not lead. */
-    public void on(Message.Redirect redirect, long nowUs) {
+    public void on(EventLogMessage.Redirect redirect, long nowUs) {
         int leader = replicas.indexOf(redirect.leader());
         if (leader >= 0 && leader != target) {
             target = leader;
--- a/src/main/java/clovermill/eventlog/decide/ByteBudget.java
+++ b/src/main/java/clovermill/eventlog/decide/ByteTokenBucket.java
@@ -4,7 +4,7 @@
  * A token bucket of bytes: so many a second, and what one second brings may be spent at once. What must be sent may be
  * taken on credit; nothing more is allowed until that is paid. Not thread-safe.
  */
-final class ByteBudget {
+final class ByteTokenBucket {
 
     private static final double SECOND_US = 1e6;
 
@@ -12,7 +12,7 @@
     private double bytes;
     private long lastUs;
 
-    ByteBudget(long bytesPerSecond, long nowUs) {
+    ByteTokenBucket(long bytesPerSecond, long nowUs) {
         this.bytesPerSecond = bytesPerSecond;
         this.bytes = bytesPerSecond / 4.0;
         this.lastUs = nowUs;
--- a/src/main/java/clovermill/eventlog/decide/Delivery.java
+++ b/src/main/java/clovermill/eventlog/decide/Delivery.java
@@ -10,8 +10,8 @@
      * Events that are held no more, up to a sequence number, take effect as one: whatever is as old as {@code madeMs}
      * may have been purged, and whatever other events said before is unknown.
      */
-    record Cleared(Clear clear) implements Delivery {}
+    record Truncated(TruncatedPrefix clear) implements Delivery {}
 
     /** A new log began: whatever was learned from events before is unknown, and all copies may have been purged. */
-    record Restarted(long logId) implements Delivery {}
+    record LogReplaced(long logId) implements Delivery {}
 }
--- a/src/main/java/clovermill/eventlog/decide/EventLog.java
+++ b/src/main/java/clovermill/eventlog/decide/EventLog.java
@@ -26,7 +26,7 @@
     public record Bounds(long retentionBytes, int mostSessions) {}
 
     /** What became of an append. */
-    public enum Outcome {
+    public enum AppendOutcome {
         /** Its events have their sequence numbers, now or since an earlier time that it was sent. */
         APPENDED,
         /** The session is not known, or no more: nothing was appended now; whether earlier, is not known. */
@@ -36,13 +36,13 @@
     }
 
     /** The answer to an append; {@code last} is the sequence number of its last event, 0 unless appended. */
-    public record Appended(Outcome outcome, long last) {}
+    public record AppendResult(AppendOutcome outcome, long last) {}
 
     /** A client's latest call and the sequence number that answered it. */
     public record Session(long id, long call, long last) {}
 
     /** All that makes a log, without its entries. */
-    public record Head(long logId, long head, Clear clear, long sessionsOpened) {}
+    public record LogState(long logId, long head, TruncatedPrefix clear, long sessionsOpened) {}
 
     private final Bounds bounds;
     private final TreeMap<Long, Event> entries = new TreeMap<>();
@@ -51,7 +51,7 @@
     private final Map<Long, Session> sessions = new LinkedHashMap<>();
     private long logId;
     private long head;
-    private Clear clear = Clear.NONE;
+    private TruncatedPrefix clear = TruncatedPrefix.NONE;
     private long bytes;
     private long sessionsOpened;
 
@@ -76,7 +76,7 @@
     }
 
     /** What was dropped. */
-    public Clear clear() {
+    public TruncatedPrefix clear() {
         return clear;
     }
 
@@ -106,18 +106,18 @@
     }
 
     /** Appends events, unless the session's call was answered before: then the answer is the same again. */
-    public Appended append(long session, long call, List<Event> events) {
+    public AppendResult append(long session, long call, List<Event> events) {
         Session known = sessions.remove(session);
         if (known == null) {
-            return new Appended(Outcome.SESSION_EXPIRED, 0);
+            return new AppendResult(AppendOutcome.SESSION_EXPIRED, 0);
         }
         if (call > known.call()) {
             events.forEach(this::add);
             known = new Session(session, call, head);
         }
         sessions.put(session, known);
-        return call == known.call() ? new Appended(Outcome.APPENDED, known.last())
-                : new Appended(Outcome.OUTDATED, 0);
+        return call == known.call() ? new AppendResult(AppendOutcome.APPENDED, known.last())
+                : new AppendResult(AppendOutcome.OUTDATED, 0);
     }
 
     private void add(Event event) {
@@ -140,7 +140,7 @@
         Map.Entry<Long, Event> oldest = entries.pollFirstEntry();
         latest.remove(oldest.getValue().subject());
         bytes -= oldest.getValue().bytes();
-        clear = new Clear(oldest.getKey(), Math.max(clear.madeMs(), oldest.getValue().madeMs()));
+        clear = new TruncatedPrefix(oldest.getKey(), Math.max(clear.madeMs(), oldest.getValue().madeMs()));
     }
 
     /**
@@ -148,7 +148,7 @@
      *
      * @param from a position of at most {@link #head}
      */
-    public Slice read(long from, int mostBytes) {
+    public LogRange read(long from, int mostBytes) {
         boolean past = from < clear.sequence();
         long start = past ? clear.sequence() : from;
         List<Entry> read = new ArrayList<>();
@@ -166,12 +166,12 @@
         // The latest entry is never dropped nor replaced, so all of the log is read where no more entries follow.
         long to = read.isEmpty() ? Math.max(start, from) : read.get(read.size() - 1).sequence();
         boolean whole = !past && read.size() == to - from;
-        return new Slice(from, to, whole ? to : head, past ? clear : null, List.copyOf(read));
+        return new LogRange(from, to, whole ? to : head, past ? clear : null, List.copyOf(read));
     }
 
     /** What a snapshot begins with. */
-    public Head describe() {
-        return new Head(logId, head, clear, sessionsOpened);
+    public LogState describe() {
+        return new LogState(logId, head, clear, sessionsOpened);
     }
 
     /** All entries in order, for a snapshot. */
@@ -185,7 +185,7 @@
     }
 
     /** Becomes the log of a snapshot. */
-    public void restore(Head described, List<Entry> all, List<Session> allSessions) {
+    public void restore(LogState described, List<Entry> all, List<Session> allSessions) {
         entries.clear();
         latest.clear();
         sessions.clear();
--- a/src/main/java/clovermill/eventlog/decide/Message.java
+++ b/src/main/java/clovermill/eventlog/decide/EventLogMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** What directors and replicas send one another. All may be lost, come late, twice or in another order. */
-public sealed interface Message {
+public sealed interface EventLogMessage {
 
     /**
      * A follower tells its position, which acknowledges all before it.
@@ -14,7 +14,8 @@
      * @param position it has applied all up to this
      * @param wantsAnswer whether an answer is wanted at once; else it only acknowledges
      */
-    record Follow(long boot, long question, long logId, long position, boolean wantsAnswer) implements Message {}
+    record Follow(long boot, long question, long logId, long position, boolean wantsAnswer)
+            implements EventLogMessage {}
 
     /**
      * A replica answers a follower, or sends on what is new: a range of the log, maybe empty, and its proof.
@@ -24,8 +25,8 @@
      * @param provenHead all events that were acknowledged before the proof began are up to this; -1 for no proof
      * @param proofAgeUs how long ago the proof began, by the replica's clock
      */
-    record Batch(long boot, long question, long logId, long provenHead, long proofAgeUs, Slice slice)
-            implements Message {
+    record Batch(long boot, long question, long logId, long provenHead, long proofAgeUs, LogRange slice)
+            implements EventLogMessage {
 
         /**
          * The most bytes of a batch on the wire beside its entries: headers of IP and UDP, the packet's own, the range,
@@ -46,23 +47,23 @@
     }
 
     /** A client asks for a session; {@code nonce} tells its answer from others. */
-    record Open(long nonce) implements Message {}
+    record OpenSession(long nonce) implements EventLogMessage {}
 
     /** The answer. */
-    record Opened(long nonce, long session) implements Message {}
+    record SessionOpened(long nonce, long session) implements EventLogMessage {}
 
     /** A client appends events, as the call of so many of its session. */
-    record Append(long session, long call, List<Event> events) implements Message {}
+    record Append(long session, long call, List<Event> events) implements EventLogMessage {}
 
     /** The answer. */
-    record Answered(long session, long call, EventLog.Appended result) implements Message {}
+    record AppendAnswer(long session, long call, EventLog.AppendResult result) implements EventLogMessage {}
 
     /** Does not lead; {@code leader} does, as far as is known, or -1. */
-    record Redirect(int leader) implements Message {}
+    record Redirect(int leader) implements EventLogMessage {}
 
     /** A replica asks the leader for the head of the log at some moment after this was sent. */
-    record ReadIndex(long number) implements Message {}
+    record ReadIndex(long number) implements EventLogMessage {}
 
     /** The answer. */
-    record ReadIndexAnswer(long number, long head) implements Message {}
+    record ReadIndexAnswer(long number, long head) implements EventLogMessage {}
 }
--- a/src/main/java/clovermill/eventlog/decide/Terms.java
+++ b/src/main/java/clovermill/eventlog/decide/EventLogTiming.java
@@ -11,14 +11,15 @@
  * @param homeUs how long a follower stays with another replica before it tries its own again
  * @param drift by what part of itself a length of time by any clock may be wrong
  */
-public record Terms(long heartbeatUs, long silentUs, long batchUs, long roundUs, long stalenessUs, long homeUs,
+public record EventLogTiming(long heartbeatUs, long silentUs, long batchUs, long roundUs, long stalenessUs, long homeUs,
         double drift) {
 
     /** The figures where settings name none. */
-    public static final Terms DEFAULT = new Terms(400_000, 1_000_000, 250_000, 250_000, 5_000_000, 60_000_000, 0.01);
+    public static final EventLogTiming DEFAULT =
+            new EventLogTiming(400_000, 1_000_000, 250_000, 250_000, 5_000_000, 60_000_000, 0.01);
 
     /** Checks what must hold between them; throws {@link IllegalArgumentException}. */
-    public Terms {
+    public EventLogTiming {
         if (silentUs < 2 * heartbeatUs) {
             throw new IllegalArgumentException("silent: two heartbeats at least, or a lost answer ends a connection");
         }
--- a/src/main/java/clovermill/eventlog/decide/Follower.java
+++ b/src/main/java/clovermill/eventlog/decide/Follower.java
@@ -1,7 +1,7 @@
 package clovermill.eventlog.decide;
 
-import clovermill.eventlog.decide.Message.Batch;
-import clovermill.eventlog.decide.Message.Follow;
+import clovermill.eventlog.decide.EventLogMessage.Batch;
+import clovermill.eventlog.decide.EventLogMessage.Follow;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -20,11 +20,11 @@
     /** What happened, since the start. */
     public record Counts(long applied, long gaps, long repeated, long failovers, long clears) {}
 
-    private final Terms terms;
+    private final EventLogTiming terms;
     private final long boot;
     /** The replicas in the order in which they are tried, the own one first; drawn for each director. */
     private final List<Integer> order;
-    private final Freshness freshness;
+    private final FreshnessLease freshness;
     private final long homeUs;
     private int at;
     private long question;
@@ -46,10 +46,10 @@
      * @param replicas all replicas by number; the one at {@code self} modulo their count is followed first
      * @param boot a random number for this start of the process
      */
-    public Follower(Terms terms, int self, List<Integer> replicas, long boot, Random random, long nowUs) {
+    public Follower(EventLogTiming terms, int self, List<Integer> replicas, long boot, Random random, long nowUs) {
         this.terms = terms;
         this.boot = boot;
-        this.freshness = new Freshness(terms);
+        this.freshness = new FreshnessLease(terms);
         List<Integer> others = new ArrayList<>(replicas);
         Integer home = others.remove(self % replicas.size());
         Collections.shuffle(others, random);
@@ -72,7 +72,7 @@
     }
 
     /** Since when all events are known. */
-    public Freshness freshness() {
+    public FreshnessLease freshness() {
         return freshness;
     }
 
@@ -104,14 +104,14 @@
 
     private void begin(long id, List<Delivery> deliveries) {
         if (logId != 0) {
-            deliveries.add(new Delivery.Restarted(id));
+            deliveries.add(new Delivery.LogReplaced(id));
             freshness.reset();
         }
         logId = id;
         position = 0;
     }
 
-    private void take(Slice slice, List<Delivery> deliveries) {
+    private void take(LogRange slice, List<Delivery> deliveries) {
         if (slice.from() > position) {
             gaps++;
             acknowledge = true; // tells the replica from where to send again
@@ -123,7 +123,7 @@
             return;
         }
         if (slice.clear() != null && slice.clear().sequence() > position) {
-            deliveries.add(new Delivery.Cleared(slice.clear()));
+            deliveries.add(new Delivery.Truncated(slice.clear()));
             clears++;
         }
         for (Entry entry : slice.entries()) {
--- a/src/main/java/clovermill/eventlog/decide/Freshness.java
+++ b/src/main/java/clovermill/eventlog/decide/FreshnessLease.java
@@ -9,7 +9,7 @@
  * "Leases", 1989), counted from when the director asked, never from when the answer came. Without a lease what it holds
  * is unproven. Asked at the moment of the effect. Not thread-safe.
  */
-public final class Freshness {
+public final class FreshnessLease {
 
     /** No moment is proven. */
     public static final long NEVER = Long.MIN_VALUE / 4;
@@ -20,7 +20,7 @@
 
     private record Proof(long head, long asOfUs) {}
 
-    private final Terms terms;
+    private final EventLogTiming terms;
     private final Deque<Question> questions = new ArrayDeque<>();
     private final Deque<Proof> waiting = new ArrayDeque<>();
     private long completeAt;
@@ -29,7 +29,7 @@
     private long lastUs = NEVER;
 
     /** Nothing is proven yet. */
-    public Freshness(Terms terms) {
+    public FreshnessLease(EventLogTiming terms) {
         this.terms = terms;
     }
 
--- a/src/main/java/clovermill/eventlog/decide/Slice.java
+++ b/src/main/java/clovermill/eventlog/decide/LogRange.java
@@ -10,4 +10,4 @@
  * @param clear in place of the entries up to its sequence number, or null where none is needed
  * @param entries the latest entry of each subject, in order
  */
-public record Slice(long from, long to, long completeAt, Clear clear, List<Entry> entries) {}
+public record LogRange(long from, long to, long completeAt, TruncatedPrefix clear, List<Entry> entries) {}
--- a/src/main/java/clovermill/eventlog/decide/ReplicaFeed.java
+++ b/src/main/java/clovermill/eventlog/decide/ReplicaFeed.java
@@ -1,7 +1,7 @@
 package clovermill.eventlog.decide;
 
-import clovermill.eventlog.decide.Message.Batch;
-import clovermill.eventlog.decide.Message.Follow;
+import clovermill.eventlog.decide.EventLogMessage.Batch;
+import clovermill.eventlog.decide.EventLogMessage.Follow;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -41,7 +41,7 @@
     /** Who has not been heard of for so many silent times is fed no more. */
     private static final int GONE_AFTER = 5;
 
-    private static final Slice NOTHING = new Slice(0, 0, 0, null, List.of());
+    private static final LogRange NOTHING = new LogRange(0, 0, 0, null, List.of());
 
     private record Key(int director, long boot) {}
 
@@ -49,7 +49,7 @@
     private record Sent(long to, int bytes) {}
 
     private static final class State {
-        private final ByteBudget budget;
+        private final ByteTokenBucket budget;
         private long question;
         private long acknowledged;
         private long sent;
@@ -61,7 +61,7 @@
         /** Whether it is behind by more than a window, and paced. */
         private boolean catchingUp = true;
 
-        private State(ByteBudget budget) {
+        private State(ByteTokenBucket budget) {
             this.budget = budget;
         }
 
@@ -72,10 +72,10 @@
         }
     }
 
-    private final Terms terms;
+    private final EventLogTiming terms;
     private final Bounds bounds;
     private final EventLog log;
-    private final ByteBudget total;
+    private final ByteTokenBucket total;
     private final Map<Key, State> followers = new LinkedHashMap<>();
     private long provenHead = -1;
     private long proofBeganUs;
@@ -87,11 +87,11 @@
     private long refused;
 
     /** Feeds from a log that its owner adds to. */
-    public ReplicaFeed(Terms terms, Bounds bounds, EventLog log, long nowUs) {
+    public ReplicaFeed(EventLogTiming terms, Bounds bounds, EventLog log, long nowUs) {
         this.terms = terms;
         this.bounds = bounds;
         this.log = log;
-        this.total = new ByteBudget(bounds.replicaRate(), nowUs);
+        this.total = new ByteTokenBucket(bounds.replicaRate(), nowUs);
         this.pushAtUs = nowUs;
     }
 
@@ -120,7 +120,7 @@
                 refused++;
                 return null;
             }
-            state = new State(new ByteBudget(bounds.followerRate(), nowUs));
+            state = new State(new ByteTokenBucket(bounds.followerRate(), nowUs));
             followers.put(key, state);
         }
         state.heardUs = nowUs;
@@ -200,7 +200,7 @@
 
     private void feed(Key key, State state, long nowUs, List<Push> pushes) {
         while (state.sent < log.head() && state.inFlight < bounds.windowBytes() && state.budget.allows(nowUs)) {
-            Slice slice = log.read(state.sent, BATCH_BYTES);
+            LogRange slice = log.read(state.sent, BATCH_BYTES);
             if (state.inFlight == 0) {
                 state.progressUs = nowUs;
             }
@@ -213,7 +213,7 @@
         }
     }
 
-    private Push push(Key key, State state, Slice slice, long nowUs) {
+    private Push push(Key key, State state, LogRange slice, long nowUs) {
         long ageUs = Math.max(0, nowUs - proofBeganUs);
         Batch batch = new Batch(key.boot, state.question, log.logId(), provenHead, ageUs, slice);
         state.budget.spend(batch.bytes());
--- a/src/main/java/clovermill/eventlog/decide/Clear.java
+++ b/src/main/java/clovermill/eventlog/decide/TruncatedPrefix.java
@@ -6,8 +6,8 @@
  * @param sequence the last of them, 0 for none
  * @param madeMs the latest time of any, Unix milliseconds: whatever is as old as that may have been purged
  */
-public record Clear(long sequence, long madeMs) {
+public record TruncatedPrefix(long sequence, long madeMs) {
 
     /** Nothing has been dropped. */
-    public static final Clear NONE = new Clear(0, Long.MIN_VALUE);
+    public static final TruncatedPrefix NONE = new TruncatedPrefix(0, Long.MIN_VALUE);
 }
--- a/src/test/java/clovermill/emulator/eventlog/EventJudgeTest.java
+++ b/src/test/java/clovermill/emulator/eventlog/EventJudgeTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.eventlog.decide.Clear;
 import clovermill.eventlog.decide.Delivery;
 import clovermill.eventlog.decide.Entry;
 import clovermill.eventlog.decide.Event;
 import clovermill.eventlog.decide.Subject;
+import clovermill.eventlog.decide.TruncatedPrefix;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -48,7 +48,7 @@
     @Test
     void aDirectorThatClearedWhatIsAsOldHoldsIt() {
         acknowledged();
-        judge.delivered(0, new Delivery.Cleared(new Clear(1, 200)), 0);
+        judge.delivered(0, new Delivery.Truncated(new TruncatedPrefix(1, 200)), 0);
         delivered(9, OLDER);
         judge.end(0);
         assertThat(judge.lost()).isZero();
--- a/src/test/java/clovermill/eventlog/PacketCodecTest.java
+++ b/src/test/java/clovermill/eventlog/PacketCodecTest.java
@@ -4,14 +4,14 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import clovermill.consensus.ReplicaId;
-import clovermill.eventlog.decide.Clear;
 import clovermill.eventlog.decide.Entry;
 import clovermill.eventlog.decide.Event;
 import clovermill.eventlog.decide.EventLog;
-import clovermill.eventlog.decide.Message;
-import clovermill.eventlog.decide.Slice;
-import clovermill.eventlog.decide.Subject;
+import clovermill.eventlog.decide.EventLogMessage;
+import clovermill.eventlog.decide.LogRange;
 import clovermill.eventlog.decide.Subject.Kind;
+import clovermill.eventlog.decide.Subject;
+import clovermill.eventlog.decide.TruncatedPrefix;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -27,16 +27,19 @@
     private final PacketCodec to = new PacketCodec(2, 9, KEY, 71);
 
     private static List<Packet> packets() {
-        Slice slice = new Slice(3, 900, 901, new Clear(4, 5), List.of(new Entry(6, EVENT), new Entry(900, EVENT)));
-        List<Message> messages = List.of(new Message.Follow(1, 2, 3, 4, true),
-                new Message.Batch(1, 2, 3, -1, 5, slice),
-                new Message.Batch(1, 2, 3, 4, 5, new Slice(0, 0, 0, null, List.of())), new Message.Open(5),
-                new Message.Opened(5, 6), new Message.Append(6, 7, List.of(EVENT, EVENT)),
-                new Message.Answered(6, 7, new EventLog.Appended(EventLog.Outcome.OUTDATED, 0)),
-                new Message.Redirect(-1), new Message.ReadIndex(8), new Message.ReadIndexAnswer(8, 9));
-        List<Packet> packets = new ArrayList<>(messages.stream().map(Packet.Plain::new).toList());
-        packets.add(new Packet.Join(7, true));
-        packets.add(new Packet.Joined(7, true, false));
+        LogRange slice = new LogRange(3, 900, 901, new TruncatedPrefix(4, 5),
+                List.of(new Entry(6, EVENT), new Entry(900, EVENT)));
+        List<EventLogMessage> messages = List.of(new EventLogMessage.Follow(1, 2, 3, 4, true),
+                new EventLogMessage.Batch(1, 2, 3, -1, 5, slice),
+                new EventLogMessage.Batch(1, 2, 3, 4, 5, new LogRange(0, 0, 0, null, List.of())),
+                new EventLogMessage.OpenSession(5),
+                new EventLogMessage.SessionOpened(5, 6), new EventLogMessage.Append(6, 7, List.of(EVENT, EVENT)),
+                new EventLogMessage.AppendAnswer(6, 7, new EventLog.AppendResult(EventLog.AppendOutcome.OUTDATED, 0)),
+                new EventLogMessage.Redirect(-1), new EventLogMessage.ReadIndex(8),
+                new EventLogMessage.ReadIndexAnswer(8, 9));
+        List<Packet> packets = new ArrayList<>(messages.stream().map(Packet.EventLogPacket::new).toList());
+        packets.add(new Packet.JoinRequest(7, true));
+        packets.add(new Packet.JoinResponse(7, true, false));
         return packets;
     }
 
@@ -50,19 +53,19 @@
     @Test
     void raftsOwnWithEachOperationIsReadAsItWasWritten() throws Exception {
         var models = new DefaultRaftModelFactory();
-        List<Object> operations = List.of(new EventLogMachine.NewTerm(5), new EventLogMachine.OpenSession(),
-                new EventLogMachine.Append(1, 2, List.of(EVENT)),
-                new EventLogMachine.SnapshotHead(new EventLog.Head(1, 2, new Clear(3, 4), 5)),
-                new EventLogMachine.SnapshotEntries(List.of(new Entry(6, EVENT))),
-                new EventLogMachine.SnapshotSessions(List.of(new EventLog.Session(1, 2, 3))));
+        List<Object> operations = List.of(new EventLogStateMachine.NewTerm(5), new EventLogStateMachine.OpenSession(),
+                new EventLogStateMachine.Append(1, 2, List.of(EVENT)),
+                new EventLogStateMachine.SnapshotHead(new EventLog.LogState(1, 2, new TruncatedPrefix(3, 4), 5)),
+                new EventLogStateMachine.SnapshotEntries(List.of(new Entry(6, EVENT))),
+                new EventLogStateMachine.SnapshotSessions(List.of(new EventLog.Session(1, 2, 3))));
         for (Object operation : operations) {
             var entry = models.createLogEntryBuilder().setIndex(5).setTerm(2).setOperation(operation).build();
             var append = models.createAppendEntriesRequestBuilder().setGroupId(EventOperationCodec.GROUP)
                     .setSender(new ReplicaId(1, 0)).setTerm(2).setPreviousLogTerm(1).setPreviousLogIndex(4)
                     .setCommitIndex(3).setLogEntries(List.of(entry)).setQuerySequenceNumber(6)
                     .setFlowControlSequenceNumber(7).build();
-            Packet read = to.read(from.write(2, new Packet.Raft(3, append))).packet();
-            assertThat(read.toString()).isEqualTo(new Packet.Raft(3, append).toString());
+            Packet read = to.read(from.write(2, new Packet.RaftPacket(3, append))).packet();
+            assertThat(read.toString()).isEqualTo(new Packet.RaftPacket(3, append).toString());
         }
     }
 
@@ -74,21 +77,21 @@
             for (int i = 0; i < 50; i++) {
                 byte[] bad = good.clone();
                 bad[random.nextInt(bad.length)] ^= (byte) (1 << random.nextInt(8));
-                assertThatThrownBy(() -> to.read(bad)).isInstanceOf(PacketCodec.BadPacket.class);
+                assertThatThrownBy(() -> to.read(bad)).isInstanceOf(PacketCodec.InvalidPacketException.class);
             }
             assertThatThrownBy(() -> to.read(Arrays.copyOf(good, good.length - 1)))
-                    .isInstanceOf(PacketCodec.BadPacket.class);
+                    .isInstanceOf(PacketCodec.InvalidPacketException.class);
             assertThatThrownBy(() -> new PacketCodec(3, 9, KEY, 72).read(good))
-                    .isInstanceOf(PacketCodec.BadPacket.class);
+                    .isInstanceOf(PacketCodec.InvalidPacketException.class);
             assertThatThrownBy(() -> new PacketCodec(2, 1, KEY, 72).read(good))
-                    .isInstanceOf(PacketCodec.BadPacket.class);
+                    .isInstanceOf(PacketCodec.InvalidPacketException.class);
         }
     }
 
     @Test
     void whatIsReplayedIsRefused() throws Exception {
-        byte[] first = from.write(2, new Packet.Join(7, true));
-        byte[] second = from.write(2, new Packet.Join(8, true));
+        byte[] first = from.write(2, new Packet.JoinRequest(7, true));
+        byte[] second = from.write(2, new Packet.JoinRequest(8, true));
         to.read(second);
         to.read(first);
         assertThatThrownBy(() -> to.read(first)).hasMessage("a repeated one");
@@ -103,8 +106,8 @@
             log.append(1, i, List.of(new Event(new Subject(Kind.OBJECT_PURGE, i), i, "x".repeat(i % 65))));
         }
         for (int at = 0; at < 299; at++) {
-            Message.Batch batch = new Message.Batch(1, 2, 3, 4, 5, log.read(at, 1200));
-            int bytes = from.write(2, new Packet.Plain(batch)).length + 28;
+            EventLogMessage.Batch batch = new EventLogMessage.Batch(1, 2, 3, 4, 5, log.read(at, 1200));
+            int bytes = from.write(2, new Packet.EventLogPacket(batch)).length + 28;
             assertThat(bytes).isBetween(batch.bytes() - 16, batch.bytes()).isLessThanOrEqualTo(1400);
         }
     }
--- a/src/test/java/clovermill/eventlog/decide/AppenderTest.java
+++ b/src/test/java/clovermill/eventlog/decide/AppendClientTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.eventlog.decide.EventLog.Appended;
-import clovermill.eventlog.decide.EventLog.Outcome;
+import clovermill.eventlog.decide.EventLog.AppendOutcome;
+import clovermill.eventlog.decide.EventLog.AppendResult;
 import clovermill.eventlog.decide.Subject.Kind;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class AppenderTest {
+class AppendClientTest {
 
     private static List<Event> events(long key) {
         return List.of(new Event(new Subject(Kind.OBJECT_PURGE, key), 1));
@@ -22,44 +22,46 @@
 
     @Test
     void aCallIsSentAgainElsewhereUntilItIsAnswered() {
-        Appender appender = new Appender(List.of(0, 1, 2, 3), 9, 70);
+        AppendClient appender = new AppendClient(List.of(0, 1, 2, 3), 9, 70);
         appender.offer(1, events(5), 0);
-        assertThat(appender.tick(0)).isEqualTo(new Appender.Request(1, new Message.Open(70)));
+        assertThat(appender.tick(0)).isEqualTo(new AppendClient.Request(1, new EventLogMessage.OpenSession(70)));
         assertThat(appender.tick(1)).isNull();
-        assertThat(appender.tick(300_000)).isEqualTo(new Appender.Request(2, new Message.Open(70)));
-        appender.on(new Message.Redirect(0), 300_001);
-        assertThat(appender.tick(320_001)).isEqualTo(new Appender.Request(0, new Message.Open(70)));
-        appender.on(new Message.Opened(70, 4), 400_000);
-        Message.Append call = new Message.Append(4, 1, events(5));
-        assertThat(appender.tick(400_000)).isEqualTo(new Appender.Request(0, call));
-        assertThat(appender.tick(700_000)).isEqualTo(new Appender.Request(1, call));
-        Message.Answered answer = new Message.Answered(4, 1, new Appended(Outcome.APPENDED, 3));
-        assertThat(appender.on(answer, 700_001)).isEqualTo(new Appender.Done(1, answer.result()));
+        assertThat(appender.tick(300_000)).isEqualTo(new AppendClient.Request(2, new EventLogMessage.OpenSession(70)));
+        appender.on(new EventLogMessage.Redirect(0), 300_001);
+        assertThat(appender.tick(320_001)).isEqualTo(new AppendClient.Request(0, new EventLogMessage.OpenSession(70)));
+        appender.on(new EventLogMessage.SessionOpened(70, 4), 400_000);
+        EventLogMessage.Append call = new EventLogMessage.Append(4, 1, events(5));
+        assertThat(appender.tick(400_000)).isEqualTo(new AppendClient.Request(0, call));
+        assertThat(appender.tick(700_000)).isEqualTo(new AppendClient.Request(1, call));
+        EventLogMessage.AppendAnswer answer =
+                new EventLogMessage.AppendAnswer(4, 1, new AppendResult(AppendOutcome.APPENDED, 3));
+        assertThat(appender.on(answer, 700_001)).isEqualTo(new AppendClient.CallResult(1, answer.result()));
         assertThat(appender.on(answer, 700_002)).isNull();
         assertThat(appender.nextUs()).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
     void aSessionThatWasDroppedIsToldAndTheNextCallOpensAnother() {
-        Appender appender = new Appender(List.of(0), 0, 70);
+        AppendClient appender = new AppendClient(List.of(0), 0, 70);
         appender.offer(1, events(5), 0);
         appender.offer(2, events(6), 0);
-        appender.on(new Message.Opened(70, 4), 0);
-        Message.Answered refused = new Message.Answered(4, 1, new Appended(Outcome.SESSION_EXPIRED, 0));
+        appender.on(new EventLogMessage.SessionOpened(70, 4), 0);
+        EventLogMessage.AppendAnswer refused =
+                new EventLogMessage.AppendAnswer(4, 1, new AppendResult(AppendOutcome.SESSION_EXPIRED, 0));
         assertThat(appender.on(refused, 0).token()).isEqualTo(1);
-        assertThat(appender.tick(0).message()).isEqualTo(new Message.Open(71));
+        assertThat(appender.tick(0).message()).isEqualTo(new EventLogMessage.OpenSession(71));
     }
 
     @Test
     void whatIsTooMuchIsRefused() {
-        Appender appender = new Appender(List.of(0), 0, 70);
+        AppendClient appender = new AppendClient(List.of(0), 0, 70);
         assertThat(appender.offer(0, List.of(), 0)).isFalse();
         List<Event> large = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             large.addAll(events(i));
         }
         assertThat(appender.offer(0, large, 0)).isFalse();
-        for (int i = 0; i < Appender.MOST_WAITING; i++) {
+        for (int i = 0; i < AppendClient.MOST_WAITING; i++) {
             assertThat(appender.offer(i, events(i), 0)).isTrue();
         }
         assertThat(appender.offer(99, events(1), 0)).isFalse();
@@ -70,31 +72,32 @@
     void eachCallIsOneEvent(@ForAll long seed) {
         Random random = new Random(seed);
         EventLog log = new EventLog(new EventLog.Bounds(100_000, 10));
-        Appender appender = new Appender(List.of(0, 1), 0, 70);
-        List<Message> toLog = new ArrayList<>();
-        List<Message> toClient = new ArrayList<>();
+        AppendClient appender = new AppendClient(List.of(0, 1), 0, 70);
+        List<EventLogMessage> toLog = new ArrayList<>();
+        List<EventLogMessage> toClient = new ArrayList<>();
         Set<Long> done = new HashSet<>();
         long offered = 0;
         for (long now = 0; now < 60_000_000 && done.size() < 20; now += 50_000) {
             if (offered < 20 && random.nextBoolean()) {
                 appender.offer(++offered, events(offered), now);
             }
-            Appender.Request request = appender.tick(now);
+            AppendClient.Request request = appender.tick(now);
             if (request != null) {
                 toLog.add(request.message());
             }
             if (!toLog.isEmpty() && random.nextInt(3) > 0) {
-                Message message = toLog.get(random.nextInt(toLog.size())); // maybe an old one, and again later
-                toClient.add(message instanceof Message.Open open ? new Message.Opened(open.nonce(), log.open())
-                        : answer(log, (Message.Append) message));
+                EventLogMessage message = toLog.get(random.nextInt(toLog.size())); // maybe an old one, and again later
+                toClient.add(message instanceof EventLogMessage.OpenSession open
+                        ? new EventLogMessage.SessionOpened(open.nonce(), log.open())
+                        : answer(log, (EventLogMessage.Append) message));
             }
             if (!toClient.isEmpty() && random.nextInt(3) > 0) {
-                Message message = toClient.get(random.nextInt(toClient.size()));
-                if (message instanceof Message.Opened opened) {
+                EventLogMessage message = toClient.get(random.nextInt(toClient.size()));
+                if (message instanceof EventLogMessage.SessionOpened opened) {
                     appender.on(opened, now);
                 } else {
-                    Appender.Done over = appender.on((Message.Answered) message, now);
-                    if (over != null && over.result().outcome() == Outcome.APPENDED) {
+                    AppendClient.CallResult over = appender.on((EventLogMessage.AppendAnswer) message, now);
+                    if (over != null && over.result().outcome() == AppendOutcome.APPENDED) {
                         assertThat(done.add(over.token())).isTrue();
                     } else if (over != null) {
                         done.add(over.token()); // refused for good: at most one event, checked below
@@ -107,8 +110,9 @@
         assertThat(log.head()).isEqualTo(keys.size());
     }
 
-    private static Message answer(EventLog log, Message.Append append) {
-        return new Message.Answered(append.session(), append.call(), log.append(append.session(), append.call(),
-                append.events()));
+    private static EventLogMessage answer(EventLog log, EventLogMessage.Append append) {
+        return new EventLogMessage.AppendAnswer(append.session(), append.call(),
+                log.append(append.session(), append.call(),
+                        append.events()));
     }
 }
--- a/src/test/java/clovermill/eventlog/decide/EventLogTest.java
+++ b/src/test/java/clovermill/eventlog/decide/EventLogTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.eventlog.decide.EventLog.Appended;
-import clovermill.eventlog.decide.EventLog.Outcome;
+import clovermill.eventlog.decide.EventLog.AppendOutcome;
+import clovermill.eventlog.decide.EventLog.AppendResult;
 import clovermill.eventlog.decide.Subject.Kind;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,12 +25,12 @@
     }
 
     /** Checks that a slice covers all events of its range, and names when what replaced the others is seen. */
-    static void assertCovers(Slice slice, List<Entry> all) {
+    static void assertCovers(LogRange slice, List<Entry> all) {
         for (Entry each : all) {
             if (each.sequence() <= slice.from() || each.sequence() > slice.to()) {
                 continue;
             }
-            Clear clear = slice.clear();
+            TruncatedPrefix clear = slice.clear();
             boolean cleared = clear != null && each.sequence() <= clear.sequence()
                     && each.event().madeMs() <= clear.madeMs();
             boolean replaced = all.stream().anyMatch(later -> later.sequence() > each.sequence()
@@ -48,7 +48,7 @@
         Random random = new Random(seed);
         EventLog log = new EventLog(new EventLog.Bounds(kept, 3));
         List<Entry> all = new ArrayList<>();
-        Map<Call, Appended> answers = new HashMap<>();
+        Map<Call, AppendResult> answers = new HashMap<>();
         long sessions = 0;
         for (int step = 0; step < 120; step++) {
             if (sessions == 0 || random.nextInt(15) == 0) {
@@ -57,13 +57,13 @@
             Call call = new Call(1 + random.nextInt((int) sessions), random.nextInt(30));
             Event event = event(random.nextInt(12), random.nextInt(1000));
             long before = log.head();
-            Appended answer = log.append(call.session(), call.call(), List.of(event));
+            AppendResult answer = log.append(call.session(), call.call(), List.of(event));
             if (log.head() > before) {
-                assertThat(answer).isEqualTo(new Appended(Outcome.APPENDED, before + 1));
+                assertThat(answer).isEqualTo(new AppendResult(AppendOutcome.APPENDED, before + 1));
                 assertThat(answers).doesNotContainKey(call);
                 answers.put(call, answer);
                 all.add(new Entry(before + 1, event));
-            } else if (answer.outcome() == Outcome.APPENDED && call.call() > 0) {
+            } else if (answer.outcome() == AppendOutcome.APPENDED && call.call() > 0) {
                 assertThat(answer).isEqualTo(answers.get(call));
             }
             assertThat(log.bytes()).isLessThanOrEqualTo(kept);
@@ -71,7 +71,7 @@
         }
         assertThat(log.bytes()).isEqualTo(log.all().stream().mapToLong(each -> each.event().bytes()).sum());
         for (long from = 0; from <= log.head(); from++) {
-            Slice slice = log.read(from, 1 + random.nextInt(200));
+            LogRange slice = log.read(from, 1 + random.nextInt(200));
             assertThat(slice.to()).isBetween(from + (from < log.head() ? 1 : 0), log.head());
             assertThat(slice.completeAt()).isBetween(slice.to(), log.head());
             assertCovers(slice, all);
@@ -104,7 +104,7 @@
     void theSameEventAskedForTwiceIsOneEvent() {
         EventLog log = new EventLog(new EventLog.Bounds(1000, 4));
         long session = log.open();
-        Appended first = log.append(session, 1, List.of(event(7, 1), event(8, 1)));
+        AppendResult first = log.append(session, 1, List.of(event(7, 1), event(8, 1)));
         assertThat(log.append(session, 1, List.of(event(7, 1), event(8, 1)))).isEqualTo(first);
         assertThat(log.head()).isEqualTo(2);
     }
@@ -115,8 +115,8 @@
         long first = log.open();
         log.append(first, 1, List.of(event(7, 1)));
         log.open();
-        assertThat(log.append(first, 1, List.of(event(7, 1))).outcome()).isEqualTo(Outcome.SESSION_EXPIRED);
-        assertThat(log.append(first, 2, List.of(event(7, 1))).outcome()).isEqualTo(Outcome.SESSION_EXPIRED);
+        assertThat(log.append(first, 1, List.of(event(7, 1))).outcome()).isEqualTo(AppendOutcome.SESSION_EXPIRED);
+        assertThat(log.append(first, 2, List.of(event(7, 1))).outcome()).isEqualTo(AppendOutcome.SESSION_EXPIRED);
         assertThat(log.head()).isEqualTo(1);
     }
 
@@ -125,7 +125,7 @@
         EventLog log = new EventLog(new EventLog.Bounds(1000, 1));
         long session = log.open();
         log.append(session, 2, List.of(event(7, 1)));
-        assertThat(log.append(session, 1, List.of(event(9, 1))).outcome()).isEqualTo(Outcome.OUTDATED);
+        assertThat(log.append(session, 1, List.of(event(9, 1))).outcome()).isEqualTo(AppendOutcome.OUTDATED);
         assertThat(log.head()).isEqualTo(1);
     }
 
--- a/src/test/java/clovermill/eventlog/decide/FollowerTest.java
+++ b/src/test/java/clovermill/eventlog/decide/FollowerTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.eventlog.decide.Message.Batch;
+import clovermill.eventlog.decide.EventLogMessage.Batch;
 import clovermill.eventlog.decide.Subject.Kind;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,13 +15,13 @@
 
 class FollowerTest {
 
-    private static final Terms TERMS = new Terms(400, 1000, 250, 250, 5000, 60_000, 0.01);
+    private static final EventLogTiming TERMS = new EventLogTiming(400, 1000, 250, 250, 5000, 60_000, 0.01);
     private static final ReplicaFeed.Bounds FEED = new ReplicaFeed.Bounds(2_000_000_000L, 2_000_000_000L, 16_000, 10);
 
     /** What a director holds, told by deliveries alone. */
     private static final class Held {
         private final Map<Subject, Entry> latest = new HashMap<>();
-        private Clear clear = Clear.NONE;
+        private TruncatedPrefix clear = TruncatedPrefix.NONE;
         private long last;
 
         void take(Delivery delivery) {
@@ -29,7 +29,7 @@
                 assertThat(applied.entry().sequence()).isGreaterThan(last);
                 last = applied.entry().sequence();
                 latest.put(applied.entry().event().subject(), applied.entry());
-            } else if (delivery instanceof Delivery.Cleared cleared) {
+            } else if (delivery instanceof Delivery.Truncated cleared) {
                 assertThat(cleared.clear().sequence()).isGreaterThan(last);
                 last = cleared.clear().sequence();
                 clear = cleared.clear();
@@ -47,7 +47,7 @@
 
     private record Appended(Entry entry, long atUs) {}
 
-    private static Batch batch(long question, Slice slice, long head, long ageUs) {
+    private static Batch batch(long question, LogRange slice, long head, long ageUs) {
         return new Batch(77, question, 5, head, ageUs, slice);
     }
 
@@ -55,12 +55,12 @@
         return new Entry(sequence, new Event(new Subject(Kind.OBJECT_PURGE, sequence), sequence));
     }
 
-    private static Slice slice(long from, long to) {
+    private static LogRange slice(long from, long to) {
         List<Entry> entries = new ArrayList<>();
         for (long at = from + 1; at <= to; at++) {
             entries.add(entry(at));
         }
-        return new Slice(from, to, to, null, entries);
+        return new LogRange(from, to, to, null, entries);
     }
 
     private static Follower follower() {
@@ -135,7 +135,7 @@
         follower.on(0, batch(1, slice(0, 3), 3, 0), 10);
         assertThat(follower.freshness().proven(20)).isTrue();
         List<Delivery> deliveries = follower.on(0, new Batch(77, 1, 6, -1, 0, slice(0, 1)), 20);
-        assertThat(deliveries).containsExactly(new Delivery.Restarted(6), new Delivery.Applied(entry(1)));
+        assertThat(deliveries).containsExactly(new Delivery.LogReplaced(6), new Delivery.Applied(entry(1)));
         assertThat(follower.freshness().proven(20)).isFalse();
     }
 
--- a/src/test/java/clovermill/eventlog/decide/FreshnessTest.java
+++ b/src/test/java/clovermill/eventlog/decide/FreshnessLeaseTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class FreshnessTest {
+class FreshnessLeaseTest {
 
-    private static final Terms TERMS = new Terms(400, 1000, 250, 250, 5000, 60_000, 0.01);
-    private final Freshness freshness = new Freshness(TERMS);
+    private static final EventLogTiming TERMS = new EventLogTiming(400, 1000, 250, 250, 5000, 60_000, 0.01);
+    private final FreshnessLease freshness = new FreshnessLease(TERMS);
 
     @Test
     void itCountsFromTheQuestionAndTheAgeOfTheProofNotFromTheAnswer() {
--- a/src/test/java/clovermill/eventlog/decide/ReplicaFeedTest.java
+++ b/src/test/java/clovermill/eventlog/decide/ReplicaFeedTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.eventlog.decide.Message.Follow;
+import clovermill.eventlog.decide.EventLogMessage.Follow;
 import clovermill.eventlog.decide.Subject.Kind;
 import java.util.List;
 import java.util.Random;
@@ -12,7 +12,7 @@
 class ReplicaFeedTest {
 
     private static final long SECOND = 1_000_000;
-    private static final Terms TERMS = Terms.DEFAULT;
+    private static final EventLogTiming TERMS = EventLogTiming.DEFAULT;
     private final EventLog log = new EventLog(new EventLog.Bounds(100_000, 4));
     private final long session = log.open();
     private long calls;
@@ -102,7 +102,7 @@
         append(20_000);
         ReplicaFeed feed = feed(ReplicaFeed.Bounds.DEFAULT);
         feed.on(1, follow(1, 10, false), 0);
-        Slice first = feed.tick(0).get(0).batch().slice();
+        LogRange first = feed.tick(0).get(0).batch().slice();
         assertThat(first.clear()).isEqualTo(log.clear());
         assertThat(first.from()).isEqualTo(10);
         assertThat(first.completeAt()).isEqualTo(log.head());
