--- a/src/main/java/clovermill/cli/FleetSimCommand.java
+++ b/src/main/java/clovermill/cli/FleetSimCommand.java
@@ -1,8 +1,8 @@
 package clovermill.cli;
 
 import clovermill.emulator.Emulation;
+import clovermill.emulator.FleetMetrics;
 import clovermill.emulator.Plan;
-import clovermill.emulator.Tally;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -51,7 +51,7 @@
     private CommandLine.Model.CommandSpec spec;
 
     @Override
-    public Integer call() throws IOException, Plan.Unusable {
+    public Integer call() throws IOException, Plan.InvalidPlanException {
         if (file != null && directors != null) {
             throw new CommandLine.ParameterException(spec.commandLine(), "PLAN and --directors: one of them");
         }
@@ -59,7 +59,7 @@
         PrintWriter out = spec.commandLine().getOut();
         for (String choice : choices == null ? List.of(plan.choice()) : choices) {
             Plan chosen = plan.choosing(choice);
-            Tally tally = Emulation.play(chosen, seed);
+            FleetMetrics tally = Emulation.play(chosen, seed);
             Map<String, Object> line = new LinkedHashMap<>();
             line.put("choice", choice);
             line.put("directors", chosen.directors());
@@ -67,7 +67,7 @@
             line.put("seed", seed);
             line.putAll(tally.figures());
             if (json) {
-                for (Tally.Second second : tally.seconds()) {
+                for (FleetMetrics.Second second : tally.seconds()) {
                     out.println(text(second(choice, second)));
                 }
                 out.println(text(line));
@@ -85,15 +85,15 @@
         return 0;
     }
 
-    private Plan read() throws IOException, Plan.Unusable {
+    private Plan read() throws IOException, Plan.InvalidPlanException {
         try {
             return Plan.read(file);
-        } catch (Plan.Unusable unusable) {
+        } catch (Plan.InvalidPlanException unusable) {
             throw new IOException(file + ": " + unusable.getMessage(), unusable);
         }
     }
 
-    private static Map<String, Object> second(String choice, Tally.Second second) {
+    private static Map<String, Object> second(String choice, FleetMetrics.Second second) {
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("choice", choice);
         line.put("second", second.second());
@@ -110,13 +110,13 @@
     }
 
     /** A line for each cache, a column for each second. */
-    private static void print(Tally tally, PrintWriter out) {
-        List<Tally.Second> seconds = tally.seconds().subList(0, Math.min(COLUMNS, tally.seconds().size()));
+    private static void print(FleetMetrics tally, PrintWriter out) {
+        List<FleetMetrics.Second> seconds = tally.seconds().subList(0, Math.min(COLUMNS, tally.seconds().size()));
         TreeSet<String> ids = new TreeSet<>();
         seconds.forEach(second -> ids.addAll(second.loads().keySet()));
         for (String id : ids) {
             StringBuilder row = new StringBuilder();
-            for (Tally.Second second : seconds) {
+            for (FleetMetrics.Second second : seconds) {
                 Double load = second.loads().get(id);
                 row.append(load == null ? ' ' : load == 0 ? '.' : load >= 1 ? '#'
                         : (char) ('0' + Math.max(1, (int) (10 * load))));
--- a/src/main/java/clovermill/emulator/EmulatedDirector.java
+++ b/src/main/java/clovermill/emulator/EmulatedDirector.java
@@ -48,7 +48,7 @@
     private final Plan plan;
     private final Workload workload;
     private final SplittableRandom random;
-    private final Tally tally;
+    private final FleetMetrics tally;
     private final int number;
     private final Map<String, Call> calls = new LinkedHashMap<>();
     private CacheRouter router;
@@ -70,8 +70,8 @@
         long seed = random.nextLong();
         starts++;
         router = switch (plan.choice()) {
-            case "least" -> new ReportedChoice(seed, Integer.MAX_VALUE);
-            case "two" -> new ReportedChoice(seed, 2);
+            case "least" -> new LeastLoadedRouter(seed, Integer.MAX_VALUE);
+            case "two" -> new LeastLoadedRouter(seed, 2);
             default -> new Policy(workload.settings(), seed);
         };
         tell(emulation.allMembers());
--- a/src/main/java/clovermill/emulator/Emulation.java
+++ b/src/main/java/clovermill/emulator/Emulation.java
@@ -31,7 +31,7 @@
     private final EventQueue events = new EventQueue();
     private final Map<String, EmulatedCache> caches = new TreeMap<>();
     private final List<EmulatedDirector> directors = new ArrayList<>();
-    private final Tally tally;
+    private final FleetMetrics tally;
     private final double linkRoom;
     private long now = EPOCH_US;
     private int joined;
@@ -41,7 +41,7 @@
     private Emulation(Plan plan, long seed) {
         this.plan = plan;
         this.random = new SplittableRandom(seed);
-        this.tally = new Tally(plan.settle());
+        this.tally = new FleetMetrics(plan.settle());
         double all = plan.directors() * plan.perDirector() * plan.workMs() / 1000 / plan.load();
         this.linkRoom = Math.max(1, plan.link() * all);
         this.workload = new Workload(plan, linkRoom);
@@ -61,7 +61,7 @@
     }
 
     /** Plays a plan, which has to be usable; the same seed gives the same run. */
-    public static Tally play(Plan plan, long seed) throws Plan.Unusable {
+    public static FleetMetrics play(Plan plan, long seed) throws Plan.InvalidPlanException {
         plan.check();
         Emulation emulation = new Emulation(plan, seed);
         for (int second = 0; second < plan.seconds(); second++) {
@@ -84,7 +84,7 @@
         return random;
     }
 
-    Tally tally() {
+    FleetMetrics tally() {
         return tally;
     }
 
--- a/src/main/java/clovermill/emulator/Tally.java
+++ b/src/main/java/clovermill/emulator/FleetMetrics.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** What is seen of a run: by second the load of each cache, over its room, and how requests ended. */
-public final class Tally {
+public final class FleetMetrics {
 
     /** A second in which the fleet has less to do than this says nothing of who is idle. */
     private static final double QUIET = 0.1;
@@ -42,7 +42,7 @@
     long answered;
     int overruns;
 
-    Tally(int settle) {
+    FleetMetrics(int settle) {
         this.settle = settle;
     }
 
--- a/src/main/java/clovermill/emulator/TalkingFleet.java
+++ b/src/main/java/clovermill/emulator/GossipFleet.java
@@ -17,13 +17,13 @@
  * off and drifts, under one limit and with entries put at any of them. The members are the real {@link GossipMember};
  * one seed gives one run.
  */
-public final class TalkingFleet {
+public final class GossipFleet {
 
     /**
      * A run: so many directors under a limit by second, which the first {@code hot} of them are asked for {@code
      * offered} times over; links with a loss, a delay of up to so long, and faults. One entry is put every second.
      */
-    public record Case(int directors, double limit, int hot, double offered, double loss, long delayMs, int seconds,
+    public record Scenario(int directors, double limit, int hot, double offered, double loss, long delayMs, int seconds,
             List<Cut> cuts, List<Kill> kills) {}
 
     /** From a time, for so many seconds, the directors from one number up to another are cut off from the others. */
@@ -38,7 +38,7 @@
      * from when the links allowed it, beside its bound; {@code lostEntries}: missing somewhere at the end; {@code
      * mostAlone}: by a director that was cut off for longer than a term, beyond its own share.
      */
-    public record Figures(double most, double bound, double usedShare, long staleMs, long staleBoundMs,
+    public record GossipMetrics(double most, double bound, double usedShare, long staleMs, long staleBoundMs,
             int lostEntries, double mostAlone) {}
 
     private static final long STEP_US = 10_000;
@@ -94,7 +94,7 @@
         }
     }
 
-    private final Case plan;
+    private final Scenario plan;
     private final SplittableRandom random;
     private final RateLimitShare.Terms terms;
     private final List<Peer> peers = new ArrayList<>();
@@ -109,7 +109,7 @@
     private long staleUs;
     private double mostAlone;
 
-    private TalkingFleet(Case plan, long seed) {
+    private GossipFleet(Scenario plan, long seed) {
         this.plan = plan;
         this.random = new SplittableRandom(seed);
         this.terms = new RateLimitShare.Terms(plan.limit(), plan.directors(), BURST_S, TERM_US, DRIFT);
@@ -124,11 +124,11 @@
     }
 
     /** Plays a case. */
-    public static Figures play(Case plan, long seed) {
-        return new TalkingFleet(plan, seed).run();
+    public static GossipMetrics play(Scenario plan, long seed) {
+        return new GossipFleet(plan, seed).run();
     }
 
-    private Figures run() {
+    private GossipMetrics run() {
         long end = plan.seconds() * SECOND_US;
         long nextPutUs = SECOND_US;
         for (nowUs = 0; nowUs < end; nowUs += STEP_US) {
@@ -154,7 +154,7 @@
             follow();
         }
         int lost = (int) entries.stream().filter(entry -> !setEverywhere(entry.key)).count();
-        return new Figures(most, RateLimitShare.maxAdmitted(terms, 1), admitted / (plan.limit() * plan.seconds()),
+        return new GossipMetrics(most, RateLimitShare.maxAdmitted(terms, 1), admitted / (plan.limit() * plan.seconds()),
                 staleUs / 1000, GossipMember.stalenessBoundMs(membership(0), plan.delayMs()), lost, mostAlone);
     }
 
--- a/src/main/java/clovermill/emulator/ReportedChoice.java
+++ b/src/main/java/clovermill/emulator/LeastLoadedRouter.java
@@ -14,14 +14,14 @@
  * (Mitzenmacher, "The Power of Two Choices", 2001). They follow each report as it stands and know neither homes nor
  * cold starts; a miss is filled from the one hub.
  */
-final class ReportedChoice implements CacheRouter {
+final class LeastLoadedRouter implements CacheRouter {
 
     private final SplittableRandom random;
     private final int drawn;
     private final Map<String, Member> members = new TreeMap<>();
     private final Map<String, Double> reported = new HashMap<>();
 
-    ReportedChoice(long seed, int drawn) {
+    LeastLoadedRouter(long seed, int drawn) {
         this.random = new SplittableRandom(seed);
         this.drawn = drawn;
     }
--- a/src/main/java/clovermill/emulator/Plan.java
+++ b/src/main/java/clovermill/emulator/Plan.java
@@ -45,10 +45,10 @@
     public record Fault(String kind, double at, double lasts, int which, double factor) {}
 
     /** A plan that cannot be played; the message names the field and the reason. */
-    public static final class Unusable extends Exception {
+    public static final class InvalidPlanException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unusable(String message) {
+        InvalidPlanException(String message) {
             super(message);
         }
     }
@@ -67,11 +67,11 @@
     }
 
     /** Reads a file; what it leaves out is as in the standard plan for its number of directors. */
-    public static Plan read(Path file) throws IOException, Unusable {
+    public static Plan read(Path file) throws IOException, InvalidPlanException {
         ObjectMapper mapper = new ObjectMapper();
         try {
             if (!(mapper.readTree(Files.readString(file)) instanceof ObjectNode given)) {
-                throw new Unusable("/: an object was expected");
+                throw new InvalidPlanException("/: an object was expected");
             }
             ObjectNode all = mapper.valueToTree(standard(given.path("directors").asInt(100)));
             all.setAll(given);
@@ -81,14 +81,14 @@
         } catch (JsonMappingException wrong) {
             String at = wrong.getPath().stream().map(each -> each.getFieldName() == null ? "" + each.getIndex()
                     : each.getFieldName()).collect(Collectors.joining("/"));
-            throw new Unusable("/" + at + ": " + wrong.getOriginalMessage());
+            throw new InvalidPlanException("/" + at + ": " + wrong.getOriginalMessage());
         } catch (JsonProcessingException wrong) {
-            throw new Unusable("not JSON: " + wrong.getOriginalMessage());
+            throw new InvalidPlanException("not JSON: " + wrong.getOriginalMessage());
         }
     }
 
     /** Ends in one line where a field cannot be played. */
-    void check() throws Unusable {
+    void check() throws InvalidPlanException {
         within("directors", directors, 1, MOST_DIRECTORS);
         within("caches", caches, 2, MOST_CACHES);
         within("perDirector", perDirector, 0.01, 10_000);
@@ -104,7 +104,7 @@
         within("seconds x directors x perDirector", seconds * directors * perDirector, 0, MOST_REQUESTS);
         known("choice", choice, CHOICES);
         if (reports == null || faults == null) {
-            throw new Unusable("/reports, /faults: may be left out, not null");
+            throw new InvalidPlanException("/reports, /faults: may be left out, not null");
         }
         within("reports/periodMs", reports.periodMs(), 1, 60_000);
         within("reports/delayMs", reports.delayMs(), 0, 60_000);
@@ -122,15 +122,15 @@
         }
     }
 
-    private static void within(String field, double value, double least, double most) throws Unusable {
+    private static void within(String field, double value, double least, double most) throws InvalidPlanException {
         if (!(value >= least && value <= most)) {
-            throw new Unusable("/" + field + ": " + value + " is not between " + least + " and " + most);
+            throw new InvalidPlanException("/" + field + ": " + value + " is not between " + least + " and " + most);
         }
     }
 
-    private static void known(String field, String word, List<String> words) throws Unusable {
+    private static void known(String field, String word, List<String> words) throws InvalidPlanException {
         if (!words.contains(word)) {
-            throw new Unusable("/" + field + ": " + word + " is none of " + words);
+            throw new InvalidPlanException("/" + field + ": " + word + " is none of " + words);
         }
     }
 
--- a/src/main/java/clovermill/emulator/accord/AccordFleet.java
+++ b/src/main/java/clovermill/emulator/accord/AccordFleet.java
@@ -2,12 +2,12 @@
 
 import clovermill.accord.AccordTask;
 import clovermill.accord.Mail;
-import clovermill.consensus.MemoryRaftStorage;
 import clovermill.accord.View;
 import clovermill.accord.decide.Document;
 import clovermill.accord.decide.Register.Taken;
 import clovermill.accord.decide.Step;
 import clovermill.accord.decide.Terms;
+import clovermill.consensus.MemoryRaftStorage;
 import clovermill.emulator.world.World;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
 
 /**
  * Directors that hold one policy, on the emulated world: operators change it at any of them while processes die, stop,
- * lose disks, and links are lost and cut. A {@link Witness} sees what each does by which version. One seed gives one
+ * lose disks, and links are lost and cut. A {@link InvariantChecker} sees what each does by which version. One seed gives one
  * run.
  */
 public final class AccordFleet {
@@ -49,7 +49,7 @@
     private final List<MemoryRaftStorage> disks = new ArrayList<>();
     private final View[] views;
     private final long[] blindSinceUs;
-    private final Witness witness = new Witness();
+    private final InvariantChecker checker = new InvariantChecker();
     private final CRC32C digest = new CRC32C();
     private final List<Long> commitMs = new ArrayList<>();
     private int changes;
@@ -101,7 +101,7 @@
         Step step = views[0].step();
         boolean agreed = step != null && IntStream.range(0, plan.directors()).allMatch(i -> step.equals(views[i].step())
                 && views[i].holds(world.machine(i).clock()));
-        return new Figures(changes, settled, takenBack, faults, witness.broken(), witness.first(), commitMs,
+        return new Figures(changes, settled, takenBack, faults, checker.broken(), checker.first(), commitMs,
                 blindUs / 1000, agreed, world.sent(), digest.getValue());
     }
 
@@ -119,19 +119,19 @@
 
     /** What everybody may do is done, and seen. */
     private void look(long at, boolean calm) {
-        witness.moment();
+        checker.moment();
         for (int i = 0; i < plan.directors(); i++) {
             World<Mail>.Machine machine = world.machine(i);
             boolean holds = machine.up() && views[i].holds(machine.clock());
             if (holds) {
                 Step step = views[i].step();
-                witness.acted(at, i, step.version(), step.next());
+                checker.acted(at, i, step.version(), step.next());
                 note(i + ":" + step + "@" + at);
             }
             blindSinceUs[i] = holds || !calm ? at : blindSinceUs[i];
             blindUs = Math.max(blindUs, at - blindSinceUs[i]);
         }
-        witness.judge(at);
+        checker.checkMoment(at);
     }
 
     private void note(String what) {
--- a/src/main/java/clovermill/emulator/accord/Witness.java
+++ b/src/main/java/clovermill/emulator/accord/InvariantChecker.java
@@ -7,7 +7,7 @@
  * breaks the promise: something done by none of the versions that another thing of the same moment obeyed, or by
  * versions older than one that anything was done by alone.
  */
-final class Witness {
+final class InvariantChecker {
 
     private final TreeMap<Integer, long[]> acting = new TreeMap<>();
     private long highestAlone;
@@ -35,7 +35,7 @@
     }
 
     /** The moment is over: whether one version was obeyed by all. */
-    void judge(long atUs) {
+    void checkMoment(long atUs) {
         long[] any = acting.isEmpty() ? null : acting.firstEntry().getValue();
         if (any != null && !obeyed(any[0]) && !(any[1] >= 0 && obeyed(any[1]))) {
             mixed++;
--- a/src/main/java/clovermill/emulator/eventlog/EventLogFleet.java
+++ b/src/main/java/clovermill/emulator/eventlog/EventLogFleet.java
@@ -27,7 +27,7 @@
 
 /**
  * Four replicas, machines 0 to 3, and directors that follow them and append, on the emulated world. A test drives it by
- * hand; {@link #play} has events and faults drawn from a seed. An {@link EventJudge} sees what directors are handed.
+ * hand; {@link #play} has events and faults drawn from a seed. An {@link InvariantChecker} sees what directors are handed.
  */
 public final class EventLogFleet {
 
@@ -45,13 +45,13 @@
      * @param subjects different objects that events are about
      * @param wayUs the longest way of a datagram
      */
-    public record Size(int directors, long retentionBytes, int subjects, double loss, long wayUs) {}
+    public record FleetSize(int directors, long retentionBytes, int subjects, double loss, long wayUs) {}
 
     /** A run of a fleet: events a second, a fault every so often, until shortly before the end, which is calm. */
-    public record Case(Size size, int seconds, double eventsPerSecond, double faultEveryS) {}
+    public record Scenario(FleetSize size, int seconds, double eventsPerSecond, double faultEveryS) {}
 
     /** What was seen in a run. */
-    public record Figures(int events, int faults, long lost, long misordered, long twice, long stale, long late,
+    public record FleetMetrics(int events, int faults, long lost, long misordered, long twice, long stale, long late,
             long longestMs, long provenShare, int tornSnapshots, long failovers, long clears, String first,
             long digest) {
 
@@ -81,7 +81,7 @@
 
     /** Sees each datagram that leaves a machine. */
     @FunctionalInterface
-    public interface Tap {
+    public interface DatagramListener {
         /** One leaves. */
         void sent(int from, int to, byte[] bytes);
     }
@@ -94,17 +94,17 @@
     private static final int SNAPSHOT_EVERY = 60;
     private static final int MOST_SESSIONS = 4096;
 
-    private final Size size;
+    private final FleetSize size;
     private final World<EventLogTaskMessage> world;
     private final Random chance;
-    private final EventJudge judge;
+    private final InvariantChecker judge;
     private final EventLogTask[] tasks;
     private final CrashingStorage[] storages = new CrashingStorage[REPLICAS];
     private final boolean[][] cut;
     private final Traffic[] traffic;
     /** Datagrams that a machine sends before it dies; none for most. */
     private final Map<Integer, Integer> dying = new HashMap<>();
-    private Tap tap = (from, to, bytes) -> {};
+    private DatagramListener tap = (from, to, bytes) -> {};
     private final CRC32C digest = new CRC32C();
     private int eventsMade;
     private int faults;
@@ -114,12 +114,12 @@
     private long clears;
 
     /** A fleet whose machines run from now on. */
-    public EventLogFleet(Size size, long seed) {
+    public EventLogFleet(FleetSize size, long seed) {
         int machines = REPLICAS + size.directors();
         this.size = size;
         this.world = new World<>(machines, EventLogTiming.DEFAULT.drift(), seed);
         this.chance = new Random(seed * 31 + 7);
-        this.judge = new EventJudge(size.directors(), STALENESS_US, IN_FORCE_US, catchUpUs(size));
+        this.judge = new InvariantChecker(size.directors(), STALENESS_US, IN_FORCE_US, catchUpUs(size));
         this.tasks = new EventLogTask[machines];
         this.cut = new boolean[machines][machines];
         this.traffic = new Traffic[machines];
@@ -132,7 +132,7 @@
     }
 
     /** Catching up takes as long as all that is kept, with a fifth for headers and what is sent twice, at the rate. */
-    private static long catchUpUs(Size size) {
+    private static long catchUpUs(FleetSize size) {
         return size.retentionBytes() * 6 / 5 * SECOND_US / ReplicaFeed.Bounds.DEFAULT.followerRate();
     }
 
@@ -143,7 +143,7 @@
     }
 
     /** Plays a case. */
-    public static Figures play(Case plan, long seed) {
+    public static FleetMetrics play(Scenario plan, long seed) {
         EventLogFleet fleet = new EventLogFleet(plan.size(), seed);
         long end = plan.seconds() * SECOND_US;
         long calmFrom = end - CALM_S * SECOND_US;
@@ -156,7 +156,7 @@
     }
 
     /** What was seen so far. */
-    public Figures figures() {
+    public FleetMetrics figures() {
         int torn = 0;
         for (CrashingStorage each : storages) {
             torn += each.tornSnapshots();
@@ -168,7 +168,7 @@
             failoversNow += counts.failovers();
             clearsNow += counts.clears();
         }
-        return new Figures(judge.known(), faults, judge.lost(), judge.misordered(), judge.twice(), judge.stale(),
+        return new FleetMetrics(judge.known(), faults, judge.lost(), judge.misordered(), judge.twice(), judge.stale(),
                 judge.late(), judge.longestUs() / 1000, looks == 0 ? 0 : 100 * provenLooks / looks, torn, failoversNow,
                 clearsNow, judge.first(), digest.getValue());
     }
@@ -271,7 +271,7 @@
     }
 
     /** Has each datagram that leaves a machine seen. */
-    public void tap(Tap seen) {
+    public void tap(DatagramListener seen) {
         tap = seen;
     }
 
@@ -466,7 +466,8 @@
 
     /** Seeds from, to; directors; seconds: one line a run. */
     public static void main(String[] args) {
-        Case plan = new Case(new Size(Integer.parseInt(args[2]), 2500, 150, 0.01, 40_000), Integer.parseInt(args[3]),
+        Scenario plan = new Scenario(new FleetSize(Integer.parseInt(args[2]), 2500, 150, 0.01, 40_000),
+                Integer.parseInt(args[3]),
                 9.1, 2);
         for (long seed = Long.parseLong(args[0]); seed < Long.parseLong(args[1]); seed++) {
             System.out.println(seed + " " + play(plan, seed));
--- a/src/main/java/clovermill/emulator/eventlog/EventJudge.java
+++ b/src/main/java/clovermill/emulator/eventlog/InvariantChecker.java
@@ -14,7 +14,7 @@
  * Sees from outside, in true time, which events were acknowledged, and what each director was handed; knows nothing of
  * replicas, positions or proofs. It counts what breaks the promises of the log.
  */
-final class EventJudge {
+final class InvariantChecker {
 
     /** What tells an event from all others; not its time, which is moved to that of an earlier event of the subject. */
     private record Identity(Subject subject, String detail) {}
@@ -70,7 +70,7 @@
      * @param inForceUs how long after its acknowledgement it may be unknown where a director could be reached all along
      * @param catchUpUs how much longer that is while a director that can be reached again catches up
      */
-    EventJudge(int count, long stalenessUs, long inForceUs, long catchUpUs) {
+    InvariantChecker(int count, long stalenessUs, long inForceUs, long catchUpUs) {
         this.catchUpUs = catchUpUs;
         directors = new Director[count];
         this.stalenessUs = stalenessUs;
--- a/src/test/java/clovermill/emulator/EmulationTest.java
+++ b/src/test/java/clovermill/emulator/EmulationTest.java
@@ -21,38 +21,38 @@
                 new Plan.Reports(500, 150, 0.1, 0.05), List.of());
     }
 
-    private static void overrunsNone(Plan plan) throws Plan.Unusable {
+    private static void overrunsNone(Plan plan) throws Plan.InvalidPlanException {
         assertThat(Emulation.play(plan, 5).overruns()).isZero();
     }
 
     @Test
-    void oneSeedGivesOneRunAndAnotherAnother() throws Plan.Unusable {
+    void oneSeedGivesOneRunAndAnotherAnother() throws Plan.InvalidPlanException {
         Plan plan = loaded(20).with(new Fault("kill", 12, 2, 3, 0));
-        Tally first = Emulation.play(plan, 5);
+        FleetMetrics first = Emulation.play(plan, 5);
         assertThat(Emulation.play(plan, 5).seconds()).isEqualTo(first.seconds());
         assertThat(Emulation.play(plan, 6).seconds()).isNotEqualTo(first.seconds());
     }
 
     @Test
-    void aReportedOverloadIsSpreadMoreEvenlyThanAGuessedOne() throws Plan.Unusable {
-        Tally told = Emulation.play(loaded(60), 5);
-        Tally guessed = Emulation.play(loaded(60).choosing("guess"), 5);
+    void aReportedOverloadIsSpreadMoreEvenlyThanAGuessedOne() throws Plan.InvalidPlanException {
+        FleetMetrics told = Emulation.play(loaded(60), 5);
+        FleetMetrics guessed = Emulation.play(loaded(60).choosing("guess"), 5);
         assertThat(told.maxOverMean()).isLessThan(0.95 * guessed.maxOverMean());
         assertThat(told.inTimeShare()).isGreaterThan(guessed.inTimeShare());
         assertThat(told.idleSeconds()).isZero();
     }
 
     @Test
-    void directorsThatFollowEveryReportRunTogetherAndOursDoNot() throws Plan.Unusable {
+    void directorsThatFollowEveryReportRunTogetherAndOursDoNot() throws Plan.InvalidPlanException {
         Plan frozen = loaded(60).with(new Fault("freeze", 10, 5, 0, 0));
-        Tally herd = Emulation.play(frozen.choosing("least"), 5);
-        Tally ours = Emulation.play(frozen, 5);
+        FleetMetrics herd = Emulation.play(frozen.choosing("least"), 5);
+        FleetMetrics ours = Emulation.play(frozen, 5);
         assertThat(ours.inTimeShare()).isGreaterThan(0.99).isGreaterThan(herd.inTimeShare());
         assertThat(ours.p99Load()).isLessThan(herd.p99Load());
     }
 
     @Test
-    void aColdCacheHoldsUnderTheSumOfAllDirectors() throws Plan.Unusable {
+    void aColdCacheHoldsUnderTheSumOfAllDirectors() throws Plan.InvalidPlanException {
         Plan join = loaded(100).with(new Fault("join", 10, 0, 0, 0));
         assertThat(Emulation.play(join.choosing("least"), 5).overruns()).as("the test can fail").isPositive();
         overrunsNone(join);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aSlowCacheWhoseReportsLookFineIsFoundOutByItsAnswers() throws Plan.Unusable {
+    void aSlowCacheWhoseReportsLookFineIsFoundOutByItsAnswers() throws Plan.InvalidPlanException {
         Plan slow = loaded(40).with(new Fault("slow", 10, 12, 3, 0.3));
         assertThat(Emulation.play(slow, 5).inTimeShare())
                 .isGreaterThan(Emulation.play(slow.choosing("two"), 5).inTimeShare());
--- a/src/test/java/clovermill/emulator/TalkingFleetTest.java
+++ b/src/test/java/clovermill/emulator/GossipFleetTest.java
@@ -2,22 +2,22 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.emulator.TalkingFleet.Case;
-import clovermill.emulator.TalkingFleet.Cut;
-import clovermill.emulator.TalkingFleet.Figures;
-import clovermill.emulator.TalkingFleet.Kill;
+import clovermill.emulator.GossipFleet.Cut;
+import clovermill.emulator.GossipFleet.GossipMetrics;
+import clovermill.emulator.GossipFleet.Kill;
+import clovermill.emulator.GossipFleet.Scenario;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Limits and the replicated map of a whole fleet while links fail and directors die; all clocks are seconds apart. */
-class TalkingFleetTest {
+class GossipFleetTest {
 
-    private static Case of(int directors, double loss, List<Cut> cuts, List<Kill> kills) {
-        return new Case(directors, 1000, Math.max(1, directors / 10), 2, loss, 80, 45, cuts, kills);
+    private static Scenario of(int directors, double loss, List<Cut> cuts, List<Kill> kills) {
+        return new Scenario(directors, 1000, Math.max(1, directors / 10), 2, loss, 80, 45, cuts, kills);
     }
 
-    private static Figures holds(Case plan) {
-        Figures seen = TalkingFleet.play(plan, 11);
+    private static GossipMetrics holds(Scenario plan) {
+        GossipMetrics seen = GossipFleet.play(plan, 11);
         assertThat(seen.most()).as("admitted in one second, %s", seen).isLessThanOrEqualTo(seen.bound());
         assertThat(seen.lostEntries()).as("entries that are missing somewhere, %s", seen).isZero();
         assertThat(seen.staleMs()).as("the longest until an entry was everywhere, %s", seen)
@@ -28,7 +28,7 @@
 
     @Test
     void unusedSharesAreLentToWhoeverIsAskedForMore() {
-        Figures seen = holds(of(20, 0, List.of(), List.of()));
+        GossipMetrics seen = holds(of(20, 0, List.of(), List.of()));
         assertThat(seen.usedShare()).as("of the limit by two of 20, who own a tenth").isGreaterThan(0.5);
     }
 
--- a/src/test/java/clovermill/emulator/eventlog/EventJudgeTest.java
+++ b/src/test/java/clovermill/emulator/eventlog/InvariantCheckerTest.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class EventJudgeTest {
+class InvariantCheckerTest {
 
     private static final Subject SUBJECT = new Subject(Subject.Kind.OBJECT_PURGE, 7);
     private static final Event NEWER = new Event(SUBJECT, 200, "first appended");
     private static final Event OLDER = new Event(SUBJECT, 100, "appended later");
 
-    private final EventJudge judge = new EventJudge(1, 5_000_000, 7_100_000, 0);
+    private final InvariantChecker judge = new InvariantChecker(1, 5_000_000, 7_100_000, 0);
 
     private void acknowledged() {
         judge.acknowledged(List.of(NEWER), 1, 0);
--- a/src/test/java/clovermill/eventlog/EventLogFleetTest.java
+++ b/src/test/java/clovermill/eventlog/EventLogFleetTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.emulator.eventlog.EventLogFleet;
-import clovermill.emulator.eventlog.EventLogFleet.Case;
-import clovermill.emulator.eventlog.EventLogFleet.Figures;
-import clovermill.emulator.eventlog.EventLogFleet.Size;
+import clovermill.emulator.eventlog.EventLogFleet.FleetMetrics;
+import clovermill.emulator.eventlog.EventLogFleet.FleetSize;
+import clovermill.emulator.eventlog.EventLogFleet.Scenario;
 import clovermill.emulator.eventlog.EventLogFleet.Traffic;
+import clovermill.emulator.eventlog.EventLogFleet;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -19,10 +19,10 @@
 class EventLogFleetTest {
 
     private static final long SECOND = 1_000_000;
-    private static final Size SMALL = new Size(8, 2500, 150, 0.01, 40_000);
+    private static final FleetSize SMALL = new FleetSize(8, 2500, 150, 0.01, 40_000);
     private static final double RATE = 9.1;
 
-    private static EventLogFleet fleet(Size size) {
+    private static EventLogFleet fleet(FleetSize size) {
         EventLogFleet fleet = new EventLogFleet(size, 3);
         fleet.run(5 * SECOND);
         assertThat(fleet.leader()).isNotNegative();
@@ -31,7 +31,7 @@
 
     private static void assertHolds(EventLogFleet fleet) {
         fleet.finish();
-        Figures figures = fleet.figures();
+        FleetMetrics figures = fleet.figures();
         assertThat(figures.first()).isNull();
         assertThat(figures.holds()).isTrue();
         assertThat(figures.events()).isPositive();
@@ -45,7 +45,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void whateverFailsNothingIsLostOutOfOrderOrStale(long seed) {
-        Figures figures = EventLogFleet.play(new Case(SMALL, 100, RATE, 2), seed);
+        FleetMetrics figures = EventLogFleet.play(new Scenario(SMALL, 100, RATE, 2), seed);
         assertThat(figures.first()).isNull();
         assertThat(figures.holds()).isTrue();
         assertThat(figures.events()).isGreaterThan(300);
@@ -66,7 +66,7 @@
 
     private static void holdAll(long... seeds) {
         for (long seed : seeds) {
-            Figures figures = EventLogFleet.play(new Case(SMALL, 100, RATE, 2), seed);
+            FleetMetrics figures = EventLogFleet.play(new Scenario(SMALL, 100, RATE, 2), seed);
             assertThat(figures.first()).as("seed %s", seed).isNull();
             assertThat(figures.holds()).isTrue();
         }
@@ -74,7 +74,7 @@
 
     @Test
     void oneSeedGivesOneRun() {
-        Case plan = new Case(SMALL, 60, RATE, 2);
+        Scenario plan = new Scenario(SMALL, 60, RATE, 2);
         assertThat(EventLogFleet.play(plan, 9)).isEqualTo(EventLogFleet.play(plan, 9));
     }
 
@@ -139,7 +139,7 @@
     @Test
     void anHoursCutAndItsReturnBesideAStormOfAllOthers() {
         int directors = 540;
-        EventLogFleet fleet = fleet(new Size(directors, 4000, 2000, 0.01, 40_000));
+        EventLogFleet fleet = fleet(new FleetSize(directors, 4000, 2000, 0.01, 40_000));
         fleet.appendEvenly(RATE, 75 * SECOND);
         int cut = EventLogFleet.machine(0);
         fleet.isolate(List.of(cut), true);
@@ -167,7 +167,7 @@
 
     @Test
     void aDirectorRestartsInTheMiddleOfACatchUp() {
-        EventLogFleet fleet = fleet(new Size(4, 200_000, 100_000, 0.01, 40_000));
+        EventLogFleet fleet = fleet(new FleetSize(4, 200_000, 100_000, 0.01, 40_000));
         int machine = EventLogFleet.machine(0);
         fleet.isolate(List.of(machine), true);
         for (long at = 5; at < 25; at++) {
@@ -262,7 +262,7 @@
     }
 
     private void assertThatNobodyWaitsForASlowDirector(int eventsPerSecond) {
-        EventLogFleet fleet = fleet(new Size(8, 20_000, 100_000, 0.01, 40_000));
+        EventLogFleet fleet = fleet(new FleetSize(8, 20_000, 100_000, 0.01, 40_000));
         fleet.appendEvenly(eventsPerSecond, 40 * SECOND);
         int slow = EventLogFleet.machine(0);
         for (long at = 6; at < 30; at++) { // takes what has come for a tenth of a second in four seconds
@@ -289,7 +289,7 @@
         long[] in = new long[2];
         int[] sizes = {20, 60};
         for (int i = 0; i < 2; i++) {
-            EventLogFleet fleet = fleet(new Size(sizes[i], 50_000, 100_000, 0.01, 40_000));
+            EventLogFleet fleet = fleet(new FleetSize(sizes[i], 50_000, 100_000, 0.01, 40_000));
             fleet.appendEvenly(RATE, 30 * SECOND);
             fleet.run(10 * SECOND);
             Traffic before = fleet.traffic(EventLogFleet.machine(3));
--- a/src/test/java/clovermill/prove/EventLogSimProof.java
+++ b/src/test/java/clovermill/prove/EventLogSimProof.java
@@ -1,10 +1,10 @@
 package clovermill.prove;
 
-import clovermill.emulator.eventlog.EventLogFleet;
-import clovermill.emulator.eventlog.EventLogFleet.Case;
-import clovermill.emulator.eventlog.EventLogFleet.Figures;
-import clovermill.emulator.eventlog.EventLogFleet.Size;
+import clovermill.emulator.eventlog.EventLogFleet.FleetMetrics;
+import clovermill.emulator.eventlog.EventLogFleet.FleetSize;
+import clovermill.emulator.eventlog.EventLogFleet.Scenario;
 import clovermill.emulator.eventlog.EventLogFleet.Traffic;
+import clovermill.emulator.eventlog.EventLogFleet;
 import java.util.List;
 import java.util.function.ToLongFunction;
 import java.util.stream.IntStream;
@@ -25,9 +25,10 @@
     /** Properties: seeds, and sizes with commas between. */
     public static void main(String[] args) {
         int seeds = Integer.getInteger("seeds", 1000);
-        Case faults = new Case(new Size(8, 2500, 150, 0.01, 40_000), 100, 9.1, 2);
-        List<Figures> runs = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> EventLogFleet.play(faults,
-                seed)).toList();
+        Scenario faults = new Scenario(new FleetSize(8, 2500, 150, 0.01, 40_000), 100, 9.1, 2);
+        List<FleetMetrics> runs =
+                LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> EventLogFleet.play(faults,
+                        seed)).toList();
         for (int i = 0; i < runs.size(); i++) {
             if (!runs.get(i).holds()) {
                 System.out.println("seed " + (i + 1) + ": " + runs.get(i));
@@ -36,12 +37,13 @@
         boolean again = EventLogFleet.play(faults, 1).equals(runs.get(0));
         long broken = runs.stream().filter(run -> !run.holds()).count();
         StringBuilder line = new StringBuilder("prove-event-log-sim: replicas=4 directors=8 seeds=" + seeds + " faults="
-                + sum(runs, Figures::faults) + " events=" + sum(runs, Figures::events) + " lost="
-                + sum(runs, Figures::lost) + " misordered=" + sum(runs, Figures::misordered) + " twice="
-                + sum(runs, Figures::twice) + " stale=" + sum(runs, Figures::stale) + " late="
-                + sum(runs, Figures::late) + " seeds_broken=" + broken + " in_force_most_ms="
-                + runs.stream().mapToLong(Figures::longestMs).max().orElse(0) + " torn_snapshots="
-                + sum(runs, Figures::tornSnapshots) + " clears=" + sum(runs, Figures::clears) + " same_again=" + again);
+                + sum(runs, FleetMetrics::faults) + " events=" + sum(runs, FleetMetrics::events) + " lost="
+                + sum(runs, FleetMetrics::lost) + " misordered=" + sum(runs, FleetMetrics::misordered) + " twice="
+                + sum(runs, FleetMetrics::twice) + " stale=" + sum(runs, FleetMetrics::stale) + " late="
+                + sum(runs, FleetMetrics::late) + " seeds_broken=" + broken + " in_force_most_ms="
+                + runs.stream().mapToLong(FleetMetrics::longestMs).max().orElse(0) + " torn_snapshots="
+                + sum(runs, FleetMetrics::tornSnapshots) + " clears=" + sum(runs, FleetMetrics::clears) + " same_again="
+                + again);
         boolean holds = broken == 0 && again;
         for (String directors : System.getProperty("sizes", "60,180,540").split(",")) {
             holds &= traffic(Integer.parseInt(directors), line);
@@ -50,12 +52,12 @@
         System.exit(holds ? 0 : 1);
     }
 
-    private static long sum(List<Figures> runs, ToLongFunction<Figures> what) {
+    private static long sum(List<FleetMetrics> runs, ToLongFunction<FleetMetrics> what) {
         return runs.stream().mapToLong(what).sum();
     }
 
     private static boolean traffic(int directors, StringBuilder line) {
-        EventLogFleet fleet = new EventLogFleet(new Size(directors, 600_000, 1_000_000, 0.01, 40_000), 1);
+        EventLogFleet fleet = new EventLogFleet(new FleetSize(directors, 600_000, 1_000_000, 0.01, 40_000), 1);
         fleet.run(5 * SECOND);
         fleet.appendEvenly(9.1, (10 + MEASURED_S) * SECOND);
         fleet.run(10 * SECOND);
--- a/src/test/java/clovermill/prove/LimitsProof.java
+++ b/src/test/java/clovermill/prove/LimitsProof.java
@@ -1,10 +1,10 @@
 package clovermill.prove;
 
-import clovermill.emulator.TalkingFleet;
-import clovermill.emulator.TalkingFleet.Case;
-import clovermill.emulator.TalkingFleet.Cut;
-import clovermill.emulator.TalkingFleet.Figures;
-import clovermill.emulator.TalkingFleet.Kill;
+import clovermill.emulator.GossipFleet.Cut;
+import clovermill.emulator.GossipFleet.GossipMetrics;
+import clovermill.emulator.GossipFleet.Kill;
+import clovermill.emulator.GossipFleet.Scenario;
+import clovermill.emulator.GossipFleet;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -75,23 +75,24 @@
         long stale = 0;
         for (int n : sizes) {
             int hot = n / 10;
-            Map<String, Case> cases = new LinkedHashMap<>();
-            cases.put("plain", new Case(n, 1000, hot, 2, 0, 80, 60, List.of(), List.of()));
-            cases.put("all_hot", new Case(n, 1000, n, 2, 0, 80, 60, List.of(), List.of()));
-            cases.put("loss", new Case(n, 1000, hot, 2, 0.3, 80, 60, List.of(), List.of()));
-            cases.put("partition", new Case(n, 1000, hot, 2, 0, 80, 60, List.of(new Cut(8, 30, 0, n / 2)), List.of()));
-            cases.put("alone", new Case(n, 1000, hot, 2, 0.05, 80, 60, List.of(new Cut(8, 20, 0, 1)), List.of()));
-            cases.put("kills", new Case(n, 1000, hot, 2, 0.1, 80, 60, List.of(),
+            Map<String, Scenario> cases = new LinkedHashMap<>();
+            cases.put("plain", new Scenario(n, 1000, hot, 2, 0, 80, 60, List.of(), List.of()));
+            cases.put("all_hot", new Scenario(n, 1000, n, 2, 0, 80, 60, List.of(), List.of()));
+            cases.put("loss", new Scenario(n, 1000, hot, 2, 0.3, 80, 60, List.of(), List.of()));
+            cases.put("partition",
+                    new Scenario(n, 1000, hot, 2, 0, 80, 60, List.of(new Cut(8, 30, 0, n / 2)), List.of()));
+            cases.put("alone", new Scenario(n, 1000, hot, 2, 0.05, 80, 60, List.of(new Cut(8, 20, 0, 1)), List.of()));
+            cases.put("kills", new Scenario(n, 1000, hot, 2, 0.1, 80, 60, List.of(),
                     List.of(new Kill(10, 0.3, 0), new Kill(12, 0.1, n / 2), new Kill(20, 3, n - 1))));
-            for (Map.Entry<String, Case> each : cases.entrySet()) {
-                Figures seen = TalkingFleet.play(each.getValue(), seed);
+            for (Map.Entry<String, Scenario> each : cases.entrySet()) {
+                GossipMetrics seen = GossipFleet.play(each.getValue(), seed);
                 String name = each.getKey() + "_" + n;
                 System.out.println(name + " " + seen);
                 hold(name + " admitted " + seen.most(), seen.most() <= seen.bound());
                 hold(name + " lost entries", seen.lostEntries() == 0);
                 hold(name + " stale " + seen.staleMs(), seen.staleMs() <= seen.staleBoundMs());
                 hold(name + " alone", seen.mostAlone() <= 1e-9);
-                hold(name + " another run", seen.equals(TalkingFleet.play(each.getValue(), seed)));
+                hold(name + " another run", seen.equals(GossipFleet.play(each.getValue(), seed)));
                 overshoot = Math.max(overshoot, seen.most() - each.getValue().limit());
                 lost += seen.lostEntries();
                 stale = Math.max(stale, seen.staleMs());
--- a/src/test/java/clovermill/prove/SpreadProof.java
+++ b/src/test/java/clovermill/prove/SpreadProof.java
@@ -1,9 +1,9 @@
 package clovermill.prove;
 
 import clovermill.emulator.Emulation;
-import clovermill.emulator.Plan;
+import clovermill.emulator.FleetMetrics;
 import clovermill.emulator.Plan.Fault;
-import clovermill.emulator.Tally;
+import clovermill.emulator.Plan;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -73,14 +73,14 @@
         return cases;
     }
 
-    private void emulate(List<Integer> sizes, int seconds, long seed) throws Plan.Unusable {
+    private void emulate(List<Integer> sizes, int seconds, long seed) throws Plan.InvalidPlanException {
         int overruns = 0;
         int idle = 0;
         boolean same = true;
         for (int directors : sizes) {
             for (Map.Entry<String, Plan> each : cases(directors, seconds).entrySet()) {
-                Tally module = Emulation.play(each.getValue(), seed);
-                Tally guess = Emulation.play(each.getValue().choosing("guess"), seed);
+                FleetMetrics module = Emulation.play(each.getValue(), seed);
+                FleetMetrics guess = Emulation.play(each.getValue().choosing("guess"), seed);
                 same &= module.figures().equals(Emulation.play(each.getValue(), seed).figures());
                 overruns += module.overruns();
                 idle += module.idleSeconds();
--- a/src/test/java/clovermill/prove/capacity/LimitsAtSize.java
+++ b/src/test/java/clovermill/prove/capacity/LimitsAtSize.java
@@ -1,9 +1,9 @@
 package clovermill.prove.capacity;
 
-import clovermill.emulator.TalkingFleet;
-import clovermill.emulator.TalkingFleet.Case;
-import clovermill.emulator.TalkingFleet.Cut;
-import clovermill.emulator.TalkingFleet.Figures;
+import clovermill.emulator.GossipFleet.Cut;
+import clovermill.emulator.GossipFleet.GossipMetrics;
+import clovermill.emulator.GossipFleet.Scenario;
+import clovermill.emulator.GossipFleet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -31,8 +31,8 @@
         boolean holds = true;
         for (int directors : List.of(60, 180, 540, 1080)) {
             for (int limit : LIMITS) {
-                for (Map.Entry<String, Case> each : cases(directors, limit).entrySet()) {
-                    Figures seen = TalkingFleet.play(each.getValue(), SEED);
+                for (Map.Entry<String, Scenario> each : cases(directors, limit).entrySet()) {
+                    GossipMetrics seen = GossipFleet.play(each.getValue(), SEED);
                     System.out.println(directors + " " + limit + " " + each.getKey() + " " + seen);
                     add(file, each.getKey(), directors, limit, seen);
                     holds &= seen.most() <= seen.bound();
@@ -44,8 +44,8 @@
         System.exit(holds ? 0 : 1);
     }
 
-    private static Map<String, Case> cases(int directors, int limit) {
-        Map<String, Case> cases = new LinkedHashMap<>();
+    private static Map<String, Scenario> cases(int directors, int limit) {
+        Map<String, Scenario> cases = new LinkedHashMap<>();
         cases.put("tenth-hot", plan(directors, limit, directors / 10, 0.01, List.of()));
         cases.put("all-hot", plan(directors, limit, directors, 0.01, List.of()));
         cases.put("region-cut", plan(directors, limit, directors, 0.01,
@@ -53,11 +53,11 @@
         return cases;
     }
 
-    private static Case plan(int directors, int limit, int hot, double loss, List<Cut> cuts) {
-        return new Case(directors, limit, hot, 2, loss, DELAY_MS, SECONDS, cuts, List.of());
+    private static Scenario plan(int directors, int limit, int hot, double loss, List<Cut> cuts) {
+        return new Scenario(directors, limit, hot, 2, loss, DELAY_MS, SECONDS, cuts, List.of());
     }
 
-    private static void add(FigureFile file, String kind, int directors, int limit, Figures seen) {
+    private static void add(FigureFile file, String kind, int directors, int limit, GossipMetrics seen) {
         file.add(kind, directors, limit, "used", 100 * seen.usedShare(), 1, "%", "");
         file.add(kind, directors, limit, "most", seen.most(), 0, "in a second", "");
         file.add(kind, directors, limit, "bound", seen.bound(), 0, "in a second", "");
