--- a/src/main/java/clovermill/fleet/GossipCodec.java
+++ b/src/main/java/clovermill/fleet/GossipCodec.java
@@ -16,7 +16,7 @@
  * Messages as datagrams, signed with the fleet's key (HMAC-SHA-256, RFC 2104, its first 16 bytes). Big-endian:
  *
  * <pre>
- * magic:4 "CVF1"  from:2  to:2  boot:8  sequence:8  digest:8
+ * magic:4 "CVF1"  from:2  to:2  incarnation:8  sequence:8  digest:8
  * count:1, for each entry:         size:1 key  value:1  version:8  origin:2
  * count:1, for each loan request:  limit:1  nonce:8  amount:8 (IEEE 754)
  * count:1, for each loan:          limit:1  nonce:8  amount:8
@@ -54,7 +54,7 @@
     /** A message to a peer, ready to be sent. */
     ByteBuffer write(int to, GossipMessage message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
-        out.putInt(MAGIC).putShort((short) message.from()).putShort((short) to).putLong(message.boot())
+        out.putInt(MAGIC).putShort((short) message.from()).putShort((short) to).putLong(message.incarnation())
                 .putLong(message.sequence()).putLong(message.digest()).put((byte) message.entries().size());
         for (ReplicatedEntry each : message.entries()) {
             byte[] key = each.key().getBytes(StandardCharsets.UTF_8);
@@ -75,17 +75,17 @@
         if (in.remaining() < 4 + SIGNATURE_BYTES || in.remaining() > MAX_BYTES || in.getInt(in.position()) != MAGIC) {
             throw new InvalidMessageException("not of this protocol");
         }
-        byte[] whole = new byte[in.remaining()];
-        in.get(whole);
-        int signed = whole.length - SIGNATURE_BYTES;
-        mac.update(whole, 0, signed);
+        byte[] datagram = new byte[in.remaining()];
+        in.get(datagram);
+        int signed = datagram.length - SIGNATURE_BYTES;
+        mac.update(datagram, 0, signed);
         // Compared in constant time, lest the time tells how much of a forged signature was right.
         byte[] right = Arrays.copyOf(mac.doFinal(), SIGNATURE_BYTES);
-        if (!MessageDigest.isEqual(right, Arrays.copyOfRange(whole, signed, whole.length))) {
+        if (!MessageDigest.isEqual(right, Arrays.copyOfRange(datagram, signed, datagram.length))) {
             throw new InvalidMessageException("not signed with the fleet's key, or changed on its way");
         }
         try {
-            return message(ByteBuffer.wrap(whole, 4, signed - 4));
+            return message(ByteBuffer.wrap(datagram, 4, signed - 4));
         } catch (BufferUnderflowException cut) {
             throw new InvalidMessageException("shorter than it says");
         }
@@ -96,7 +96,7 @@
         if ((in.getShort() & 0xffff) != self) {
             throw new InvalidMessageException("meant for another director");
         }
-        long boot = in.getLong();
+        long incarnation = in.getLong();
         long sequence = in.getLong();
         long digest = in.getLong();
         List<ReplicatedEntry> entries = new ArrayList<>();
@@ -120,7 +120,7 @@
         if (in.hasRemaining()) {
             throw new InvalidMessageException("longer than it says");
         }
-        return new GossipMessage(from, boot, sequence, digest, entries, requests, loans);
+        return new GossipMessage(from, incarnation, sequence, digest, entries, requests, loans);
     }
 
     private static int count(ByteBuffer in) throws InvalidMessageException {
--- a/src/main/java/clovermill/fleet/GossipService.java
+++ b/src/main/java/clovermill/fleet/GossipService.java
@@ -48,12 +48,12 @@
     private final Audit next;
     private Datagrams socket;
     private BiConsumer<String, Boolean> outageHandler = (id, out) -> {};
-    private boolean waitsForSocket;
+    private boolean waitingForSocket;
     private long ignored;
     private long lastLoggedUs = Long.MIN_VALUE / 2;
 
     /**
-     * {@code next} is told of all requests too, and asked first; null for none. A request has ended {@code slackUs}
+     * {@code next} is asked first about each request, and sees all that end; null for none. A request has ended {@code slackUs}
      * after its client has given up, at the latest.
      */
     public GossipService(GossipSettings settings, List<String> classes, long slackUs, Clock clock, Deadlines deadlines,
@@ -81,12 +81,12 @@
         try {
             socket = loop.datagrams(addresses.get(membership.self()), this::receive);
             RecurringTask.start(deadlines, clock, membership.intervalUs(), this::tick);
-        } catch (IOException taken) {
-            if (!waitsForSocket) {
+        } catch (IOException bindFailed) {
+            if (!waitingForSocket) {
                 LOG.log(Level.WARNING, "{0} is not free ({1}): this process sends its peers nothing until it is",
-                        addresses.get(membership.self()), taken.getMessage());
+                        addresses.get(membership.self()), bindFailed.getMessage());
             }
-            waitsForSocket = true;
+            waitingForSocket = true;
             member.restart(clock.micros());
             deadlines.add(clock.micros() + membership.intervalUs(), () -> open(loop, onOutage));
         }
@@ -150,7 +150,7 @@
         long now = clock.micros();
         for (int i = 0; first == TAKEN && i < limits.size(); i++) {
             LimitShare share = member.share(i);
-            if (counts(limits.get(i), ask) && !share.admit(now, now + ask.waitUs() + slackUs)) {
+            if (appliesTo(limits.get(i), ask) && !share.admit(now, now + ask.waitUs() + slackUs)) {
                 release(ask, i);
                 double perMs = limits.get(i).open() == null ? share.amount(now) / 1000 : 1.0 / MAX_RETRY_AFTER_MS;
                 return (long) Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, 1 / perMs));
@@ -162,13 +162,13 @@
     /** A request that was admitted under the first so many limits has ended, or never began. */
     private void release(Ask ask, int count) {
         for (int i = 0; i < count; i++) {
-            if (counts(limits.get(i), ask)) {
+            if (appliesTo(limits.get(i), ask)) {
                 member.share(i).release();
             }
         }
     }
 
-    private static boolean counts(GossipSettings.Limit limit, Ask ask) {
+    private static boolean appliesTo(GossipSettings.Limit limit, Ask ask) {
         return (limit.requestClass() == null || limit.requestClass().equals(ask.className()))
                 && (limit.groups() == null || ask.group() >= limit.groups().get(0)
                         && ask.group() <= limit.groups().get(1))
@@ -186,9 +186,9 @@
     }
 
     @Override
-    public void members(Members news) {
+    public void members(Members change) {
         if (next != null) {
-            next.members(news);
+            next.members(change);
         }
     }
 
--- a/src/main/java/clovermill/fleet/decide/LoanBook.java
+++ b/src/main/java/clovermill/fleet/decide/LoanBook.java
@@ -5,7 +5,7 @@
 /** Loans in one direction, by the time at which each expires. */
 final class LoanBook {
 
-    /** Loans that are kept; at the bound nothing more is lent or borrowed. */
+    /** The most loans held; at the bound nothing more is lent or borrowed. */
     static final int MAX_LOANS = 256;
 
     private record Loan(double amount, long expiryUs) {}
--- /dev/null
+++ b/src/main/java/clovermill/fleet/decide/PeerState.java
@@ -0,0 +1,22 @@
+package clovermill.fleet.decide;
+
+/** What the failure detector holds a peer to be, by how many gossip rounds have passed since its last message. */
+public enum PeerState {
+    /** It has sent within the last two rounds. */
+    ALIVE,
+    /** It has sent nothing for two rounds. */
+    SUSPECT,
+    /** It has sent nothing for five rounds: no loan is requested from it. */
+    UNREACHABLE;
+
+    private static final int SUSPECT_ROUNDS = 2;
+    private static final int UNREACHABLE_ROUNDS = 5;
+
+    /** The state of a peer that has sent nothing for so many whole rounds. */
+    static PeerState afterSilentRounds(long rounds) {
+        if (rounds < SUSPECT_ROUNDS) {
+            return ALIVE;
+        }
+        return rounds < UNREACHABLE_ROUNDS ? SUSPECT : UNREACHABLE;
+    }
+}
--- a/src/main/java/clovermill/fleet/decide/ReplicatedMap.java
+++ b/src/main/java/clovermill/fleet/decide/ReplicatedMap.java
@@ -12,7 +12,7 @@
  */
 public final class ReplicatedMap {
 
-    /** Keys that are kept, tombstones included; at the bound a further key is not taken, which the owner is told. */
+    /** Keys held, tombstones included; at the bound a further key is refused, and {@link #put} returns null. */
     static final int MAX_ENTRIES = 10_000;
     /** Versions beyond this are refused: a forged one must not win for ever. */
     private static final long MAX_VERSION = 1L << 40;
--- a/src/main/java/clovermill/fleet/decide/package-info.java
+++ b/src/main/java/clovermill/fleet/decide/package-info.java
@@ -1,2 +1,10 @@
-/** What a member of a fleet decides: gossip, the replicated map and leased shares of limits. No I/O and no clock. */
+/**
+ * What a member of a gossip group decides, without I/O, clock or threads: the owner passes time and randomness in.
+ *
+ * <p>{@link clovermill.fleet.decide.GossipMember} is the entry. It is made of {@code PeerSession} (replay protection
+ * and liveness of one peer), {@code RumorQueue} and {@link clovermill.fleet.decide.ReplicatedMap} (a last-writer-wins
+ * map, spread by rumors and anti-entropy), and {@code LoanExchange}, which lends and borrows parts of the limits under
+ * leases: {@link clovermill.fleet.decide.RateLimitShare} for requests a second, {@link
+ * clovermill.fleet.decide.ConcurrencyLimitShare} for requests open at once.
+ */
 package clovermill.fleet.decide;
--- a/src/main/java/clovermill/fleet/package-info.java
+++ b/src/main/java/clovermill/fleet/package-info.java
@@ -1,8 +1,12 @@
 /**
- * Gossip between the directors of one fleet over UDP, where the deployment allows it: limits on the whole fleet, as
- * leased shares whose bound does not depend on the links, and a replicated map (a cache taken out, a credential
- * revoked) whose entries reach all of them and are never lost or reverted by a late message. {@link
- * clovermill.fleet.decide.GossipMember} is one director's member and does no I/O. Off without settings; the platform's
- * {@code run} has none. See {@code docs/design/fleet-limits.md}.
+ * Gossip between the directors of one fleet over UDP, where the deployment allows it. Two things travel by it: loans
+ * between the directors' shares of limits on the whole fleet, whose bound does not depend on the links, and a
+ * replicated map (a cache taken out, a credential revoked) whose entries reach all directors and are never lost or
+ * reverted by a late message.
+ *
+ * <p>Where to look first: {@link clovermill.fleet.GossipService} owns the socket and refuses requests beyond the
+ * limits; {@link clovermill.fleet.decide.GossipMember} decides what is sent to whom, without I/O; {@code GossipCodec}
+ * has the wire format byte by byte and {@link clovermill.fleet.GossipSettings} the settings. Off without settings; the
+ * platform's {@code run} has none. Why the limits hold: {@code docs/design/fleet-limits.md}.
  */
 package clovermill.fleet;
--- a/src/test/java/clovermill/fleet/GossipCodecTest.java
+++ b/src/test/java/clovermill/fleet/GossipCodecTest.java
@@ -73,8 +73,8 @@
     void aDatagramThatWasCutOrChangedNeverPassesNorFailsOtherwise(@ForAll long seed,
             @ForAll @IntRange(max = 2) int how) {
         SplittableRandom random = new SplittableRandom(seed);
-        ByteBuffer whole = one.write(4, FULL);
-        byte[] bytes = Arrays.copyOf(whole.array(), whole.limit());
+        ByteBuffer datagram = one.write(4, FULL);
+        byte[] bytes = Arrays.copyOf(datagram.array(), datagram.limit());
         switch (how) {
             case 0 -> bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
             case 1 -> bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length));
--- a/src/test/java/clovermill/fleet/decide/GossipMemberTest.java
+++ b/src/test/java/clovermill/fleet/decide/GossipMemberTest.java
@@ -4,7 +4,7 @@
 
 import clovermill.fleet.decide.GossipMember.GroupMembership;
 import clovermill.fleet.decide.GossipMember.OutgoingMessage;
-import clovermill.fleet.decide.GossipMember.PeerState;
+import clovermill.fleet.decide.PeerState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -118,7 +118,9 @@
         GossipMessage answer = to(1, one.receive(request, now));
         two.receive(answer, now);
         assertThat(two.share(0).amount(now)).isEqualTo(180);
-        two.receive(new GossipMessage(0, answer.boot(), answer.sequence() + 1, 0, List.of(), List.of(), answer.loans()),
+        two.receive(
+                new GossipMessage(0, answer.incarnation(), answer.sequence() + 1, 0, List.of(), List.of(),
+                        answer.loans()),
                 now);
         assertThat(two.share(0).amount(now)).as("lent twice by the same nonce").isEqualTo(180);
     }
