--- /dev/null
+++ b/src/main/java/clovermill/emulator/eventlog/Traffic.java
@@ -0,0 +1,19 @@
+package clovermill.emulator.eventlog;
+
+/** Bytes, with headers of IP and UDP, and datagrams that a machine has sent and been sent. */
+public record Traffic(long bytesOut, long bytesIn, long datagramsOut, long datagramsIn) {
+
+    Traffic out(int bytes) {
+        return new Traffic(bytesOut + bytes, bytesIn, datagramsOut + 1, datagramsIn);
+    }
+
+    Traffic in(int bytes) {
+        return new Traffic(bytesOut, bytesIn + bytes, datagramsOut, datagramsIn + 1);
+    }
+
+    /** What came since an earlier moment. */
+    public Traffic since(Traffic earlier) {
+        return new Traffic(bytesOut - earlier.bytesOut, bytesIn - earlier.bytesIn,
+                datagramsOut - earlier.datagramsOut, datagramsIn - earlier.datagramsIn);
+    }
+}
--- a/src/test/java/clovermill/eventlog/EventLogFleetTest.java
+++ b/src/test/java/clovermill/eventlog/EventLogFleetTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.emulator.eventlog.EventLogFleet.FleetMetrics;
-import clovermill.emulator.eventlog.EventLogFleet.FleetSize;
-import clovermill.emulator.eventlog.EventLogFleet.Scenario;
-import clovermill.emulator.eventlog.EventLogFleet.Traffic;
 import clovermill.emulator.eventlog.EventLogFleet;
+import clovermill.emulator.eventlog.FleetMetrics;
+import clovermill.emulator.eventlog.FleetSize;
+import clovermill.emulator.eventlog.Scenario;
+import clovermill.emulator.eventlog.Traffic;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -227,10 +227,10 @@
     void aForgedOrReplayedDatagram() {
         EventLogFleet fleet = fleet(SMALL);
         List<Seen> seen = new ArrayList<>();
-        fleet.tap((from, to, bytes) -> seen.add(new Seen(from, to, bytes)));
+        fleet.observeDatagrams((from, to, bytes) -> seen.add(new Seen(from, to, bytes)));
         fleet.appendEvenly(RATE, 15 * SECOND);
         fleet.run(15 * SECOND);
-        fleet.tap((from, to, bytes) -> {});
+        fleet.observeDatagrams((from, to, bytes) -> {});
         fleet.run(20 * SECOND);
         long head = fleet.task(0).log().head();
         fleet.kill(EventLogFleet.machine(1)); // one whose window is empty
