--- a/src/main/java/clovermill/emulator/accord/AccordFleet.java
+++ b/src/main/java/clovermill/emulator/accord/AccordFleet.java
@@ -18,8 +18,8 @@
 
 /**
  * Directors that hold one policy, on the emulated world: operators change it at any of them while processes die, stop,
- * lose disks, and links are lost and cut. A {@link InvariantChecker} sees what each does by which version. One seed gives one
- * run.
+ * lose disks, and links are lost and cut. An {@link InvariantChecker} sees what each does by which version. One seed
+ * gives one run.
  */
 public final class AccordFleet {
 
--- a/src/main/java/clovermill/emulator/eventlog/CrashingStorage.java
+++ b/src/main/java/clovermill/emulator/eventlog/CrashingStorage.java
@@ -30,16 +30,16 @@
 
     /** The machine dies; what is left on the disk is drawn from {@code random}. */
     void crash(Random random) {
-        int kept = unflushed.isEmpty() ? 0 : random.nextInt(unflushed.size() + 1);
+        int survivors = unflushed.isEmpty() ? 0 : random.nextInt(unflushed.size() + 1);
         tornSnapshots += snapshotUnflushed && !crashed ? 1 : 0;
-        for (int i = 0; i < kept; i++) {
+        for (int i = 0; i < survivors; i++) {
             unflushed.removeFirst().run();
         }
         unflushed.clear();
         snapshotUnflushed = false;
     }
 
-    /** The machine dies while it writes the so-manieth chunk of snapshots from now on; {@code then} hears of that. */
+    /** The machine dies while it writes a later chunk of a snapshot, counted from now; {@code then} runs after it. */
     void crashAtChunk(int chunk, Random random, Runnable then) {
         chunksUntilCrash = chunk;
         crashRandom = random;
--- a/src/main/java/clovermill/emulator/eventlog/InvariantChecker.java
+++ b/src/main/java/clovermill/emulator/eventlog/InvariantChecker.java
@@ -16,7 +16,7 @@
  */
 final class InvariantChecker {
 
-    /** What tells an event from all others; not its time, which is moved to that of an earlier event of the subject. */
+    /** What identifies an event; not its time, which is moved to that of an earlier event of the subject. */
     private record Identity(Subject subject, String detail) {}
 
     /** An event that was acknowledged. */
@@ -64,7 +64,7 @@
     private String first;
 
     /**
-     * Judges so many directors.
+     * Checks so many directors.
      *
      * @param stalenessUs how long after its acknowledgement an event may be unknown where all is called proven
      * @param inForceUs how long after its acknowledgement it may be unknown where a director could be reached all along
@@ -86,7 +86,7 @@
         directors[director].reachableSinceUs = nowUs;
     }
 
-    /** A client was told that its events have the numbers up to {@code last}; {@code events} are all different. */
+    /** A client's events were acknowledged with the numbers up to {@code last}; they are all different. */
     void acknowledged(List<Event> events, long last, long nowUs) {
         for (int i = 0; i < events.size(); i++) {
             Entry entry = new Entry(last - events.size() + 1 + i, events.get(i));
@@ -95,7 +95,7 @@
         }
     }
 
-    /** One event has one number, and one number one event, whoever says so. */
+    /** One event has one number, and one number one event, whoever reports it. */
     private void place(Entry entry, long nowUs) {
         Identity identity = new Identity(entry.event().subject(), entry.event().detail());
         Identity other = bySequence.putIfAbsent(entry.sequence(), identity);
--- a/src/main/java/clovermill/eventlog/EventLogTask.java
+++ b/src/main/java/clovermill/eventlog/EventLogTask.java
@@ -49,7 +49,7 @@
         void send(int to, byte[] datagram);
     }
 
-    /** Hears, on the task's thread, what comes of the log. */
+    /** Called on the task's thread with what the log delivers. */
     public interface Listener {
         /** An event, or what stands for many, takes effect; in order. */
         void delivered(Delivery delivery);
@@ -71,7 +71,7 @@
     private final Deque<Packet> ownPackets = new ArrayDeque<>();
     private long tokens;
     private long badDatagrams;
-    private long toldUntilUs = FreshnessLease.NEVER;
+    private long reportedProvenUntilUs = FreshnessLease.NEVER;
 
     private EventLogTask(Membership place, ReplicaLimits bounds, RaftStorage storage, Random random, Link link,
             Listener listener, long nowUs) {
@@ -195,7 +195,7 @@
     private void directorOn(int from, EventLogMessage message, long nowUs) {
         if (message instanceof EventLogMessage.Batch batch) {
             follower.on(from, batch, nowUs).forEach(listener::delivered);
-            tellProven();
+            reportProven();
         } else if (message instanceof EventLogMessage.SessionOpened opened) {
             appender.on(opened, nowUs);
         } else if (message instanceof EventLogMessage.Redirect redirect) {
@@ -208,10 +208,10 @@
         }
     }
 
-    private void tellProven() {
+    private void reportProven() {
         long untilUs = follower.freshness().provenUntilUs();
-        if (untilUs != toldUntilUs) {
-            toldUntilUs = untilUs;
+        if (untilUs != reportedProvenUntilUs) {
+            reportedProvenUntilUs = untilUs;
             listener.proven(untilUs);
         }
     }
@@ -234,7 +234,7 @@
         if (request != null) {
             send(request.replica(), request.message());
         }
-        tellProven();
+        reportProven();
         return Math.min(follower.nextUs(nowUs), appender.nextUs());
     }
 
--- a/src/main/java/clovermill/eventlog/EventLogTaskMessage.java
+++ b/src/main/java/clovermill/eventlog/EventLogTaskMessage.java
@@ -12,8 +12,8 @@
     record DatagramReceived(byte[] bytes) implements EventLogTaskMessage {}
 
     /**
-     * Events of this director are to be appended as one call. {@code done} hears once, on the task's thread, what
-     * became of it, or null where there was no room; it must not wait.
+     * Events of this director are to be appended as one call. {@code done} is called once, on the task's thread,
+     * with the result, or with null where too many calls wait; it must not block.
      */
     record AppendRequested(List<Event> events, Consumer<AppendResult> done) implements EventLogTaskMessage {}
 }
--- a/src/main/java/clovermill/eventlog/decide/EventLog.java
+++ b/src/main/java/clovermill/eventlog/decide/EventLog.java
@@ -123,14 +123,14 @@
     private void add(Event event) {
         head++;
         Long earlier = latest.put(event.subject(), head);
-        Event kept = event;
+        Event retained = event;
         if (earlier != null) {
             Event replaced = entries.remove(earlier);
             bytes -= replaced.bytes();
-            kept = event.notBefore(replaced);
+            retained = event.notBefore(replaced);
         }
-        entries.put(head, kept);
-        bytes += kept.bytes();
+        entries.put(head, retained);
+        bytes += retained.bytes();
         while (bytes > bounds.retentionBytes() && entries.size() > 1) {
             drop();
         }
@@ -165,8 +165,8 @@
         }
         // The latest entry is never dropped nor replaced, so all of the log is read where no more entries follow.
         long to = read.isEmpty() ? Math.max(start, from) : read.get(read.size() - 1).sequence();
-        boolean whole = !past && read.size() == to - from;
-        return new LogRange(from, to, whole ? to : head, past ? clear : null, List.copyOf(read));
+        boolean complete = !past && read.size() == to - from;
+        return new LogRange(from, to, complete ? to : head, past ? clear : null, List.copyOf(read));
     }
 
     /** What a snapshot begins with. */
--- a/src/main/java/clovermill/eventlog/decide/EventLogMessage.java
+++ b/src/main/java/clovermill/eventlog/decide/EventLogMessage.java
@@ -6,7 +6,7 @@
 public sealed interface EventLogMessage {
 
     /**
-     * A follower tells its position, which acknowledges all before it.
+     * A follower reports its position, which acknowledges all before it.
      *
      * @param boot the start of the follower's process, a random number
      * @param question its latest question, the moment of which it remembers
@@ -46,7 +46,7 @@
         }
     }
 
-    /** A client asks for a session; {@code nonce} tells its answer from others. */
+    /** A client asks for a session; {@code nonce} identifies its answer. */
     record OpenSession(long nonce) implements EventLogMessage {}
 
     /** The answer. */
--- a/src/main/java/clovermill/eventlog/decide/Follower.java
+++ b/src/main/java/clovermill/eventlog/decide/Follower.java
@@ -114,7 +114,7 @@
     private void take(LogRange slice, List<Delivery> deliveries) {
         if (slice.from() > position) {
             gaps++;
-            acknowledge = true; // tells the replica from where to send again
+            acknowledge = true; // the replica sends again from the position acknowledged
             return;
         }
         if (slice.to() <= position) {
--- a/src/main/java/clovermill/eventlog/decide/FreshnessLease.java
+++ b/src/main/java/clovermill/eventlog/decide/FreshnessLease.java
@@ -6,8 +6,8 @@
 
 /**
  * Since when a director knows all events: a lease on the claim that its copy of the log is complete (Gray, Cheriton,
- * "Leases", 1989), counted from when the director asked, never from when the answer came. Without a lease what it holds
- * is unproven. Asked at the moment of the effect. Not thread-safe.
+ * "Leases", 1989), counted from when the director asked, never from when the answer arrived. Without a lease
+ * what it holds is unproven. Asked at the moment of the effect. Not thread-safe.
  */
 public final class FreshnessLease {
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /** An answer to a question says that all events acknowledged before its proof began are up to a position. */
+    /** An answer to a question proves that all events acknowledged before its proof began are up to a position. */
     public void answered(long number, long head, long ageUs, long nowUs) {
         at(nowUs);
         for (Question each : questions) {
--- a/src/main/java/clovermill/eventlog/decide/ReplicaFeed.java
+++ b/src/main/java/clovermill/eventlog/decide/ReplicaFeed.java
@@ -22,7 +22,7 @@
      * @param followerRate bytes a second to one follower, headers included
      * @param replicaRate bytes a second to all; those close to the head come first, the others in turn
      * @param windowBytes bytes on their way to one follower that it has not acknowledged
-     * @param mostFollowers starts of directors that are fed; past them a new one gets no answer and goes elsewhere
+     * @param mostFollowers starts of directors that are fed; past them a new one gets no answer
      */
     public record Bounds(long followerRate, long replicaRate, int windowBytes, int mostFollowers) {
 
@@ -38,7 +38,7 @@
 
     /** Bytes of entries in one batch, so that a datagram fits any link. */
     private static final int BATCH_BYTES = 1200;
-    /** Who has not been heard of for so many silent times is fed no more. */
+    /** A follower that was silent for so many times {@code silentUs} is fed no more. */
     private static final int GONE_AFTER = 5;
 
     private static final LogRange NOTHING = new LogRange(0, 0, 0, null, List.of());
@@ -57,7 +57,7 @@
         private final Deque<Sent> unacknowledged = new ArrayDeque<>();
         private int inFlight;
         private long progressUs;
-        private long heardUs;
+        private long lastReceivedUs;
         /** Whether it is behind by more than a window, and paced. */
         private boolean catchingUp = true;
 
@@ -111,7 +111,7 @@
         proofBeganUs = beganUs;
     }
 
-    /** A follower tells its position; gives the answer, or null. */
+    /** A follower reports its position; gives the answer, or null. */
     public Push on(int director, Follow follow, long nowUs) {
         Key key = new Key(director, follow.boot());
         State state = followers.get(key);
@@ -123,7 +123,7 @@
             state = new State(new ByteTokenBucket(bounds.followerRate(), nowUs));
             followers.put(key, state);
         }
-        state.heardUs = nowUs;
+        state.lastReceivedUs = nowUs;
         state.question = Math.max(state.question, follow.question());
         acknowledged(state, follow.logId() == log.logId() ? follow.position() : 0, nowUs);
         if (!follow.wantsAnswer() || log.logId() == 0 || !state.budget.allows(nowUs)) {
@@ -158,8 +158,8 @@
         if (log.logId() == 0) {
             return pushes;
         }
-        followers.values().removeIf(each -> nowUs - each.heardUs > GONE_AFTER * terms.silentUs());
-        followers.values().forEach(each -> judge(each, nowUs));
+        followers.values().removeIf(each -> nowUs - each.lastReceivedUs > GONE_AFTER * terms.silentUs());
+        followers.values().forEach(each -> updatePacing(each, nowUs));
         followers.forEach((key, state) -> {
             if (!state.catchingUp) {
                 feed(key, state, nowUs, pushes);
@@ -183,7 +183,7 @@
     }
 
     /** Goes back to what was acknowledged after some silence, and decides who is behind. */
-    private void judge(State state, long nowUs) {
+    private void updatePacing(State state, long nowUs) {
         boolean timedOut = state.sent > state.acknowledged && nowUs - state.progressUs > 3 * terms.batchUs();
         if (timedOut) {
             state.sendFrom(state.acknowledged);
--- a/src/main/java/clovermill/fleet/GossipCodec.java
+++ b/src/main/java/clovermill/fleet/GossipCodec.java
@@ -23,11 +23,12 @@
  * signature:16
  * </pre>
  *
- * <p>Whatever is not exactly this, for this director and by this key, is a {@link InvalidMessageException} and nothing else.
+ * <p>Whatever is not exactly this, for this director and by this key, is an {@link InvalidMessageException} and
+ * nothing else.
  */
 final class GossipCodec {
 
-    /** A datagram that is refused; the text says why, and holds nothing of its content. */
+    /** A datagram that is refused; the text gives the reason, and holds nothing of its content. */
     static final class InvalidMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/clovermill/fleet/decide/LimitShare.java
+++ b/src/main/java/clovermill/fleet/decide/LimitShare.java
@@ -1,7 +1,7 @@
 package clovermill.fleet.decide;
 
 /**
- * One director's share of a limit that the whole fleet keeps: its own part, less what it has lent, plus what it has
+ * One director's share of a limit on the fleet: its own part, less what it has lent, plus what it has
  * borrowed, each under a lease of a fixed term. An amount counts requests a second or open requests, as the limit
  * does.
  */
--- a/src/test/java/clovermill/emulator/eventlog/InvariantCheckerTest.java
+++ b/src/test/java/clovermill/emulator/eventlog/InvariantCheckerTest.java
@@ -16,15 +16,15 @@
     private static final Event NEWER = new Event(SUBJECT, 200, "first appended");
     private static final Event OLDER = new Event(SUBJECT, 100, "appended later");
 
-    private final InvariantChecker judge = new InvariantChecker(1, 5_000_000, 7_100_000, 0);
+    private final InvariantChecker checker = new InvariantChecker(1, 5_000_000, 7_100_000, 0);
 
     private void acknowledged() {
-        judge.acknowledged(List.of(NEWER), 1, 0);
-        judge.acknowledged(List.of(OLDER), 9, 0);
+        checker.acknowledged(List.of(NEWER), 1, 0);
+        checker.acknowledged(List.of(OLDER), 9, 0);
     }
 
     private void delivered(long sequence, Event event) {
-        judge.delivered(0, new Delivery.Applied(new Entry(sequence, event)), 0);
+        checker.delivered(0, new Delivery.Applied(new Entry(sequence, event)), 0);
     }
 
     /** The log had dropped the first one when the second came, so it did not lift the time of that. */
@@ -33,24 +33,24 @@
         acknowledged();
         delivered(1, NEWER);
         delivered(9, OLDER);
-        judge.end(0);
-        assertThat(judge.lost()).isZero();
+        checker.end(0);
+        assertThat(checker.lost()).isZero();
     }
 
     @Test
     void aDirectorThatNeverAppliedTheNewerOneHasLostIt() {
         acknowledged();
         delivered(9, OLDER);
-        judge.end(0);
-        assertThat(judge.lost()).isEqualTo(1);
+        checker.end(0);
+        assertThat(checker.lost()).isEqualTo(1);
     }
 
     @Test
     void aDirectorThatClearedWhatIsAsOldHoldsIt() {
         acknowledged();
-        judge.delivered(0, new Delivery.Truncated(new TruncatedPrefix(1, 200)), 0);
+        checker.delivered(0, new Delivery.Truncated(new TruncatedPrefix(1, 200)), 0);
         delivered(9, OLDER);
-        judge.end(0);
-        assertThat(judge.lost()).isZero();
+        checker.end(0);
+        assertThat(checker.lost()).isZero();
     }
 }
--- a/src/test/java/clovermill/eventlog/EventLogFleetTest.java
+++ b/src/test/java/clovermill/eventlog/EventLogFleetTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole fleets on the emulated world, and the hard cases, each caused on purpose. */
+/** Fleets on the emulated world, and the hard cases, each caused on purpose. */
 class EventLogFleetTest {
 
     private static final long SECOND = 1_000_000;
@@ -58,7 +58,7 @@
         holdAll(74, 87);
     }
 
-    /** In these seeds of the proof events are late at directors that the judge calls reachable, see KNOWN-RED.txt. */
+    /** In these seeds of the proof events are late at directors that the checker calls reachable, see KNOWN-RED.txt. */
     @Test
     void seedsWithLateEvents() {
         holdAll(26, 45, 123, 125);
@@ -212,7 +212,7 @@
         IntStream.range(0, EventLogFleet.REPLICAS).forEach(each -> fleet.cut(each, machine, true));
         fleet.append(0, 1);
         fleet.run(15 * SECOND);
-        assertThat(fleet.figures().events()).isEqualTo(1); // it was not told
+        assertThat(fleet.figures().events()).isEqualTo(1); // it got no answer
         assertThat(fleet.task(fleet.leader()).log().head()).isEqualTo(2); // and has asked some twenty times
         IntStream.range(0, EventLogFleet.REPLICAS).forEach(each -> fleet.cut(each, machine, false));
         assertAllProvenAt(fleet, 20 * SECOND, 8);
