--- a/src/main/java/clovermill/eventlog/PacketCodec.java
+++ b/src/main/java/clovermill/eventlog/PacketCodec.java
@@ -26,8 +26,8 @@
  * a clear = there:1, and if so sequence:8 made:8
  * </pre>
  *
- * <p>Whatever is not exactly this, for this process, by this key and for the first time, is a {@link InvalidPacketException} and
- * nothing else. Not thread-safe.
+ * <p>Whatever is not exactly this, for this process, by this key and for the first time, is an {@link
+ * InvalidPacketException} and nothing else. Not thread-safe.
  */
 final class PacketCodec {
 
--- a/src/main/java/clovermill/fleet/GossipService.java
+++ b/src/main/java/clovermill/fleet/GossipService.java
@@ -53,8 +53,8 @@
     private long lastLoggedUs = Long.MIN_VALUE / 2;
 
     /**
-     * {@code next} is asked first about each request, and sees all that end; null for none. A request has ended {@code slackUs}
-     * after its client has given up, at the latest.
+     * {@code next} is asked first about each request, and sees all that end; null for none. A request has
+     * ended {@code slackUs} after its client has given up, at the latest.
      */
     public GossipService(GossipSettings settings, List<String> classes, long slackUs, Clock clock, Deadlines deadlines,
             Audit next) {
--- a/src/test/java/clovermill/fleet/decide/GossipMemberTest.java
+++ b/src/test/java/clovermill/fleet/decide/GossipMemberTest.java
@@ -4,7 +4,6 @@
 
 import clovermill.fleet.decide.GossipMember.GroupMembership;
 import clovermill.fleet.decide.GossipMember.OutgoingMessage;
-import clovermill.fleet.decide.PeerState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
