--- a/src/main/java/clovermill/emulator/TalkingFleet.java
+++ b/src/main/java/clovermill/emulator/GossipFleet.java
@@ -1,10 +1,10 @@
 package clovermill.emulator;
 
-import clovermill.fleet.decide.FleetMember.Membership;
-import clovermill.fleet.decide.FleetMember.Outgoing;
-import clovermill.fleet.decide.FleetMember;
-import clovermill.fleet.decide.LeasedRate;
-import clovermill.fleet.decide.Message;
+import clovermill.fleet.decide.GossipMember.GroupMembership;
+import clovermill.fleet.decide.GossipMember.OutgoingMessage;
+import clovermill.fleet.decide.GossipMember;
+import clovermill.fleet.decide.GossipMessage;
+import clovermill.fleet.decide.RateLimitShare;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -14,16 +14,16 @@
 
 /**
  * Directors that gossip over links that lose, delay, duplicate and are cut, each by a clock of its own that is seconds
- * off and drifts, under one limit and with entries put at any of them. The members are the real {@link FleetMember};
+ * off and drifts, under one limit and with entries put at any of them. The members are the real {@link GossipMember};
  * one seed gives one run.
  */
-public final class TalkingFleet {
+public final class GossipFleet {
 
     /**
      * A run: so many directors under a limit by second, which the first {@code hot} of them are asked for {@code
      * offered} times over; links with a loss, a delay of up to so long, and faults. One entry is put every second.
      */
-    public record Case(int directors, double limit, int hot, double offered, double loss, long delayMs, int seconds,
+    public record Scenario(int directors, double limit, int hot, double offered, double loss, long delayMs, int seconds,
             List<Cut> cuts, List<Kill> kills) {}
 
     /** From a time, for so many seconds, the directors from one number up to another are cut off from the others. */
@@ -38,7 +38,7 @@
      * from when the links allowed it, beside its bound; {@code lostEntries}: missing somewhere at the end; {@code
      * mostAlone}: by a director that was cut off for longer than a term, beyond its own share.
      */
-    public record Figures(double most, double bound, double usedShare, long staleMs, long staleBoundMs,
+    public record GossipMetrics(double most, double bound, double usedShare, long staleMs, long staleBoundMs,
             int lostEntries, double mostAlone) {}
 
     private static final long STEP_US = 10_000;
@@ -50,7 +50,7 @@
     private static final int FANOUT = 4;
     private static final double REPEATED = 0.02;
 
-    private record Packet(long atUs, long order, int to, Message message) implements Comparable<Packet> {
+    private record Packet(long atUs, long order, int to, GossipMessage message) implements Comparable<Packet> {
         @Override
         public int compareTo(Packet other) {
             return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
@@ -75,7 +75,7 @@
         private final double pace = 1 + DRIFT * (random.nextDouble() - 0.5);
         private final long offsetUs = (long) (random.nextDouble() * 20 * SECOND_US);
         private final long phaseUs = (long) (random.nextDouble() * INTERVAL_US);
-        private FleetMember member;
+        private GossipMember member;
         private long tickUs;
         private double due;
 
@@ -88,15 +88,15 @@
         }
 
         void start() {
-            member = new FleetMember(membership(number), List.of(new LeasedRate(terms, clock())), random.split(),
+            member = new GossipMember(membership(number), List.of(new RateLimitShare(terms, clock())), random.split(),
                     entry -> {}, clock());
             tickUs = nowUs + phaseUs;
         }
     }
 
-    private final Case plan;
+    private final Scenario plan;
     private final SplittableRandom random;
-    private final LeasedRate.Terms terms;
+    private final RateLimitShare.Terms terms;
     private final List<Peer> peers = new ArrayList<>();
     private final PriorityQueue<Packet> packets = new PriorityQueue<>();
     private final List<PutEntry> entries = new ArrayList<>();
@@ -109,26 +109,26 @@
     private long staleUs;
     private double mostAlone;
 
-    private TalkingFleet(Case plan, long seed) {
+    private GossipFleet(Scenario plan, long seed) {
         this.plan = plan;
         this.random = new SplittableRandom(seed);
-        this.terms = new LeasedRate.Terms(plan.limit(), plan.directors(), BURST_S, TERM_US, DRIFT);
+        this.terms = new RateLimitShare.Terms(plan.limit(), plan.directors(), BURST_S, TERM_US, DRIFT);
         for (int i = 0; i < plan.directors(); i++) {
             peers.add(new Peer(i));
             peers.get(i).start();
         }
     }
 
-    private Membership membership(int number) {
-        return new Membership(number, plan.directors(), INTERVAL_US, FANOUT);
+    private GroupMembership membership(int number) {
+        return new GroupMembership(number, plan.directors(), INTERVAL_US, FANOUT);
     }
 
     /** Plays a case. */
-    public static Figures play(Case plan, long seed) {
-        return new TalkingFleet(plan, seed).run();
+    public static GossipMetrics play(Scenario plan, long seed) {
+        return new GossipFleet(plan, seed).run();
     }
 
-    private Figures run() {
+    private GossipMetrics run() {
         long end = plan.seconds() * SECOND_US;
         long nextPutUs = SECOND_US;
         for (nowUs = 0; nowUs < end; nowUs += STEP_US) {
@@ -154,8 +154,8 @@
             follow();
         }
         int lost = (int) entries.stream().filter(entry -> !setEverywhere(entry.key)).count();
-        return new Figures(most, LeasedRate.maxAdmitted(terms, 1), admitted / (plan.limit() * plan.seconds()),
-                staleUs / 1000, FleetMember.stalenessBoundMs(membership(0), plan.delayMs()), lost, mostAlone);
+        return new GossipMetrics(most, RateLimitShare.maxAdmitted(terms, 1), admitted / (plan.limit() * plan.seconds()),
+                staleUs / 1000, GossipMember.stalenessBoundMs(membership(0), plan.delayMs()), lost, mostAlone);
     }
 
     private void faults() {
@@ -189,8 +189,8 @@
     }
 
     /** Every message takes a time of its own, so that they overtake one another; some are lost and some come twice. */
-    private void send(Peer from, List<Outgoing> messages) {
-        for (Outgoing each : messages) {
+    private void send(Peer from, List<OutgoingMessage> messages) {
+        for (OutgoingMessage each : messages) {
             int copies = random.nextDouble() < plan.loss() ? 0 : random.nextDouble() < REPEATED ? 2 : 1;
             for (int i = 0; i < copies; i++) {
                 long delayUs = (long) (random.nextDouble() * plan.delayMs() * 1000);
--- a/src/main/java/clovermill/emulator/eventlog/EventJudge.java
+++ b/src/main/java/clovermill/emulator/eventlog/InvariantChecker.java
@@ -1,10 +1,10 @@
 package clovermill.emulator.eventlog;
 
-import clovermill.eventlog.decide.Clear;
 import clovermill.eventlog.decide.Delivery;
 import clovermill.eventlog.decide.Entry;
 import clovermill.eventlog.decide.Event;
 import clovermill.eventlog.decide.Subject;
+import clovermill.eventlog.decide.TruncatedPrefix;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,9 +14,9 @@
  * Sees from outside, in true time, which events were acknowledged, and what each director was handed; knows nothing of
  * replicas, positions or proofs. It counts what breaks the promises of the log.
  */
-final class EventJudge {
+final class InvariantChecker {
 
-    /** What tells an event from all others; not its time, which is moved to that of an earlier event of the subject. */
+    /** What identifies an event; not its time, which is moved to that of an earlier event of the subject. */
     private record Identity(Subject subject, String detail) {}
 
     /** An event that was acknowledged. */
@@ -25,7 +25,7 @@
     /** What one life of a director holds. */
     private static final class Director {
         private final Map<Subject, Entry> latest = new HashMap<>();
-        private Clear clear = Clear.NONE;
+        private TruncatedPrefix clear = TruncatedPrefix.NONE;
         private long last;
         /** Events of the list before this one are held; for speed only. */
         private int heldBefore;
@@ -64,13 +64,13 @@
     private String first;
 
     /**
-     * Judges so many directors.
+     * Checks so many directors.
      *
      * @param stalenessUs how long after its acknowledgement an event may be unknown where all is called proven
      * @param inForceUs how long after its acknowledgement it may be unknown where a director could be reached all along
      * @param catchUpUs how much longer that is while a director that can be reached again catches up
      */
-    EventJudge(int count, long stalenessUs, long inForceUs, long catchUpUs) {
+    InvariantChecker(int count, long stalenessUs, long inForceUs, long catchUpUs) {
         this.catchUpUs = catchUpUs;
         directors = new Director[count];
         this.stalenessUs = stalenessUs;
@@ -86,7 +86,7 @@
         directors[director].reachableSinceUs = nowUs;
     }
 
-    /** A client was told that its events have the numbers up to {@code last}; {@code events} are all different. */
+    /** A client's events were acknowledged with the numbers up to {@code last}; they are all different. */
     void acknowledged(List<Event> events, long last, long nowUs) {
         for (int i = 0; i < events.size(); i++) {
             Entry entry = new Entry(last - events.size() + 1 + i, events.get(i));
@@ -95,7 +95,7 @@
         }
     }
 
-    /** One event has one number, and one number one event, whoever says so. */
+    /** One event has one number, and one number one event, whoever reports it. */
     private void place(Entry entry, long nowUs) {
         Identity identity = new Identity(entry.event().subject(), entry.event().detail());
         Identity other = bySequence.putIfAbsent(entry.sequence(), identity);
@@ -114,7 +114,7 @@
             ordered(director, entry.sequence(), number, nowUs);
             place(entry, nowUs);
             director.apply(entry);
-        } else if (delivery instanceof Delivery.Cleared cleared) {
+        } else if (delivery instanceof Delivery.Truncated cleared) {
             ordered(director, cleared.clear().sequence(), number, nowUs);
             director.clear = cleared.clear();
         } else {
--- a/src/main/java/clovermill/eventlog/decide/Freshness.java
+++ b/src/main/java/clovermill/eventlog/decide/FreshnessLease.java
@@ -6,10 +6,10 @@
 
 /**
  * Since when a director knows all events: a lease on the claim that its copy of the log is complete (Gray, Cheriton,
- * "Leases", 1989), counted from when the director asked, never from when the answer came. Without a lease what it holds
- * is unproven. Asked at the moment of the effect. Not thread-safe.
+ * "Leases", 1989), counted from when the director asked, never from when the answer arrived. Without a lease
+ * what it holds is unproven. Asked at the moment of the effect. Not thread-safe.
  */
-public final class Freshness {
+public final class FreshnessLease {
 
     /** No moment is proven. */
     public static final long NEVER = Long.MIN_VALUE / 4;
@@ -20,7 +20,7 @@
 
     private record Proof(long head, long asOfUs) {}
 
-    private final Terms terms;
+    private final EventLogTiming terms;
     private final Deque<Question> questions = new ArrayDeque<>();
     private final Deque<Proof> waiting = new ArrayDeque<>();
     private long completeAt;
@@ -29,7 +29,7 @@
     private long lastUs = NEVER;
 
     /** Nothing is proven yet. */
-    public Freshness(Terms terms) {
+    public FreshnessLease(EventLogTiming terms) {
         this.terms = terms;
     }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /** An answer to a question says that all events acknowledged before its proof began are up to a position. */
+    /** An answer to a question proves that all events acknowledged before its proof began are up to a position. */
     public void answered(long number, long head, long ageUs, long nowUs) {
         at(nowUs);
         for (Question each : questions) {
--- a/src/main/java/clovermill/eventlog/decide/ReplicaFeed.java
+++ b/src/main/java/clovermill/eventlog/decide/ReplicaFeed.java
@@ -1,7 +1,7 @@
 package clovermill.eventlog.decide;
 
-import clovermill.eventlog.decide.Message.Batch;
-import clovermill.eventlog.decide.Message.Follow;
+import clovermill.eventlog.decide.EventLogMessage.Batch;
+import clovermill.eventlog.decide.EventLogMessage.Follow;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -22,7 +22,7 @@
      * @param followerRate bytes a second to one follower, headers included
      * @param replicaRate bytes a second to all; those close to the head come first, the others in turn
      * @param windowBytes bytes on their way to one follower that it has not acknowledged
-     * @param mostFollowers starts of directors that are fed; past them a new one gets no answer and goes elsewhere
+     * @param mostFollowers starts of directors that are fed; past them a new one gets no answer
      */
     public record Bounds(long followerRate, long replicaRate, int windowBytes, int mostFollowers) {
 
@@ -38,10 +38,10 @@
 
     /** Bytes of entries in one batch, so that a datagram fits any link. */
     private static final int BATCH_BYTES = 1200;
-    /** Who has not been heard of for so many silent times is fed no more. */
+    /** A follower that was silent for so many times {@code silentUs} is fed no more. */
     private static final int GONE_AFTER = 5;
 
-    private static final Slice NOTHING = new Slice(0, 0, 0, null, List.of());
+    private static final LogRange NOTHING = new LogRange(0, 0, 0, null, List.of());
 
     private record Key(int director, long boot) {}
 
@@ -49,7 +49,7 @@
     private record Sent(long to, int bytes) {}
 
     private static final class State {
-        private final ByteBudget budget;
+        private final ByteTokenBucket budget;
         private long question;
         private long acknowledged;
         private long sent;
@@ -57,11 +57,11 @@
         private final Deque<Sent> unacknowledged = new ArrayDeque<>();
         private int inFlight;
         private long progressUs;
-        private long heardUs;
+        private long lastReceivedUs;
         /** Whether it is behind by more than a window, and paced. */
         private boolean catchingUp = true;
 
-        private State(ByteBudget budget) {
+        private State(ByteTokenBucket budget) {
             this.budget = budget;
         }
 
@@ -72,10 +72,10 @@
         }
     }
 
-    private final Terms terms;
+    private final EventLogTiming terms;
     private final Bounds bounds;
     private final EventLog log;
-    private final ByteBudget total;
+    private final ByteTokenBucket total;
     private final Map<Key, State> followers = new LinkedHashMap<>();
     private long provenHead = -1;
     private long proofBeganUs;
@@ -87,11 +87,11 @@
     private long refused;
 
     /** Feeds from a log that its owner adds to. */
-    public ReplicaFeed(Terms terms, Bounds bounds, EventLog log, long nowUs) {
+    public ReplicaFeed(EventLogTiming terms, Bounds bounds, EventLog log, long nowUs) {
         this.terms = terms;
         this.bounds = bounds;
         this.log = log;
-        this.total = new ByteBudget(bounds.replicaRate(), nowUs);
+        this.total = new ByteTokenBucket(bounds.replicaRate(), nowUs);
         this.pushAtUs = nowUs;
     }
 
@@ -111,7 +111,7 @@
         proofBeganUs = beganUs;
     }
 
-    /** A follower tells its position; gives the answer, or null. */
+    /** A follower reports its position; gives the answer, or null. */
     public Push on(int director, Follow follow, long nowUs) {
         Key key = new Key(director, follow.boot());
         State state = followers.get(key);
@@ -120,10 +120,10 @@
                 refused++;
                 return null;
             }
-            state = new State(new ByteBudget(bounds.followerRate(), nowUs));
+            state = new State(new ByteTokenBucket(bounds.followerRate(), nowUs));
             followers.put(key, state);
         }
-        state.heardUs = nowUs;
+        state.lastReceivedUs = nowUs;
         state.question = Math.max(state.question, follow.question());
         acknowledged(state, follow.logId() == log.logId() ? follow.position() : 0, nowUs);
         if (!follow.wantsAnswer() || log.logId() == 0 || !state.budget.allows(nowUs)) {
@@ -158,8 +158,8 @@
         if (log.logId() == 0) {
             return pushes;
         }
-        followers.values().removeIf(each -> nowUs - each.heardUs > GONE_AFTER * terms.silentUs());
-        followers.values().forEach(each -> judge(each, nowUs));
+        followers.values().removeIf(each -> nowUs - each.lastReceivedUs > GONE_AFTER * terms.silentUs());
+        followers.values().forEach(each -> updatePacing(each, nowUs));
         followers.forEach((key, state) -> {
             if (!state.catchingUp) {
                 feed(key, state, nowUs, pushes);
@@ -183,7 +183,7 @@
     }
 
     /** Goes back to what was acknowledged after some silence, and decides who is behind. */
-    private void judge(State state, long nowUs) {
+    private void updatePacing(State state, long nowUs) {
         boolean timedOut = state.sent > state.acknowledged && nowUs - state.progressUs > 3 * terms.batchUs();
         if (timedOut) {
             state.sendFrom(state.acknowledged);
@@ -200,7 +200,7 @@
 
     private void feed(Key key, State state, long nowUs, List<Push> pushes) {
         while (state.sent < log.head() && state.inFlight < bounds.windowBytes() && state.budget.allows(nowUs)) {
-            Slice slice = log.read(state.sent, BATCH_BYTES);
+            LogRange slice = log.read(state.sent, BATCH_BYTES);
             if (state.inFlight == 0) {
                 state.progressUs = nowUs;
             }
@@ -213,7 +213,7 @@
         }
     }
 
-    private Push push(Key key, State state, Slice slice, long nowUs) {
+    private Push push(Key key, State state, LogRange slice, long nowUs) {
         long ageUs = Math.max(0, nowUs - proofBeganUs);
         Batch batch = new Batch(key.boot, state.question, log.logId(), provenHead, ageUs, slice);
         state.budget.spend(batch.bytes());
--- a/src/main/java/clovermill/fleet/MessageCodec.java
+++ b/src/main/java/clovermill/fleet/GossipCodec.java
@@ -1,6 +1,6 @@
 package clovermill.fleet;
 
-import clovermill.fleet.decide.Message;
+import clovermill.fleet.decide.GossipMessage;
 import clovermill.fleet.decide.ReplicatedEntry;
 import clovermill.net.Peers;
 import java.nio.BufferUnderflowException;
@@ -16,22 +16,23 @@
  * Messages as datagrams, signed with the fleet's key (HMAC-SHA-256, RFC 2104, its first 16 bytes). Big-endian:
  *
  * <pre>
- * magic:4 "CVF1"  from:2  to:2  boot:8  sequence:8  digest:8
+ * magic:4 "CVF1"  from:2  to:2  incarnation:8  sequence:8  digest:8
  * count:1, for each entry:         size:1 key  value:1  version:8  origin:2
  * count:1, for each loan request:  limit:1  nonce:8  amount:8 (IEEE 754)
  * count:1, for each loan:          limit:1  nonce:8  amount:8
  * signature:16
  * </pre>
  *
- * <p>Whatever is not exactly this, for this director and by this key, is a {@link BadMessage} and nothing else.
+ * <p>Whatever is not exactly this, for this director and by this key, is an {@link InvalidMessageException} and
+ * nothing else.
  */
-final class MessageCodec {
+final class GossipCodec {
 
-    /** A datagram that is refused; the text says why, and holds nothing of its content. */
-    static final class BadMessage extends Exception {
+    /** A datagram that is refused; the text gives the reason, and holds nothing of its content. */
+    static final class InvalidMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadMessage(String reason) {
+        InvalidMessageException(String reason) {
             super(reason, null, false, false);
         }
     }
@@ -46,15 +47,15 @@
     private final int self;
     private final Mac mac;
 
-    MessageCodec(int self, byte[] key) {
+    GossipCodec(int self, byte[] key) {
         this.self = self;
         mac = Peers.mac(key);
     }
 
     /** A message to a peer, ready to be sent. */
-    ByteBuffer write(int to, Message message) {
+    ByteBuffer write(int to, GossipMessage message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
-        out.putInt(MAGIC).putShort((short) message.from()).putShort((short) to).putLong(message.boot())
+        out.putInt(MAGIC).putShort((short) message.from()).putShort((short) to).putLong(message.incarnation())
                 .putLong(message.sequence()).putLong(message.digest()).put((byte) message.entries().size());
         for (ReplicatedEntry each : message.entries()) {
             byte[] key = each.key().getBytes(StandardCharsets.UTF_8);
@@ -71,32 +72,32 @@
     }
 
     /** Reads a datagram from its position to its limit. */
-    Message read(ByteBuffer in) throws BadMessage {
+    GossipMessage read(ByteBuffer in) throws InvalidMessageException {
         if (in.remaining() < 4 + SIGNATURE_BYTES || in.remaining() > MAX_BYTES || in.getInt(in.position()) != MAGIC) {
-            throw new BadMessage("not of this protocol");
+            throw new InvalidMessageException("not of this protocol");
         }
-        byte[] whole = new byte[in.remaining()];
-        in.get(whole);
-        int signed = whole.length - SIGNATURE_BYTES;
-        mac.update(whole, 0, signed);
+        byte[] datagram = new byte[in.remaining()];
+        in.get(datagram);
+        int signed = datagram.length - SIGNATURE_BYTES;
+        mac.update(datagram, 0, signed);
         // Compared in constant time, lest the time tells how much of a forged signature was right.
         byte[] right = Arrays.copyOf(mac.doFinal(), SIGNATURE_BYTES);
-        if (!MessageDigest.isEqual(right, Arrays.copyOfRange(whole, signed, whole.length))) {
-            throw new BadMessage("not signed with the fleet's key, or changed on its way");
+        if (!MessageDigest.isEqual(right, Arrays.copyOfRange(datagram, signed, datagram.length))) {
+            throw new InvalidMessageException("not signed with the fleet's key, or changed on its way");
         }
         try {
-            return message(ByteBuffer.wrap(whole, 4, signed - 4));
+            return message(ByteBuffer.wrap(datagram, 4, signed - 4));
         } catch (BufferUnderflowException cut) {
-            throw new BadMessage("shorter than it says");
+            throw new InvalidMessageException("shorter than it says");
         }
     }
 
-    private Message message(ByteBuffer in) throws BadMessage {
+    private GossipMessage message(ByteBuffer in) throws InvalidMessageException {
         int from = in.getShort() & 0xffff;
         if ((in.getShort() & 0xffff) != self) {
-            throw new BadMessage("meant for another director");
+            throw new InvalidMessageException("meant for another director");
         }
-        long boot = in.getLong();
+        long incarnation = in.getLong();
         long sequence = in.getLong();
         long digest = in.getLong();
         List<ReplicatedEntry> entries = new ArrayList<>();
@@ -104,37 +105,37 @@
             byte[] key = new byte[in.get() & 0xff];
             in.get(key);
             if (key.length == 0 || key.length > MAX_KEY_BYTES) {
-                throw new BadMessage("an entry without a key, or with too long a key");
+                throw new InvalidMessageException("an entry without a key, or with too long a key");
             }
             entries.add(new ReplicatedEntry(new String(key, StandardCharsets.UTF_8), in.get() == 1, in.getLong(),
                     in.getShort() & 0xffff));
         }
-        List<Message.LoanRequest> requests = new ArrayList<>();
+        List<GossipMessage.LoanRequest> requests = new ArrayList<>();
         for (int i = count(in); i > 0; i--) {
-            requests.add(new Message.LoanRequest(in.get() & 0xff, in.getLong(), amount(in)));
+            requests.add(new GossipMessage.LoanRequest(in.get() & 0xff, in.getLong(), amount(in)));
         }
-        List<Message.Loan> loans = new ArrayList<>();
+        List<GossipMessage.Loan> loans = new ArrayList<>();
         for (int i = count(in); i > 0; i--) {
-            loans.add(new Message.Loan(in.get() & 0xff, in.getLong(), amount(in)));
+            loans.add(new GossipMessage.Loan(in.get() & 0xff, in.getLong(), amount(in)));
         }
         if (in.hasRemaining()) {
-            throw new BadMessage("longer than it says");
+            throw new InvalidMessageException("longer than it says");
         }
-        return new Message(from, boot, sequence, digest, entries, requests, loans);
+        return new GossipMessage(from, incarnation, sequence, digest, entries, requests, loans);
     }
 
-    private static int count(ByteBuffer in) throws BadMessage {
+    private static int count(ByteBuffer in) throws InvalidMessageException {
         int count = in.get() & 0xff;
         if (count > MAX_ITEMS) {
-            throw new BadMessage("more items than any message has");
+            throw new InvalidMessageException("more items than any message has");
         }
         return count;
     }
 
-    private static double amount(ByteBuffer in) throws BadMessage {
+    private static double amount(ByteBuffer in) throws InvalidMessageException {
         double amount = in.getDouble();
         if (!(amount >= 0 && amount < Double.POSITIVE_INFINITY)) {
-            throw new BadMessage("an amount that is none");
+            throw new InvalidMessageException("an amount that is none");
         }
         return amount;
     }
