--- /dev/null
+++ b/src/test/java/clovermill/ActionDigestTest.java
@@ -0,0 +1,231 @@
+package clovermill;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import clovermill.CacheRouter.Action;
+import clovermill.CacheRouter.Availability;
+import clovermill.CacheRouter.Cancel;
+import clovermill.CacheRouter.ClientGone;
+import clovermill.CacheRouter.Event;
+import clovermill.CacheRouter.ListScope;
+import clovermill.CacheRouter.LoadReport;
+import clovermill.CacheRouter.Member;
+import clovermill.CacheRouter.Members;
+import clovermill.CacheRouter.Note;
+import clovermill.CacheRouter.Operated;
+import clovermill.CacheRouter.Outcome;
+import clovermill.CacheRouter.Purge;
+import clovermill.CacheRouter.Request;
+import clovermill.CacheRouter.Result;
+import clovermill.CacheRouter.Retuned;
+import clovermill.CacheRouter.Send;
+import clovermill.CacheRouter.SendVia;
+import clovermill.CacheRouter.SetTimer;
+import clovermill.CacheRouter.Settings;
+import clovermill.CacheRouter.Telling;
+import clovermill.CacheRouter.Timer;
+import clovermill.module.Policy;
+import java.lang.reflect.RecordComponent;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Seeded runs of one director over 60 s of virtual time, with the digest of every action that the decisions gave, as
+ * recorded. A change that is meant to leave the decisions alone (a rename, a move, a split) leaves these digests alone;
+ * one that is meant to change decisions records them anew and says so.
+ */
+class ActionDigestTest {
+
+    private static final long STEP_US = 5_000;
+    private static final long SPAN_US = 60_000_000;
+    private static final int CACHES = 4;
+
+    private record Scheduled(long atUs, long sequence, Event event) implements Comparable<Scheduled> {
+        @Override
+        public int compareTo(Scheduled other) {
+            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(sequence, other.sequence);
+        }
+    }
+
+    private final PriorityQueue<Scheduled> scheduled = new PriorityQueue<>();
+    private final Map<String, Integer> attempts = new HashMap<>();
+    private final Map<String, Integer> kinds = new HashMap<>();
+    private final MessageDigest digest = sha256();
+    private SplittableRandom random;
+    private Policy policy;
+    private Settings settings;
+    private boolean sizesKnown;
+    private boolean loadReported;
+    private double slowdown;
+    private long nowUs = 10_000_000_000L;
+    private long sequence;
+
+    private static MessageDigest sha256() {
+        try {
+            return MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    /** One row: what the deployment tells and permits, the load, the seed, and the recorded digest. */
+    @ParameterizedTest
+    @CsvSource({
+        "true,  ALL,  1, true,  true,  1,   1, a306b242cd0e8005",
+        "true,  ALL,  6, true,  true,  3,   2, 2702b270dcf60fba",
+        "true,  ALL,  6, true,  false, 3,   3, b3d68987bdfe5f3b",
+        "true,  HITS, 3, false, true,  1,   4, c3127ed599db5be6",
+        "true,  NONE, 3, true,  true,  2,   5, ffbc9056597135bf",
+        "false, NONE, 3, false, false, 2,   6, 72cc634fae34a41a",
+        "false, ALL,  1, true,  false, 1,   7, 8eaf84b16001a1a7",
+        "false, HITS, 9, false, true,  4,   8, f0cda6f41c20ac00"})
+    void theActionsAreTheRecordedOnes(boolean straight, Telling telling, int directors, boolean sizes, boolean loads,
+            double slow, long seed, String recorded) {
+        random = new SplittableRandom(seed);
+        settings = withLinkAndListOnRequest(seed % 2 == 0 ? Director.tight(directors)
+                : Director.settings(straight, telling, directors), straight, telling);
+        sizesKnown = sizes;
+        loadReported = loads;
+        slowdown = slow;
+        policy = new Policy(settings, seed);
+        feed(Director.fleet(CACHES));
+        for (long endUs = nowUs + SPAN_US; nowUs < endUs; nowUs += STEP_US) {
+            step();
+        }
+        assertThat(kinds).as("kinds of actions").containsKeys("SendVia", "Refuse", "Cancel", "SetTimer", "Log");
+        assertThat(HexFormat.of().formatHex(digest.digest(), 0, 8)).as("digest of all actions: " + kinds)
+                .isEqualTo(recorded);
+    }
+
+    /** The same settings with a link of known rate, a list that is asked for by the director, and what is told. */
+    private static Settings withLinkAndListOnRequest(Settings given, boolean straight, Telling telling) {
+        CacheRouter.Permissions allowed = new CacheRouter.Permissions(straight, true, true, true, false, false, 6, 1000,
+                400_000);
+        return new Settings(given.position(), given.directors(), given.zone(), given.classes(),
+                given.directorsByZone(), given.hubOf(), given.parentKind(), given.originKind(), given.paceKbPerS(),
+                given.weighted(), given.siblings(), telling, given.cold(), given.parentCold(), given.drainGraceUs(),
+                given.answerSlackUs(), given.purgeNoticeUs(), given.purgeDoneUs(), given.dialTimeoutUs(), true,
+                given.mustAskUs(), given.originFallMultiple(), given.originFallUs(), 12_000, allowed);
+    }
+
+    private void step() {
+        while (!scheduled.isEmpty() && scheduled.peek().atUs() <= nowUs) {
+            feed(scheduled.poll().event());
+        }
+        if (random.nextInt(100) < 40) {
+            request();
+        }
+        if (random.nextInt(1_000) < 5) {
+            configurationEvent();
+        }
+    }
+
+    private void request() {
+        String id = String.format("%016x", ++sequence);
+        int kind = random.nextInt(10);
+        long object = (long) (40 * Math.pow(random.nextDouble(), 3));
+        double kb = sizesKnown ? random.nextInt(4) == 0 ? 600 : 60 : 0;
+        String excluded = random.nextInt(50) == 0 ? "cache-1" : "";
+        feed(new Request(id, kind < 6 ? 0 : kind - 6, 0, object, random.nextInt(2), (int) (object % 8), kb,
+                1_000_000 + random.nextInt(4_000_000), false, member -> !member.equals(excluded)));
+        if (random.nextInt(40) == 0) {
+            schedule(random.nextInt(300_000), new ClientGone(id));
+        }
+    }
+
+    /** A purge, a member that starts, drains or returns, a failed list, members taken out, settings anew. */
+    private void configurationEvent() {
+        Member cache = Director.cache(random.nextInt(CACHES));
+        Member parent = Director.parent(random.nextInt(2));
+        switch (random.nextInt(9)) {
+            case 0 -> feed(new Purge((long) random.nextInt(40), random.nextInt(8), random.nextInt(2_000_000)));
+            case 1 -> feed(new Purge(null, random.nextInt(8), random.nextInt(2_000_000)));
+            case 2 -> feed(changes(Director.with(cache, Availability.HEALTHY, nowUs - random.nextInt(500_000))));
+            case 3 -> feed(changes(Director.with(parent, Availability.HEALTHY, nowUs - random.nextInt(500_000))));
+            case 4 -> {
+                feed(changes(Director.with(cache, Availability.DRAINING, 0)));
+                schedule(2_000_000, changes(cache));
+            }
+            case 5 -> feed(new Members(ListScope.FAILED, List.of()));
+            case 6 -> feed(new Retuned(settings));
+            case 7 -> {
+                feed(new Operated(List.of(cache.id())));
+                feed(Director.fleet(CACHES));
+                schedule(1_500_000, new Operated(List.of()));
+                schedule(1_500_001, Director.fleet(CACHES));
+            }
+            default -> feed(Director.fleet(CACHES));
+        }
+    }
+
+    private static Members changes(Member member) {
+        return new Members(ListScope.CHANGES, List.of(member));
+    }
+
+    private void schedule(long inUs, Event event) {
+        scheduled.add(new Scheduled(nowUs + inUs, ++sequence, event));
+    }
+
+    private void feed(Event event) {
+        List<Action> actions = new ArrayList<>();
+        policy.handle(nowUs, event, actions::add);
+        for (Action action : actions) {
+            digest.update((nowUs + values(action) + "\n").getBytes(StandardCharsets.UTF_8));
+            kinds.merge(action.getClass().getSimpleName(), 1, Integer::sum);
+            perform(action);
+        }
+    }
+
+    /** The types and values of an action's components: names may change and the digest stays. */
+    private static String values(Action action) {
+        StringBuilder text = new StringBuilder();
+        for (RecordComponent component : action.getClass().getRecordComponents()) {
+            try {
+                text.append(' ').append(component.getType().getSimpleName()).append(' ')
+                        .append(component.getAccessor().invoke(action));
+            } catch (ReflectiveOperationException e) {
+                throw new AssertionError(e);
+            }
+        }
+        return text.toString();
+    }
+
+    private void perform(Action action) {
+        if (action instanceof SendVia via) {
+            attempt(via.request(), via.member(), via.member().equals(via.source()));
+        } else if (action instanceof Send send) {
+            attempt(send.request(), send.member(), false);
+        } else if (action instanceof SetTimer timer) {
+            schedule(timer.delayUs(), new Timer(timer.token()));
+        } else if (action instanceof Cancel cancel) {
+            schedule(1_000, new Outcome(cancel.request(), cancel.attempt(), "", Result.CANCELLED, 1_000, true,
+                    Note.NONE, 0, null));
+        }
+    }
+
+    /** Schedules how an attempt ends: mostly well, at a time of its own; a tenth hang, fail or are turned away. */
+    private void attempt(String request, String member, boolean heldOnly) {
+        int chance = random.nextInt(100);
+        boolean ok = chance >= 12;
+        boolean timedOut = chance < 4;
+        Result result = ok ? heldOnly && random.nextBoolean() ? Result.MISS : Result.OK
+                : timedOut ? Result.TIMED_OUT : Result.values()[1 + random.nextInt(Result.values().length - 1)];
+        Note note = result == Result.OK ? random.nextInt(3) == 0 ? Note.values()[2 + random.nextInt(4)] : Note.HIT
+                : Note.values()[random.nextInt(3) == 0 ? 6 + random.nextInt(5) : 0];
+        long tookUs = timedOut ? 2_000_000 : (long) (100_000 * slowdown * -Math.log(1 - random.nextDouble()));
+        LoadReport load = loadReported && random.nextBoolean()
+                ? new LoadReport(random.nextInt(20) * slowdown, 0.5, random.nextDouble()) : null;
+        schedule(tookUs, new Outcome(request, attempts.merge(request, 1, Integer::sum) - 1, member, result, tookUs,
+                result == Result.OK, note, note == Note.HIT ? 0 : tookUs / 2, load));
+    }
+}
