--- a/src/main/java/clovermill/adapter/Adapter.java
+++ b/src/main/java/clovermill/adapter/Adapter.java
@@ -1,5 +1,6 @@
 package clovermill.adapter;
 
+import clovermill.CacheRouter;
 import clovermill.CacheRouter.Action;
 import clovermill.CacheRouter.Availability;
 import clovermill.CacheRouter.Event;
@@ -9,11 +10,10 @@
 import clovermill.CacheRouter.Note;
 import clovermill.CacheRouter.Result;
 import clovermill.CacheRouter.Settings;
-import clovermill.CacheRouter;
 import clovermill.config.Json;
 import clovermill.config.LoadReports;
 import clovermill.config.SettingsReader;
-import clovermill.module.Policy;
+import clovermill.module.RequestRouter;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -71,7 +71,7 @@
             switch (message) {
                 case "HELLO" -> {
                     long seed = fields.integer();
-                    routers.put(who, new Policy(settings(fields), seed));
+                    routers.put(who, new RequestRouter(settings(fields), seed));
                 }
                 case "SHUTDOWN" -> {
                     router(who, fields);
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -13,8 +13,8 @@
 import clovermill.config.Config;
 import clovermill.config.Json;
 import clovermill.director.leave.Departure;
-import clovermill.director.operate.PeerOutages;
 import clovermill.director.operate.Operations;
+import clovermill.director.operate.PeerOutages;
 import clovermill.director.operate.PolicyDesk;
 import clovermill.director.operate.Sharing;
 import clovermill.director.retune.Retuning;
@@ -25,14 +25,14 @@
 import clovermill.host.Host;
 import clovermill.ledger.Ledger;
 import clovermill.ledger.LedgerSettings;
-import clovermill.module.Policy;
+import clovermill.module.RequestRouter;
 import clovermill.net.Budget;
 import clovermill.net.Clock;
 import clovermill.net.Deadlines;
 import clovermill.net.EventLoop;
 import clovermill.outage.OutageMarks;
-import clovermill.placement.Placement;
 import clovermill.outage.Outages;
+import clovermill.placement.Placement;
 import clovermill.reload.Reloader;
 import clovermill.store.Volume;
 import clovermill.upgrade.Shares;
@@ -101,7 +101,7 @@
         Audit audit = fleet == null ? ledger : fleet;
         Placement placement = agreed == null ? null : new Placement(clock, settings, config.zones(), config.classes(),
                 agreed.allBound(), audit);
-        Host host = new Host(new Policy(settings, config.seed()), settings, clock, deadlines, pool,
+        Host host = new Host(new RequestRouter(settings, config.seed()), settings, clock, deadlines, pool,
                 placement == null ? audit : placement, placement);
         Roster roster = new Roster(clock, pool, host, new Outages(), settings.originKind());
         roster.start(known);
--- a/src/main/java/clovermill/director/Warmup.java
+++ b/src/main/java/clovermill/director/Warmup.java
@@ -12,7 +12,7 @@
 import clovermill.CacheRouter.SendVia;
 import clovermill.CacheRouter.Settings;
 import clovermill.channel.Commands;
-import clovermill.module.Policy;
+import clovermill.module.RequestRouter;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -30,7 +30,7 @@
 
     /** Returns how many requests were sent to a member. */
     static int play(Settings settings, Commands known) {
-        Policy module = new Policy(settings, 0);
+        RequestRouter module = new RequestRouter(settings, 0);
         List<Member> members = new ArrayList<>();
         for (Commands.Command command : known.list()) {
             if (command instanceof Commands.Nodes nodes) {
--- a/src/main/java/clovermill/emulator/EmulatedDirector.java
+++ b/src/main/java/clovermill/emulator/EmulatedDirector.java
@@ -1,5 +1,6 @@
 package clovermill.emulator;
 
+import clovermill.CacheRouter;
 import clovermill.CacheRouter.Action;
 import clovermill.CacheRouter.Cancel;
 import clovermill.CacheRouter.ClientGone;
@@ -15,9 +16,8 @@
 import clovermill.CacheRouter.SendVia;
 import clovermill.CacheRouter.SetTimer;
 import clovermill.CacheRouter.Timer;
-import clovermill.CacheRouter;
 import clovermill.emulator.EmulatedCache.Transfer;
-import clovermill.module.Policy;
+import clovermill.module.RequestRouter;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -72,7 +72,7 @@
         router = switch (plan.choice()) {
             case "least" -> new ReportedChoice(seed, Integer.MAX_VALUE);
             case "two" -> new ReportedChoice(seed, 2);
-            default -> new Policy(workload.settings(), seed);
+            default -> new RequestRouter(workload.settings(), seed);
         };
         tell(emulation.allMembers());
     }
--- a/src/main/java/clovermill/memory/Breaker.java
+++ b/src/main/java/clovermill/memory/CircuitBreaker.java
@@ -4,7 +4,7 @@
  * A circuit breaker (Nygard, "Release It!", 2007): opens when the average of failures is too high, lets one trial
  * through when its wait is over, and waits twice as long each time that fails.
  */
-public final class Breaker {
+public final class CircuitBreaker {
 
     /** First wait until a trial, doubled up to the longest. */
     public static final long TRIAL_US = 1_000_000;
--- a/src/main/java/clovermill/memory/ClassMeans.java
+++ b/src/main/java/clovermill/memory/ClassServiceTimes.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** The mean work of the requests of a class, in microseconds at full pace: by their sizes, else by the time of hits. */
-public final class ClassMeans {
+public final class ClassServiceTimes {
 
     private final Map<Integer, Double> meanUs = new HashMap<>();
 
--- a/src/main/java/clovermill/memory/DueQueue.java
+++ b/src/main/java/clovermill/memory/DeadlineQueue.java
@@ -4,13 +4,13 @@
 import java.util.function.ToLongFunction;
 
 /** What comes due, the earliest first; of those that are due at once, as a heap has them. */
-public final class DueQueue<T> {
+public final class DeadlineQueue<T> {
 
     private final PriorityQueue<T> queue;
     private final ToLongFunction<T> dueUs;
 
     /** Ordered by what {@code dueUs} gives, which must not change. */
-    public DueQueue(ToLongFunction<T> dueUs) {
+    public DeadlineQueue(ToLongFunction<T> dueUs) {
         this.dueUs = dueUs;
         this.queue = new PriorityQueue<>((one, other) -> Long.compare(dueUs.applyAsLong(one),
                 dueUs.applyAsLong(other)));
--- a/src/main/java/clovermill/memory/FadingAverage.java
+++ b/src/main/java/clovermill/memory/DecayingAverage.java
@@ -1,19 +1,19 @@
 package clovermill.memory;
 
 /** An average of the latest outcomes that fades where nothing confirms it. */
-public final class FadingAverage {
+public final class DecayingAverage {
 
     private double average;
     private long sinceUs;
 
     /** One more outcome, from 0 to 1. */
     public void add(double outcome, long nowUs) {
-        average += Breaker.NEWS * (outcome - average);
+        average += CircuitBreaker.NEWS * (outcome - average);
         sinceUs = nowUs;
     }
 
     /** What it is worth now. */
     public double at(long nowUs) {
-        return average * Math.exp(-(nowUs - sinceUs) / Held.SPAN_US);
+        return average * Math.exp(-(nowUs - sinceUs) / InFlightCount.SPAN_US);
     }
 }
--- a/src/main/java/clovermill/memory/FadingCounts.java
+++ b/src/main/java/clovermill/memory/DecayingCounts.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /** Counts that are halved at fixed intervals. */
-public final class FadingCounts {
+public final class DecayingCounts {
 
     private final long halvingUs;
     private double[] counts = {};
     private long halvedUs;
 
     /** Counts that are halved each {@code halvingUs}. */
-    public FadingCounts(long halvingUs) {
+    public DecayingCounts(long halvingUs) {
         this.halvingUs = halvingUs;
     }
 
--- a/src/main/java/clovermill/memory/FadingRate.java
+++ b/src/main/java/clovermill/memory/DecayingRate.java
@@ -6,7 +6,7 @@
  * What is served for each weight and time, on average of late. Both its sums fade with the time of what was up only:
  * what is known of capacity stays while nothing is.
  */
-public final class FadingRate {
+public final class DecayingRate {
 
     private static final long STEP_US = 100_000;
 
@@ -19,7 +19,7 @@
         double span = nowUs - advancedUs;
         if (span >= STEP_US) {
             double upNow = up.getAsDouble();
-            double fade = weight == 0 ? 1 : Math.exp(-span * upNow / weight / Held.SPAN_US);
+            double fade = weight == 0 ? 1 : Math.exp(-span * upNow / weight / InFlightCount.SPAN_US);
             work *= fade;
             exposure = advancedUs == 0 ? 0 : exposure * fade + upNow * span;
             advancedUs = nowUs;
--- a/src/main/java/clovermill/memory/Held.java
+++ b/src/main/java/clovermill/memory/InFlightCount.java
@@ -1,7 +1,7 @@
 package clovermill.memory;
 
 /** How much is out at something, now and on average of late. */
-public final class Held {
+public final class InFlightCount {
 
     /** Span of running averages over time: some requests, though traffic is thin. */
     public static final double SPAN_US = 5_000_000;
--- a/src/main/java/clovermill/memory/LatestUsed.java
+++ b/src/main/java/clovermill/memory/LruMap.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /** A bounded map that forgets what was used longest ago. */
-public final class LatestUsed<K, V> extends LinkedHashMap<K, V> {
+public final class LruMap<K, V> extends LinkedHashMap<K, V> {
 
     private static final long serialVersionUID = 1L;
 
     private final int most;
 
     /** Holds {@code most} entries at most. */
-    public LatestUsed(int most) {
+    public LruMap(int most) {
         super(1024, 0.75f, true);
         this.most = most;
     }
--- a/src/main/java/clovermill/memory/Credit.java
+++ b/src/main/java/clovermill/memory/TokenBucket.java
@@ -1,7 +1,7 @@
 package clovermill.memory;
 
 /** A budget that grows with time, up to none left over, and may be overdrawn by what is spent at once. */
-public final class Credit {
+public final class TokenBucket {
 
     private double left;
     /** A debt in parts of a request, until it is known how much work one is. */
--- a/src/main/java/clovermill/module/Beliefs.java
+++ b/src/main/java/clovermill/module/CacheContentsIndex.java
@@ -2,14 +2,14 @@
 
 import clovermill.CacheRouter.Purge;
 import clovermill.CacheRouter.Request;
-import clovermill.memory.FadingCounts;
-import clovermill.memory.LatestUsed;
+import clovermill.memory.DecayingCounts;
+import clovermill.memory.LruMap;
 import clovermill.memory.PurgeLog;
 import java.util.HashMap;
 import java.util.Map;
 
 /** Which cache is believed to hold which part, how often a node of its tree was passed, and how old a copy may be. */
-final class Beliefs {
+final class CacheContentsIndex {
 
     /** A belief that nothing confirms fades after this time (the design's default). */
     private static final long BELIEF_US = 30_000_000;
@@ -18,33 +18,33 @@
     /** Parts remembered, the longest unused go first: bounds memory to some megabytes. */
     private static final int PARTS_KEPT = 30_000;
 
-    private final State state;
+    private final RoutingContext state;
     private final PurgeLog purges = new PurgeLog();
-    private final Map<PartKey, Copies> parts = new LatestUsed<>(PARTS_KEPT);
+    private final Map<PartKey, Copies> parts = new LruMap<>(PARTS_KEPT);
 
-    Beliefs(State state) {
+    CacheContentsIndex(RoutingContext state) {
         this.state = state;
     }
 
     private record PartKey(long object, int part) {}
 
     /** What is known of one part: who is believed to hold it since when, and the passes of its nodes. */
-    record Copies(Map<Node, Long> heldSince, FadingCounts passes) {}
+    record Copies(Map<Endpoint, Long> heldSince, DecayingCounts passes) {}
 
     Copies of(Request request) {
         return parts.computeIfAbsent(new PartKey(request.object(), request.part()),
-                key -> new Copies(new HashMap<>(4), new FadingCounts(HALVING_US)));
+                key -> new Copies(new HashMap<>(4), new DecayingCounts(HALVING_US)));
     }
 
     /** Whether a cache is believed to hold a part: confirmed lately, since its start and since any purge. */
-    boolean holds(Copies copies, Node cache, Request request) {
-        long since = copies.heldSince.getOrDefault(cache, State.NEVER);
+    boolean holds(Copies copies, Endpoint cache, Request request) {
+        long since = copies.heldSince.getOrDefault(cache, RoutingContext.NEVER);
         return state.now - since <= BELIEF_US && since >= cache.startedUs
                 && purges.seenAfter(request.object(), request.group(), since);
     }
 
-    void believe(Request request, Node cache, boolean holds) {
-        of(request).heldSince.put(cache, holds ? state.now : State.NEVER);
+    void believe(Request request, Endpoint cache, boolean holds) {
+        of(request).heldSince.put(cache, holds ? state.now : RoutingContext.NEVER);
     }
 
     /** Kept until every belief from before it has faded. */
@@ -59,7 +59,7 @@
     }
 
     /** The greatest age that will do: the fresh time, and nothing from before a purge. */
-    long maxAge(Pending pending) {
+    long maxAge(PendingRequest pending) {
         long fresh = pending.kind.freshUs();
         long madeUs = purgedUs(pending.request);
         long since = madeUs == PurgeLog.NEVER ? fresh : Math.max(1, state.now - madeUs - 1);
--- a/src/main/java/clovermill/module/Hedges.java
+++ b/src/main/java/clovermill/module/HedgingPolicy.java
@@ -1,20 +1,20 @@
 package clovermill.module;
 
-import clovermill.memory.DueQueue;
+import clovermill.memory.DeadlineQueue;
 
 /**
  * Which requests are sent to another member too because their answer is overdue; the first answer counts. Guards
  * against answers that never arrive, which nothing else tells of. Where more than a small part is overdue it is a jam,
  * and none is sent twice. Could harm where a fleet is slow but complete.
  */
-final class Hedges {
+final class HedgingPolicy {
 
     /** Part of all requests whose answer may be overdue for them to be sent twice, and how many at once. */
     private static final double HEDGED = 0.1;
     private static final double MOST_HEDGED = 10;
 
     /** First attempts of requests that may be sent twice, by when their answer is overdue. */
-    final DueQueue<Attempt> first = new DueQueue<>(Attempt::hedgeUs);
+    final DeadlineQueue<Attempt> first = new DeadlineQueue<>(Attempt::hedgeUs);
     private double credit;
 
     void asked() {
--- a/src/main/java/clovermill/module/Origin.java
+++ b/src/main/java/clovermill/module/OriginLoadShedder.java
@@ -4,22 +4,22 @@
 import clovermill.CacheRouter.Outcome;
 import clovermill.CacheRouter.Result;
 import clovermill.CacheRouter.Telling;
-import clovermill.memory.FadingAverage;
+import clovermill.memory.DecayingAverage;
 
 /**
  * Spares the origin while it is slow, turns work away or has stopped: the more of what was asked of it of late (of
  * all fills, where no more is told) was in vain or late, the more fills are to take only what their parent holds.
  * Could harm where single parents fail.
  */
-record Origin(State state, FadingAverage inVain) {
+record OriginLoadShedder(RoutingContext state, DecayingAverage inVain) {
 
     /** Whether a fill is to take only what its parent holds, by chance. */
     boolean spare() {
         return state.random.nextDouble() < inVain.at(state.now);
     }
 
-    void learn(Attempt attempt, Outcome outcome, boolean filled, Node origin) {
-        Choice choice = attempt.choice();
+    void learn(Attempt attempt, Outcome outcome, boolean filled, Endpoint origin) {
+        Route choice = attempt.choice();
         Note note = outcome.note();
         if (choice.target() == origin || note == Note.ORIGIN_ASKED || note == Note.ORIGIN_FAILED
                 || choice.source() == origin && note == Note.SOURCE_REFUSED
--- a/src/main/java/clovermill/module/Lessons.java
+++ b/src/main/java/clovermill/module/OutcomeObserver.java
@@ -4,14 +4,14 @@
 import clovermill.CacheRouter.Outcome;
 import clovermill.CacheRouter.Result;
 import clovermill.CacheRouter.Telling;
-import clovermill.memory.Breaker;
+import clovermill.memory.CircuitBreaker;
 
 /** What an outcome teaches: of copies, pace and health, and whom a failure speaks against. */
-record Lessons(State state) {
+record OutcomeObserver(RoutingContext state) {
 
-    void learn(Pending pending, Attempt attempt, Outcome outcome) {
-        Choice choice = attempt.choice();
-        Node cache = choice.target();
+    void learn(PendingRequest pending, Attempt attempt, Outcome outcome) {
+        Route choice = attempt.choice();
+        Endpoint cache = choice.target();
         boolean filled = outcome.result() == Result.OK && switch (outcome.note()) {
             case FILLED, ORIGIN_ASKED, JOINED -> true;
             default -> state.settings.telling() == Telling.NONE && !choice.believed();
@@ -34,7 +34,7 @@
                     state.health.succeeded(choice.source());
                 }
                 state.health.succeeded(cache);
-                pending.erred.forEach(erred -> state.health.failed(erred, Breaker.NEWS, false));
+                pending.erred.forEach(erred -> state.health.failed(erred, CircuitBreaker.NEWS, false));
             }
             case CANCELLED, NOT_SENT -> {}
             default -> blame(pending, attempt, outcome);
@@ -42,10 +42,10 @@
     }
 
     /** Blames what failed by the note; where none is told, a fill's source, then the cache, or the link. */
-    private void blame(Pending pending, Attempt attempt, Outcome outcome) {
+    private void blame(PendingRequest pending, Attempt attempt, Outcome outcome) {
         boolean fill = attempt.choice().filler() != null;
-        Node cache = attempt.choice().target();
-        Node source = attempt.choice().source() == null ? cache : attempt.choice().source();
+        Endpoint cache = attempt.choice().target();
+        Endpoint source = attempt.choice().source() == null ? cache : attempt.choice().source();
         boolean untold = state.settings.telling() == Telling.NONE && fill;
         boolean ofSource = switch (outcome.note()) {
             case SOURCE_REFUSED, SOURCE_UNREACHED, SOURCE_LACKS -> true;
@@ -71,7 +71,7 @@
     }
 
     /** An error speaks against a member once another serves the request, which may be at fault itself. */
-    private void blame(Node cache, Attempt attempt, Result result) {
+    private void blame(Endpoint cache, Attempt attempt, Result result) {
         switch (result) {
             case REFUSED -> state.room.crowded(cache);
             case UNCONNECTED -> state.health.failed(cache, 1, true);
--- a/src/main/java/clovermill/module/Pending.java
+++ b/src/main/java/clovermill/module/PendingRequest.java
@@ -1,14 +1,14 @@
 package clovermill.module;
 
-import clovermill.CacheRouter.Effect;
 import clovermill.CacheRouter;
+import clovermill.CacheRouter.Effect;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** A request without a final answer or with attempts out, and what its effects still allow. */
-final class Pending {
+final class PendingRequest {
 
     /** Least time for which an attempt is worth its while: a round trip to a far hub. */
     static final long LEAST_ATTEMPT_US = 20_000;
@@ -20,16 +20,16 @@
     final long deadlineUs;
     final long workUs;
     final long aimUs;
-    final List<Node> failed = new ArrayList<>();
-    final List<Node> erred = new ArrayList<>(2);
+    final List<Endpoint> failed = new ArrayList<>();
+    final List<Endpoint> erred = new ArrayList<>(2);
     final Map<Integer, Attempt> out = new HashMap<>(2);
     private final int attempts;
     int sent;
-    long mayHaveRunUs = State.NEVER;
-    Node mayHaveRunAt;
+    long mayHaveRunUs = RoutingContext.NEVER;
+    Endpoint mayHaveRunAt;
     boolean over;
 
-    Pending(CacheRouter.Request request, State state) {
+    PendingRequest(CacheRouter.Request request, RoutingContext state) {
         this.request = request;
         this.kind = state.settings.classes().get(request.requestClass());
         this.attempts = state.settings.allowed().maxAttempts();
@@ -41,7 +41,7 @@
     }
 
     /** Whether no time or attempt is left; of the first and the present number the lesser counts. */
-    boolean spent(State state) {
+    boolean spent(RoutingContext state) {
         return deadlineUs - state.now < Math.max(LEAST_ATTEMPT_US, FASTEST * workUs)
                 || sent >= Math.min(attempts, state.settings.allowed().maxAttempts());
     }
@@ -58,8 +58,8 @@
     }
 
     /** Effects: a further attempt only where none ran before or the repeat is recognised. */
-    boolean mayRepeatAt(Node target, State state) {
-        if (mayHaveRunUs == State.NEVER || kind.effect() == Effect.IDEMPOTENT) {
+    boolean mayRepeatAt(Endpoint target, RoutingContext state) {
+        if (mayHaveRunUs == RoutingContext.NEVER || kind.effect() == Effect.IDEMPOTENT) {
             return true;
         }
         // A repeat may still wait for its connection: the window must not close meanwhile.
@@ -72,7 +72,7 @@
     }
 
     boolean mayRefuse() {
-        return kind.effect() == Effect.IDEMPOTENT || out.isEmpty() && mayHaveRunUs == State.NEVER
+        return kind.effect() == Effect.IDEMPOTENT || out.isEmpty() && mayHaveRunUs == RoutingContext.NEVER
                 || kind.effect() == Effect.DEDUPLICATED && kind.keyScope() == CacheRouter.KeyScope.ALL;
     }
 }
--- a/src/main/java/clovermill/module/Policy.java
+++ b/src/main/java/clovermill/module/RequestRouter.java
@@ -1,7 +1,7 @@
 package clovermill.module;
 
 import clovermill.CacheRouter;
-import clovermill.memory.Breaker;
+import clovermill.memory.CircuitBreaker;
 import clovermill.memory.PurgeLog;
 import java.util.HashMap;
 import java.util.List;
@@ -9,24 +9,24 @@
 import java.util.function.Consumer;
 
 /** The entry of the module: each request from its arrival to its one final answer, its attempts and repeats. */
-public final class Policy implements CacheRouter {
+public final class RequestRouter implements CacheRouter {
 
     /** The token of the timer after which the list is asked for again. */
     private static final long WATCH_TOKEN = Long.MAX_VALUE;
 
-    private final State state;
-    private final Path path;
-    private final Lessons lessons;
-    private final Hedges hedges = new Hedges();
-    private final Map<String, Pending> requests = new HashMap<>();
-    private final Map<Long, Pending> paused = new HashMap<>();
+    private final RoutingContext state;
+    private final RouteSelector path;
+    private final OutcomeObserver lessons;
+    private final HedgingPolicy hedges = new HedgingPolicy();
+    private final Map<String, PendingRequest> requests = new HashMap<>();
+    private final Map<Long, PendingRequest> paused = new HashMap<>();
     private long nextToken;
 
     /** A router for one director; {@code seed} is the source of all its random numbers. */
-    public Policy(Settings settings, long seed) {
-        state = new State(settings, seed);
-        path = new Path(state);
-        lessons = new Lessons(state);
+    public RequestRouter(Settings settings, long seed) {
+        state = new RoutingContext(settings, seed);
+        path = new RouteSelector(state);
+        lessons = new OutcomeObserver(state);
     }
 
     @Override
@@ -35,7 +35,7 @@
         state.out = actions;
         state.room.advance();
         state.members.advance();
-        if (state.startedUs == State.NEVER) {
+        if (state.startedUs == RoutingContext.NEVER) {
             state.startedUs = nowUs;
             if (state.settings.listOnRequest()) {
                 actions.accept(new Watch(true));
@@ -49,7 +49,7 @@
             onGone(requests.get(gone.request()));
         } else if (event instanceof Members news) {
             if (news.scope() == ListScope.FAILED && state.settings.listOnRequest()) {
-                actions.accept(new SetTimer(Breaker.TRIAL_US, WATCH_TOKEN));
+                actions.accept(new SetTimer(CircuitBreaker.TRIAL_US, WATCH_TOKEN));
             }
             state.members.on(news);
         } else if (event instanceof Operated operated) {
@@ -68,7 +68,7 @@
     }
 
     private void onRequest(Request request) {
-        Pending pending = new Pending(request, state);
+        PendingRequest pending = new PendingRequest(request, state);
         requests.put(request.id(), pending);
         state.work.asked(request.requestClass(), pending.workUs);
         hedges.asked();
@@ -77,35 +77,35 @@
 
     /** Sends a request whose answer is overdue to another member too, which keeps no copy. */
     private void hedge(Attempt first) {
-        Pending pending = first.pending();
+        PendingRequest pending = first.pending();
         if (!hedges.allows(first) || pending.spent(state)) {
             return;
         }
         pending.failed.add(first.choice().target());
         pending.mayHaveRun(first);
-        Choice choice = path.choose(pending);
-        if (choice != null && choice != Choice.LOADED && pending.mayRepeatAt(choice.target(), state)) {
-            send(pending, new Choice(choice.target(), choice.source(), 0, choice.believed(), choice.sparing()));
+        Route choice = path.choose(pending);
+        if (choice != null && choice != Route.LOADED && pending.mayRepeatAt(choice.target(), state)) {
+            send(pending, new Route(choice.target(), choice.source(), 0, choice.believed(), choice.sparing()));
         }
     }
 
     /** Sends the next attempt of a request, or ends it where none is left. */
-    private void attempt(Pending pending) {
-        Choice choice = pending.spent(state) ? Choice.LOADED : path.choose(pending);
+    private void attempt(PendingRequest pending) {
+        Route choice = pending.spent(state) ? Route.LOADED : path.choose(pending);
         if (choice == null) {
             pending.failed.clear();
             pause(pending);
-        } else if (choice == Choice.LOADED || !pending.mayRepeatAt(choice.target(), state)) {
+        } else if (choice == Route.LOADED || !pending.mayRepeatAt(choice.target(), state)) {
             end(pending);
         } else {
             send(pending, choice);
         }
     }
 
-    private void send(Pending pending, Choice choice) {
+    private void send(PendingRequest pending, Route choice) {
         Request request = pending.request;
-        Node target = choice.target();
-        Node source = choice.source();
+        Endpoint target = choice.target();
+        Endpoint source = choice.source();
         int index = pending.sent++;
         state.cold.charge(target, pending);
         if (source != null && source != target) {
@@ -127,7 +127,7 @@
     }
 
     private void onOutcome(Outcome outcome) {
-        Pending pending = requests.get(outcome.request());
+        PendingRequest pending = requests.get(outcome.request());
         Attempt attempt = pending == null ? null : pending.out.remove(outcome.attempt());
         if (attempt == null) {
             return;
@@ -138,13 +138,13 @@
             onGone(pending);
             return;
         }
-        if (!outcome.result().neverRan() && pending.mayHaveRunUs == State.NEVER) {
+        if (!outcome.result().neverRan() && pending.mayHaveRunUs == RoutingContext.NEVER) {
             pending.mayHaveRun(attempt);
         }
         if (!pending.out.isEmpty()) {
             return; // its other copy may still be answered
         }
-        Choice choice = attempt.choice();
+        Route choice = attempt.choice();
         if (outcome.note() == Note.SOURCE_LACKS && state.members.parents.members.contains(choice.source())
                 || outcome.result() == Result.MISS && (choice.sparing() || choice.source() == choice.target())
                 || pending.erred.size() > (state.settings.telling() == Telling.ALL ? 1 : 2)) {
@@ -157,7 +157,7 @@
     }
 
     /** Nothing more is owed for a request; it is forgotten when its last attempt has ended. */
-    private void over(Pending pending) {
+    private void over(PendingRequest pending) {
         pending.over = true;
         if (pending.out.isEmpty()) {
             requests.remove(pending.request.id());
@@ -165,7 +165,7 @@
     }
 
     /** Nobody waits for what is still out: it would only take work from those that do. */
-    private void onGone(Pending pending) {
+    private void onGone(PendingRequest pending) {
         over(pending);
         if (state.settings.allowed().cancelling()) {
             List.copyOf(pending.out.keySet()).forEach(i -> state.out.accept(new Cancel(pending.request.id(), i)));
@@ -176,19 +176,19 @@
      * Waits a little where no member is left, if the request could still be answered after that. One for which nothing
      * was sent is turned away in the first half of its time: its client can still come again.
      */
-    private void pause(Pending pending) {
-        long left = pending.deadlineUs - state.now - State.PAUSE_US;
+    private void pause(PendingRequest pending) {
+        long left = pending.deadlineUs - state.now - RoutingContext.PAUSE_US;
         long least = pending.sent > 0 ? 0 : pending.request.graceUs() / 2;
-        if (left < Math.max(least, pending.workUs + Pending.LEAST_ATTEMPT_US)) {
+        if (left < Math.max(least, pending.workUs + PendingRequest.LEAST_ATTEMPT_US)) {
             end(pending);
             return;
         }
         paused.put(nextToken, pending);
-        state.out.accept(new SetTimer(State.PAUSE_US, nextToken++));
+        state.out.accept(new SetTimer(RoutingContext.PAUSE_US, nextToken++));
     }
 
     private void onTimer(Timer timer) {
-        Pending pending = paused.remove(timer.token());
+        PendingRequest pending = paused.remove(timer.token());
         if (pending != null && !pending.over) {
             attempt(pending);
         } else if (timer.token() == WATCH_TOKEN) {
@@ -197,9 +197,9 @@
     }
 
     /** The final answer: a refusal where that is allowed, else a failure. */
-    private void end(Pending pending) {
+    private void end(PendingRequest pending) {
         over(pending);
-        long awayUs = Math.min(State.PAUSE_US, state.settings.allowed().maxRetryAfterUs());
+        long awayUs = Math.min(RoutingContext.PAUSE_US, state.settings.allowed().maxRetryAfterUs());
         String id = pending.request.id();
         state.out.accept(pending.mayRefuse() ? new Refuse(id, awayUs) : new Fail(id));
     }
--- a/src/main/java/clovermill/module/Path.java
+++ b/src/main/java/clovermill/module/RouteSelector.java
@@ -3,15 +3,15 @@
 import clovermill.CacheRouter.Request;
 import clovermill.CacheRouter.Siblings;
 import clovermill.memory.HashRing;
-import clovermill.module.Beliefs.Copies;
-import clovermill.module.Node.Role;
+import clovermill.module.CacheContentsIndex.Copies;
+import clovermill.module.Endpoint.Role;
 
 /**
  * The path of a request through its object's random tree, after section 7 of "CS 7800 Lecture Notes: Consistent
  * Hashing": the nodes lie on the location's caches by consistent hashing; a request enters at a random leaf and goes to
  * the first node towards the root that is believed to hold the part; a node passed often takes a copy.
  */
-record Path(State state) {
+record RouteSelector(RoutingContext state) {
 
     /** Children of a tree node: the design's d. */
     private static final int ARITY = 2;
@@ -21,22 +21,22 @@
     private static final int RANK = 2;
 
     /** Where a request goes now: null where no member is left, LOADED where none could answer in time. */
-    Choice choose(Pending pending) {
+    Route choose(PendingRequest pending) {
         return pending.kind.goesThrough() ? forWrite(pending) : forRead(pending);
     }
 
     /** The walk: from a random leaf to the first node that holds the part or is due for a copy. */
-    private Choice forRead(Pending pending) {
+    private Route forRead(PendingRequest pending) {
         Request request = pending.request;
         int n = state.members.caches.members.size();
         Copies copies = state.beliefs.of(request);
         double[] passes = copies.passes().at(n, state.now);
         int firstLeaf = n < 2 ? 0 : (n - 2) / ARITY + 1;
         int node = firstLeaf + state.random.nextInt(Math.max(1, n - firstLeaf));
-        Node target = null;
+        Endpoint target = null;
         boolean promoted = false;
         while (node > 0 && target == null) {
-            Node cache = cacheAt(node, pending);
+            Endpoint cache = cacheAt(node, pending);
             boolean holder = cache != null && state.beliefs.holds(copies, cache, request);
             promoted = cache != null && !holder && passes[node] >= PASSES;
             target = holder || promoted ? cache : null;
@@ -45,18 +45,18 @@
                 node = (node - 1) / ARITY;
             }
         }
-        Node home = cacheAt(0, pending);
+        Endpoint home = cacheAt(0, pending);
         target = target == null ? home : target;
         if (target == null) {
             return state.members.caches.members.stream().anyMatch(c -> state.health.fit(c) && !state.cold.cold(c)
                     && pending.request.allowed().test(c.id)) ? null : straight(pending);
         }
-        Node roomy = withRoom(target, copies, pending);
+        Endpoint roomy = withRoom(target, copies, pending);
         if (roomy == null) {
-            return Choice.LOADED;
+            return Route.LOADED;
         }
         boolean believed = state.beliefs.holds(copies, roomy, request);
-        Node source = promoted || roomy != target || believed && roomy != home
+        Endpoint source = promoted || roomy != target || believed && roomy != home
                 ? holderAbove(node, roomy, copies, pending) : null;
         source = source == null ? parentFor(pending, !believed) : source;
         boolean outside = source != null && source.role != Role.CACHE;
@@ -64,20 +64,20 @@
         // Where no fill would come in time, a cache may yet hold what fellows have asked it for.
         boolean none = source == null || spared && source == state.members.origin
                 || outside && !believed && !state.room.at(state.room.link, pending, 1);
-        return new Choice(roomy, none ? roomy : source, RANK, believed, spared);
+        return new Route(roomy, none ? roomy : source, RANK, believed, spared);
     }
 
     /** The cache of a tree node: the first one clockwise from its point that can take this request. */
-    private Node cacheAt(int treeNode, Pending pending) {
+    private Endpoint cacheAt(int treeNode, PendingRequest pending) {
         long point = HashRing.mix(pending.request.object() + treeNode * 0x9E3779B97F4A7C15L);
         return state.members.caches.points.firstFrom(point, node -> state.health.usable(node, pending));
     }
 
     /** The source of a promoted copy: the first node above, on another cache, that is believed to hold it. */
-    private Node holderAbove(int from, Node target, Copies copies, Pending pending) {
+    private Endpoint holderAbove(int from, Endpoint target, Copies copies, PendingRequest pending) {
         boolean allowed = state.settings.siblings() != Siblings.NONE;
         for (int node = from; allowed && node >= 0; node = Math.floorDiv(node - 1, ARITY)) {
-            Node cache = cacheAt(node, pending);
+            Endpoint cache = cacheAt(node, pending);
             if (cache != null && cache != target && state.beliefs.holds(copies, cache, pending.request)) {
                 return cache;
             }
@@ -91,16 +91,16 @@
      * a part of it, to half its strain. Null where none could answer in time: more work would only make the rest late
      * too. Could harm if a pace is misread.
      */
-    private Node withRoom(Node target, Copies copies, Pending pending) {
+    private Endpoint withRoom(Endpoint target, Copies copies, PendingRequest pending) {
         double full = state.room.strain(target);
         boolean sheds = target.shared.sheds(full, state.now, state.random);
-        if (!sheds && state.room.at(target, pending, State.HAND_OVER)) {
+        if (!sheds && state.room.at(target, pending, RoutingContext.HAND_OVER)) {
             return target;
         }
-        Node other = null;
+        Endpoint other = null;
         for (int treeNode = 0; treeNode < state.members.caches.members.size(); treeNode++) {
-            Node cache = cacheAt(treeNode, pending);
-            if (cache != null && state.room.at(cache, pending, State.HAND_OVER)
+            Endpoint cache = cacheAt(treeNode, pending);
+            if (cache != null && state.room.at(cache, pending, RoutingContext.HAND_OVER)
                     && !(sheds && 2 * state.room.strain(cache) > full)) {
                 if (state.beliefs.holds(copies, cache, pending.request)) {
                     return cache;
@@ -115,36 +115,37 @@
      * The parent hashed over all listed; the next if unfit; the origin only when none is up. In time: where the first
      * is loaded, the next that is much less so, or null. Could harm if fills only look slow.
      */
-    private Node parentFor(Pending pending, boolean inTime) {
-        Ring parents = state.members.parents;
-        Node origin = state.members.origin;
+    private Endpoint parentFor(PendingRequest pending, boolean inTime) {
+        EndpointRing parents = state.members.parents;
+        Endpoint origin = state.members.origin;
         long point = HashRing.mix(pending.request.object());
-        Node parent = parents.points.firstFrom(point, node -> state.health.usable(node, pending));
+        Endpoint parent = parents.points.firstFrom(point, node -> state.health.usable(node, pending));
         if (parent == null) {
             return origin != null && state.health.usable(origin, pending) ? origin : null;
         }
         double full = state.room.strain(parent);
         return !inTime || state.room.at(parent, pending, 1) ? parent
                 : parents.points.firstFrom(point, node -> state.health.usable(node, pending)
-                        && state.room.at(node, pending, State.HAND_OVER) && 2 * state.room.strain(node) < full);
+                        && state.room.at(node, pending, RoutingContext.HAND_OVER)
+                        && 2 * state.room.strain(node) < full);
     }
 
     /** Past the caches, where none is fit and warm and it is allowed: to the parent, else to the origin. */
-    private Choice straight(Pending pending) {
-        Node parent = state.settings.allowed().straight() ? parentFor(pending, !pending.kind.goesThrough()) : null;
+    private Route straight(PendingRequest pending) {
+        Endpoint parent = state.settings.allowed().straight() ? parentFor(pending, !pending.kind.goesThrough()) : null;
         return parent == null ? null
-                : new Choice(parent, state.members.origin == null ? parent : state.members.origin, 0, false, false);
+                : new Route(parent, state.members.origin == null ? parent : state.members.origin, 0, false, false);
     }
 
     /** Requests that run at the origin go there straight where allowed, else with it as source. */
-    private Choice forWrite(Pending pending) {
-        Node origin = state.members.origin;
+    private Route forWrite(PendingRequest pending) {
+        Endpoint origin = state.members.origin;
         boolean up = origin != null && state.health.usable(origin, pending);
         if (state.settings.allowed().straight()) {
-            return up ? new Choice(origin, null, 0, false, false) : straight(pending);
+            return up ? new Route(origin, null, 0, false, false) : straight(pending);
         }
-        Node cache = cacheAt(0, pending);
-        Node source = up ? origin : parentFor(pending, false);
-        return cache == null || source == null ? null : new Choice(cache, source, 0, false, false);
+        Endpoint cache = cacheAt(0, pending);
+        Endpoint source = up ? origin : parentFor(pending, false);
+        return cache == null || source == null ? null : new Route(cache, source, 0, false, false);
     }
 }
--- a/src/main/java/clovermill/module/State.java
+++ b/src/main/java/clovermill/module/RoutingContext.java
@@ -2,13 +2,13 @@
 
 import clovermill.CacheRouter.Action;
 import clovermill.CacheRouter.Settings;
-import clovermill.memory.ClassMeans;
-import clovermill.memory.FadingAverage;
+import clovermill.memory.ClassServiceTimes;
+import clovermill.memory.DecayingAverage;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
 /** What the parts of the module share: settings, the time of the event, where actions go, chance, and each other. */
-final class State {
+final class RoutingContext {
 
     static final long NEVER = Long.MIN_VALUE / 2;
     /** A request that has no member left waits this long; a refused client is asked to, where it heeds. */
@@ -17,21 +17,21 @@
     static final double HAND_OVER = 0.6;
 
     final SplittableRandom random;
-    final ClassMeans work = new ClassMeans();
-    final Cold cold = new Cold(this);
-    final Membership members = new Membership(this);
-    final Health health = new Health(this);
-    final Beliefs beliefs = new Beliefs(this);
-    final Origin sparing = new Origin(this, new FadingAverage());
-    final Room room;
+    final ClassServiceTimes work = new ClassServiceTimes();
+    final SlowStart cold = new SlowStart(this);
+    final EndpointSet members = new EndpointSet(this);
+    final OutlierDetector health = new OutlierDetector(this);
+    final CacheContentsIndex beliefs = new CacheContentsIndex(this);
+    final OriginLoadShedder sparing = new OriginLoadShedder(this, new DecayingAverage());
+    final CapacityEstimator room;
     Settings settings;
     long now;
     long startedUs = NEVER;
     Consumer<Action> out;
 
-    State(Settings settings, long seed) {
+    RoutingContext(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
-        this.room = new Room(this);
+        this.room = new CapacityEstimator(this);
     }
 }
--- a/src/main/java/clovermill/spread/decide/LearnedRoom.java
+++ b/src/main/java/clovermill/spread/decide/ConcurrencyEstimator.java
@@ -5,7 +5,7 @@
  * many shared it. Little room grows again while nothing is sent that could tell of more, else a member left alone for
  * it stays so. Not thread-safe; times are microseconds on the owner's clock.
  */
-public final class LearnedRoom {
+public final class ConcurrencyEstimator {
 
     /** A member that turned work away is left alone for about the time of an answer. */
     public static final long CROWDED_US = 200_000;
--- a/src/main/java/clovermill/spread/decide/SharedLoad.java
+++ b/src/main/java/clovermill/spread/decide/PeerLoadEstimator.java
@@ -12,7 +12,7 @@
  * it counts itself, at once. Where reports grow old the belief goes over, bit by bit, to the guess of one who is told
  * nothing. Not thread-safe; times are microseconds on the owner's clock.
  */
-public final class SharedLoad {
+public final class PeerLoadEstimator {
 
     /** Time over which reports are averaged: some of their periods, which are up to a second. */
     private static final double BLEND_US = 1_000_000;
--- a/src/test/java/clovermill/ActionDigestTest.java
+++ b/src/test/java/clovermill/ActionDigestTest.java
@@ -24,7 +24,7 @@
 import clovermill.CacheRouter.Settings;
 import clovermill.CacheRouter.Telling;
 import clovermill.CacheRouter.Timer;
-import clovermill.module.Policy;
+import clovermill.module.RequestRouter;
 import java.lang.reflect.RecordComponent;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -62,7 +62,7 @@
     private final Map<String, Integer> kinds = new HashMap<>();
     private final MessageDigest digest = sha256();
     private SplittableRandom random;
-    private Policy policy;
+    private RequestRouter policy;
     private Settings settings;
     private boolean sizesKnown;
     private boolean loadReported;
@@ -97,7 +97,7 @@
         sizesKnown = sizes;
         loadReported = loads;
         slowdown = slow;
-        policy = new Policy(settings, seed);
+        policy = new RequestRouter(settings, seed);
         feed(Director.fleet(CACHES));
         for (long endUs = nowUs + SPAN_US; nowUs < endUs; nowUs += STEP_US) {
             step();
--- a/src/test/java/clovermill/BoundRequestTest.java
+++ b/src/test/java/clovermill/BoundRequestTest.java
@@ -13,7 +13,7 @@
 import clovermill.CacheRouter.Result;
 import clovermill.CacheRouter.SendVia;
 import clovermill.config.Config;
-import clovermill.module.Policy;
+import clovermill.module.RequestRouter;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -36,8 +36,9 @@
     @Property(tries = 200)
     void neitherTargetNorSourceNorRepeatIsOutside(@ForAll Set<@IntRange(max = 5) Integer> places,
             @ForAll long seed) throws Exception {
-        Policy policy = new Policy(Config.read(Files.readString(Path.of("src/test/resources/director.json"))
-                .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null).settings(), seed);
+        RequestRouter policy =
+                new RequestRouter(Config.read(Files.readString(Path.of("src/test/resources/director.json"))
+                        .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null).settings(), seed);
         List<String> allowed = places.stream().map(IDS::get).toList();
         List<Action> actions = new ArrayList<>();
         policy.handle(0, new Members(ListScope.FULL, IDS.stream().map(BoundRequestTest::member).toList()),
--- a/src/test/java/clovermill/Director.java
+++ b/src/test/java/clovermill/Director.java
@@ -19,7 +19,7 @@
 import clovermill.CacheRouter.Settings;
 import clovermill.CacheRouter.Siblings;
 import clovermill.CacheRouter.Telling;
-import clovermill.module.Policy;
+import clovermill.module.RequestRouter;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -43,12 +43,12 @@
     static final ColdRule TIGHT = new ColdRule(0.18, 17_000_000, 3, 1_000_000);
     static final ColdRule PARENT_TIGHT = new ColdRule(0.08, 20_000_000, 2, 1_000_000);
 
-    final Policy policy;
+    final RequestRouter policy;
     long now = 10_000_000_000L;
     private int requests;
 
     Director(Settings settings, long seed) {
-        policy = new Policy(settings, seed);
+        policy = new RequestRouter(settings, seed);
     }
 
     /** A director of zone 1 with four caches, two parents and the origin, already told of them. */
--- a/src/test/java/clovermill/ColdSumTest.java
+++ b/src/test/java/clovermill/SlowStartSumTest.java
@@ -16,7 +16,7 @@
 import clovermill.CacheRouter.SendVia;
 import clovermill.CacheRouter.SetTimer;
 import clovermill.CacheRouter.Timer;
-import clovermill.module.Policy;
+import clovermill.module.RequestRouter;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -31,7 +31,7 @@
  * that the settings name no more than the N requests of mean work that it may get, and what chance adds to that, twice
  * the root of N and 2. Attempts of all kinds count, at the cold member or filled from it.
  */
-class ColdSumTest {
+class SlowStartSumTest {
 
     private static final int CACHES = 6;
     private static final long STEP_US = 10_000;
@@ -87,7 +87,7 @@
         final SplittableRandom random;
         final boolean toldSizes;
         final String cold;
-        final Policy[] directors;
+        final RequestRouter[] directors;
         final double[] perStep;
         final PriorityQueue<Due> due = new PriorityQueue<>();
         final Map<String, Integer> attempts = new HashMap<>();
@@ -100,7 +100,7 @@
             this.random = new SplittableRandom(seed);
             this.toldSizes = toldSizes;
             this.cold = cold;
-            this.directors = new Policy[size];
+            this.directors = new RequestRouter[size];
             this.perStep = new double[size];
             double all = 0;
             for (int i = 0; i < size; i++) {
@@ -115,7 +115,7 @@
         }
 
         private void start(int director) {
-            directors[director] = new Policy(Director.tight(directors.length), random.nextLong());
+            directors[director] = new RequestRouter(Director.tight(directors.length), random.nextLong());
             directors[director].handle(now, members(ListScope.REMEMBERED), action -> {});
         }
 
--- a/src/test/java/clovermill/prove/capacity/ModuleUnderTest.java
+++ b/src/test/java/clovermill/prove/capacity/ModuleUnderTest.java
@@ -16,7 +16,7 @@
 import clovermill.CacheRouter.Settings;
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.module.Policy;
+import clovermill.module.RequestRouter;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -33,7 +33,7 @@
     private static final long ANSWER_US = 2_000;
 
     private final Settings settings;
-    private final Policy policy;
+    private final RequestRouter policy;
     private final List<Action> actions = new ArrayList<>();
     private long nowUs = 10_000_000_000L;
     private long requests;
@@ -43,7 +43,7 @@
         String text = Files.readString(Path.of("src", "test", "resources", "director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:1");
         settings = Config.read(text, null).settings();
-        policy = new Policy(settings, 7);
+        policy = new RequestRouter(settings, 7);
         list(local, elsewhere);
     }
 
--- a/src/test/java/clovermill/prove/capacity/StateProof.java
+++ b/src/test/java/clovermill/prove/capacity/StateProof.java
@@ -31,7 +31,7 @@
     private static final int ASKED_OFTEN = 24;
     private static final int OFTEN_ASKED = 4_000;
     private static final int SAMPLED = 10;
-    /** Beliefs are kept so long, and purges so much longer than they take to be done everywhere. */
+    /** What a cache holds is remembered so long, and purges so much longer than they take to be done everywhere. */
     private static final long BELIEF_US = 30_000_000;
     private static final long PURGE_WITHIN_US = 7_100_000;
     private static final double KB = 1000;
--- a/src/test/java/clovermill/spread/decide/SharedLoadTest.java
+++ b/src/test/java/clovermill/spread/decide/PeerLoadEstimatorTest.java
@@ -3,20 +3,20 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.stream.IntStream;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.Size;
-import java.util.List;
-import java.util.SplittableRandom;
-import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
 /** What one director believes of its fellows' load. */
-class SharedLoadTest {
+class PeerLoadEstimatorTest {
 
     private static final long SECOND = 1_000_000;
-    private final SharedLoad load = new SharedLoad();
+    private final PeerLoadEstimator load = new PeerLoadEstimator();
 
     @Test
     void withoutReportsTheGuessStands() {
@@ -87,7 +87,7 @@
             @ForAll @Size(min = 1, max = 30) List<@DoubleRange(min = 0, max = 1000) Double> reports,
             @ForAll @DoubleRange(min = 0, max = 1000) double guess,
             @ForAll @DoubleRange(min = 0, max = 10) double later) {
-        SharedLoad any = new SharedLoad();
+        PeerLoadEstimator any = new PeerLoadEstimator();
         long now = 0;
         for (double each : reports) {
             any.reported(each, now);
