--- a/src/main/java/clovermill/memory/CircuitBreaker.java
+++ b/src/main/java/clovermill/memory/CircuitBreaker.java
@@ -1,91 +1,102 @@
 package clovermill.memory;
 
 /**
- * A circuit breaker (Nygard, "Release It!", 2007): opens when the average of failures is too high, lets one trial
- * through when its wait is over, and waits twice as long each time that fails.
+ * A circuit breaker (Nygard, "Release It!", 2007) for one endpoint. It opens when the exponentially weighted average of
+ * failures passes a threshold, lets one trial request through when its delay is over, and doubles that delay each time
+ * the trial fails. Not thread-safe; times are microseconds on the owner's monotonic clock.
  */
 public final class CircuitBreaker {
 
-    /** First wait until a trial, doubled up to the longest. */
-    public static final long TRIAL_US = 1_000_000;
-    public static final long LONGEST_TRIAL_US = 8_000_000;
-    /** Share of the latest outcome in the average: about the last four count. */
-    public static final double NEWS = 0.3;
-    /** It opens when the average of failures passes this: two failures in a row do. */
-    private static final double OPENS = 0.5;
+    /** Delay until the first trial request, in microseconds. */
+    public static final long FIRST_TRIAL_DELAY_US = 1_000_000;
+    /** Upper bound of the delay, which doubles with each failed trial, in microseconds. */
+    public static final long MAX_TRIAL_DELAY_US = 8_000_000;
+    /** Weight of the latest outcome in the average, 0 to 1: about the last four outcomes count. */
+    public static final double OUTCOME_WEIGHT = 0.3;
+    /** The breaker opens when the average of failures passes this: two failures in a row are enough. */
+    private static final double OPEN_THRESHOLD = 0.5;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private double failures;
+    /** Average of failures, from 0 (none) to 1. */
+    private double failureAverage;
     private boolean open;
-    private boolean lost;
-    private long trialUs;
+    /** Whether a connection could not be made since the last success. */
+    private boolean unreachable;
+    /** Present delay between trials; 0 while the endpoint counts as healthy for long. */
+    private long trialDelayUs;
     private long nextTrialUs;
-    private long answeredUs = NEVER;
-    private long brokeUs = NEVER;
+    private long lastSuccessUs = NEVER;
+    private long lastBreakUs = NEVER;
 
-    /** Whether nothing but trials is to go through. */
-    public boolean open() {
+    /** Whether only trial requests may pass. */
+    public boolean isOpen() {
         return open;
     }
 
-    /** Whether it is closed or a trial is due. */
-    public boolean lets(long nowUs) {
+    /** Whether a request may pass: the breaker is closed, or a trial is due. */
+    public boolean allowsRequest(long nowUs) {
         return !open || nowUs >= nextTrialUs;
     }
 
-    /** Whether every failure of late weighs fully: nothing at all came back. */
-    public boolean dead() {
-        return failures >= 1;
+    /** Whether the latest failure had the full weight of 1: not even a connection could be made. */
+    public boolean isFullyFailed() {
+        return failureAverage >= 1;
     }
 
-    /** A failure of such a weight, up to 1; {@code gone} if not even a connection came up. True if it opens by that. */
-    public boolean failed(double weight, boolean gone, long nowUs) {
-        lost |= gone;
-        failures += weight * (1 - failures);
-        if (failures <= OPENS) {
+    /**
+     * Records a failure.
+     *
+     * @param weight how much it counts, from 0 to 1
+     * @param connectFailed whether not even a connection could be made
+     * @return whether the breaker, closed for long, has opened by this failure
+     */
+    public boolean recordFailure(double weight, boolean connectFailed, long nowUs) {
+        unreachable |= connectFailed;
+        failureAverage += weight * (1 - failureAverage);
+        if (failureAverage <= OPEN_THRESHOLD) {
             return false;
         }
-        boolean opens = !open && trialUs == 0;
+        boolean opensAnew = !open && trialDelayUs == 0;
         open = true;
-        trialUs = Math.min(LONGEST_TRIAL_US, Math.max(TRIAL_US, 2 * trialUs));
-        nextTrialUs = nowUs + trialUs;
-        return opens;
+        trialDelayUs = Math.min(MAX_TRIAL_DELAY_US, Math.max(FIRST_TRIAL_DELAY_US, 2 * trialDelayUs));
+        nextTrialUs = nowUs + trialDelayUs;
+        return opensAnew;
     }
 
-    /** A success; true if it closes by that after not even a connection had come up. */
-    public boolean succeeded(long nowUs) {
-        answeredUs = nowUs;
-        boolean back = open && lost;
-        failures = open ? OPENS / 2 : failures * (1 - NEWS);
-        if (!open && nowUs - nextTrialUs > LONGEST_TRIAL_US) {
-            trialUs = 0;
+    /** Records a success, which closes the breaker; returns whether the endpoint had been unreachable before. */
+    public boolean recordSuccess(long nowUs) {
+        lastSuccessUs = nowUs;
+        boolean reachableAgain = open && unreachable;
+        failureAverage = open ? OPEN_THRESHOLD / 2 : failureAverage * (1 - OUTCOME_WEIGHT);
+        if (!open && nowUs - nextTrialUs > MAX_TRIAL_DELAY_US) {
+            trialDelayUs = 0;
         }
         open = false;
-        lost = false;
-        return back;
+        unreachable = false;
+        return reachableAgain;
     }
 
-    /** Whether there was a success after that moment. */
-    public boolean answeredAfter(long us) {
-        return answeredUs > us;
+    /** Whether there was a success after that time. */
+    public boolean succeededAfter(long timeUs) {
+        return lastSuccessUs > timeUs;
     }
 
-    /** A connection broke, with all that was out on it; true if none did so a moment ago. */
-    public boolean broke(long nowUs, long momentUs) {
-        boolean anew = nowUs - brokeUs >= momentUs;
-        brokeUs = anew ? nowUs : brokeUs;
-        return anew;
+    /** Records a broken connection; returns whether it is the first within {@code windowUs}. */
+    public boolean recordBrokenConnection(long nowUs, long windowUs) {
+        boolean first = nowUs - lastBreakUs >= windowUs;
+        lastBreakUs = first ? nowUs : lastBreakUs;
+        return first;
     }
 
-    /** Something goes through: while it is open, the one trial for a while. */
-    public void sent(long nowUs) {
-        nextTrialUs = open ? nowUs + trialUs : nextTrialUs;
+    /** Records that a request was sent: while the breaker is open this is the trial, and the next one has to wait. */
+    public void recordAttempt(long nowUs) {
+        nextTrialUs = open ? nowUs + trialDelayUs : nextTrialUs;
     }
 
-    /** What was known of failures is void. */
-    public void forget() {
+    /** Closes the breaker and forgets past failures: the endpoint has restarted. */
+    public void reset() {
         open = false;
-        failures = 0;
-        trialUs = 0;
+        failureAverage = 0;
+        trialDelayUs = 0;
     }
 }
--- a/src/main/java/clovermill/memory/DeadlineQueue.java
+++ b/src/main/java/clovermill/memory/DeadlineQueue.java
@@ -3,31 +3,34 @@
 import java.util.PriorityQueue;
 import java.util.function.ToLongFunction;
 
-/** What comes due, the earliest first; of those that are due at once, as a heap has them. */
+/**
+ * Items ordered by their deadline in microseconds, the earliest first; the order among equal deadlines is that of a
+ * binary heap. Its owner bounds it. Not thread-safe.
+ */
 public final class DeadlineQueue<T> {
 
     private final PriorityQueue<T> queue;
-    private final ToLongFunction<T> dueUs;
+    private final ToLongFunction<T> deadlineUs;
 
-    /** Ordered by what {@code dueUs} gives, which must not change. */
-    public DeadlineQueue(ToLongFunction<T> dueUs) {
-        this.dueUs = dueUs;
-        this.queue = new PriorityQueue<>((one, other) -> Long.compare(dueUs.applyAsLong(one),
-                dueUs.applyAsLong(other)));
+    /** A queue ordered by {@code deadlineUs}, which must give the same value for an item at all times. */
+    public DeadlineQueue(ToLongFunction<T> deadlineUs) {
+        this.deadlineUs = deadlineUs;
+        this.queue = new PriorityQueue<>((one, other) -> Long.compare(deadlineUs.applyAsLong(one),
+                deadlineUs.applyAsLong(other)));
     }
 
-    /** One more. */
+    /** Adds an item. */
     public void add(T item) {
         queue.add(item);
     }
 
-    /** Takes one out; whether it was there. */
+    /** Removes an item; returns whether it was in the queue. */
     public boolean remove(T item) {
         return queue.remove(item);
     }
 
-    /** Takes out the next that is due, or gives null. */
-    public T due(long nowUs) {
-        return queue.isEmpty() || dueUs.applyAsLong(queue.peek()) > nowUs ? null : queue.poll();
+    /** Removes and returns the next item whose deadline has come, or returns null. */
+    public T pollDue(long nowUs) {
+        return queue.isEmpty() || deadlineUs.applyAsLong(queue.peek()) > nowUs ? null : queue.poll();
     }
 }
--- a/src/main/java/clovermill/memory/DecayingAverage.java
+++ b/src/main/java/clovermill/memory/DecayingAverage.java
@@ -1,19 +1,22 @@
 package clovermill.memory;
 
-/** An average of the latest outcomes that fades where nothing confirms it. */
+/**
+ * An exponentially weighted average of outcomes from 0 to 1 that decays towards 0 while none is recorded. Not
+ * thread-safe; times are microseconds on the owner's monotonic clock.
+ */
 public final class DecayingAverage {
 
     private double average;
-    private long sinceUs;
+    private long lastOutcomeUs;
 
-    /** One more outcome, from 0 to 1. */
+    /** Records an outcome, from 0 to 1. */
     public void add(double outcome, long nowUs) {
-        average += CircuitBreaker.NEWS * (outcome - average);
-        sinceUs = nowUs;
+        average += CircuitBreaker.OUTCOME_WEIGHT * (outcome - average);
+        lastOutcomeUs = nowUs;
     }
 
-    /** What it is worth now. */
-    public double at(long nowUs) {
-        return average * Math.exp(-(nowUs - sinceUs) / InFlightCount.SPAN_US);
+    /** The average, decayed since the last outcome. */
+    public double valueAt(long nowUs) {
+        return average * Math.exp(-(nowUs - lastOutcomeUs) / InFlightCount.AVERAGING_TIME_US);
     }
 }
--- a/src/main/java/clovermill/memory/DecayingCounts.java
+++ b/src/main/java/clovermill/memory/DecayingCounts.java
@@ -2,26 +2,29 @@
 
 import java.util.Arrays;
 
-/** Counts that are halved at fixed intervals. */
+/** An array of counts that are halved at fixed intervals. Not thread-safe; times are microseconds. */
 public final class DecayingCounts {
 
-    private final long halvingUs;
+    /** A greater shift would lose a long's bits; counts are 0 long before. */
+    private static final int MAX_SHIFT = 62;
+
+    private final long halvingIntervalUs;
     private double[] counts = {};
-    private long halvedUs;
+    private long lastHalvingUs;
 
-    /** Counts that are halved each {@code halvingUs}. */
-    public DecayingCounts(long halvingUs) {
-        this.halvingUs = halvingUs;
+    /** Counts that are halved each {@code halvingIntervalUs}. */
+    public DecayingCounts(long halvingIntervalUs) {
+        this.halvingIntervalUs = halvingIntervalUs;
     }
 
-    /** At least so many counts as they are now; the caller may add to them. */
-    public double[] at(int many, long nowUs) {
-        halvedUs = counts.length == 0 ? nowUs : halvedUs;
-        counts = counts.length < many ? Arrays.copyOf(counts, many) : counts;
-        long halvings = (nowUs - halvedUs) / halvingUs;
-        halvedUs += halvings * halvingUs;
+    /** The counts as they are now, {@code size} of them at least, in the array itself: the caller may add to them. */
+    public double[] countsAt(int size, long nowUs) {
+        lastHalvingUs = counts.length == 0 ? nowUs : lastHalvingUs;
+        counts = counts.length < size ? Arrays.copyOf(counts, size) : counts;
+        long halvings = (nowUs - lastHalvingUs) / halvingIntervalUs;
+        lastHalvingUs += halvings * halvingIntervalUs;
         for (int i = 0; halvings > 0 && i < counts.length; i++) {
-            counts[i] /= 1L << Math.min(62, halvings);
+            counts[i] /= 1L << Math.min(MAX_SHIFT, halvings);
         }
         return counts;
     }
--- a/src/main/java/clovermill/memory/DecayingRate.java
+++ b/src/main/java/clovermill/memory/DecayingRate.java
@@ -3,36 +3,44 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What is served for each weight and time, on average of late. Both its sums fade with the time of what was up only:
- * what is known of capacity stays while nothing is.
+ * The throughput of a group of endpoints for each unit of weight: recent work over recent exposure (weight times time
+ * of what could serve). Both sums decay only with the time during which something could serve, so that what is known of
+ * the capacity stays while all is down. Not thread-safe; times are microseconds on the owner's monotonic clock.
  */
 public final class DecayingRate {
 
-    private static final long STEP_US = 100_000;
+    /** Sums are brought up to date no more often than this. */
+    private static final long UPDATE_INTERVAL_US = 100_000;
 
-    private double work;
+    private double workUs;
     private double exposure;
-    private long advancedUs;
+    private long lastUpdateUs;
 
-    /** Lets time pass: of {@code weight} in all, {@code up} could have served. */
-    public void advance(long nowUs, double weight, DoubleSupplier up) {
-        double span = nowUs - advancedUs;
-        if (span >= STEP_US) {
-            double upNow = up.getAsDouble();
-            double fade = weight == 0 ? 1 : Math.exp(-span * upNow / weight / InFlightCount.SPAN_US);
-            work *= fade;
-            exposure = advancedUs == 0 ? 0 : exposure * fade + upNow * span;
-            advancedUs = nowUs;
+    /**
+     * Lets time pass.
+     *
+     * @param totalWeight the weight of the whole group
+     * @param availableWeight the weight of what could have served since the last call; asked only where it is used
+     */
+    public void advance(long nowUs, double totalWeight, DoubleSupplier availableWeight) {
+        double spanUs = nowUs - lastUpdateUs;
+        if (spanUs >= UPDATE_INTERVAL_US) {
+            double available = availableWeight.getAsDouble();
+            double decay = totalWeight == 0 ? 1
+                    : Math.exp(-spanUs * available / totalWeight / InFlightCount.AVERAGING_TIME_US);
+            workUs *= decay;
+            exposure = lastUpdateUs == 0 ? 0 : exposure * decay + available * spanUs;
+            lastUpdateUs = nowUs;
         }
     }
 
-    /** So much was served. */
-    public void add(double served) {
-        work += served;
+    /** Records work that was served, in microseconds of service time. */
+    public void add(double servedUs) {
+        workUs += servedUs;
     }
 
-    /** Per weight and microsecond; 0 where nothing is known. */
+    /** Microseconds of service time for each unit of weight and microsecond; 0 where nothing is known. */
     public double rate() {
-        return exposure == 0 ? 0 : work / exposure;
+        return exposure == 0 ? 0 : workUs / exposure;
     }
 }
--- a/src/main/java/clovermill/memory/HashRing.java
+++ b/src/main/java/clovermill/memory/HashRing.java
@@ -8,33 +8,37 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 
-/** Consistent hashing: each member at many points, in proportion to its weight; the same at every director. */
+/**
+ * A consistent-hash ring (Karger et al., 1997): each member has virtual nodes in proportion to its weight. The ring is
+ * a function of ids and weights alone, so it is the same at every director. Not thread-safe.
+ */
 public final class HashRing<T> {
 
-    /** Points of a member of mean weight: evens out the arcs of a few members to about a tenth. */
-    private static final int POINTS = 100;
+    /** Virtual nodes of a member of mean weight: with a few members their shares are even to about a tenth. */
+    private static final int VIRTUAL_NODES = 100;
 
-    private final TreeMap<Long, T> points = new TreeMap<>();
+    private final TreeMap<Long, T> virtualNodes = new TreeMap<>();
 
-    /** Takes over a list of members in place of the one before. */
-    public void list(List<T> members, Function<T, String> id, ToDoubleFunction<T> weight) {
-        double all = members.stream().mapToDouble(weight).sum();
-        points.clear();
+    /** Replaces all members. */
+    public void setMembers(List<T> members, Function<T, String> id, ToDoubleFunction<T> weight) {
+        double totalWeight = members.stream().mapToDouble(weight).sum();
+        virtualNodes.clear();
         for (T member : members) {
-            long count = Math.max(1, Math.round(POINTS * weight.applyAsDouble(member) * members.size() / all));
+            long count = Math.max(1,
+                    Math.round(VIRTUAL_NODES * weight.applyAsDouble(member) * members.size() / totalWeight));
             long seed = hash(id.apply(member));
             for (int i = 0; i < count; i++) {
-                points.put(mix(seed + i), member);
+                virtualNodes.put(mix(seed + i), member);
             }
         }
     }
 
-    /** The first member clockwise from a point that will do, or null; each is asked once at most. */
-    public T firstFrom(long point, Predicate<T> willDo) {
-        List<T> refused = new ArrayList<>(4);
-        for (Map<Long, T> arc : List.of(points.tailMap(point), points.headMap(point))) {
+    /** The first member clockwise from a point that is accepted, or null; each member is tested at most once. */
+    public T firstClockwise(long point, Predicate<T> accepts) {
+        List<T> tested = new ArrayList<>(4);
+        for (Map<Long, T> arc : List.of(virtualNodes.tailMap(point), virtualNodes.headMap(point))) {
             for (T member : arc.values()) {
-                if (!refused.contains(member) && refused.add(member) && willDo.test(member)) {
+                if (!tested.contains(member) && tested.add(member) && accepts.test(member)) {
                     return member;
                 }
             }
@@ -46,7 +50,7 @@
         return text.chars().asLongStream().reduce(0, (hash, letter) -> mix(hash ^ letter));
     }
 
-    /** The finalizer of SplitMix64 (Steele, Lea, Flood, 2014). */
+    /** Spreads the bits of a value: the finalizer of SplitMix64 (Steele, Lea, Flood, 2014). */
     public static long mix(long value) {
         long z = value + 0x9E3779B97F4A7C15L;
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/clovermill/memory/InFlightCount.java
+++ b/src/main/java/clovermill/memory/InFlightCount.java
@@ -1,29 +1,32 @@
 package clovermill.memory;
 
-/** How much is out at something, now and on average of late. */
+/**
+ * How many attempts are in flight at an endpoint, now and on exponentially weighted average over time. Not thread-safe;
+ * times are microseconds on the owner's monotonic clock.
+ */
 public final class InFlightCount {
 
-    /** Span of running averages over time: some requests, though traffic is thin. */
-    public static final double SPAN_US = 5_000_000;
+    /** Time constant of averages over time: several requests fall into it even where traffic is thin. */
+    public static final double AVERAGING_TIME_US = 5_000_000;
 
-    private int now;
+    private int current;
     private double mean;
-    private long sinceUs;
+    private long lastChangeUs;
 
-    /** So much more is out from now on; less where negative. */
-    public void add(int more, long nowUs) {
-        mean = mean(nowUs);
-        sinceUs = nowUs;
-        now += more;
+    /** Adds to the count; takes away where {@code delta} is negative. */
+    public void add(int delta, long nowUs) {
+        mean = meanAt(nowUs);
+        lastChangeUs = nowUs;
+        current += delta;
     }
 
-    /** What is out now. */
-    public int now() {
-        return now;
+    /** The present count. */
+    public int current() {
+        return current;
     }
 
-    /** What was out on average. */
-    public double mean(long nowUs) {
-        return now + (mean - now) * Math.exp(-(nowUs - sinceUs) / SPAN_US);
+    /** The average of late. */
+    public double meanAt(long nowUs) {
+        return current + (mean - current) * Math.exp(-(nowUs - lastChangeUs) / AVERAGING_TIME_US);
     }
 }
--- a/src/main/java/clovermill/memory/LruMap.java
+++ b/src/main/java/clovermill/memory/LruMap.java
@@ -3,21 +3,21 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A bounded map that forgets what was used longest ago. */
+/** A map of bounded size that evicts its least recently used entry. Not thread-safe. */
 public final class LruMap<K, V> extends LinkedHashMap<K, V> {
 
     private static final long serialVersionUID = 1L;
 
-    private final int most;
+    private final int maxEntries;
 
-    /** Holds {@code most} entries at most. */
-    public LruMap(int most) {
+    /** Holds {@code maxEntries} at most. */
+    public LruMap(int maxEntries) {
         super(1024, 0.75f, true);
-        this.most = most;
+        this.maxEntries = maxEntries;
     }
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-        return size() > most;
+        return size() > maxEntries;
     }
 }
--- a/src/main/java/clovermill/memory/PurgeLog.java
+++ b/src/main/java/clovermill/memory/PurgeLog.java
@@ -3,41 +3,48 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The purges of late, of objects and of whole groups: when each was made at the origin, and when it was told. */
+/**
+ * Recent purges of objects and of groups of objects, each with the time when it was made at the origin and the time
+ * when it became known here. Bounded by age alone. Not thread-safe; times are microseconds on the owner's monotonic
+ * clock.
+ */
 public final class PurgeLog {
 
-    /** Stands for no purge: before any. */
+    /** Stands for no purge: a time before any other. */
     public static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** By object (a Long) or group (an Integer), the latest told last. */
+    /** By object (a Long) or group (an Integer), the latest known last. */
     private final Map<Object, Purge> purges = new LinkedHashMap<>();
 
-    private record Purge(long madeUs, long toldUs) {}
+    private record Purge(long madeUs, long knownUs) {}
 
-    /** Takes a purge of an object or, where that is null, a group; forgets those told over {@code keptUs} ago. */
-    public void add(Long object, int group, long madeUs, long nowUs, long keptUs) {
+    /**
+     * Adds a purge of an object or, where that is null, of a group, and drops those known for longer than
+     * {@code retentionUs}.
+     */
+    public void add(Long object, int group, long madeUs, long nowUs, long retentionUs) {
         Object key = object != null ? object : (Object) group;
-        Purge old = purges.remove(key);
-        purges.put(key, new Purge(old == null ? madeUs : Math.max(old.madeUs, madeUs), nowUs));
-        while (nowUs - purges.values().iterator().next().toldUs > keptUs) {
+        Purge previous = purges.remove(key);
+        purges.put(key, new Purge(previous == null ? madeUs : Math.max(previous.madeUs, madeUs), nowUs));
+        while (nowUs - purges.values().iterator().next().knownUs > retentionUs) {
             purges.remove(purges.keySet().iterator().next());
         }
     }
 
-    /** Whether what was seen then was seen after every purge of the object or its group was told. */
-    public boolean seenAfter(long object, int group, long seenUs) {
-        return after(purges.get(object), seenUs) && after(purges.get(group), seenUs);
+    /** Whether a copy that was confirmed then was confirmed after every known purge of its object and group. */
+    public boolean confirmedSincePurge(long object, int group, long confirmedUs) {
+        return isAfter(purges.get(object), confirmedUs) && isAfter(purges.get(group), confirmedUs);
     }
 
-    private static boolean after(Purge purge, long seenUs) {
-        return purge == null || seenUs > purge.toldUs;
+    private static boolean isAfter(Purge purge, long confirmedUs) {
+        return purge == null || confirmedUs > purge.knownUs;
     }
 
-    /** When the latest purge of an object was made, if it was told {@code doneUs} ago at most; else NEVER. */
-    public long madeUs(long object, int group, long nowUs, long doneUs) {
-        Purge own = purges.get(object);
-        Purge all = purges.get(group);
-        Purge latest = own == null || all != null && all.madeUs > own.madeUs ? all : own;
-        return latest == null || nowUs - latest.toldUs > doneUs ? NEVER : latest.madeUs;
+    /** When the latest purge of an object or its group was made, if known for {@code activeUs} at most; else NEVER. */
+    public long latestPurgeUs(long object, int group, long nowUs, long activeUs) {
+        Purge ofObject = purges.get(object);
+        Purge ofGroup = purges.get(group);
+        Purge latest = ofObject == null || ofGroup != null && ofGroup.madeUs > ofObject.madeUs ? ofGroup : ofObject;
+        return latest == null || nowUs - latest.knownUs > activeUs ? NEVER : latest.madeUs;
     }
 }
--- a/src/main/java/clovermill/memory/TokenBucket.java
+++ b/src/main/java/clovermill/memory/TokenBucket.java
@@ -1,42 +1,51 @@
 package clovermill.memory;
 
-/** A budget that grows with time, up to none left over, and may be overdrawn by what is spent at once. */
+/**
+ * A token bucket of no burst that may be overdrawn: it refills with time up to a balance of 0, a request is admitted
+ * while the balance is not negative, and its cost is taken at once. Tokens are microseconds of service time. Not
+ * thread-safe; times are microseconds on the owner's monotonic clock.
+ */
 public final class TokenBucket {
 
-    private double left;
-    /** A debt in parts of a request, until it is known how much work one is. */
-    private double owed;
-    private long sinceUs;
+    /** Tokens left, at most 0. */
+    private double balanceUs;
+    /** An initial debt in requests, until the cost of a request is known. */
+    private double debtRequests;
+    private long lastRefillUs;
 
-    /** Begins anew with a debt of a part of one request. */
-    public void begin(double part, long nowUs) {
-        left = 0;
-        owed = part;
-        sinceUs = nowUs;
+    /** Empties the bucket and starts with a debt of so many requests, a fraction. */
+    public void reset(double requests, long nowUs) {
+        balanceUs = 0;
+        debtRequests = requests;
+        lastRefillUs = nowUs;
     }
 
-    /** When it grew last. */
-    public long sinceUs() {
-        return sinceUs;
+    /** When it was refilled last. */
+    public long lastRefillUs() {
+        return lastRefillUs;
     }
 
     /**
-     * Grows at so much a microsecond up to now; what is left. While nobody knows how much a request is, {@code
-     * requestUs} is 0, and only who owes no more than the part {@code free} has something: many directors that have
-     * just started would have a free request each else.
+     * Refills the bucket up to now and returns the balance. While the cost of a request is not known, only a bucket
+     * whose debt is no more than {@code freeRequests} has a balance that admits: otherwise each of many directors that
+     * have just started would have a free request.
+     *
+     * @param ratePerUs tokens a microsecond
+     * @param requestUs the cost of one request in tokens; 0 if it is not known
+     * @param freeRequests the debt, in requests, that may stand while the cost is not known
      */
-    public double grow(double perUs, double requestUs, double free, long nowUs) {
+    public double refill(double ratePerUs, double requestUs, double freeRequests, long nowUs) {
         if (requestUs > 0) {
-            left -= owed * requestUs;
-            owed = 0;
+            balanceUs -= debtRequests * requestUs;
+            debtRequests = 0;
         }
-        left = Math.min(0, left + perUs * (nowUs - sinceUs));
-        sinceUs = nowUs;
-        return owed > free ? -1 : left;
+        balanceUs = Math.min(0, balanceUs + ratePerUs * (nowUs - lastRefillUs));
+        lastRefillUs = nowUs;
+        return debtRequests > freeRequests ? -1 : balanceUs;
     }
 
-    /** Spends so much. */
-    public void spend(double amount) {
-        left -= amount;
+    /** Takes the cost of a request, in tokens; the balance may become negative. */
+    public void consume(double costUs) {
+        balanceUs -= costUs;
     }
 }
--- a/src/main/java/clovermill/memory/package-info.java
+++ b/src/main/java/clovermill/memory/package-info.java
@@ -1,6 +1,13 @@
 /**
- * What one director remembers, in plain structures that decide nothing: a ring of members, means, counts that fade,
- * the purges of late. No I/O, no clock, no thread: the owner passes the time in microseconds. What is decided by them
- * stands in {@link clovermill.module.RequestRouter}.
+ * Statistics that the routing decisions keep, in small structures that decide nothing themselves.
+ *
+ * <p>Look first at {@link clovermill.memory.CircuitBreaker} (one endpoint's failures), {@link
+ * clovermill.memory.TokenBucket} (the budget of an endpoint in slow start), {@link clovermill.memory.InFlightCount}
+ * (load), {@link clovermill.memory.HashRing} (consistent hashing) and {@link clovermill.memory.PurgeLog}. The rest are
+ * averages and counts that decay with time, a queue by deadline and a map with LRU eviction.
+ *
+ * <p>No I/O, clock, thread or randomness: the owner passes the time, always in microseconds (suffix {@code Us}) of a
+ * monotonic clock. Nothing here is thread-safe. What is decided by these figures stands in
+ * {@link clovermill.module.RequestRouter} and the classes that it wires.
  */
 package clovermill.memory;
--- /dev/null
+++ b/src/main/java/clovermill/module/AttemptSender.java
@@ -0,0 +1,66 @@
+package clovermill.module;
+
+import clovermill.CacheRouter.Effect;
+import clovermill.CacheRouter.Permissions;
+import clovermill.CacheRouter.Request;
+import clovermill.CacheRouter.Send;
+import clovermill.CacheRouter.SendVia;
+import clovermill.memory.PurgeLog;
+
+/** Sends attempts: charges them to the endpoints that they load, and gives the host its orders for a miss. */
+final class AttemptSender {
+
+    private final RoutingContext context;
+    private final CacheContentsIndex contents;
+    private final CapacityEstimator capacity;
+    private final OutlierDetector outliers;
+    private final SlowStart slowStart;
+    private final HedgingPolicy hedging;
+
+    AttemptSender(RoutingContext context, CacheContentsIndex contents, CapacityEstimator capacity,
+            OutlierDetector outliers, SlowStart slowStart, HedgingPolicy hedging) {
+        this.context = context;
+        this.contents = contents;
+        this.capacity = capacity;
+        this.outliers = outliers;
+        this.slowStart = slowStart;
+        this.hedging = hedging;
+    }
+
+    /** Sends an attempt of a request by a route that has a target. */
+    void send(PendingRequest pending, Route route) {
+        int index = pending.attemptsSent++;
+        charge(pending, route.target());
+        if (route.source() != null && route.source() != route.target()) {
+            charge(pending, route.source());
+        }
+        Attempt attempt = new Attempt(index, pending, route, context.nowUs, context.nowUs + pending.targetLatencyUs,
+                capacity.loadOn(route));
+        capacity.recordSent(attempt);
+        pending.inFlight.put(index, attempt);
+        if (index == 0 && pending.requestClass.effect() != Effect.AT_MOST_ONCE
+                && context.settings.allowed().secondCopies()) {
+            hedging.addCandidate(attempt);
+        }
+        emitSend(pending, route);
+    }
+
+    private void charge(PendingRequest pending, Endpoint endpoint) {
+        outliers.recordAttempt(endpoint);
+        slowStart.chargeAttempt(endpoint, pending);
+    }
+
+    private void emitSend(PendingRequest pending, Route route) {
+        Request request = pending.request;
+        long leftUs = pending.deadlineUs - context.nowUs;
+        if (route.source() == null) {
+            context.emit(new Send(request.id(), route.target().id, leftUs));
+            return;
+        }
+        Permissions allowed = context.settings.allowed();
+        boolean join = allowed.joins() && contents.activePurgeUs(request) == PurgeLog.NEVER;
+        boolean renew = pending.requestClass.freshUs() > 0;
+        context.emit(new SendVia(request.id(), route.target().id, leftUs, route.source().id, route.copyRank(),
+                contents.maxAgeUs(pending), join, route.heldOnly(), false, renew));
+    }
+}
--- a/src/main/java/clovermill/module/CapacityEstimator.java
+++ b/src/main/java/clovermill/module/CapacityEstimator.java
@@ -3,114 +3,160 @@
 import clovermill.CacheRouter.LoadReport;
 import clovermill.memory.DeadlineQueue;
 import clovermill.memory.InFlightCount;
+import clovermill.module.Attempt.LoadSnapshot;
 import clovermill.module.Endpoint.Role;
 import clovermill.spread.decide.ConcurrencyEstimator;
 import java.util.List;
 
-/** How many transfers members, and the link in, hold and can hold at full pace: told, reported or learned. */
+/**
+ * The load and the capacity of endpoints and of the link in, both in transfers: configured, reported or learned. From
+ * both follows whether an endpoint would answer a request in time.
+ */
 final class CapacityEstimator {
 
-    private final RoutingContext state;
-    /** All fills share it; where nothing is told of it, its room is learned. */
-    final Endpoint link = new Endpoint("link");
-    /** Load until they end or their wanted time is over, lest what hangs looks like transfers; then late. */
-    private final DeadlineQueue<Attempt> counted = new DeadlineQueue<>(Attempt::dueUs);
+    /** A loaded cache hands a request over when its answer would take this share of the latency target. */
+    static final double HANDOVER_SHARE = 0.6;
 
-    CapacityEstimator(RoutingContext state) {
-        this.state = state;
-        double kbPerS = state.settings.linkKbPerS();
-        link.weight = kbPerS > 0 ? kbPerS / state.settings.paceKbPerS() : Double.NaN;
+    private final RoutingContext context;
+    private final EndpointSet endpoints;
+    /** The link into the location, which all fills share; where its rate is not configured its capacity is learned. */
+    private final Endpoint link = new Endpoint("link");
+    /**
+     * Attempts that count as load: until they end or their latency target has passed, because an attempt that hangs is
+     * no transfer. Bounded by the open requests.
+     */
+    private final DeadlineQueue<Attempt> counted = new DeadlineQueue<>(Attempt::targetUs);
+
+    CapacityEstimator(RoutingContext context, EndpointSet endpoints) {
+        this.context = context;
+        this.endpoints = endpoints;
+        double linkKbPerS = context.settings.linkKbPerS();
+        link.weight = linkKbPerS > 0 ? linkKbPerS / context.settings.paceKbPerS() : Double.NaN;
     }
 
-    /** What target, filler and link hold, for an attempt that goes out now. */
-    double[] loads(Route choice) {
-        return new double[] {load(choice.target()), choice.filler() == null ? 0 : load(choice.filler()), load(link)};
+    /** The load that an attempt meets if it is sent now. */
+    LoadSnapshot loadOn(Route route) {
+        return new LoadSnapshot(load(route.target()), route.fillExpected() ? load(route.source()) : 0, load(link));
     }
 
-    void sent(Attempt attempt) {
-        hold(attempt, 1);
+    /** Counts an attempt that was sent. */
+    void recordSent(Attempt attempt) {
+        addToLoad(attempt, 1);
         counted.add(attempt);
     }
 
-    void ended(Attempt attempt, LoadReport report) {
+    /** An attempt has ended; {@code report}, the endpoint's own load report, may be null. */
+    void recordEnd(Attempt attempt, LoadReport report) {
         if (counted.remove(attempt)) {
-            hold(attempt, -1);
+            addToLoad(attempt, -1);
         }
         if (report != null) {
-            attempt.choice().target().shared.reported(report.held(), state.now);
-            link.shared.reported(report.linkUse() * link.weight, state.now);
+            attempt.route().target().peerLoad.recordReport(report.held(), context.nowUs);
+            link.peerLoad.recordReport(report.linkUse() * link.weight, context.nowUs);
         }
     }
 
-    /** Lets time pass: what is late now shows how slow its member is at least. */
+    /** Lets time pass: an attempt whose latency target has passed shows how slow its endpoint is at least. */
     void advance() {
-        for (Attempt late = counted.due(state.now); late != null; late = counted.due(state.now)) {
-            hold(late, -1);
-            Endpoint slow = late.choice().filler() == null ? late.choice().target() : late.choice().source();
-            if (!slow.room.learnedAfter(late.sentUs())) {
-                paced(late, slow != late.choice().target(), late.pending().aimUs);
+        for (Attempt late = counted.pollDue(context.nowUs); late != null; late = counted.pollDue(context.nowUs)) {
+            addToLoad(late, -1);
+            Route route = late.route();
+            Endpoint slow = route.fillExpected() ? route.source() : route.target();
+            if (!slow.concurrency.sampledAfter(late.sentUs())) {
+                recordPace(late, slow != route.target(), late.request().targetLatencyUs);
             }
         }
     }
 
-    /** Counts an attempt at its target and, if it is expected to be a fill, at its source and the link. */
-    private void hold(Attempt attempt, int more) {
-        Route choice = attempt.choice();
-        for (Endpoint node : choice.filler() == null ? List.of(choice.target())
-                : List.of(choice.target(), choice.filler(), link)) {
-            node.held.add(more, state.now);
-            if (attempt.pending().tellsPace()) {
-                node.room.tried(state.now);
+    /** Counts an attempt at its target and, where a fill is expected, at its source and the link. */
+    private void addToLoad(Attempt attempt, int delta) {
+        Route route = attempt.route();
+        for (Endpoint loaded : route.fillExpected() ? List.of(route.target(), route.source(), link)
+                : List.of(route.target())) {
+            loaded.inFlight.add(delta, context.nowUs);
+            if (attempt.request().isPaceBound()) {
+                loaded.concurrency.recordActivity(context.nowUs);
             }
         }
     }
 
-    /** Learns from an answer that came, or is late; what is known to be the hub's doing tells nothing of the link. */
-    void paced(Attempt attempt, boolean filled, long elapsedUs) {
-        double stretch = Math.max(1, (double) elapsedUs / attempt.pending().workUs);
-        Endpoint source = attempt.choice().source();
-        boolean known =
-                filled && attempt.loads()[1] + 1 >= Math.max(ConcurrencyEstimator.STRETCHED, stretch) * room(source);
-        int last = !attempt.pending().tellsPace() ? 0 : !filled ? 1 : known ? 2 : 3;
-        for (int i = filled ? 1 : 0; i < last; i++) {
-            Endpoint node = i == 0 ? attempt.choice().target() : i == 1 ? source : link;
-            node.room.shown(((attempt.loads()[i] + load(node)) / 2 + 1) / stretch, stretch, room(node), state.now);
+    /**
+     * Learns from the time of an answer that came, or is late: of the target where it was a hit, otherwise of the
+     * source and the link. What the source's known load explains tells nothing of the link.
+     */
+    void recordPace(Attempt attempt, boolean filled, long elapsedUs) {
+        if (!attempt.request().isPaceBound()) {
+            return;
+        }
+        LoadSnapshot atSend = attempt.loadAtSend();
+        double slowdown = Math.max(1, (double) elapsedUs / attempt.request().serviceUs);
+        if (!filled) {
+            recordSample(attempt.route().target(), atSend.target(), slowdown);
+            return;
+        }
+        Endpoint source = attempt.route().source();
+        boolean explainedBySource = atSend.source() + 1 >= Math.max(ConcurrencyEstimator.SATURATION_SLOWDOWN, slowdown)
+                * capacity(source);
+        recordSample(source, atSend.source(), slowdown);
+        if (!explainedBySource) {
+            recordSample(link, atSend.link(), slowdown);
         }
     }
 
-    void crowded(Endpoint node) {
-        node.room.turnedAway(load(node), room(node), state.now);
+    private void recordSample(Endpoint endpoint, double loadAtSend, double slowdown) {
+        double meanLoad = (loadAtSend + load(endpoint)) / 2 + 1;
+        endpoint.concurrency.recordSample(meanLoad / slowdown, slowdown, capacity(endpoint), context.nowUs);
+    }
+
+    /** An endpoint has rejected a request. */
+    void recordRejection(Endpoint endpoint) {
+        endpoint.concurrency.recordRejection(load(endpoint), capacity(endpoint), context.nowUs);
+    }
+
+    /** The link had no place for a fill. */
+    void recordLinkRejection() {
+        recordRejection(link);
     }
 
     /**
-     * Transfers at a member: those of this director that are out, and its fellows', by reports; where there are none,
-     * for each fellow what this one has out there on average, since all see the same clients.
+     * Transfers at an endpoint: this director's own and, by reports, those of the other directors. Without reports each
+     * other director is taken to have what this one has on average, because all see the same clients.
      */
-    private double load(Endpoint node) {
-        double known = 1 - Math.exp(-Math.max(1, state.now - state.startedUs) / InFlightCount.SPAN_US);
-        double held = node.held.mean(state.now);
-        return node.held.now() + node.shared.fellows(held, (state.members.sharers(node) - 1) * held / known, state.now);
+    private double load(Endpoint endpoint) {
+        double observedShare = 1
+                - Math.exp(-Math.max(1, context.nowUs - context.startedUs) / InFlightCount.AVERAGING_TIME_US);
+        double ownMean = endpoint.inFlight.meanAt(context.nowUs);
+        double guess = (endpoints.directorsSharing(endpoint) - 1) * ownMean / observedShare;
+        return endpoint.inFlight.current() + endpoint.peerLoad.peerLoad(ownMean, guess, context.nowUs);
     }
 
     /**
-     * Whether a member, its pace shared among all it holds, would answer in time; a full margin is left where its load
-     * is fellows' and so only guessed.
+     * Whether an endpoint, its pace shared among all that it holds, would answer within a share of the latency target;
+     * the more of its load is other directors' and so only guessed, the more of the margin of HANDOVER_SHARE is kept.
      */
-    boolean at(Endpoint node, PendingRequest pending, double share) {
-        double most = RoutingContext.HAND_OVER
-                + (node.held.now() + 1) / (load(node) + 1) * (share - RoutingContext.HAND_OVER);
-        return pending.workUs * Math.max(1, strain(node)) <= most * pending.aimUs;
+    boolean canAnswerWithin(double share, Endpoint endpoint, PendingRequest pending) {
+        double ownShare = (endpoint.inFlight.current() + 1) / (load(endpoint) + 1);
+        double safeShare = HANDOVER_SHARE + ownShare * (share - HANDOVER_SHARE);
+        return pending.serviceUs * Math.max(1, utilization(endpoint)) <= safeShare * pending.targetLatencyUs;
+    }
+
+    /** Whether a fill over the link would come within the latency target. */
+    boolean canFillInTime(PendingRequest pending) {
+        return canAnswerWithin(1, link, pending);
     }
 
-    /** Transfers at a member, with one more, to each that it can hold at full pace. */
-    double strain(Endpoint node) {
-        return node.room.crowded(state.now) ? Double.POSITIVE_INFINITY : (load(node) + 1) / room(node);
+    /** Transfers at an endpoint with one more, over its capacity; infinite just after it has rejected a request. */
+    double utilization(Endpoint endpoint) {
+        return endpoint.concurrency.isBackingOff(context.nowUs) ? Double.POSITIVE_INFINITY
+                : (load(endpoint) + 1) / capacity(endpoint);
     }
 
-    /** The transfers that a member can hold at full pace: what was learned, or what is told of it. */
-    private double room(Endpoint node) {
-        double most = (node == link ? link.weight > 0 : state.settings.weighted() && node.role == Role.CACHE)
-                ? node.weight : Double.POSITIVE_INFINITY;
-        return node == link && link.shared.told() ? most : node.room.at(state.now, most);
+    /** The transfers that an endpoint can hold at full pace: learned, else configured, else unlimited. */
+    private double capacity(Endpoint endpoint) {
+        boolean configured = endpoint == link ? link.weight > 0
+                : context.settings.weighted() && endpoint.role == Role.CACHE;
+        double limit = configured ? endpoint.weight : Double.POSITIVE_INFINITY;
+        return endpoint == link && link.peerLoad.hasReport() ? limit
+                : endpoint.concurrency.limit(context.nowUs, limit);
     }
 }
--- a/src/main/java/clovermill/module/Endpoint.java
+++ b/src/main/java/clovermill/module/Endpoint.java
@@ -6,22 +6,30 @@
 import clovermill.spread.decide.ConcurrencyEstimator;
 import clovermill.spread.decide.PeerLoadEstimator;
 
-/** A member, or the link in, as this director knows it. */
+/** A cache, a parent, the origin or the location's link in, with what this director has learned of it. */
 final class Endpoint {
 
+    /** The tier of an endpoint. */
     enum Role { CACHE, PARENT, ORIGIN }
 
     final String id;
-    final InFlightCount held = new InFlightCount();
-    final PeerLoadEstimator shared = new PeerLoadEstimator();
-    final ConcurrencyEstimator room = new ConcurrencyEstimator();
+    /** Attempts of this director that load it. */
+    final InFlightCount inFlight = new InFlightCount();
+    /** Attempts of the other directors. */
+    final PeerLoadEstimator peerLoad = new PeerLoadEstimator();
+    /** Transfers that it can hold at full pace. */
+    final ConcurrencyEstimator concurrency = new ConcurrencyEstimator();
     final CircuitBreaker breaker = new CircuitBreaker();
-    final TokenBucket credit = new TokenBucket();
+    /** The service time that this director may still ask of it during slow start, in microseconds. */
+    final TokenBucket slowStartBudget = new TokenBucket();
     Role role = Role.CACHE;
     int zone;
     int cell;
+    /** Capacity in transfers at full pace, or in proportion to it, as listed. */
     double weight;
+    /** When it started, in microseconds; 0 if long ago. */
     long startedUs;
+    /** Whether it may be used: listed as healthy and not taken out by operators. */
     boolean listed;
 
     Endpoint(String id) {
--- a/src/main/java/clovermill/module/EndpointRing.java
+++ b/src/main/java/clovermill/module/EndpointRing.java
@@ -3,24 +3,28 @@
 import clovermill.memory.DecayingRate;
 import clovermill.memory.HashRing;
 import java.util.List;
+import java.util.function.Predicate;
 
-/** The members of one role by consistent hashing, and what the warm ones among them serve. */
+/** The endpoints of one role on a consistent-hash ring, and the throughput of the warm ones among them. */
 final class EndpointRing {
 
-    final HashRing<Endpoint> points = new HashRing<>();
-    final DecayingRate served = new DecayingRate();
-    List<Endpoint> members = List.of();
-    private double weight;
+    final HashRing<Endpoint> hashRing = new HashRing<>();
+    /** Service time that warm endpoints have given this director, for each unit of weight and time. */
+    final DecayingRate throughput = new DecayingRate();
+    List<Endpoint> endpoints = List.of();
+    private double totalWeight;
 
-    /** Takes over a list of members; what is known of the load stays. */
-    void list(List<Endpoint> listed) {
-        members = listed;
-        weight = members.stream().mapToDouble(node -> node.weight).sum();
-        points.list(members, node -> node.id, node -> node.weight);
+    /** Replaces the endpoints; the measured throughput stays. */
+    void setEndpoints(List<Endpoint> listed) {
+        endpoints = listed;
+        totalWeight = endpoints.stream().mapToDouble(endpoint -> endpoint.weight).sum();
+        hashRing.setMembers(endpoints, endpoint -> endpoint.id, endpoint -> endpoint.weight);
     }
 
-    void advance(long now, SlowStart cold) {
-        served.advance(now, weight, () -> members.stream()
-                .mapToDouble(node -> node.breaker.open() || cold.cold(node) ? 0 : node.weight).sum());
+    /** Lets time pass for the throughput; endpoints that are warming up or failing count as not available. */
+    void advance(long nowUs, Predicate<Endpoint> warmingUp) {
+        throughput.advance(nowUs, totalWeight, () -> endpoints.stream()
+                .mapToDouble(endpoint -> endpoint.breaker.isOpen() || warmingUp.test(endpoint) ? 0 : endpoint.weight)
+                .sum());
     }
 }
--- a/src/main/java/clovermill/module/EndpointSet.java
+++ b/src/main/java/clovermill/module/EndpointSet.java
@@ -1,66 +1,94 @@
 package clovermill.module;
 
-import clovermill.CacheRouter;
+import clovermill.CacheRouter.Availability;
+import clovermill.CacheRouter.ListScope;
+import clovermill.CacheRouter.Member;
+import clovermill.CacheRouter.Members;
 import clovermill.module.Endpoint.Role;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** The members that are listed, by role; an entry that tells of a new start clears what was known of it. */
+/** The listed endpoints by role. Bounded by the list of members. */
 final class EndpointSet {
 
-    private final RoutingContext state;
-    private final Map<String, Endpoint> nodes = new HashMap<>();
-    final EndpointRing caches = new EndpointRing();
-    final EndpointRing parents = new EndpointRing();
-    /** Members that operators have taken out, by id: they may leave the list and come back meanwhile. */
-    List<String> takenOut = List.of();
-    Endpoint origin;
+    /** Is told of an endpoint that has started anew, and when, in microseconds. */
+    @FunctionalInterface
+    interface StartListener {
+        void onStart(Endpoint endpoint, long startedUs);
+    }
+
+    private final RoutingContext context;
+    private final Map<String, Endpoint> byId = new HashMap<>();
+    private final EndpointRing caches = new EndpointRing();
+    private final EndpointRing parents = new EndpointRing();
+    private List<String> takenOut = List.of();
+    private Endpoint origin;
+
+    EndpointSet(RoutingContext context) {
+        this.context = context;
+    }
+
+    /** The caches of this director's location. */
+    EndpointRing caches() {
+        return caches;
+    }
+
+    EndpointRing parents() {
+        return parents;
+    }
 
-    EndpointSet(RoutingContext state) {
-        this.state = state;
+    /** The origin; null while none is listed. */
+    Endpoint origin() {
+        return origin;
     }
 
-    EndpointRing ring(Endpoint node) {
-        return node.role == Role.PARENT ? parents : caches;
+    /** The ring of an endpoint's role; the origin counts with the caches. */
+    EndpointRing ringOf(Endpoint endpoint) {
+        return endpoint.role == Role.PARENT ? parents : caches;
     }
 
-    /** How many directors send to a member. */
-    int sharers(Endpoint node) {
-        return Math.max(1, node.role == Role.ORIGIN ? 1
-                : node.role == Role.PARENT ? state.settings.directors() : state.settings.directorsHere());
+    /** How many directors send to an endpoint, at least 1; the origin counts as this director's own. */
+    int directorsSharing(Endpoint endpoint) {
+        return Math.max(1, switch (endpoint.role) {
+            case ORIGIN -> 1;
+            case PARENT -> context.settings.directors();
+            case CACHE -> context.settings.directorsHere();
+        });
     }
 
-    void advance() {
-        caches.advance(state.now, state.cold);
-        parents.advance(state.now, state.cold);
+    /** Ids that operators have taken out, in force from the next list on; they may leave the list and come back. */
+    void setTakenOut(List<String> ids) {
+        takenOut = ids;
     }
 
-    void on(CacheRouter.Members news) {
-        if (news.scope() == CacheRouter.ListScope.FULL || news.scope() == CacheRouter.ListScope.REMEMBERED) {
-            nodes.values().forEach(node -> node.listed = false);
+    /** Takes over a list of members, whole or changes only. */
+    void update(Members news, StartListener listener) {
+        if (news.scope() == ListScope.FULL || news.scope() == ListScope.REMEMBERED) {
+            byId.values().forEach(endpoint -> endpoint.listed = false);
         }
-        for (CacheRouter.Member member : news.members()) {
-            update(nodes.computeIfAbsent(member.id(), Endpoint::new), member);
+        for (Member member : news.members()) {
+            update(byId.computeIfAbsent(member.id(), Endpoint::new), member, listener);
         }
-        nodes.values().removeIf(node -> !node.listed && node.held.now() == 0);
-        List<Endpoint> listed = nodes.values().stream().filter(node -> node.listed)
-                .sorted(Comparator.comparing(node -> node.id)).toList();
-        caches.list(listed.stream().filter(n -> n.role == Role.CACHE && n.zone == state.settings.zone()).toList());
-        parents.list(listed.stream().filter(node -> node.role == Role.PARENT).toList());
-        origin = listed.stream().filter(node -> node.role == Role.ORIGIN).findFirst().orElse(null);
+        byId.values().removeIf(endpoint -> !endpoint.listed && endpoint.inFlight.current() == 0);
+        List<Endpoint> listed = byId.values().stream().filter(endpoint -> endpoint.listed)
+                .sorted(Comparator.comparing(endpoint -> endpoint.id)).toList();
+        caches.setEndpoints(listed.stream()
+                .filter(endpoint -> endpoint.role == Role.CACHE && endpoint.zone == context.settings.zone()).toList());
+        parents.setEndpoints(listed.stream().filter(endpoint -> endpoint.role == Role.PARENT).toList());
+        origin = listed.stream().filter(endpoint -> endpoint.role == Role.ORIGIN).findFirst().orElse(null);
     }
 
-    private void update(Endpoint node, CacheRouter.Member member) {
-        node.role = member.kind() == state.settings.originKind() ? Role.ORIGIN
-                : member.kind() == state.settings.parentKind() ? Role.PARENT : Role.CACHE;
-        node.zone = member.zone();
-        node.cell = member.cell();
-        node.weight = member.weight() > 0 ? member.weight() : 1;
-        node.listed = member.availability() == CacheRouter.Availability.HEALTHY && !takenOut.contains(node.id);
-        if (member.startedUs() > node.startedUs) {
-            state.cold.started(node, member.startedUs());
+    private void update(Endpoint endpoint, Member member, StartListener listener) {
+        endpoint.role = member.kind() == context.settings.originKind() ? Role.ORIGIN
+                : member.kind() == context.settings.parentKind() ? Role.PARENT : Role.CACHE;
+        endpoint.zone = member.zone();
+        endpoint.cell = member.cell();
+        endpoint.weight = member.weight() > 0 ? member.weight() : 1;
+        endpoint.listed = member.availability() == Availability.HEALTHY && !takenOut.contains(endpoint.id);
+        if (member.startedUs() > endpoint.startedUs) {
+            listener.onStart(endpoint, member.startedUs());
         }
     }
 }
--- a/src/main/java/clovermill/module/HedgingPolicy.java
+++ b/src/main/java/clovermill/module/HedgingPolicy.java
@@ -3,28 +3,42 @@
 import clovermill.memory.DeadlineQueue;
 
 /**
- * Which requests are sent to another member too because their answer is overdue; the first answer counts. Guards
- * against answers that never arrive, which nothing else tells of. Where more than a small part is overdue it is a jam,
- * and none is sent twice. Could harm where a fleet is slow but complete.
+ * Hedged requests (Dean, Barroso, "The Tail at Scale", 2013): a request whose answer is overdue is sent to a second
+ * endpoint too, and the first answer counts. Guards against answers that never arrive, which nothing else reports.
+ * Within a budget: where more than a small share of requests is overdue the cause is congestion, and none is hedged.
+ * Could harm where all endpoints are slow but complete.
  */
 final class HedgingPolicy {
 
-    /** Part of all requests whose answer may be overdue for them to be sent twice, and how many at once. */
-    private static final double HEDGED = 0.1;
-    private static final double MOST_HEDGED = 10;
+    /** Hedges earned by each request. */
+    private static final double BUDGET_PER_REQUEST = 0.1;
+    /** Hedges that may be saved up, and owed. */
+    private static final double MAX_BUDGET = 10;
 
-    /** First attempts of requests that may be sent twice, by when their answer is overdue. */
-    final DeadlineQueue<Attempt> first = new DeadlineQueue<>(Attempt::hedgeUs);
-    private double credit;
+    /** First attempts that may be hedged, by when they are overdue; bounded by the open requests. */
+    private final DeadlineQueue<Attempt> candidates = new DeadlineQueue<>(Attempt::hedgeDueUs);
+    private double budget;
 
-    void asked() {
-        credit = Math.min(MOST_HEDGED, credit + HEDGED);
+    /** Each request earns a part of a hedge. */
+    void recordRequest() {
+        budget = Math.min(MAX_BUDGET, budget + BUDGET_PER_REQUEST);
     }
 
-    /** Whether one that is overdue, and still out, may be sent twice. */
-    boolean allows(Attempt attempt) {
-        boolean out = !attempt.pending().over && attempt.pending().out.containsValue(attempt);
-        credit = out ? Math.max(-MOST_HEDGED, credit - 1) : credit;
-        return out && credit >= 0;
+    /** Registers the first attempt of a request that may be hedged. */
+    void addCandidate(Attempt first) {
+        candidates.add(first);
+    }
+
+    /** Removes and returns the next attempt that is overdue, or returns null. */
+    Attempt pollOverdue(long nowUs) {
+        return candidates.pollDue(nowUs);
+    }
+
+    /** Whether an overdue attempt may be hedged: still in flight, and within the budget, which it is charged to. */
+    boolean takeBudget(Attempt overdue) {
+        PendingRequest pending = overdue.request();
+        boolean inFlight = !pending.finished && pending.inFlight.containsValue(overdue);
+        budget = inFlight ? Math.max(-MAX_BUDGET, budget - 1) : budget;
+        return inFlight && budget >= 0;
     }
 }
--- a/src/main/java/clovermill/module/OriginLoadShedder.java
+++ b/src/main/java/clovermill/module/OriginLoadShedder.java
@@ -7,29 +7,47 @@
 import clovermill.memory.DecayingAverage;
 
 /**
- * Spares the origin while it is slow, turns work away or has stopped: the more of what was asked of it of late (of
- * all fills, where no more is told) was in vain or late, the more fills are to take only what their parent holds.
- * Could harm where single parents fail.
+ * Sheds load from the origin while it is slow, rejects work or is down: the greater the share of recent requests to it
+ * (of all fills, where the answers tell no more) that failed or came late, the more fills are limited to what their
+ * parent holds. Could harm where single parents fail.
  */
-record OriginLoadShedder(RoutingContext state, DecayingAverage inVain) {
+final class OriginLoadShedder {
 
-    /** Whether a fill is to take only what its parent holds, by chance. */
-    boolean spare() {
-        return state.random.nextDouble() < inVain.at(state.now);
+    private final RoutingContext context;
+    /** Share of recent requests to the origin that failed or came late, 0 to 1. */
+    private final DecayingAverage failureShare = new DecayingAverage();
+
+    OriginLoadShedder(RoutingContext context) {
+        this.context = context;
     }
 
-    void learn(Attempt attempt, Outcome outcome, boolean filled, Endpoint origin) {
-        Route choice = attempt.choice();
-        Note note = outcome.note();
-        if (choice.target() == origin || note == Note.ORIGIN_ASKED || note == Note.ORIGIN_FAILED
-                || choice.source() == origin && note == Note.SOURCE_REFUSED
-                || choice.filler() != null && !choice.sparing()
-                        && (filled && state.settings.telling() != Telling.ALL
-                                || outcome.result() == Result.TIMED_OUT
-                                        && choice.source().breaker.answeredAfter(attempt.sentUs()))) {
+    /** Whether a fill is to take only what its parent holds; draws a random number. */
+    boolean shouldShed() {
+        return context.random.nextDouble() < failureShare.valueAt(context.nowUs);
+    }
+
+    /** Learns from an outcome, if it tells of the origin, which may be null. */
+    void observe(Attempt attempt, Outcome outcome, boolean filled, Endpoint origin) {
+        if (tellsOfOrigin(attempt, outcome, filled, origin)) {
             long tookUs = outcome.elapsedUs();
-            boolean late = tookUs > attempt.pending().aimUs && 2 * outcome.waitedUs() > tookUs;
-            inVain.add(outcome.result() != Result.OK || late ? 1 : 0, state.now);
+            boolean late = tookUs > attempt.request().targetLatencyUs && 2 * outcome.waitedUs() > tookUs;
+            failureShare.add(outcome.result() != Result.OK || late ? 1 : 0, context.nowUs);
+        }
+    }
+
+    private boolean tellsOfOrigin(Attempt attempt, Outcome outcome, boolean filled, Endpoint origin) {
+        Route route = attempt.route();
+        Note note = outcome.note();
+        if (route.target() == origin || note == Note.ORIGIN_ASKED || note == Note.ORIGIN_FAILED
+                || route.source() == origin && note == Note.SOURCE_REFUSED) {
+            return true;
+        }
+        if (!route.fillExpected() || route.heldOnly()) {
+            return false;
         }
+        boolean filledFromUntoldSource = filled && context.settings.telling() != Telling.ALL;
+        boolean parentAnsweredOthers = outcome.result() == Result.TIMED_OUT
+                && route.source().breaker.succeededAfter(attempt.sentUs());
+        return filledFromUntoldSource || parentAnsweredOthers;
     }
 }
--- a/src/main/java/clovermill/module/OutcomeObserver.java
+++ b/src/main/java/clovermill/module/OutcomeObserver.java
@@ -4,80 +4,126 @@
 import clovermill.CacheRouter.Outcome;
 import clovermill.CacheRouter.Result;
 import clovermill.CacheRouter.Telling;
-import clovermill.memory.CircuitBreaker;
+import clovermill.memory.ClassServiceTimes;
 
-/** What an outcome teaches: of copies, pace and health, and whom a failure speaks against. */
-record OutcomeObserver(RoutingContext state) {
+/** Learns from the outcome of each attempt: which cache holds what, the pace of endpoints, and which of them failed. */
+final class OutcomeObserver {
 
-    void learn(PendingRequest pending, Attempt attempt, Outcome outcome) {
-        Route choice = attempt.choice();
-        Endpoint cache = choice.target();
-        boolean filled = outcome.result() == Result.OK && switch (outcome.note()) {
-            case FILLED, ORIGIN_ASKED, JOINED -> true;
-            default -> state.settings.telling() == Telling.NONE && !choice.believed();
-        };
-        if (choice.rank() > 0 && outcome.result() != Result.CANCELLED && outcome.result() != Result.NOT_SENT) {
-            state.beliefs.believe(pending.request, cache, outcome.result() == Result.OK);
+    private final RoutingContext context;
+    private final EndpointSet endpoints;
+    private final CacheContentsIndex contents;
+    private final CapacityEstimator capacity;
+    private final OutlierDetector outliers;
+    private final SlowStart slowStart;
+    private final OriginLoadShedder originShedder;
+    private final ClassServiceTimes serviceTimes;
+
+    OutcomeObserver(RoutingContext context, EndpointSet endpoints, CacheContentsIndex contents,
+            CapacityEstimator capacity, OutlierDetector outliers, SlowStart slowStart,
+            OriginLoadShedder originShedder, ClassServiceTimes serviceTimes) {
+        this.context = context;
+        this.endpoints = endpoints;
+        this.contents = contents;
+        this.capacity = capacity;
+        this.outliers = outliers;
+        this.slowStart = slowStart;
+        this.originShedder = originShedder;
+        this.serviceTimes = serviceTimes;
+    }
+
+    /** Learns from the outcome of an attempt. */
+    void observe(Attempt attempt, Outcome outcome) {
+        PendingRequest pending = attempt.request();
+        Route route = attempt.route();
+        Result result = outcome.result();
+        boolean filled = wasFilled(route, outcome);
+        if (route.copyRank() > 0 && result != Result.CANCELLED && result != Result.NOT_SENT) {
+            contents.recordHolder(pending.request, route.target(), result == Result.OK);
         }
-        state.sparing.learn(attempt, outcome, filled, state.members.origin);
-        switch (outcome.result()) {
-            case OK -> {
-                state.cold.served(cache, pending);
-                if (!filled && pending.request.sizeKb() <= 0) {
-                    state.work.hit(pending.request.requestClass(), outcome.elapsedUs() - outcome.waitedUs());
-                }
-                if (!filled || choice.filler() != null) {
-                    state.room.paced(attempt, filled, outcome.elapsedUs() - outcome.waitedUs());
-                }
-                if (filled && choice.filler() != null) {
-                    state.cold.served(choice.source(), pending);
-                    state.health.succeeded(choice.source());
-                }
-                state.health.succeeded(cache);
-                pending.erred.forEach(erred -> state.health.failed(erred, CircuitBreaker.NEWS, false));
-            }
+        originShedder.observe(attempt, outcome, filled, endpoints.origin());
+        switch (result) {
+            case OK -> observeSuccess(attempt, outcome, filled);
             case CANCELLED, NOT_SENT -> {}
-            default -> blame(pending, attempt, outcome);
+            default -> observeFailure(attempt, outcome);
         }
     }
 
-    /** Blames what failed by the note; where none is told, a fill's source, then the cache, or the link. */
-    private void blame(PendingRequest pending, Attempt attempt, Outcome outcome) {
-        boolean fill = attempt.choice().filler() != null;
-        Endpoint cache = attempt.choice().target();
-        Endpoint source = attempt.choice().source() == null ? cache : attempt.choice().source();
-        boolean untold = state.settings.telling() == Telling.NONE && fill;
-        boolean ofSource = switch (outcome.note()) {
-            case SOURCE_REFUSED, SOURCE_UNREACHED, SOURCE_LACKS -> true;
-            default -> outcome.result() == Result.ERROR
-                    ? state.settings.telling() != Telling.ALL && fill && pending.erred.isEmpty()
-                    : untold && outcome.result() == Result.TIMED_OUT;
+    /** Whether the answer was a fill: by the note or, where none are given, by what was expected. */
+    private boolean wasFilled(Route route, Outcome outcome) {
+        return outcome.result() == Result.OK && switch (outcome.note()) {
+            case FILLED, ORIGIN_ASKED, JOINED -> true;
+            default -> context.settings.telling() == Telling.NONE && !route.hitExpected();
         };
+    }
+
+    private void observeSuccess(Attempt attempt, Outcome outcome, boolean filled) {
+        PendingRequest pending = attempt.request();
+        Route route = attempt.route();
+        long workedUs = outcome.elapsedUs() - outcome.waitedUs();
+        slowStart.recordServed(route.target(), pending);
+        if (!filled && pending.request.sizeKb() <= 0) {
+            serviceTimes.recordHit(pending.request.requestClass(), workedUs);
+        }
+        if (!filled || route.fillExpected()) {
+            capacity.recordPace(attempt, filled, workedUs);
+        }
+        if (filled && route.fillExpected()) {
+            slowStart.recordServed(route.source(), pending);
+            outliers.recordSuccess(route.source());
+        }
+        outliers.recordSuccess(route.target());
+        pending.errored.forEach(outliers::recordFailure);
+    }
+
+    /** Attributes a failure by the note; without one to the source of a fill, the target or the link. */
+    private void observeFailure(Attempt attempt, Outcome outcome) {
+        Route route = attempt.route();
+        Endpoint target = route.target();
+        Endpoint source = route.source() == null ? target : route.source();
+        boolean ofSource = isFailureOfSource(attempt, outcome);
         switch (outcome.note()) {
-            case SOURCE_REFUSED -> state.room.crowded(source);
-            case SOURCE_UNREACHED -> state.health.silent(source, attempt);
-            case SOURCE_LACKS -> state.beliefs.believe(pending.request, source, false);
-            case ORIGIN_FAILED -> state.health.silent(state.members.origin, attempt);
-            case NO_PLACE -> state.room.crowded(state.room.link);
-            default -> blame(ofSource ? source : untold && outcome.result() == Result.REFUSED ? state.room.link : cache,
-                    attempt, outcome.result());
+            case SOURCE_REFUSED -> capacity.recordRejection(source);
+            case SOURCE_UNREACHED -> outliers.recordTimeout(source, attempt);
+            case SOURCE_LACKS -> contents.recordHolder(attempt.request().request, source, false);
+            case ORIGIN_FAILED -> outliers.recordTimeout(endpoints.origin(), attempt);
+            case NO_PLACE -> capacity.recordLinkRejection();
+            default -> attributeWithoutNote(attempt, outcome.result(), ofSource ? source : target, ofSource);
         }
-        if (outcome.result() == Result.TIMED_OUT && fill) {
-            state.health.silent(source, attempt);
+        if (outcome.result() == Result.TIMED_OUT && route.fillExpected()) {
+            outliers.recordTimeout(source, attempt);
         }
         if (outcome.note() != Note.ORIGIN_FAILED) {
-            pending.failed.add(ofSource ? source : cache);
+            attempt.request().excluded.add(ofSource ? source : target);
         }
     }
 
-    /** An error speaks against a member once another serves the request, which may be at fault itself. */
-    private void blame(Endpoint cache, Attempt attempt, Result result) {
+    private boolean isFailureOfSource(Attempt attempt, Outcome outcome) {
+        boolean fillExpected = attempt.route().fillExpected();
+        return switch (outcome.note()) {
+            case SOURCE_REFUSED, SOURCE_UNREACHED, SOURCE_LACKS -> true;
+            default -> outcome.result() == Result.ERROR
+                    ? context.settings.telling() != Telling.ALL && fillExpected && attempt.request().errored.isEmpty()
+                    : isFillWithoutNotes(attempt) && outcome.result() == Result.TIMED_OUT;
+        };
+    }
+
+    private boolean isFillWithoutNotes(Attempt attempt) {
+        return context.settings.telling() == Telling.NONE && attempt.route().fillExpected();
+    }
+
+    /** A rejected fill, where no notes are given, is taken for the link's: it had no place for it. */
+    private void attributeWithoutNote(Attempt attempt, Result result, Endpoint suspect, boolean ofSource) {
+        if (result == Result.REFUSED && !ofSource && isFillWithoutNotes(attempt)) {
+            capacity.recordLinkRejection();
+            return;
+        }
         switch (result) {
-            case REFUSED -> state.room.crowded(cache);
-            case UNCONNECTED -> state.health.failed(cache, 1, true);
-            case BROKEN -> state.health.broke(cache);
-            case TIMED_OUT -> state.health.silent(cache, attempt);
-            case ERROR -> attempt.pending().erred.add(cache);
+            case REFUSED -> capacity.recordRejection(suspect);
+            case UNCONNECTED -> outliers.recordConnectFailure(suspect);
+            case BROKEN -> outliers.recordBrokenConnection(suspect);
+            case TIMED_OUT -> outliers.recordTimeout(suspect, attempt);
+            // The request itself may be at fault: counted once another endpoint has served it.
+            case ERROR -> attempt.request().errored.add(suspect);
             default -> {}
         }
     }
--- a/src/main/java/clovermill/module/OutlierDetector.java
+++ b/src/main/java/clovermill/module/OutlierDetector.java
@@ -5,55 +5,85 @@
 import clovermill.spread.decide.ConcurrencyEstimator;
 import java.util.List;
 
-/** Which members can take a request: failures take one out of its ring, and trials with real requests bring it back. */
-record OutlierDetector(RoutingContext state) {
+/**
+ * Outlier detection: takes endpoints that fail out of their ring by a circuit breaker each, and brings them back by
+ * trials with real requests.
+ */
+final class OutlierDetector {
 
-    /** Whether a member can take this request now: fit, not tried in vain, within its budget if cold. */
-    boolean usable(Endpoint node, PendingRequest pending) {
-        return fit(node) && !pending.failed.contains(node) && pending.request.allowed().test(node.id)
-                && state.cold.bears(node);
+    private final RoutingContext context;
+    private final EndpointSet endpoints;
+    private final SlowStart slowStart;
+
+    OutlierDetector(RoutingContext context, EndpointSet endpoints, SlowStart slowStart) {
+        this.context = context;
+        this.endpoints = endpoints;
+        this.slowStart = slowStart;
+    }
+
+    /** Whether a request may go to an endpoint now: healthy, not failed before, allowed, within slow start's budget. */
+    boolean isUsable(Endpoint endpoint, PendingRequest pending) {
+        return isHealthy(endpoint) && !pending.excluded.contains(endpoint)
+                && pending.request.allowed().test(endpoint.id) && slowStart.admits(endpoint);
     }
 
     /**
-     * A sick member is out of the ring until a trial is due. Where more than half of its fellows are sick the cause is
-     * shared (a link, a hub, plain overload): all stay in but those that could not be reached.
+     * Whether an endpoint is in its ring: its breaker is closed or a trial is due. Where more than half of a ring's
+     * breakers are open the cause is shared (a link, a hub, plain overload) and ejection would only move the load: then
+     * only endpoints that cannot be reached stay out.
      */
-    boolean fit(Endpoint node) {
-        List<Endpoint> fellows = state.members.ring(node).members;
-        boolean mostSick = 2 * fellows.stream().filter(fellow -> fellow.breaker.open()).count() > fellows.size();
-        return node.listed && (node.breaker.lets(state.now) || !node.breaker.dead() && mostSick);
+    boolean isHealthy(Endpoint endpoint) {
+        List<Endpoint> ring = endpoints.ringOf(endpoint).endpoints;
+        boolean mostlyOpen = 2 * ring.stream().filter(other -> other.breaker.isOpen()).count() > ring.size();
+        return endpoint.listed && (endpoint.breaker.allowsRequest(context.nowUs)
+                || !endpoint.breaker.isFullyFailed() && mostlyOpen);
+    }
+
+    /** Records that a request was sent: to an endpoint whose breaker is open, this is the trial. */
+    void recordAttempt(Endpoint endpoint) {
+        endpoint.breaker.recordAttempt(context.nowUs);
     }
 
-    /** An attempt that ran out of time speaks against a member only if that has answered nothing since. */
-    void silent(Endpoint node, Attempt attempt) {
-        if (node != null && !node.breaker.answeredAfter(attempt.sentUs())) {
-            failed(node, CircuitBreaker.NEWS, false);
+    /** An attempt timed out: a failure of an endpoint, which may be null, if that has answered nothing since. */
+    void recordTimeout(Endpoint endpoint, Attempt attempt) {
+        if (endpoint != null && !endpoint.breaker.succeededAfter(attempt.sentUs())) {
+            recordFailure(endpoint);
         }
     }
 
     /**
-     * A broken connection ends all that was out on it: one failure and no proof of a restart, after which the next is
-     * refused. Could harm where members break at every request and still accept.
+     * A connection broke, which ends all attempts on it: they count as one failure, and are no proof of a restart (the
+     * next connection is then refused). Could harm where an endpoint breaks every request and still accepts.
      */
-    void broke(Endpoint node) {
-        if (node.breaker.broke(state.now, ConcurrencyEstimator.CROWDED_US)) {
-            failed(node, CircuitBreaker.NEWS, false);
+    void recordBrokenConnection(Endpoint endpoint) {
+        if (endpoint.breaker.recordBrokenConnection(context.nowUs, ConcurrencyEstimator.REJECTION_BACKOFF_US)) {
+            recordFailure(endpoint);
         }
     }
 
-    void failed(Endpoint node, double weight, boolean gone) {
-        if (node.breaker.failed(weight, gone, state.now)) {
-            state.out.accept(new Log("left the ring: " + node.role + " " + node.id));
+    /** An endpoint could not be connected to, which opens its breaker at once. */
+    void recordConnectFailure(Endpoint endpoint) {
+        recordFailure(endpoint, 1, true);
+    }
+
+    /** An endpoint failed a request. */
+    void recordFailure(Endpoint endpoint) {
+        recordFailure(endpoint, CircuitBreaker.OUTCOME_WEIGHT, false);
+    }
+
+    private void recordFailure(Endpoint endpoint, double weight, boolean connectFailed) {
+        if (endpoint.breaker.recordFailure(weight, connectFailed, context.nowUs)) {
+            context.emit(new Log("left the ring: " + endpoint.role + " " + endpoint.id));
         }
     }
 
     /**
-     * A member that answers after it was lost may have restarted, empty and cold, before the list tells it: it is taken
-     * to have started now. Could harm after a broken network path: some seconds of less work.
+     * An endpoint answered. One that could not be reached before may have restarted, empty and cold, before the list
+     * says so: it is taken to have started now. Could harm after a network fault: some seconds of less work.
      */
-    void succeeded(Endpoint node) {
-        if (node.breaker.succeeded(state.now)) {
-            state.cold.started(node, state.now);
+    void recordSuccess(Endpoint endpoint) {
+        if (endpoint.breaker.recordSuccess(context.nowUs)) {
+            slowStart.onStart(endpoint, context.nowUs);
         }
     }
 }
--- a/src/main/java/clovermill/module/PendingRequest.java
+++ b/src/main/java/clovermill/module/PendingRequest.java
@@ -2,77 +2,96 @@
 
 import clovermill.CacheRouter;
 import clovermill.CacheRouter.Effect;
+import clovermill.CacheRouter.KeyScope;
+import clovermill.CacheRouter.Settings;
+import clovermill.memory.ClassServiceTimes;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** A request without a final answer or with attempts out, and what its effects still allow. */
+/** A request without its final answer, or with attempts in flight, and which retries its effects still allow. */
 final class PendingRequest {
 
-    /** Least time for which an attempt is worth its while: a round trip to a far hub. */
-    static final long LEAST_ATTEMPT_US = 20_000;
-    /** No answer comes in less than this part of the time that its size asks for at full pace. */
-    private static final double FASTEST = 0.8;
+    /** The least time, in microseconds, for which an attempt makes sense: a round trip to a far hub. */
+    static final long MIN_ATTEMPT_US = 20_000;
+    /** No answer comes in less than this share of its service time. */
+    private static final double FASTEST_SHARE = 0.8;
 
     final CacheRouter.Request request;
-    final CacheRouter.RequestClass kind;
+    final CacheRouter.RequestClass requestClass;
+    /** When the client gives up, in microseconds. */
     final long deadlineUs;
-    final long workUs;
-    final long aimUs;
-    final List<Endpoint> failed = new ArrayList<>();
-    final List<Endpoint> erred = new ArrayList<>(2);
-    final Map<Integer, Attempt> out = new HashMap<>(2);
-    private final int attempts;
-    int sent;
-    long mayHaveRunUs = RoutingContext.NEVER;
-    Endpoint mayHaveRunAt;
-    boolean over;
+    /** The time that the answer takes at full pace, in microseconds: by size, else the mean of its class. */
+    final long serviceUs;
+    /** Within this time the answer should come to be worth most, in microseconds. */
+    final long targetLatencyUs;
+    /** Endpoints that have failed this request and are not tried again, until a pause. */
+    final List<Endpoint> excluded = new ArrayList<>();
+    /** Endpoints that answered with an error: theirs, or the request's own. */
+    final List<Endpoint> errored = new ArrayList<>(2);
+    /** Attempts in flight by their index. */
+    final Map<Integer, Attempt> inFlight = new HashMap<>(2);
+    private final int maxAttempts;
+    int attemptsSent;
+    /** Nothing more is owed to the client. */
+    boolean finished;
+    /** When an attempt was sent that may have run, in microseconds; NEVER if none was. */
+    private long possibleRunUs = RoutingContext.NEVER;
+    private Endpoint possibleRunAt;
 
-    PendingRequest(CacheRouter.Request request, RoutingContext state) {
+    PendingRequest(CacheRouter.Request request, Settings settings, ClassServiceTimes serviceTimes, long nowUs) {
         this.request = request;
-        this.kind = state.settings.classes().get(request.requestClass());
-        this.attempts = state.settings.allowed().maxAttempts();
-        this.deadlineUs = state.now + request.graceUs();
-        double pace = state.settings.paceKbPerS();
-        this.workUs = (long) (pace > 0 && request.sizeKb() > 0 ? request.sizeKb() / pace * 1e6
-                : state.work.of(request.requestClass()));
-        this.aimUs = Math.min(kind.deadlineUs(), kind.aimUs() + (long) (kind.aimStretch() * workUs));
+        this.requestClass = settings.classes().get(request.requestClass());
+        this.maxAttempts = settings.allowed().maxAttempts();
+        this.deadlineUs = nowUs + request.graceUs();
+        double paceKbPerS = settings.paceKbPerS();
+        this.serviceUs = (long) (paceKbPerS > 0 && request.sizeKb() > 0 ? request.sizeKb() / paceKbPerS * 1e6
+                : serviceTimes.meanUs(request.requestClass()));
+        this.targetLatencyUs = Math.min(requestClass.deadlineUs(),
+                requestClass.aimUs() + (long) (requestClass.aimStretch() * serviceUs));
     }
 
-    /** Whether no time or attempt is left; of the first and the present number the lesser counts. */
-    boolean spent(RoutingContext state) {
-        return deadlineUs - state.now < Math.max(LEAST_ATTEMPT_US, FASTEST * workUs)
-                || sent >= Math.min(attempts, state.settings.allowed().maxAttempts());
+    /** Whether no time or attempt is left; of the limits on attempts at arrival and now the lesser holds. */
+    boolean isExhausted(long nowUs, Settings settings) {
+        return deadlineUs - nowUs < Math.max(MIN_ATTEMPT_US, FASTEST_SHARE * serviceUs)
+                || attemptsSent >= Math.min(maxAttempts, settings.allowed().maxAttempts());
     }
 
-    /** Only the time of a large answer is made by pace. */
-    boolean tellsPace() {
-        return 2 * workUs >= kind.aimUs();
+    /** Whether the answer is so large that its time tells of the pace of endpoints. */
+    boolean isPaceBound() {
+        return 2 * serviceUs >= requestClass.aimUs();
     }
 
-    /** An attempt may have run, or is in flight, which binds a repeat as if it had. */
-    void mayHaveRun(Attempt attempt) {
-        mayHaveRunUs = attempt.sentUs();
-        mayHaveRunAt = attempt.choice().target();
+    /** Whether an attempt may have run. */
+    boolean mayHaveRun() {
+        return possibleRunUs != RoutingContext.NEVER;
     }
 
-    /** Effects: a further attempt only where none ran before or the repeat is recognised. */
-    boolean mayRepeatAt(Endpoint target, RoutingContext state) {
-        if (mayHaveRunUs == RoutingContext.NEVER || kind.effect() == Effect.IDEMPOTENT) {
+    /** An attempt may have run, or is in flight, which binds retries as if it had. */
+    void recordPossibleRun(Attempt attempt) {
+        possibleRunUs = attempt.sentUs();
+        possibleRunAt = attempt.route().target();
+    }
+
+    /** Whether a further attempt is safe: none may have run before, or the target recognises the repeat. */
+    boolean mayRetryAt(Endpoint target, long nowUs, Settings settings) {
+        if (!mayHaveRun() || requestClass.effect() == Effect.IDEMPOTENT) {
             return true;
         }
         // A repeat may still wait for its connection: the window must not close meanwhile.
-        long spentUs = state.now - mayHaveRunUs + state.settings.dialTimeoutUs();
-        return kind.effect() != Effect.AT_MOST_ONCE && spentUs < kind.windowUs() && switch (kind.keyScope()) {
-            case ALL -> true;
-            case ZONE -> mayHaveRunAt.zone == target.zone;
-            case CELL -> mayHaveRunAt.cell == target.cell;
-        };
+        long windowUsedUs = nowUs - possibleRunUs + settings.dialTimeoutUs();
+        return requestClass.effect() != Effect.AT_MOST_ONCE && windowUsedUs < requestClass.windowUs()
+                && switch (requestClass.keyScope()) {
+                    case ALL -> true;
+                    case ZONE -> possibleRunAt.zone == target.zone;
+                    case CELL -> possibleRunAt.cell == target.cell;
+                };
     }
 
-    boolean mayRefuse() {
-        return kind.effect() == Effect.IDEMPOTENT || out.isEmpty() && mayHaveRunUs == RoutingContext.NEVER
-                || kind.effect() == Effect.DEDUPLICATED && kind.keyScope() == CacheRouter.KeyScope.ALL;
+    /** Whether a refusal is allowed, which says to the client that a further try is harmless. */
+    boolean mayReject() {
+        return requestClass.effect() == Effect.IDEMPOTENT || inFlight.isEmpty() && !mayHaveRun()
+                || requestClass.effect() == Effect.DEDUPLICATED && requestClass.keyScope() == KeyScope.ALL;
     }
 }
--- a/src/main/java/clovermill/module/SlowStart.java
+++ b/src/main/java/clovermill/module/SlowStart.java
@@ -1,62 +1,93 @@
 package clovermill.module;
 
 import clovermill.CacheRouter.ColdRule;
+import clovermill.memory.ClassServiceTimes;
 import clovermill.module.Endpoint.Role;
+import java.util.function.Predicate;
 
 /**
- * Guards members that have just started, which give little at first and fall over under the sum of all directors. Their
- * capacity is told nowhere: what warm ones of like weight have served this director is a safe estimate of its share.
+ * Slow start: limits what an endpoint that has just started gets, because it has little capacity at first and fails
+ * under the sum of all directors. Its capacity is reported nowhere; what warm endpoints have served this director for
+ * each unit of weight is a safe estimate of this director's share of it.
  */
-record SlowStart(RoutingContext state) {
+final class SlowStart {
 
-    /** Share of a cold member's budget that is used: weights are rough and directors uneven. */
-    private static final double COLD_MARGIN = 0.7;
+    /** Share of the estimated budget that is used: weights are rough and the load of directors is uneven. */
+    private static final double BUDGET_MARGIN = 0.7;
 
-    private ColdRule rule(Endpoint node) {
-        return node.role == Role.PARENT ? state.settings.parentCold() : state.settings.cold();
+    private final RoutingContext context;
+    private final EndpointSet endpoints;
+    private final ClassServiceTimes serviceTimes;
+    /** Held in a field because it is passed on at each event. */
+    private final Predicate<Endpoint> warmingUp = this::isWarmingUp;
+
+    SlowStart(RoutingContext context, EndpointSet endpoints, ClassServiceTimes serviceTimes) {
+        this.context = context;
+        this.endpoints = endpoints;
+        this.serviceTimes = serviceTimes;
+    }
+
+    /** Lets time pass for the throughput of warm endpoints. */
+    void advance() {
+        endpoints.caches().advance(context.nowUs, warmingUp);
+        endpoints.parents().advance(context.nowUs, warmingUp);
+    }
+
+    private ColdRule rule(Endpoint endpoint) {
+        return endpoint.role == Role.PARENT ? context.settings.parentCold() : context.settings.cold();
     }
 
-    boolean cold(Endpoint node) {
-        return node.role != Role.ORIGIN && node.startedUs > 0 && state.now - node.startedUs < rule(node).warmUs();
+    /** Whether an endpoint started less than the warm-up time ago. */
+    boolean isWarmingUp(Endpoint endpoint) {
+        return endpoint.role != Role.ORIGIN && endpoint.startedUs > 0
+                && context.nowUs - endpoint.startedUs < rule(endpoint).warmUs();
     }
 
-    /** Whether a member is warm, or within its budget: a request may overdraw that. */
-    boolean bears(Endpoint node) {
-        return !cold(node) || credit(node) >= 0;
+    /** Whether an endpoint is warm or has budget left; one request may overdraw it. */
+    boolean admits(Endpoint endpoint) {
+        return !isWarmingUp(endpoint) || budgetUs(endpoint) >= 0;
     }
 
-    /** The work that this director may still send to a cold member; it grows with the part that one can give. */
-    private double credit(Endpoint node) {
-        ColdRule rule = rule(node);
-        double age = Math.max(0, (state.now + node.credit.sinceUs()) / 2.0 - node.startedUs);
-        double part = rule.from() + (1 - rule.from()) * Math.min(1, age / rule.warmUs());
-        double rate = COLD_MARGIN * rule.multiple() * part * state.members.ring(node).served.rate() * node.weight;
-        return node.credit.grow(rate, state.work.most(), 1.0 / state.members.sharers(node), state.now);
+    /**
+     * The service time that this director may still ask of an endpoint, in microseconds. It refills at the rate of the
+     * part of the capacity that the endpoint had, on average, since the last refill.
+     */
+    private double budgetUs(Endpoint endpoint) {
+        ColdRule rule = rule(endpoint);
+        double meanAgeUs = Math.max(0,
+                (context.nowUs + endpoint.slowStartBudget.lastRefillUs()) / 2.0 - endpoint.startedUs);
+        double capacityShare = rule.from() + (1 - rule.from()) * Math.min(1, meanAgeUs / rule.warmUs());
+        double ratePerUs = BUDGET_MARGIN * rule.multiple() * capacityShare
+                * endpoints.ringOf(endpoint).throughput.rate() * endpoint.weight;
+        return endpoint.slowStartBudget.refill(ratePerUs, serviceTimes.largestMeanUs(),
+                1.0 / endpoints.directorsSharing(endpoint), context.nowUs);
     }
 
-    /** A start: what was known is void. The first debt is random: many directors with a request each keep the sum. */
-    void started(Endpoint node, long startedUs) {
-        node.startedUs = startedUs;
-        node.breaker.forget();
-        node.room.forget();
-        node.shared.forget();
-        node.credit.begin(state.random.nextDouble(), state.now);
+    /**
+     * An endpoint has started: what was learned of it is void. The initial debt is random, so that many directors that
+     * each send a first request keep within the sum.
+     */
+    void onStart(Endpoint endpoint, long startedUs) {
+        endpoint.startedUs = startedUs;
+        endpoint.breaker.reset();
+        endpoint.concurrency.reset();
+        endpoint.peerLoad.reset();
+        endpoint.slowStartBudget.reset(context.random.nextDouble(), context.nowUs);
     }
 
-    /** Charges an attempt to a member's credit, and as the one trial for a while to a sick one. */
-    void charge(Endpoint node, PendingRequest pending) {
-        node.breaker.sent(state.now);
-        node.credit.spend(work(pending));
+    /** Takes the cost of an attempt from an endpoint's budget. */
+    void chargeAttempt(Endpoint endpoint, PendingRequest pending) {
+        endpoint.slowStartBudget.consume(serviceUs(pending));
     }
 
-    /** Books what a warm member has served; work that it was only sent, or turned away, would flatter it. */
-    void served(Endpoint node, PendingRequest pending) {
-        if (node.role != Role.ORIGIN && !cold(node)) {
-            state.members.ring(node).served.add(work(pending));
+    /** Records what a warm endpoint has served; what it was only sent, or has rejected, would raise the estimate. */
+    void recordServed(Endpoint endpoint, PendingRequest pending) {
+        if (endpoint.role != Role.ORIGIN && !isWarmingUp(endpoint)) {
+            endpoints.ringOf(endpoint).throughput.add(serviceUs(pending));
         }
     }
 
-    private double work(PendingRequest pending) {
-        return Math.max(1, state.work.of(pending.request.requestClass()));
+    private double serviceUs(PendingRequest pending) {
+        return Math.max(1, serviceTimes.meanUs(pending.request.requestClass()));
     }
 }
--- a/src/main/java/clovermill/spread/decide/PeerLoadEstimator.java
+++ b/src/main/java/clovermill/spread/decide/PeerLoadEstimator.java
@@ -3,64 +3,72 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What fellow directors have out at something that all share, a member or a link, as one director may believe it.
+ * Estimates how many transfers the other directors have in flight at an endpoint or a link that all share.
  *
- * <p>Reports count what everybody has out. They come late, seldom and noisy, and all directors see the same ones: who
- * follows each of them runs with all others to whatever looked idle last (Mitzenmacher, "How Useful Is Old
- * Information?", 2000). So a report is taken for the level of some time, not of a moment: it is averaged over about
- * a second, and of that level only this director's own average is taken away; what it sends or gets back from then on
- * it counts itself, at once. Where reports grow old the belief goes over, bit by bit, to the guess of one who is told
- * nothing. Not thread-safe; times are microseconds on the owner's clock.
+ * <p>Load reports count the transfers of all directors. They come late, seldom and noisy, and all directors see the
+ * same ones: directors that follow each report move together to whatever looked idle last (Mitzenmacher, "How Useful Is
+ * Old Information?", 2000). So a report stands for the level of some time and not of a moment: reports are averaged
+ * over about a second, and only this director's own average is subtracted from that level; its own attempts it counts
+ * itself, at once. As reports grow old the estimate moves gradually to the guess that a director without reports would
+ * make. Not thread-safe; times are microseconds on the owner's monotonic clock.
  */
 public final class PeerLoadEstimator {
 
-    /** Time over which reports are averaged: some of their periods, which are up to a second. */
-    private static final double BLEND_US = 1_000_000;
-    /** Time after which a level that nothing refreshes counts for less than the guess (a factor of e). */
-    private static final double FADE_US = 3_000_000;
+    /** Time constant over which reports are averaged: several of their periods, which are up to a second. */
+    private static final double REPORT_AVERAGING_TIME_US = 1_000_000;
+    /** Time after which the confidence in the last report has fallen by a factor of e. */
+    private static final double CONFIDENCE_DECAY_TIME_US = 3_000_000;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private double level;
-    private long reportedUs = NEVER;
+    /** Average of the reports, in transfers of all directors. */
+    private double reportedLevel;
+    private long lastReportUs = NEVER;
 
-    /** Takes a report of what all directors together had out; one that is no number of at least 0 is passed over. */
-    public void reported(double all, long nowUs) {
-        if (all >= 0 && all < Double.POSITIVE_INFINITY) {
-            double age = Math.max(0, nowUs - reportedUs);
-            level += (reportedUs == NEVER ? 1 : 1 - Math.exp(-age / BLEND_US)) * (all - level);
-            reportedUs = nowUs;
+    /** Records a report of the transfers of all directors; one that is not a finite number of at least 0 is ignored. */
+    public void recordReport(double totalInFlight, long nowUs) {
+        if (totalInFlight >= 0 && totalInFlight < Double.POSITIVE_INFINITY) {
+            double ageUs = Math.max(0, nowUs - lastReportUs);
+            reportedLevel += (lastReportUs == NEVER ? 1 : 1 - Math.exp(-ageUs / REPORT_AVERAGING_TIME_US))
+                    * (totalInFlight - reportedLevel);
+            lastReportUs = nowUs;
         }
     }
 
     /** Whether anything was ever reported. */
-    public boolean told() {
-        return reportedUs != NEVER;
+    public boolean hasReport() {
+        return lastReportUs != NEVER;
     }
 
     /**
-     * Whether one of the requests for a member that holds {@code strain} times what it can at full pace better goes
-     * elsewhere. By chance, just the excess: all directors see the same report, and together they are to take away what
-     * is too much and no more. Less of it the older the reports are, and nothing where none were told, as a guess from
-     * one's own few requests is no reason to move. Draws a number only where there is an excess.
+     * Whether one request for an endpoint of that utilization (load over limit) should go elsewhere: with the
+     * probability of just the excess, because all directors see the same report and together are to take away the
+     * excess and no more. Less the older the reports are, and never without reports, since a guess from this director's
+     * few requests is no reason to move. Draws a random number only where there is an excess.
      */
-    public boolean sheds(double strain, long nowUs, RandomGenerator random) {
-        double excess = strain > 1 ? trust(nowUs) * (1 - 1 / strain) : 0;
+    public boolean shouldShed(double utilization, long nowUs, RandomGenerator random) {
+        double excess = utilization > 1 ? confidence(nowUs) * (1 - 1 / utilization) : 0;
         return excess > 0 && random.nextDouble() < excess;
     }
 
-    private double trust(long nowUs) {
-        return told() ? Math.exp(-(nowUs - reportedUs) / FADE_US) : 0;
+    /** Confidence in the reports, from 0 (none were made) to 1. */
+    private double confidence(long nowUs) {
+        return hasReport() ? Math.exp(-(nowUs - lastReportUs) / CONFIDENCE_DECAY_TIME_US) : 0;
     }
 
-    /** What fellows are believed to have out, at least 0: told of late, or as guessed from what this director has. */
-    public double fellows(double ownAverage, double guess, long nowUs) {
-        double trust = trust(nowUs);
-        return trust * Math.max(0, level - ownAverage) + (1 - trust) * guess;
+    /**
+     * The estimated transfers of the other directors, at least 0.
+     *
+     * @param ownAverage this director's own transfers on average
+     * @param guess the estimate where nothing is reported
+     */
+    public double peerLoad(double ownAverage, double guess, long nowUs) {
+        double confidence = confidence(nowUs);
+        return confidence * Math.max(0, reportedLevel - ownAverage) + (1 - confidence) * guess;
     }
 
-    /** Forgets all: what is counted has started anew. */
-    public void forget() {
-        reportedUs = NEVER;
-        level = 0;
+    /** Forgets all reports: the endpoint has restarted. */
+    public void reset() {
+        lastReportUs = NEVER;
+        reportedLevel = 0;
     }
 }
--- a/src/main/java/clovermill/spread/package-info.java
+++ b/src/main/java/clovermill/spread/package-info.java
@@ -1,7 +1,11 @@
 /**
- * How directors that share nothing keep the load of caches even, though each sees little: what one may believe of
- * all that is out at a member, and which part of an overload it takes away ({@code decide}: no I/O, clock or
- * threads). The module asks it and chooses among homes and copies as ever. {@link clovermill.emulator} shows what
- * comes of it in a fleet of any size. See {@code docs/design/spread.md}.
+ * Load estimation: how directors that exchange nothing keep the load of shared endpoints even.
+ *
+ * <p>Look first at {@link clovermill.spread.decide.PeerLoadEstimator} (what the other directors have in flight, and
+ * which part of an overload this one moves elsewhere) and at {@link clovermill.spread.decide.ConcurrencyEstimator} (how
+ * much an endpoint can hold). Both are pure decision classes: no I/O, clock or thread, times in microseconds passed in,
+ * randomness passed in. The routing decisions ask them through {@code CapacityEstimator} and choose among homes and
+ * copies. {@link clovermill.emulator} shows the outcome in a fleet of any size; the reasons are in
+ * {@code docs/design/spread.md}.
  */
 package clovermill.spread;
--- a/src/test/java/clovermill/prove/capacity/CapacityModel.java
+++ b/src/test/java/clovermill/prove/capacity/CapacityModel.java
@@ -25,7 +25,7 @@
     private static final int MEMBER_PART = 8;
     /** {@code HttpResponses.LARGEST_BODY}. */
     private static final double CHANNEL_ANSWER = 4 * MIB;
-    /** As {@code CacheContentsIndex} has it (PARTS_KEPT, BELIEF_US), and {@code ReplicatedMap.MAX_ENTRIES}. */
+    /** As {@code CacheContentsIndex} has it (MAX_PARTS, ENTRY_LIFETIME_US), and {@code ReplicatedMap.MAX_ENTRIES}. */
     private static final int PARTS_KEPT = 30_000;
     private static final int BELIEF_S = 30;
     private static final int MAX_ENTRIES = 10_000;
--- a/src/test/java/clovermill/spread/decide/PeerLoadEstimatorTest.java
+++ b/src/test/java/clovermill/spread/decide/PeerLoadEstimatorTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What one director believes of its fellows' load. */
+/** What one director estimates of the load that the other directors make. */
 class PeerLoadEstimatorTest {
 
     private static final long SECOND = 1_000_000;
@@ -20,66 +20,66 @@
 
     @Test
     void withoutReportsTheGuessStands() {
-        assertThat(load.told()).isFalse();
-        assertThat(load.fellows(3, 9, 5 * SECOND)).isEqualTo(9);
+        assertThat(load.hasReport()).isFalse();
+        assertThat(load.peerLoad(3, 9, 5 * SECOND)).isEqualTo(9);
     }
 
     @Test
     void ownWorkIsNotCountedTwice() {
-        load.reported(20, 0);
-        assertThat(load.fellows(5, 99, 0)).isEqualTo(15);
-        assertThat(load.fellows(30, 99, 0)).as("a report from before this director's burst").isZero();
+        load.recordReport(20, 0);
+        assertThat(load.peerLoad(5, 99, 0)).isEqualTo(15);
+        assertThat(load.peerLoad(30, 99, 0)).as("a report from before this director's burst").isZero();
     }
 
     @Test
     void aHerdOfReportsAfterSilenceMovesNoMoreThanOneOfThem() {
-        load.reported(10, 0);
+        load.recordReport(10, 0);
         for (int i = 0; i < 100; i++) {
-            load.reported(0, 10_000); // all that was held back arrives at once, each saying idle
+            load.recordReport(0, 10_000); // all that was held back arrives at once, each saying idle
         }
-        assertThat(load.fellows(0, 99, 10_000)).isGreaterThan(9);
+        assertThat(load.peerLoad(0, 99, 10_000)).isGreaterThan(9);
     }
 
     @Test
     void reportsThatStopGiveWayToTheGuess() {
-        load.reported(0, 0);
-        assertThat(load.fellows(0, 40, SECOND)).isLessThan(15);
-        assertThat(load.fellows(0, 40, 3 * SECOND)).isBetween(20.0, 30.0);
-        assertThat(load.fellows(0, 40, 60 * SECOND)).isCloseTo(40, within(0.01));
+        load.recordReport(0, 0);
+        assertThat(load.peerLoad(0, 40, SECOND)).isLessThan(15);
+        assertThat(load.peerLoad(0, 40, 3 * SECOND)).isBetween(20.0, 30.0);
+        assertThat(load.peerLoad(0, 40, 60 * SECOND)).isCloseTo(40, within(0.01));
     }
 
     @Test
     void aStartVoidsWhatWasReported() {
-        load.reported(50, 0);
-        load.forget();
-        assertThat(load.fellows(0, 2, 1)).isEqualTo(2);
-        load.reported(4, 10);
-        assertThat(load.fellows(0, 2, 10)).as("nothing of before is left in it").isEqualTo(4);
+        load.recordReport(50, 0);
+        load.reset();
+        assertThat(load.peerLoad(0, 2, 1)).isEqualTo(2);
+        load.recordReport(4, 10);
+        assertThat(load.peerLoad(0, 2, 10)).as("nothing of before is left in it").isEqualTo(4);
     }
 
     @Test
     void directorsTogetherShedTheExcessAndNoMore() {
         SplittableRandom random = new SplittableRandom(3);
-        load.reported(40, 0);
-        long gone = IntStream.range(0, 10_000).filter(i -> load.sheds(4, 0, random)).count();
+        load.recordReport(40, 0);
+        long gone = IntStream.range(0, 10_000).filter(i -> load.shouldShed(4, 0, random)).count();
         assertThat(gone).as("of 10,000 to one that holds four times its room").isBetween(7_300L, 7_700L);
-        assertThat(IntStream.range(0, 1000).filter(i -> load.sheds(1, 0, random)).count()).isZero();
+        assertThat(IntStream.range(0, 1000).filter(i -> load.shouldShed(1, 0, random)).count()).isZero();
     }
 
     @Test
     void nothingIsShedOnAGuessNorOnReportsOfLongAgo() {
         SplittableRandom random = new SplittableRandom(3);
-        assertThat(load.sheds(50, 0, random)).isFalse();
-        load.reported(40, 0);
-        assertThat(IntStream.range(0, 1000).filter(i -> load.sheds(50, 30 * SECOND, random)).count()).isZero();
+        assertThat(load.shouldShed(50, 0, random)).isFalse();
+        load.recordReport(40, 0);
+        assertThat(IntStream.range(0, 1000).filter(i -> load.shouldShed(50, 30 * SECOND, random)).count()).isZero();
     }
 
     @Test
     void whatIsNoCountIsPassedOver() {
-        load.reported(Double.NaN, 0);
-        load.reported(-1, 0);
-        load.reported(Double.POSITIVE_INFINITY, 0);
-        assertThat(load.told()).isFalse();
+        load.recordReport(Double.NaN, 0);
+        load.recordReport(-1, 0);
+        load.recordReport(Double.POSITIVE_INFINITY, 0);
+        assertThat(load.hasReport()).isFalse();
     }
 
     @Property
@@ -90,12 +90,12 @@
         PeerLoadEstimator any = new PeerLoadEstimator();
         long now = 0;
         for (double each : reports) {
-            any.reported(each, now);
+            any.recordReport(each, now);
             now += 137_000;
         }
         double most = Math.max(guess, reports.stream().mapToDouble(d -> d).max().orElse(0));
         double least = Math.min(guess, reports.stream().mapToDouble(d -> d).min().orElse(0));
-        double fellows = any.fellows(0, guess, now + (long) (later * SECOND));
-        assertThat(fellows).isBetween(least - 1e-6, most + 1e-6);
+        double peerLoad = any.peerLoad(0, guess, now + (long) (later * SECOND));
+        assertThat(peerLoad).isBetween(least - 1e-6, most + 1e-6);
     }
 }
