--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -25,7 +25,7 @@
 import clovermill.host.Host;
 import clovermill.ledger.Ledger;
 import clovermill.ledger.LedgerSettings;
-import clovermill.module.Policy;
+import clovermill.module.RequestRouter;
 import clovermill.net.Budget;
 import clovermill.net.Clock;
 import clovermill.net.Deadlines;
@@ -106,7 +106,7 @@
         Audit audit = fleet == null ? ledger : fleet;
         Placement placement = agreed == null ? null : new Placement(clock, settings, config.zones(), config.classes(),
                 agreed.allBound(), audit);
-        Host host = new Host(new Policy(settings, config.seed()), settings, clock, deadlines, pool,
+        Host host = new Host(new RequestRouter(settings, config.seed()), settings, clock, deadlines, pool,
                 placement == null ? audit : placement, placement);
         Roster roster = new Roster(clock, pool, host, new Outages(), settings.originKind());
         roster.start(known);
--- /dev/null
+++ b/src/main/java/clovermill/memory/DeadlineQueue.java
@@ -0,0 +1,36 @@
+package clovermill.memory;
+
+import java.util.PriorityQueue;
+import java.util.function.ToLongFunction;
+
+/**
+ * Items ordered by their deadline in microseconds, the earliest first; the order among equal deadlines is that of a
+ * binary heap. Its owner bounds it. Not thread-safe.
+ */
+public final class DeadlineQueue<T> {
+
+    private final PriorityQueue<T> queue;
+    private final ToLongFunction<T> deadlineUs;
+
+    /** A queue ordered by {@code deadlineUs}, which must give the same value for an item at all times. */
+    public DeadlineQueue(ToLongFunction<T> deadlineUs) {
+        this.deadlineUs = deadlineUs;
+        this.queue = new PriorityQueue<>((one, other) -> Long.compare(deadlineUs.applyAsLong(one),
+                deadlineUs.applyAsLong(other)));
+    }
+
+    /** Adds an item. */
+    public void add(T item) {
+        queue.add(item);
+    }
+
+    /** Removes an item; returns whether it was in the queue. */
+    public boolean remove(T item) {
+        return queue.remove(item);
+    }
+
+    /** Removes and returns the next item whose deadline has come, or returns null. */
+    public T pollDue(long nowUs) {
+        return queue.isEmpty() || deadlineUs.applyAsLong(queue.peek()) > nowUs ? null : queue.poll();
+    }
+}
--- /dev/null
+++ b/src/main/java/clovermill/module/OutcomeObserver.java
@@ -0,0 +1,130 @@
+package clovermill.module;
+
+import clovermill.CacheRouter.Note;
+import clovermill.CacheRouter.Outcome;
+import clovermill.CacheRouter.Result;
+import clovermill.CacheRouter.Telling;
+import clovermill.memory.ClassServiceTimes;
+
+/** Learns from the outcome of each attempt: which cache holds what, the pace of endpoints, and which of them failed. */
+final class OutcomeObserver {
+
+    private final RoutingContext context;
+    private final EndpointSet endpoints;
+    private final CacheContentsIndex contents;
+    private final CapacityEstimator capacity;
+    private final OutlierDetector outliers;
+    private final SlowStart slowStart;
+    private final OriginLoadShedder originShedder;
+    private final ClassServiceTimes serviceTimes;
+
+    OutcomeObserver(RoutingContext context, EndpointSet endpoints, CacheContentsIndex contents,
+            CapacityEstimator capacity, OutlierDetector outliers, SlowStart slowStart,
+            OriginLoadShedder originShedder, ClassServiceTimes serviceTimes) {
+        this.context = context;
+        this.endpoints = endpoints;
+        this.contents = contents;
+        this.capacity = capacity;
+        this.outliers = outliers;
+        this.slowStart = slowStart;
+        this.originShedder = originShedder;
+        this.serviceTimes = serviceTimes;
+    }
+
+    /** Learns from the outcome of an attempt. */
+    void observe(Attempt attempt, Outcome outcome) {
+        PendingRequest pending = attempt.request();
+        Route route = attempt.route();
+        Result result = outcome.result();
+        boolean filled = wasFilled(route, outcome);
+        if (route.copyRank() > 0 && result != Result.CANCELLED && result != Result.NOT_SENT) {
+            contents.recordHolder(pending.request, route.target(), result == Result.OK);
+        }
+        originShedder.observe(attempt, outcome, filled, endpoints.origin());
+        switch (result) {
+            case OK -> observeSuccess(attempt, outcome, filled);
+            case CANCELLED, NOT_SENT -> {}
+            default -> observeFailure(attempt, outcome);
+        }
+    }
+
+    /** Whether the answer was a fill: by the note or, where none are given, by what was expected. */
+    private boolean wasFilled(Route route, Outcome outcome) {
+        return outcome.result() == Result.OK && switch (outcome.note()) {
+            case FILLED, ORIGIN_ASKED, JOINED -> true;
+            default -> context.settings.telling() == Telling.NONE && !route.hitExpected();
+        };
+    }
+
+    private void observeSuccess(Attempt attempt, Outcome outcome, boolean filled) {
+        PendingRequest pending = attempt.request();
+        Route route = attempt.route();
+        long workedUs = outcome.elapsedUs() - outcome.waitedUs();
+        slowStart.recordServed(route.target(), pending);
+        if (!filled && pending.request.sizeKb() <= 0) {
+            serviceTimes.recordHit(pending.request.requestClass(), workedUs);
+        }
+        if (!filled || route.fillExpected()) {
+            capacity.recordPace(attempt, filled, workedUs);
+        }
+        if (filled && route.fillExpected()) {
+            slowStart.recordServed(route.source(), pending);
+            outliers.recordSuccess(route.source());
+        }
+        outliers.recordSuccess(route.target());
+        pending.errored.forEach(outliers::recordFailure);
+    }
+
+    /** Attributes a failure by the note; without one to the source of a fill, the target or the link. */
+    private void observeFailure(Attempt attempt, Outcome outcome) {
+        Route route = attempt.route();
+        Endpoint target = route.target();
+        Endpoint source = route.source() == null ? target : route.source();
+        boolean ofSource = isFailureOfSource(attempt, outcome);
+        switch (outcome.note()) {
+            case SOURCE_REFUSED -> capacity.recordRejection(source);
+            case SOURCE_UNREACHED -> outliers.recordTimeout(source, attempt);
+            case SOURCE_LACKS -> contents.recordHolder(attempt.request().request, source, false);
+            case ORIGIN_FAILED -> outliers.recordTimeout(endpoints.origin(), attempt);
+            case NO_PLACE -> capacity.recordLinkRejection();
+            default -> attributeWithoutNote(attempt, outcome.result(), ofSource ? source : target, ofSource);
+        }
+        if (outcome.result() == Result.TIMED_OUT && route.fillExpected()) {
+            outliers.recordTimeout(source, attempt);
+        }
+        if (outcome.note() != Note.ORIGIN_FAILED) {
+            attempt.request().excluded.add(ofSource ? source : target);
+        }
+    }
+
+    private boolean isFailureOfSource(Attempt attempt, Outcome outcome) {
+        boolean fillExpected = attempt.route().fillExpected();
+        return switch (outcome.note()) {
+            case SOURCE_REFUSED, SOURCE_UNREACHED, SOURCE_LACKS -> true;
+            default -> outcome.result() == Result.ERROR
+                    ? context.settings.telling() != Telling.ALL && fillExpected && attempt.request().errored.isEmpty()
+                    : isFillWithoutNotes(attempt) && outcome.result() == Result.TIMED_OUT;
+        };
+    }
+
+    private boolean isFillWithoutNotes(Attempt attempt) {
+        return context.settings.telling() == Telling.NONE && attempt.route().fillExpected();
+    }
+
+    /** A rejected fill, where no notes are given, is taken for the link's: it had no place for it. */
+    private void attributeWithoutNote(Attempt attempt, Result result, Endpoint suspect, boolean ofSource) {
+        if (result == Result.REFUSED && !ofSource && isFillWithoutNotes(attempt)) {
+            capacity.recordLinkRejection();
+            return;
+        }
+        switch (result) {
+            case REFUSED -> capacity.recordRejection(suspect);
+            case UNCONNECTED -> outliers.recordConnectFailure(suspect);
+            case BROKEN -> outliers.recordBrokenConnection(suspect);
+            case TIMED_OUT -> outliers.recordTimeout(suspect, attempt);
+            // The request itself may be at fault: counted once another endpoint has served it.
+            case ERROR -> attempt.request().errored.add(suspect);
+            default -> {}
+        }
+    }
+}
