--- a/src/main/java/clovermill/admin/package-info.java
+++ /dev/null
@@ -1,5 +0,0 @@
-/**
- * The place where operators call: HTTP/1.1 with one call per connection, on the loop like all else. What a call
- * is answered is decided by {@link clovermill.admin.decide.Desk}; this package reads and writes.
- */
-package clovermill.admin;
--- a/src/main/java/clovermill/cli/Cli.java
+++ b/src/main/java/clovermill/cli/Cli.java
@@ -1,7 +1,7 @@
 package clovermill.cli;
 
+import clovermill.config.settings.SettingsFile;
 import clovermill.director.Service;
-import clovermill.settings.SettingsFile;
 import java.io.IOException;
 import java.nio.file.NoSuchFileException;
 import java.util.concurrent.Callable;
--- a/src/main/java/clovermill/cli/FleetSimCommand.java
+++ b/src/main/java/clovermill/cli/FleetSimCommand.java
@@ -1,8 +1,8 @@
 package clovermill.cli;
 
-import clovermill.emulator.Emulation;
-import clovermill.emulator.FleetMetrics;
-import clovermill.emulator.Plan;
+import clovermill.simulation.emulator.Emulation;
+import clovermill.simulation.emulator.FleetMetrics;
+import clovermill.simulation.emulator.Plan;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
--- a/src/main/java/clovermill/cli/LedgerCloseCommand.java
+++ b/src/main/java/clovermill/cli/LedgerCloseCommand.java
@@ -2,7 +2,7 @@
 
 import clovermill.ledger.Closer;
 import clovermill.ledger.LedgerSettings;
-import clovermill.store.Volume;
+import clovermill.storage.Volume;
 import java.util.Map;
 import picocli.CommandLine.Command;
 
--- a/src/main/java/clovermill/cli/LedgerCompactCommand.java
+++ b/src/main/java/clovermill/cli/LedgerCompactCommand.java
@@ -2,7 +2,7 @@
 
 import clovermill.ledger.LedgerSettings;
 import clovermill.ledger.books.Compactor;
-import clovermill.store.Volume;
+import clovermill.storage.Volume;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/src/main/java/clovermill/cli/LedgerExportCommand.java
+++ b/src/main/java/clovermill/cli/LedgerExportCommand.java
@@ -1,9 +1,9 @@
 package clovermill.cli;
 
+import clovermill.config.settings.SettingsFile;
 import clovermill.ledger.LedgerSettings;
 import clovermill.ledger.export.Exporter;
-import clovermill.settings.SettingsFile;
-import clovermill.store.Volume;
+import clovermill.storage.Volume;
 import java.util.List;
 import java.util.Random;
 import picocli.CommandLine.Command;
--- a/src/main/java/clovermill/cli/LedgerFolderCommand.java
+++ b/src/main/java/clovermill/cli/LedgerFolderCommand.java
@@ -1,8 +1,8 @@
 package clovermill.cli;
 
+import clovermill.config.settings.SettingsFile;
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LedgerSettings;
-import clovermill.settings.SettingsFile;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
--- a/src/main/java/clovermill/cli/LedgerReconcileCommand.java
+++ b/src/main/java/clovermill/cli/LedgerReconcileCommand.java
@@ -6,7 +6,7 @@
 import clovermill.ledger.decide.Reconciliation;
 import clovermill.ledger.decide.Shares;
 import clovermill.ledger.decide.Totals;
-import clovermill.store.Volume;
+import clovermill.storage.Volume;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
--- a/src/main/java/clovermill/cli/Main.java
+++ b/src/main/java/clovermill/cli/Main.java
@@ -1,8 +1,8 @@
 package clovermill.cli;
 
-import clovermill.adapter.Adapter;
-import clovermill.adapter.MalformedInput;
 import clovermill.director.Service;
+import clovermill.simulation.adapter.Adapter;
+import clovermill.simulation.adapter.MalformedInput;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
@@ -36,7 +36,7 @@
 
     static int serve(String settings) {
         // Not a constant of that class: initializing it would set the JVM's own manager up before.
-        System.setProperty("java.util.logging.manager", "clovermill.settings.LastingLog");
+        System.setProperty("java.util.logging.manager", "clovermill.config.settings.LastingLog");
         try {
             Service.serve(settings);
             return 0;
--- a/src/main/java/clovermill/config/Config.java
+++ b/src/main/java/clovermill/config/Config.java
@@ -1,6 +1,6 @@
 package clovermill.config;
 
-import clovermill.CacheRouter.Settings;
+import clovermill.routing.api.Settings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/clovermill/config/LoadReports.java
+++ b/src/main/java/clovermill/config/LoadReports.java
@@ -1,6 +1,6 @@
 package clovermill.config;
 
-import clovermill.CacheRouter.LoadReport;
+import clovermill.routing.api.LoadReport;
 
 /** Load reports as text, the same in the simulator's outcomes and in the answers of members. */
 public final class LoadReports {
--- a/src/main/java/clovermill/settings/LastingLog.java
+++ b/src/main/java/clovermill/config/settings/LastingLog.java
@@ -1,4 +1,4 @@
-package clovermill.settings;
+package clovermill.config.settings;
 
 import java.util.logging.LogManager;
 
--- a/src/main/java/clovermill/settings/LogSettings.java
+++ b/src/main/java/clovermill/config/settings/LogSettings.java
@@ -1,4 +1,4 @@
-package clovermill.settings;
+package clovermill.config.settings;
 
 /** The part under {@code /log}: {@code format} is text or json, {@code level} the least that is written. */
 public record LogSettings(String format, String level, String file) {
--- a/src/main/java/clovermill/settings/SettingsFile.java
+++ b/src/main/java/clovermill/config/settings/SettingsFile.java
@@ -1,4 +1,4 @@
-package clovermill.settings;
+package clovermill.config.settings;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.StreamReadFeature;
--- a/src/main/java/clovermill/settings/StructuredLog.java
+++ b/src/main/java/clovermill/config/settings/StructuredLog.java
@@ -1,4 +1,4 @@
-package clovermill.settings;
+package clovermill.config.settings;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.LoggerContext;
--- a/src/main/java/clovermill/tenants/TenantRules.java
+++ b/src/main/java/clovermill/config/tenants/TenantRules.java
@@ -1,4 +1,4 @@
-package clovermill.tenants;
+package clovermill.config.tenants;
 
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/clovermill/tenants/package-info.java
+++ b/src/main/java/clovermill/config/tenants/package-info.java
@@ -1,2 +1,2 @@
 /** Whose a request is: used by the ledger, by limits and by placement alike. Pure. */
-package clovermill.tenants;
+package clovermill.config.tenants;
--- a/src/main/java/clovermill/admin/AdminFront.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminFront.java
@@ -1,15 +1,15 @@
-package clovermill.admin;
+package clovermill.controlplane.admin;
 
 import static java.util.Map.entry;
 
-import clovermill.admin.decide.Call;
-import clovermill.admin.decide.Desk;
-import clovermill.admin.decide.Reply;
-import clovermill.net.Clock;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.Listener;
+import clovermill.controlplane.admin.decide.Call;
+import clovermill.controlplane.admin.decide.Desk;
+import clovermill.controlplane.admin.decide.Reply;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.Listener;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
--- a/src/main/java/clovermill/admin/CallParser.java
+++ b/src/main/java/clovermill/controlplane/admin/CallParser.java
@@ -1,6 +1,6 @@
-package clovermill.admin;
+package clovermill.controlplane.admin;
 
-import clovermill.admin.decide.Call;
+import clovermill.controlplane.admin.decide.Call;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/clovermill/admin/decide/Desk.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/Desk.java
@@ -1,4 +1,4 @@
-package clovermill.admin.decide;
+package clovermill.controlplane.admin.decide;
 
 import clovermill.config.Json;
 import java.util.function.Consumer;
--- a/src/main/java/clovermill/admin/decide/Reply.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/Reply.java
@@ -1,4 +1,4 @@
-package clovermill.admin.decide;
+package clovermill.controlplane.admin.decide;
 
 /**
  * The answer to a call: a status of HTTP, 2xx for yes, and a reason in plain words. {@code allow} names the methods
--- a/src/main/java/clovermill/admin/decide/package-info.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/package-info.java
@@ -1,2 +1,2 @@
 /** What operators' calls are and how they are answered; no input or output. */
-package clovermill.admin.decide;
+package clovermill.controlplane.admin.decide;
--- a/src/main/java/clovermill/consensus/FileRaftStorage.java
+++ b/src/main/java/clovermill/controlplane/consensus/FileRaftStorage.java
@@ -1,8 +1,8 @@
-package clovermill.consensus;
+package clovermill.controlplane.consensus;
 
-import clovermill.store.SegmentReader;
-import clovermill.store.SegmentWriter;
-import clovermill.store.Volume;
+import clovermill.storage.SegmentReader;
+import clovermill.storage.SegmentWriter;
+import clovermill.storage.Volume;
 import io.microraft.model.RaftModelFactory;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import io.microraft.model.log.LogEntry;
--- a/src/main/java/clovermill/consensus/OperationCodec.java
+++ b/src/main/java/clovermill/controlplane/consensus/OperationCodec.java
@@ -1,4 +1,4 @@
-package clovermill.consensus;
+package clovermill.controlplane.consensus;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
--- a/src/main/java/clovermill/consensus/RaftScheduler.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftScheduler.java
@@ -1,4 +1,4 @@
-package clovermill.consensus;
+package clovermill.controlplane.consensus;
 
 import io.microraft.executor.RaftNodeExecutor;
 import java.time.Clock;
--- a/src/main/java/clovermill/consensus/RaftStorage.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftStorage.java
@@ -1,4 +1,4 @@
-package clovermill.consensus;
+package clovermill.controlplane.consensus;
 
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
--- a/src/main/java/clovermill/consensus/ReplicaId.java
+++ b/src/main/java/clovermill/controlplane/consensus/ReplicaId.java
@@ -1,4 +1,4 @@
-package clovermill.consensus;
+package clovermill.controlplane.consensus;
 
 import io.microraft.RaftEndpoint;
 
--- a/src/main/java/clovermill/channel/CommandChannel.java
+++ b/src/main/java/clovermill/controlplane/discovery/CommandChannel.java
@@ -1,11 +1,11 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
 import clovermill.config.Json;
-import clovermill.net.Clock;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.ProtocolException;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.ProtocolException;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
--- a/src/main/java/clovermill/channel/Commands.java
+++ b/src/main/java/clovermill/controlplane/discovery/Commands.java
@@ -1,9 +1,9 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.Member;
 import clovermill.config.Config;
 import clovermill.config.Json;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.Member;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/clovermill/channel/HttpResponses.java
+++ b/src/main/java/clovermill/controlplane/discovery/HttpResponses.java
@@ -1,6 +1,6 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
-import clovermill.net.ProtocolException;
+import clovermill.runtime.net.ProtocolException;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/clovermill/channel/PurgeAges.java
+++ b/src/main/java/clovermill/controlplane/discovery/PurgeAges.java
@@ -1,4 +1,4 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
 import java.util.List;
 
--- a/src/main/java/clovermill/channel/Redial.java
+++ b/src/main/java/clovermill/controlplane/discovery/Redial.java
@@ -1,4 +1,4 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
 /**
  * When a broken connection to the command channel is dialled again, and how long a dial may take. What the channel has
--- a/src/main/java/clovermill/channel/Roster.java
+++ b/src/main/java/clovermill/controlplane/discovery/Roster.java
@@ -1,16 +1,16 @@
-package clovermill.channel;
-
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Operated;
-import clovermill.CacheRouter.Purge;
-import clovermill.cache.CachePool;
-import clovermill.channel.Commands.Entry;
-import clovermill.host.Host;
-import clovermill.net.Clock;
-import clovermill.outage.Outages;
+package clovermill.controlplane.discovery;
+
+import clovermill.controlplane.discovery.Commands.Entry;
+import clovermill.controlplane.outage.Outages;
+import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.upstream.CachePool;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Operated;
+import clovermill.routing.api.Purge;
+import clovermill.runtime.net.Clock;
 import java.lang.System.Logger.Level;
 import java.lang.System.Logger;
 import java.util.ArrayList;
--- a/src/main/java/clovermill/channel/Silence.java
+++ b/src/main/java/clovermill/controlplane/discovery/Silence.java
@@ -1,4 +1,4 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
 /**
  * Notes how long nothing has been heard, and when that is worth a line: once when it has lasted longer than
--- a/src/main/java/clovermill/eventlog/EventCodec.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventCodec.java
@@ -1,8 +1,8 @@
-package clovermill.eventlog;
+package clovermill.controlplane.eventlog;
 
-import clovermill.eventlog.decide.Entry;
-import clovermill.eventlog.decide.Event;
-import clovermill.eventlog.decide.Subject;
+import clovermill.controlplane.eventlog.decide.Entry;
+import clovermill.controlplane.eventlog.decide.Event;
+import clovermill.controlplane.eventlog.decide.Subject;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
--- a/src/main/java/clovermill/eventlog/EventLogReplica.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
@@ -1,12 +1,12 @@
-package clovermill.eventlog;
-
-import clovermill.consensus.RaftMember;
-import clovermill.consensus.RaftReplica;
-import clovermill.consensus.RaftScheduler;
-import clovermill.consensus.RaftStorage;
-import clovermill.eventlog.decide.EventLog;
-import clovermill.eventlog.decide.EventLogMessage;
-import clovermill.eventlog.decide.ReplicaFeed;
+package clovermill.controlplane.eventlog;
+
+import clovermill.controlplane.consensus.RaftMember;
+import clovermill.controlplane.consensus.RaftReplica;
+import clovermill.controlplane.consensus.RaftScheduler;
+import clovermill.controlplane.consensus.RaftStorage;
+import clovermill.controlplane.eventlog.decide.EventLog;
+import clovermill.controlplane.eventlog.decide.EventLogMessage;
+import clovermill.controlplane.eventlog.decide.ReplicaFeed;
 import io.microraft.RaftConfig;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/clovermill/eventlog/EventLogStateMachine.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogStateMachine.java
@@ -1,9 +1,9 @@
-package clovermill.eventlog;
+package clovermill.controlplane.eventlog;
 
-import clovermill.consensus.ReplicatedStateMachine;
-import clovermill.eventlog.decide.Entry;
-import clovermill.eventlog.decide.Event;
-import clovermill.eventlog.decide.EventLog;
+import clovermill.controlplane.consensus.ReplicatedStateMachine;
+import clovermill.controlplane.eventlog.decide.Entry;
+import clovermill.controlplane.eventlog.decide.Event;
+import clovermill.controlplane.eventlog.decide.EventLog;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
--- a/src/main/java/clovermill/eventlog/EventLogTask.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogTask.java
@@ -1,16 +1,16 @@
-package clovermill.eventlog;
-
-import clovermill.consensus.RaftStorage;
-import clovermill.eventlog.decide.AppendClient;
-import clovermill.eventlog.decide.Delivery;
-import clovermill.eventlog.decide.EventLog.AppendResult;
-import clovermill.eventlog.decide.EventLog;
-import clovermill.eventlog.decide.EventLogMessage;
-import clovermill.eventlog.decide.EventLogTiming;
-import clovermill.eventlog.decide.Follower;
-import clovermill.eventlog.decide.FreshnessLease;
-import clovermill.eventlog.decide.ReplicaFeed;
-import clovermill.task.Task;
+package clovermill.controlplane.eventlog;
+
+import clovermill.controlplane.consensus.RaftStorage;
+import clovermill.controlplane.eventlog.decide.AppendClient;
+import clovermill.controlplane.eventlog.decide.Delivery;
+import clovermill.controlplane.eventlog.decide.EventLog.AppendResult;
+import clovermill.controlplane.eventlog.decide.EventLog;
+import clovermill.controlplane.eventlog.decide.EventLogMessage;
+import clovermill.controlplane.eventlog.decide.EventLogTiming;
+import clovermill.controlplane.eventlog.decide.Follower;
+import clovermill.controlplane.eventlog.decide.FreshnessLease;
+import clovermill.controlplane.eventlog.decide.ReplicaFeed;
+import clovermill.runtime.task.Task;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
--- a/src/main/java/clovermill/eventlog/EventLogTaskMessage.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogTaskMessage.java
@@ -1,7 +1,7 @@
-package clovermill.eventlog;
+package clovermill.controlplane.eventlog;
 
-import clovermill.eventlog.decide.Event;
-import clovermill.eventlog.decide.EventLog.AppendResult;
+import clovermill.controlplane.eventlog.decide.Event;
+import clovermill.controlplane.eventlog.decide.EventLog.AppendResult;
 import java.util.List;
 import java.util.function.Consumer;
 
--- a/src/main/java/clovermill/eventlog/EventOperationCodec.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventOperationCodec.java
@@ -1,9 +1,9 @@
-package clovermill.eventlog;
+package clovermill.controlplane.eventlog;
 
-import clovermill.consensus.OperationCodec;
-import clovermill.consensus.RaftMessageCodec;
-import clovermill.eventlog.decide.EventLog;
-import clovermill.eventlog.decide.TruncatedPrefix;
+import clovermill.controlplane.consensus.OperationCodec;
+import clovermill.controlplane.consensus.RaftMessageCodec;
+import clovermill.controlplane.eventlog.decide.EventLog;
+import clovermill.controlplane.eventlog.decide.TruncatedPrefix;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
--- a/src/main/java/clovermill/eventlog/Packet.java
+++ b/src/main/java/clovermill/controlplane/eventlog/Packet.java
@@ -1,6 +1,6 @@
-package clovermill.eventlog;
+package clovermill.controlplane.eventlog;
 
-import clovermill.eventlog.decide.EventLogMessage;
+import clovermill.controlplane.eventlog.decide.EventLogMessage;
 import io.microraft.model.message.RaftMessage;
 
 /** What a datagram carries. */
--- a/src/main/java/clovermill/eventlog/PacketCodec.java
+++ b/src/main/java/clovermill/controlplane/eventlog/PacketCodec.java
@@ -1,12 +1,12 @@
-package clovermill.eventlog;
-
-import clovermill.consensus.RaftMessageCodec;
-import clovermill.eventlog.decide.EventLog;
-import clovermill.eventlog.decide.EventLogMessage;
-import clovermill.eventlog.decide.LogRange;
-import clovermill.eventlog.decide.ReplayWindow;
-import clovermill.eventlog.decide.TruncatedPrefix;
-import clovermill.net.Peers;
+package clovermill.controlplane.eventlog;
+
+import clovermill.controlplane.consensus.RaftMessageCodec;
+import clovermill.controlplane.eventlog.decide.EventLog;
+import clovermill.controlplane.eventlog.decide.EventLogMessage;
+import clovermill.controlplane.eventlog.decide.LogRange;
+import clovermill.controlplane.eventlog.decide.ReplayWindow;
+import clovermill.controlplane.eventlog.decide.TruncatedPrefix;
+import clovermill.runtime.net.Peers;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
--- a/src/main/java/clovermill/eventlog/decide/AppendClient.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/AppendClient.java
@@ -1,7 +1,7 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
-import clovermill.eventlog.decide.EventLog.AppendOutcome;
-import clovermill.eventlog.decide.EventLog.AppendResult;
+import clovermill.controlplane.eventlog.decide.EventLog.AppendOutcome;
+import clovermill.controlplane.eventlog.decide.EventLog.AppendResult;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
--- a/src/main/java/clovermill/eventlog/decide/ByteTokenBucket.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/ByteTokenBucket.java
@@ -1,4 +1,4 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 /**
  * A token bucket of bytes: so many a second, and what one second brings may be spent at once. What must be sent may be
--- a/src/main/java/clovermill/eventlog/decide/Delivery.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Delivery.java
@@ -1,4 +1,4 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 /** What a follower hands to those who act on events, in order. */
 public sealed interface Delivery {
--- a/src/main/java/clovermill/eventlog/decide/Entry.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Entry.java
@@ -1,4 +1,4 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 /** An event at its place in the log; sequence numbers begin with 1. */
 public record Entry(long sequence, Event event) {
--- a/src/main/java/clovermill/eventlog/decide/Event.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Event.java
@@ -1,4 +1,4 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 /**
  * An ordered event of the fleet.
--- a/src/main/java/clovermill/eventlog/decide/EventLog.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/EventLog.java
@@ -1,4 +1,4 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/clovermill/eventlog/decide/EventLogTiming.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/EventLogTiming.java
@@ -1,4 +1,4 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 /**
  * Lengths of time of all who take part, in microseconds, the same everywhere.
--- a/src/main/java/clovermill/eventlog/decide/Follower.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Follower.java
@@ -1,7 +1,7 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
-import clovermill.eventlog.decide.EventLogMessage.Batch;
-import clovermill.eventlog.decide.EventLogMessage.Follow;
+import clovermill.controlplane.eventlog.decide.EventLogMessage.Batch;
+import clovermill.controlplane.eventlog.decide.EventLogMessage.Follow;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/main/java/clovermill/eventlog/decide/Subject.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Subject.java
@@ -1,4 +1,4 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 /**
  * What an event is about; a later event of a subject replaces the earlier.
--- a/src/main/java/clovermill/eventlog/decide/TruncatedPrefix.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/TruncatedPrefix.java
@@ -1,4 +1,4 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 /**
  * Stands for all events up to a sequence number that the log holds no more.
--- a/src/main/java/clovermill/eventlog/decide/package-info.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/package-info.java
@@ -3,4 +3,4 @@
  * to whom, when what a director holds is proven, and how a client appends once. Clock and randomness are passed in;
  * time is microseconds of the owner's clock. The invariants stand in {@code docs/design/event-log.md}.
  */
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
--- a/src/main/java/clovermill/fleet/GossipCodec.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipCodec.java
@@ -1,8 +1,8 @@
-package clovermill.fleet;
+package clovermill.controlplane.gossip;
 
-import clovermill.fleet.decide.GossipMessage;
-import clovermill.fleet.decide.ReplicatedEntry;
-import clovermill.net.Peers;
+import clovermill.controlplane.gossip.decide.GossipMessage;
+import clovermill.controlplane.gossip.decide.ReplicatedEntry;
+import clovermill.runtime.net.Peers;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/clovermill/fleet/GossipService.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipService.java
@@ -1,19 +1,19 @@
-package clovermill.fleet;
-
-import clovermill.CacheRouter.Members;
-import clovermill.fleet.decide.GossipMember.OutgoingMessage;
-import clovermill.fleet.decide.GossipMember;
-import clovermill.fleet.decide.GossipMessage;
-import clovermill.fleet.decide.LimitShare;
-import clovermill.fleet.decide.ReplicatedEntry;
-import clovermill.host.Ask;
-import clovermill.host.Audit;
-import clovermill.host.Usage;
-import clovermill.net.Clock;
-import clovermill.net.Datagrams;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.RecurringTask;
+package clovermill.controlplane.gossip;
+
+import clovermill.controlplane.gossip.decide.GossipMember.OutgoingMessage;
+import clovermill.controlplane.gossip.decide.GossipMember;
+import clovermill.controlplane.gossip.decide.GossipMessage;
+import clovermill.controlplane.gossip.decide.LimitShare;
+import clovermill.controlplane.gossip.decide.ReplicatedEntry;
+import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.Audit;
+import clovermill.dataplane.proxy.Usage;
+import clovermill.routing.api.Members;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Datagrams;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.RecurringTask;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
--- a/src/main/java/clovermill/fleet/GossipSettings.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipSettings.java
@@ -1,10 +1,10 @@
-package clovermill.fleet;
+package clovermill.controlplane.gossip;
 
-import clovermill.fleet.decide.ConcurrencyLimitShare;
-import clovermill.fleet.decide.GossipMember;
-import clovermill.fleet.decide.LimitShare;
-import clovermill.fleet.decide.RateLimitShare;
-import clovermill.net.Peers;
+import clovermill.controlplane.gossip.decide.ConcurrencyLimitShare;
+import clovermill.controlplane.gossip.decide.GossipMember;
+import clovermill.controlplane.gossip.decide.LimitShare;
+import clovermill.controlplane.gossip.decide.RateLimitShare;
+import clovermill.runtime.net.Peers;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/clovermill/fleet/decide/ConcurrencyLimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShare.java
@@ -1,4 +1,4 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 /**
  * One director's share of a limit on how many requests the whole fleet has open at once (a distributed semaphore). A
--- a/src/main/java/clovermill/fleet/decide/GossipMember.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/GossipMember.java
@@ -1,4 +1,4 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/clovermill/fleet/decide/LimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/LimitShare.java
@@ -1,4 +1,4 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 /**
  * One director's share of a limit on the fleet: its own part, less what it has lent, plus what it has
--- a/src/main/java/clovermill/fleet/decide/PeerSession.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/PeerSession.java
@@ -1,4 +1,4 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/src/main/java/clovermill/fleet/decide/PeerState.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/PeerState.java
@@ -1,4 +1,4 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 /** What the failure detector holds a peer to be, by how many gossip rounds have passed since its last message. */
 public enum PeerState {
--- a/src/main/java/clovermill/fleet/decide/RateLimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/RateLimitShare.java
@@ -1,4 +1,4 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 /**
  * One director's share of a limit on requests a second: an equal part of the limit, less what it has lent to peers,
--- a/src/main/java/clovermill/fleet/decide/ReplicatedEntry.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/ReplicatedEntry.java
@@ -1,4 +1,4 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 /**
  * One entry of the {@link ReplicatedMap}: a key (a cache, a credential), whether it is set (the cache is out, the
--- a/src/main/java/clovermill/upgrade/Presence.java
+++ b/src/main/java/clovermill/controlplane/handover/Presence.java
@@ -1,4 +1,4 @@
-package clovermill.upgrade;
+package clovermill.controlplane.handover;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
--- a/src/main/java/clovermill/upgrade/Shares.java
+++ b/src/main/java/clovermill/controlplane/handover/Shares.java
@@ -1,4 +1,4 @@
-package clovermill.upgrade;
+package clovermill.controlplane.handover;
 
 /**
  * How many connections a process may hold of what its director may: clients get half of the descriptors and members a
--- a/src/main/java/clovermill/outage/OutageFolder.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageFolder.java
@@ -1,4 +1,4 @@
-package clovermill.outage;
+package clovermill.controlplane.outage;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
--- a/src/main/java/clovermill/outage/OutageMarks.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageMarks.java
@@ -1,4 +1,4 @@
-package clovermill.outage;
+package clovermill.controlplane.outage;
 
 /** Where outages are marked for other processes of this director. */
 public interface OutageMarks {
--- a/src/main/java/clovermill/outage/Outages.java
+++ b/src/main/java/clovermill/controlplane/outage/Outages.java
@@ -1,4 +1,4 @@
-package clovermill.outage;
+package clovermill.controlplane.outage;
 
 import java.util.HashSet;
 import java.util.LinkedHashMap;
--- /dev/null
+++ b/src/main/java/clovermill/controlplane/outage/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * Caches that operators have taken out. {@link clovermill.controlplane.outage.Outages} knows which they are and what
+ * that makes of the list; {@link clovermill.controlplane.outage.OutageFolder} keeps it where the processes of one
+ * director share a folder.
+ */
+package clovermill.controlplane.outage;
--- a/src/main/java/clovermill/placement/decide/PlacementRules.java
+++ b/src/main/java/clovermill/controlplane/placement/decide/PlacementRules.java
@@ -1,7 +1,7 @@
-package clovermill.placement.decide;
+package clovermill.controlplane.placement.decide;
 
 import clovermill.config.Json;
-import clovermill.tenants.TenantRules;
+import clovermill.config.tenants.TenantRules;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- /dev/null
+++ b/src/main/java/clovermill/controlplane/placement/decide/package-info.java
@@ -0,0 +1,2 @@
+/** What a policy says of places; pure. */
+package clovermill.controlplane.placement.decide;
--- a/src/main/java/clovermill/accord/Accord.java
+++ b/src/main/java/clovermill/controlplane/policystore/Accord.java
@@ -1,11 +1,11 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Register.Taken;
-import clovermill.consensus.FileRaftStorage;
-import clovermill.net.Clock;
-import clovermill.store.Volume;
-import clovermill.task.TaskThread;
+import clovermill.controlplane.consensus.FileRaftStorage;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.task.TaskThread;
+import clovermill.storage.Volume;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.lang.System.Logger.Level;
--- a/src/main/java/clovermill/accord/AccordSettings.java
+++ b/src/main/java/clovermill/controlplane/policystore/AccordSettings.java
@@ -1,7 +1,7 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
-import clovermill.accord.decide.Terms;
-import clovermill.net.Peers;
+import clovermill.controlplane.policystore.decide.Terms;
+import clovermill.runtime.net.Peers;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.net.InetSocketAddress;
 import java.util.HashSet;
--- a/src/main/java/clovermill/accord/AccordTask.java
+++ b/src/main/java/clovermill/controlplane/policystore/AccordTask.java
@@ -1,15 +1,15 @@
-package clovermill.accord;
-
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Library;
-import clovermill.accord.decide.Register;
-import clovermill.accord.decide.Register.Taken;
-import clovermill.accord.decide.Terms;
-import clovermill.consensus.RaftMember;
-import clovermill.consensus.RaftReplica;
-import clovermill.consensus.RaftScheduler;
-import clovermill.consensus.RaftStorage;
-import clovermill.task.Task;
+package clovermill.controlplane.policystore;
+
+import clovermill.controlplane.consensus.RaftMember;
+import clovermill.controlplane.consensus.RaftReplica;
+import clovermill.controlplane.consensus.RaftScheduler;
+import clovermill.controlplane.consensus.RaftStorage;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Library;
+import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.Register;
+import clovermill.controlplane.policystore.decide.Terms;
+import clovermill.runtime.task.Task;
 import io.microraft.RaftConfig;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/clovermill/accord/Leading.java
+++ b/src/main/java/clovermill/controlplane/policystore/Leading.java
@@ -1,14 +1,14 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
-import clovermill.accord.decide.Change;
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Library;
-import clovermill.accord.decide.Overseer;
-import clovermill.accord.decide.Register;
-import clovermill.accord.decide.Register.Taken;
-import clovermill.accord.decide.Steady;
-import clovermill.accord.decide.Terms;
-import clovermill.consensus.RaftReplica;
+import clovermill.controlplane.consensus.RaftReplica;
+import clovermill.controlplane.policystore.decide.Change;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Library;
+import clovermill.controlplane.policystore.decide.Overseer;
+import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.Register;
+import clovermill.controlplane.policystore.decide.Steady;
+import clovermill.controlplane.policystore.decide.Terms;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/clovermill/accord/Leases.java
+++ b/src/main/java/clovermill/controlplane/policystore/Leases.java
@@ -1,10 +1,10 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Holder;
-import clovermill.accord.decide.Library;
-import clovermill.accord.decide.Step;
-import clovermill.accord.decide.Terms;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Holder;
+import clovermill.controlplane.policystore.decide.Library;
+import clovermill.controlplane.policystore.decide.Step;
+import clovermill.controlplane.policystore.decide.Terms;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Function;
--- a/src/main/java/clovermill/accord/Letter.java
+++ b/src/main/java/clovermill/controlplane/policystore/Letter.java
@@ -1,7 +1,7 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
-import clovermill.accord.decide.Register.Taken;
-import clovermill.accord.decide.Step;
+import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.Step;
 import io.microraft.model.message.RaftMessage;
 import java.util.Set;
 
--- a/src/main/java/clovermill/accord/LetterCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/LetterCodec.java
@@ -1,8 +1,8 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
-import clovermill.accord.decide.Register.Taken;
-import clovermill.accord.decide.Step;
-import clovermill.net.Peers;
+import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.Step;
+import clovermill.runtime.net.Peers;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
--- a/src/main/java/clovermill/accord/Mail.java
+++ b/src/main/java/clovermill/controlplane/policystore/Mail.java
@@ -1,7 +1,7 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Register.Taken;
 import java.util.function.BiConsumer;
 
 /** What an {@link AccordTask} takes: a letter from a fellow, or what this director's operators want. */
--- a/src/main/java/clovermill/accord/Post.java
+++ b/src/main/java/clovermill/controlplane/policystore/Post.java
@@ -1,4 +1,4 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
 /** Sends a letter to a director; one to the sender itself comes too. Any may be lost. */
 @FunctionalInterface
--- a/src/main/java/clovermill/accord/RegisterMachine.java
+++ b/src/main/java/clovermill/controlplane/policystore/RegisterMachine.java
@@ -1,10 +1,10 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
-import clovermill.accord.decide.Change;
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Register;
-import clovermill.accord.decide.Step;
-import clovermill.consensus.ReplicatedStateMachine;
+import clovermill.controlplane.consensus.ReplicatedStateMachine;
+import clovermill.controlplane.policystore.decide.Change;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Register;
+import clovermill.controlplane.policystore.decide.Step;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
--- a/src/main/java/clovermill/accord/RegisterOperationCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/RegisterOperationCodec.java
@@ -1,9 +1,9 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
-import clovermill.accord.decide.Change;
-import clovermill.accord.decide.Step;
-import clovermill.consensus.OperationCodec;
-import clovermill.consensus.RaftMessageCodec;
+import clovermill.controlplane.consensus.OperationCodec;
+import clovermill.controlplane.consensus.RaftMessageCodec;
+import clovermill.controlplane.policystore.decide.Change;
+import clovermill.controlplane.policystore.decide.Step;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
--- a/src/main/java/clovermill/accord/View.java
+++ b/src/main/java/clovermill/controlplane/policystore/View.java
@@ -1,7 +1,7 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Step;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Step;
 import java.util.Set;
 
 /**
--- a/src/main/java/clovermill/accord/decide/Change.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/Change.java
@@ -1,4 +1,4 @@
-package clovermill.accord.decide;
+package clovermill.controlplane.policystore.decide;
 
 /**
  * What the voters put into their log; each names what it follows, so that one that comes late or twice does nothing.
--- a/src/main/java/clovermill/accord/decide/Steady.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/Steady.java
@@ -1,4 +1,4 @@
-package clovermill.accord.decide;
+package clovermill.controlplane.policystore.decide;
 
 /**
  * Time that was surely lived through: a clock that jumps ahead, or a process that was stopped, adds no more than a turn
--- a/src/main/java/clovermill/accord/decide/Step.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/Step.java
@@ -1,4 +1,4 @@
-package clovermill.accord.decide;
+package clovermill.controlplane.policystore.decide;
 
 /**
  * A step of the policy: one version in force, or two of which only what both allow may be done. Numbers only grow; a
--- a/src/main/java/clovermill/accord/decide/Terms.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/Terms.java
@@ -1,4 +1,4 @@
-package clovermill.accord.decide;
+package clovermill.controlplane.policystore.decide;
 
 /**
  * The figures on which agreement rests, the same at all directors.
--- a/src/main/java/clovermill/reload/ConfigWatch.java
+++ b/src/main/java/clovermill/controlplane/reload/ConfigWatch.java
@@ -1,4 +1,4 @@
-package clovermill.reload;
+package clovermill.controlplane.reload;
 
 /**
  * Decides when the configuration file is read and when what was read is worth a warning. It is told what the
--- a/src/main/java/clovermill/reload/Reloader.java
+++ b/src/main/java/clovermill/controlplane/reload/Reloader.java
@@ -1,9 +1,9 @@
-package clovermill.reload;
+package clovermill.controlplane.reload;
 
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.nio.charset.CharacterCodingException;
--- a/src/main/java/clovermill/reload/Signals.java
+++ b/src/main/java/clovermill/controlplane/reload/Signals.java
@@ -1,4 +1,4 @@
-package clovermill.reload;
+package clovermill.controlplane.reload;
 
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
--- a/src/main/java/clovermill/reload/decide/Classes.java
+++ b/src/main/java/clovermill/controlplane/reload/decide/Classes.java
@@ -1,9 +1,9 @@
-package clovermill.reload.decide;
+package clovermill.controlplane.reload.decide;
 
-import clovermill.CacheRouter.Effect;
-import clovermill.CacheRouter.KeyScope;
-import clovermill.CacheRouter.Permissions;
-import clovermill.CacheRouter.RequestClass;
+import clovermill.routing.api.Effect;
+import clovermill.routing.api.KeyScope;
+import clovermill.routing.api.Permissions;
+import clovermill.routing.api.RequestClass;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/clovermill/reload/decide/package-info.java
+++ b/src/main/java/clovermill/controlplane/reload/decide/package-info.java
@@ -1,2 +1,2 @@
 /** What a new configuration changes, and when; no input or output. */
-package clovermill.reload.decide;
+package clovermill.controlplane.reload.decide;
--- a/src/main/java/clovermill/host/Answer.java
+++ b/src/main/java/clovermill/dataplane/proxy/Answer.java
@@ -1,6 +1,6 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
-import clovermill.net.Body;
+import clovermill.runtime.net.Body;
 
 /**
  * What a member served; {@code notModified}: the client's own copy is the one, and the body is empty. Whoever
--- a/src/main/java/clovermill/host/Ask.java
+++ b/src/main/java/clovermill/dataplane/proxy/Ask.java
@@ -1,4 +1,4 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
 /**
  * A client's request as any front hands it over. {@code requestClass} is the index of its class and {@code
--- a/src/main/java/clovermill/host/Asker.java
+++ b/src/main/java/clovermill/dataplane/proxy/Asker.java
@@ -1,4 +1,4 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
 /** Who asked: exactly one of these is called for each request, unless its client has gone before. */
 public interface Asker {
--- a/src/main/java/clovermill/host/Attempt.java
+++ b/src/main/java/clovermill/dataplane/proxy/Attempt.java
@@ -1,10 +1,10 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
-import clovermill.CacheRouter.LoadReport;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Result;
-import clovermill.net.Deadlines;
+import clovermill.routing.api.LoadReport;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Result;
+import clovermill.runtime.net.Deadlines;
 
 /** One attempt; it ends once, by its answer, its time-out or its being called off. */
 final class Attempt implements Upstream.Ending {
--- a/src/main/java/clovermill/host/Audit.java
+++ b/src/main/java/clovermill/dataplane/proxy/Audit.java
@@ -1,6 +1,6 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
-import clovermill.CacheRouter.Members;
+import clovermill.routing.api.Members;
 
 /**
  * Hears what became of every request, and may turn one away before the module sees it. All calls come on the
--- a/src/main/java/clovermill/host/Bounds.java
+++ b/src/main/java/clovermill/dataplane/proxy/Bounds.java
@@ -1,4 +1,4 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
 import java.util.function.Predicate;
 
--- a/src/main/java/clovermill/host/Call.java
+++ b/src/main/java/clovermill/dataplane/proxy/Call.java
@@ -1,7 +1,7 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
-import clovermill.CacheRouter.Note;
-import clovermill.net.Deadlines;
+import clovermill.routing.api.Note;
+import clovermill.runtime.net.Deadlines;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Predicate;
--- a/src/main/java/clovermill/host/Host.java
+++ b/src/main/java/clovermill/dataplane/proxy/Host.java
@@ -1,12 +1,31 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Event;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.CacheRouter;
+import clovermill.routing.api.Cancel;
+import clovermill.routing.api.ClientGone;
+import clovermill.routing.api.CloseIdle;
+import clovermill.routing.api.Effect;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.Fail;
+import clovermill.routing.api.Log;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Permissions;
+import clovermill.routing.api.Probe;
+import clovermill.routing.api.Probed;
+import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.RequestClass;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Retuned;
+import clovermill.routing.api.Send;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Settings;
+import clovermill.routing.api.Timer;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
 import java.lang.System.Logger.Level;
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -27,8 +46,8 @@
     private static final long AWAY_US = 100_000;
 
     private final CacheRouter router;
-    private CacheRouter.Permissions allowed;
-    private List<CacheRouter.RequestClass> classes;
+    private Permissions allowed;
+    private List<RequestClass> classes;
     private long slackUs;
     final Clock clock;
     final Deadlines deadlines;
@@ -42,13 +61,13 @@
     private boolean delivering;
 
     /** A host of whose requests nobody keeps count. */
-    public Host(CacheRouter router, CacheRouter.Settings settings, Clock clock, Deadlines deadlines,
+    public Host(CacheRouter router, Settings settings, Clock clock, Deadlines deadlines,
             Upstream upstream) {
         this(router, settings, clock, deadlines, upstream, null, null);
     }
 
     /** {@code audit} and {@code bounds} may be null. */
-    public Host(CacheRouter router, CacheRouter.Settings settings, Clock clock, Deadlines deadlines,
+    public Host(CacheRouter router, Settings settings, Clock clock, Deadlines deadlines,
             Upstream upstream, Audit audit, Bounds bounds) {
         this.bounds = bounds;
         this.router = router;
@@ -81,7 +100,7 @@
         }
         Call call = new Call(this, ask, asker, bounds == null ? null : bounds.bind(ask));
         calls.put(ask.id(), call);
-        deliver(new CacheRouter.Request(ask.id(), ask.requestClass(), 0,
+        deliver(new Request(ask.id(), ask.requestClass(), 0,
                 Long.parseUnsignedLong(ask.object(), 16), ask.part(), ask.group(), ask.sizeKb(),
                 ask.waitUs(), ask.repeat(), call.allowed == null ? ANY : call.allowed));
     }
@@ -105,7 +124,7 @@
         if (call != null && !call.over()) {
             call.end();
             call.audited(Usage.End.GONE);
-            deliver(new CacheRouter.ClientGone(id));
+            deliver(new ClientGone(id));
         }
     }
 
@@ -119,7 +138,7 @@
             return;
         }
         call.leave();
-        deliver(new CacheRouter.ClientGone(id));
+        deliver(new ClientGone(id));
         for (Attempt attempt : List.copyOf(call.out.values())) {
             if (!attempt.begun()) {
                 attempt.giveUp(Result.CANCELLED); // a module may not call off everywhere
@@ -132,18 +151,18 @@
 
     /** Passes on news that come from no request: of the members, of purges. */
     public void tell(Event event) {
-        if (audit != null && event instanceof CacheRouter.Members news) {
+        if (audit != null && event instanceof Members news) {
             audit.members(news);
         }
         deliver(event);
     }
 
     /** Puts other settings in force, for requests that come from now on. */
-    public void retune(CacheRouter.Settings settings) {
+    public void retune(Settings settings) {
         allowed = settings.allowed();
         classes = settings.classes();
         slackUs = settings.answerSlackUs();
-        deliver(new CacheRouter.Retuned(settings));
+        deliver(new Retuned(settings));
     }
 
     /** Gives every open request its final answer now: the end of the process is near. */
@@ -155,7 +174,7 @@
                 } else {
                     call.fail();
                 }
-                deliver(new CacheRouter.ClientGone(call.ask.id()));
+                deliver(new ClientGone(call.ask.id()));
             }
         }
     }
@@ -189,39 +208,39 @@
     }
 
     private void perform(Action action) {
-        if (action instanceof CacheRouter.SendVia a) {
+        if (action instanceof SendVia a) {
             boolean filled = !a.source().equals(a.member());
             send(a.request(), a.member(), a.timeoutUs(), (call, left) -> new Upstream.Order(call.ask, a.member(),
                     left, filled ? a.source() : null, a.rank(), a.maxAgeUs(), a.join(), a.heldOnly(),
                     a.parentKeepsNone(), a.renew()));
-        } else if (action instanceof CacheRouter.Send a) {
+        } else if (action instanceof Send a) {
             send(a.request(), a.member(), a.timeoutUs(), (call, left) -> new Upstream.Order(call.ask, a.member(),
                     left, null, 0, 0, false, false, false, false));
-        } else if (action instanceof CacheRouter.Cancel a) {
+        } else if (action instanceof Cancel a) {
             Call call = calls.get(a.request());
             Attempt attempt = call == null ? null : call.out.get(a.attempt());
             if (attempt != null && !(call.left() && attempt.begun())) {
                 attempt.giveUp(Result.CANCELLED);
             }
-        } else if (action instanceof CacheRouter.Refuse a) {
+        } else if (action instanceof Refuse a) {
             Call call = calls.get(a.request());
             if (call != null && !call.over()) {
                 call.refuse(Math.max(0, a.retryAfterUs()) / 1000);
             }
-        } else if (action instanceof CacheRouter.Fail a) {
+        } else if (action instanceof Fail a) {
             Call call = calls.get(a.request());
             if (call != null && !call.over()) {
                 call.fail();
             }
-        } else if (action instanceof CacheRouter.SetTimer a) {
-            deadlines.add(clock.micros() + a.delayUs(), () -> deliver(new CacheRouter.Timer(a.token())));
-        } else if (action instanceof CacheRouter.Probe a) {
+        } else if (action instanceof SetTimer a) {
+            deadlines.add(clock.micros() + a.delayUs(), () -> deliver(new Timer(a.token())));
+        } else if (action instanceof Probe a) {
             long sentUs = clock.micros();
             upstream.probe(a.member(), (result, note, waitedUs, answer) -> deliver(
-                    new CacheRouter.Probed(a.member(), result, clock.micros() - sentUs, null)));
-        } else if (action instanceof CacheRouter.CloseIdle a) {
+                    new Probed(a.member(), result, clock.micros() - sentUs, null)));
+        } else if (action instanceof CloseIdle a) {
             upstream.closeIdle(a.member());
-        } else if (action instanceof CacheRouter.Log a) {
+        } else if (action instanceof Log a) {
             LOG.log(Level.INFO, a.line());
         }
         // Watch and FetchMembers ask for what the command channel pushes anyway; no director hears a Tell.
@@ -256,8 +275,8 @@
 
     /** How long after an attempt that may have run another may be sent. */
     private long windowUs(Ask ask) {
-        CacheRouter.RequestClass kind = ask.requestClass() < classes.size() ? classes.get(ask.requestClass()) : null;
-        return kind == null || kind.effect() != CacheRouter.Effect.DEDUPLICATED ? Long.MAX_VALUE : kind.windowUs();
+        RequestClass kind = ask.requestClass() < classes.size() ? classes.get(ask.requestClass()) : null;
+        return kind == null || kind.effect() != Effect.DEDUPLICATED ? Long.MAX_VALUE : kind.windowUs();
     }
 
     long slackUs() {
@@ -276,6 +295,6 @@
     void overdue(Call call) {
         LOG.log(Level.WARNING, "request {0} was overdue", call.ask.id());
         call.fail();
-        deliver(new CacheRouter.ClientGone(call.ask.id()));
+        deliver(new ClientGone(call.ask.id()));
     }
 }
--- a/src/main/java/clovermill/host/Upstream.java
+++ b/src/main/java/clovermill/dataplane/proxy/Upstream.java
@@ -1,8 +1,8 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
-import clovermill.CacheRouter.LoadReport;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Result;
+import clovermill.routing.api.LoadReport;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
 
 /** Carries attempts to members, by whatever protocol those speak. */
 public interface Upstream {
--- a/src/main/java/clovermill/host/Usage.java
+++ b/src/main/java/clovermill/dataplane/proxy/Usage.java
@@ -1,6 +1,6 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
-import clovermill.CacheRouter.Note;
+import clovermill.routing.api.Note;
 
 /**
  * What one request came to. {@code takenUs} and {@code endedUs} are times of the loop's clock; {@code member},
--- a/src/main/java/clovermill/front/BudgetWait.java
+++ b/src/main/java/clovermill/dataplane/server/BudgetWait.java
@@ -1,9 +1,9 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.net.Budget;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.net.Timeout;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.Timeout;
 
 /** Waits until the budget has room for a large frame. Its client is not read meanwhile, and may go unseen. */
 final class BudgetWait {
--- a/src/main/java/clovermill/front/ClientStream.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStream.java
@@ -1,7 +1,7 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.host.Answer;
-import clovermill.host.Asker;
+import clovermill.dataplane.proxy.Answer;
+import clovermill.dataplane.proxy.Asker;
 import java.nio.ByteBuffer;
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/clovermill/front/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -1,8 +1,8 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.host.Ask;
-import clovermill.host.Usage;
-import clovermill.net.ProtocolException;
+import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.Usage;
+import clovermill.runtime.net.ProtocolException;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/clovermill/front/ClientThrottle.java
+++ b/src/main/java/clovermill/dataplane/server/ClientThrottle.java
@@ -1,8 +1,8 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.net.Timeout;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.Timeout;
 
 /**
  * Counts what came to nothing for a client: answers that turn away, requests that are withdrawn. One that brings too
--- a/src/main/java/clovermill/front/FrameConnection.java
+++ b/src/main/java/clovermill/dataplane/server/FrameConnection.java
@@ -1,7 +1,7 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.net.Connection;
-import clovermill.net.ProtocolException;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.ProtocolException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
--- a/src/main/java/clovermill/front/FrameFront.java
+++ b/src/main/java/clovermill/dataplane/server/FrameFront.java
@@ -1,14 +1,14 @@
-package clovermill.front;
-
-import clovermill.CacheRouter.Settings;
-import clovermill.host.Host;
-import clovermill.net.Budget;
-import clovermill.net.Clock;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.Listener;
-import clovermill.net.RecurringTask;
+package clovermill.dataplane.server;
+
+import clovermill.dataplane.proxy.Host;
+import clovermill.routing.api.Settings;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.Listener;
+import clovermill.runtime.net.RecurringTask;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
--- a/src/main/java/clovermill/front/FrameParser.java
+++ b/src/main/java/clovermill/dataplane/server/FrameParser.java
@@ -1,7 +1,7 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.net.Budget;
-import clovermill.net.ProtocolException;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.ProtocolException;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.util.Arrays;
--- a/src/main/java/clovermill/front/FrameTimeout.java
+++ b/src/main/java/clovermill/dataplane/server/FrameTimeout.java
@@ -1,9 +1,9 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.net.Clock;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines;
-import clovermill.net.Timeout;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.Timeout;
 
 /** Guards against frames that never end, and those that come bit by bit: each has a time to be whole. */
 final class FrameTimeout {
--- a/src/main/java/clovermill/front/Frames.java
+++ b/src/main/java/clovermill/dataplane/server/Frames.java
@@ -1,6 +1,6 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.net.ProtocolException;
+import clovermill.runtime.net.ProtocolException;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/clovermill/front/Front.java
+++ b/src/main/java/clovermill/dataplane/server/Front.java
@@ -1,4 +1,4 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
 import java.io.IOException;
 
--- a/src/main/java/clovermill/front/FrontParts.java
+++ b/src/main/java/clovermill/dataplane/server/FrontParts.java
@@ -1,9 +1,9 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.host.Host;
-import clovermill.net.Budget;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
+import clovermill.dataplane.proxy.Host;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
--- a/src/main/java/clovermill/front/HeldFrames.java
+++ b/src/main/java/clovermill/dataplane/server/HeldFrames.java
@@ -1,9 +1,9 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.net.Budget;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.net.Timeout;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.Timeout;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.Iterator;
--- a/src/main/java/clovermill/front/LingeringClose.java
+++ b/src/main/java/clovermill/dataplane/server/LingeringClose.java
@@ -1,9 +1,9 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.net.Clock;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines;
-import clovermill.net.Timeout;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.Timeout;
 import java.nio.ByteBuffer;
 
 /**
--- a/src/main/java/clovermill/front/ReadPause.java
+++ b/src/main/java/clovermill/dataplane/server/ReadPause.java
@@ -1,7 +1,7 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.net.Clock;
-import clovermill.net.Connection;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
 
 /**
  * Stops and resumes the reading of a client, and bounds when what is read arrived. A request's time runs from its last
--- a/src/main/java/clovermill/front/RequestReader.java
+++ b/src/main/java/clovermill/dataplane/server/RequestReader.java
@@ -1,8 +1,8 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.CacheRouter.Effect;
-import clovermill.CacheRouter.RequestClass;
-import clovermill.host.Ask;
+import clovermill.dataplane.proxy.Ask;
+import clovermill.routing.api.Effect;
+import clovermill.routing.api.RequestClass;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/clovermill/front/WriteTimeout.java
+++ b/src/main/java/clovermill/dataplane/server/WriteTimeout.java
@@ -1,9 +1,9 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
-import clovermill.net.Clock;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines;
-import clovermill.net.Timeout;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.Timeout;
 
 /** Closes a connection whose client takes none of its answers for long: it is gone, and must not keep their memory. */
 final class WriteTimeout {
--- a/src/main/java/clovermill/cache/AnswerGuard.java
+++ b/src/main/java/clovermill/dataplane/upstream/AnswerGuard.java
@@ -1,7 +1,7 @@
-package clovermill.cache;
+package clovermill.dataplane.upstream;
 
-import clovermill.net.Connection;
-import clovermill.net.Deadlines.Deadline;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines.Deadline;
 
 /**
  * Guards against answers that stop short while their connection stays open, and those that go on for ever bit by
--- a/src/main/java/clovermill/cache/AnswerParser.java
+++ b/src/main/java/clovermill/dataplane/upstream/AnswerParser.java
@@ -1,8 +1,8 @@
-package clovermill.cache;
+package clovermill.dataplane.upstream;
 
-import clovermill.net.Body;
-import clovermill.net.Budget;
-import clovermill.net.ProtocolException;
+import clovermill.runtime.net.Body;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.ProtocolException;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/clovermill/cache/AnswerWords.java
+++ b/src/main/java/clovermill/dataplane/upstream/AnswerWords.java
@@ -1,8 +1,8 @@
-package clovermill.cache;
+package clovermill.dataplane.upstream;
 
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Result;
-import clovermill.net.ProtocolException;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
+import clovermill.runtime.net.ProtocolException;
 import java.util.Map;
 
 /** What the words of the lines protocol's answers mean (the protocol page, "Directors to caches"). */
--- a/src/main/java/clovermill/cache/CacheConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/CacheConnection.java
@@ -1,15 +1,15 @@
-package clovermill.cache;
+package clovermill.dataplane.upstream;
 
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Result;
 import clovermill.config.LoadReports;
-import clovermill.host.Answer;
-import clovermill.net.Body;
-import clovermill.net.Budget;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines.Deadline;
-import clovermill.net.ProtocolException;
-import clovermill.net.SocketErrors;
+import clovermill.dataplane.proxy.Answer;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
+import clovermill.runtime.net.Body;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines.Deadline;
+import clovermill.runtime.net.ProtocolException;
+import clovermill.runtime.net.SocketErrors;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/clovermill/cache/CacheExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/CacheExchange.java
@@ -1,11 +1,11 @@
-package clovermill.cache;
-
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Result;
-import clovermill.host.Answer;
-import clovermill.host.Ask;
-import clovermill.host.Upstream;
-import clovermill.net.Deadlines.Deadline;
+package clovermill.dataplane.upstream;
+
+import clovermill.dataplane.proxy.Answer;
+import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.Upstream;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
+import clovermill.runtime.net.Deadlines.Deadline;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/clovermill/cache/CachePool.java
+++ b/src/main/java/clovermill/dataplane/upstream/CachePool.java
@@ -1,16 +1,16 @@
-package clovermill.cache;
-
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Result;
-import clovermill.host.Ask;
-import clovermill.host.Upstream;
-import clovermill.net.Budget;
-import clovermill.net.Clock;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines.Deadline;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.SocketErrors;
+package clovermill.dataplane.upstream;
+
+import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.Upstream;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines.Deadline;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.SocketErrors;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/clovermill/cache/DelayedDial.java
+++ b/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
@@ -1,9 +1,9 @@
-package clovermill.cache;
+package clovermill.dataplane.upstream;
 
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Result;
-import clovermill.host.Upstream;
-import clovermill.net.Deadlines.Deadline;
+import clovermill.dataplane.proxy.Upstream;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
+import clovermill.runtime.net.Deadlines.Deadline;
 
 /**
  * A request for which no connection could be dialled since this machine had no port, descriptor, memory or route for one at
--- a/src/main/java/clovermill/cache/RequestLine.java
+++ b/src/main/java/clovermill/dataplane/upstream/RequestLine.java
@@ -1,7 +1,7 @@
-package clovermill.cache;
+package clovermill.dataplane.upstream;
 
-import clovermill.host.Ask;
-import clovermill.host.Upstream;
+import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.Upstream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/src/main/java/clovermill/cache/SpentIds.java
+++ b/src/main/java/clovermill/dataplane/upstream/SpentIds.java
@@ -1,4 +1,4 @@
-package clovermill.cache;
+package clovermill.dataplane.upstream;
 
 import java.util.HashSet;
 import java.util.Iterator;
--- a/src/main/java/clovermill/director/Platform.java
+++ b/src/main/java/clovermill/director/Platform.java
@@ -2,7 +2,7 @@
 
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.upgrade.PassedSocket;
+import clovermill.controlplane.handover.PassedSocket;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
--- a/src/main/java/clovermill/director/ProcessSignals.java
+++ b/src/main/java/clovermill/director/ProcessSignals.java
@@ -1,6 +1,6 @@
 package clovermill.director;
 
-import clovermill.reload.Signals;
+import clovermill.controlplane.reload.Signals;
 import java.lang.System.Logger.Level;
 import java.util.concurrent.CountDownLatch;
 
--- a/src/main/java/clovermill/director/Service.java
+++ b/src/main/java/clovermill/director/Service.java
@@ -1,14 +1,14 @@
 package clovermill.director;
 
-import clovermill.accord.AccordSettings;
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.fleet.GossipSettings;
+import clovermill.config.settings.LogSettings;
+import clovermill.config.settings.SettingsFile;
+import clovermill.config.settings.StructuredLog;
+import clovermill.controlplane.gossip.GossipSettings;
+import clovermill.controlplane.policystore.AccordSettings;
 import clovermill.ledger.LedgerSettings;
-import clovermill.net.Clock;
-import clovermill.settings.LogSettings;
-import clovermill.settings.SettingsFile;
-import clovermill.settings.StructuredLog;
+import clovermill.runtime.net.Clock;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.nio.file.Files;
--- a/src/main/java/clovermill/director/StartupRetry.java
+++ b/src/main/java/clovermill/director/StartupRetry.java
@@ -1,6 +1,6 @@
 package clovermill.director;
 
-import clovermill.net.Clock;
+import clovermill.runtime.net.Clock;
 import java.io.IOException;
 import java.io.InterruptedIOException;
 import java.lang.System.Logger.Level;
--- a/src/main/java/clovermill/director/Warmup.java
+++ b/src/main/java/clovermill/director/Warmup.java
@@ -1,18 +1,18 @@
 package clovermill.director;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.Send;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.Settings;
-import clovermill.channel.Commands;
-import clovermill.module.RequestRouter;
+import clovermill.controlplane.discovery.Commands;
+import clovermill.routing.RequestRouter;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Send;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.Settings;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/clovermill/director/operate/Operations.java
+++ b/src/main/java/clovermill/director/operations/Operations.java
@@ -1,10 +1,10 @@
-package clovermill.director.operate;
+package clovermill.director.operations;
 
-import clovermill.admin.decide.Desk;
-import clovermill.channel.Roster;
-import clovermill.front.Front;
-import clovermill.net.Clock;
-import clovermill.outage.OutageMarks;
+import clovermill.controlplane.admin.decide.Desk;
+import clovermill.controlplane.discovery.Roster;
+import clovermill.controlplane.outage.OutageMarks;
+import clovermill.dataplane.server.Front;
+import clovermill.runtime.net.Clock;
 
 /**
  * What operators can have done. A call to one process counts for its whole director: what the other one was told before
--- a/src/main/java/clovermill/director/operate/PeerOutages.java
+++ b/src/main/java/clovermill/director/operations/PeerOutages.java
@@ -1,9 +1,9 @@
-package clovermill.director.operate;
+package clovermill.director.operations;
 
-import clovermill.channel.Roster;
-import clovermill.fleet.GossipService;
-import clovermill.net.Clock;
-import clovermill.outage.OutageMarks;
+import clovermill.controlplane.discovery.Roster;
+import clovermill.controlplane.gossip.GossipService;
+import clovermill.controlplane.outage.OutageMarks;
+import clovermill.runtime.net.Clock;
 import java.util.function.BiConsumer;
 
 /** Applies the outages of caches that operators set at peer directors. */
--- a/src/main/java/clovermill/director/operate/PolicyDesk.java
+++ b/src/main/java/clovermill/director/operations/PolicyDesk.java
@@ -1,12 +1,12 @@
-package clovermill.director.operate;
+package clovermill.director.operations;
 
-import clovermill.accord.Accord;
-import clovermill.accord.View;
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Register.Taken;
-import clovermill.admin.decide.Desk;
-import clovermill.admin.decide.Reply;
-import clovermill.net.Clock;
+import clovermill.controlplane.admin.decide.Desk;
+import clovermill.controlplane.admin.decide.Reply;
+import clovermill.controlplane.policystore.Accord;
+import clovermill.controlplane.policystore.View;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.runtime.net.Clock;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.json.JsonWriteFeature;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/clovermill/director/operate/Sharing.java
+++ b/src/main/java/clovermill/director/operations/Sharing.java
@@ -1,15 +1,15 @@
-package clovermill.director.operate;
+package clovermill.director.operations;
 
-import clovermill.cache.CachePool;
-import clovermill.channel.Roster;
-import clovermill.front.FrameFront;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.net.RecurringTask;
-import clovermill.outage.OutageFolder;
-import clovermill.outage.OutageMarks;
-import clovermill.upgrade.Presence;
-import clovermill.upgrade.Shares;
+import clovermill.controlplane.discovery.Roster;
+import clovermill.controlplane.handover.Presence;
+import clovermill.controlplane.handover.Shares;
+import clovermill.controlplane.outage.OutageFolder;
+import clovermill.controlplane.outage.OutageMarks;
+import clovermill.dataplane.server.FrameFront;
+import clovermill.dataplane.upstream.CachePool;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.RecurringTask;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.nio.file.Path;
--- a/src/main/java/clovermill/director/retune/Retuning.java
+++ b/src/main/java/clovermill/director/reload/Retuning.java
@@ -1,14 +1,14 @@
-package clovermill.director.retune;
+package clovermill.director.reload;
 
-import clovermill.CacheRouter.Settings;
-import clovermill.channel.CommandChannel;
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.front.FrameFront;
-import clovermill.host.Host;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.reload.decide.Classes;
+import clovermill.controlplane.discovery.CommandChannel;
+import clovermill.controlplane.reload.decide.Classes;
+import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.server.FrameFront;
+import clovermill.routing.api.Settings;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
 import java.lang.System.Logger.Level;
 import java.util.Objects;
 
--- a/src/main/java/clovermill/director/retune/package-info.java
+++ b/src/main/java/clovermill/director/reload/package-info.java
@@ -1,2 +1,2 @@
 /** New settings, taken while requests are in flight. */
-package clovermill.director.retune;
+package clovermill.director.reload;
--- a/src/main/java/clovermill/director/leave/Departure.java
+++ b/src/main/java/clovermill/director/shutdown/Departure.java
@@ -1,12 +1,12 @@
-package clovermill.director.leave;
+package clovermill.director.shutdown;
 
-import clovermill.director.leave.decide.Farewell;
-import clovermill.front.Front;
-import clovermill.host.Host;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.RecurringTask;
+import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.server.Front;
+import clovermill.director.shutdown.decide.Farewell;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.RecurringTask;
 import java.lang.System.Logger.Level;
 import java.util.function.LongSupplier;
 
--- a/src/main/java/clovermill/director/leave/decide/Farewell.java
+++ b/src/main/java/clovermill/director/shutdown/decide/Farewell.java
@@ -1,4 +1,4 @@
-package clovermill.director.leave.decide;
+package clovermill.director.shutdown.decide;
 
 /**
  * Decides how far a planned end has come at each moment after the signal. The platform sends new connections for up to
--- a/src/main/java/clovermill/director/leave/decide/package-info.java
+++ b/src/main/java/clovermill/director/shutdown/decide/package-info.java
@@ -1,2 +1,2 @@
 /** What the end of a director follows. Pure: no I/O, no clock, no thread. */
-package clovermill.director.leave.decide;
+package clovermill.director.shutdown.decide;
--- a/src/main/java/clovermill/director/leave/package-info.java
+++ b/src/main/java/clovermill/director/shutdown/package-info.java
@@ -1,2 +1,2 @@
 /** A planned end: clients go, connections end one by one. */
-package clovermill.director.leave;
+package clovermill.director.shutdown;
--- a/src/main/java/clovermill/emulator/eventlog/package-info.java
+++ /dev/null
@@ -1,5 +0,0 @@
-/**
- * Fleets that follow the event log while everything fails, on the scheduler of {@code clovermill.emulator.world}; the
- * tasks, codecs and storages are those of service.
- */
-package clovermill.emulator.eventlog;
--- a/src/main/java/clovermill/eventlog/package-info.java
+++ /dev/null
@@ -1,7 +0,0 @@
-/**
- * A replicated, ordered log of the fleet's events (purges first) that every director follows: the entry type is
- * {@link clovermill.eventlog.EventLogTask}, which is a replica, a follower, a client that appends, or several of these.
- * What it decides stands in {@code eventlog.decide}; the replicas agree by {@code clovermill.consensus}. Off without
- * settings. See {@code docs/design/event-log.md}.
- */
-package clovermill.eventlog;
--- a/src/main/java/clovermill/ledger/Closer.java
+++ b/src/main/java/clovermill/ledger/Closer.java
@@ -2,8 +2,8 @@
 
 import clovermill.ledger.decide.Closing;
 import clovermill.ledger.decide.Entry;
-import clovermill.store.FolderLock;
-import clovermill.store.Volume;
+import clovermill.storage.FolderLock;
+import clovermill.storage.Volume;
 import java.io.IOException;
 import java.util.List;
 import java.util.OptionalLong;
--- a/src/main/java/clovermill/ledger/LedgerSettings.java
+++ b/src/main/java/clovermill/ledger/LedgerSettings.java
@@ -1,7 +1,7 @@
 package clovermill.ledger;
 
+import clovermill.config.tenants.TenantRules;
 import clovermill.ledger.decide.Allowances;
-import clovermill.tenants.TenantRules;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/clovermill/ledger/LedgerWriter.java
+++ b/src/main/java/clovermill/ledger/LedgerWriter.java
@@ -1,9 +1,9 @@
 package clovermill.ledger;
 
-import clovermill.store.CrashPoint;
-import clovermill.store.FrameCodec;
-import clovermill.store.SegmentWriter;
-import clovermill.store.Volume;
+import clovermill.storage.CrashPoint;
+import clovermill.storage.FrameCodec;
+import clovermill.storage.SegmentWriter;
+import clovermill.storage.Volume;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
--- a/src/main/java/clovermill/ledger/LogFormat.java
+++ b/src/main/java/clovermill/ledger/LogFormat.java
@@ -1,6 +1,6 @@
 package clovermill.ledger;
 
-import clovermill.host.Usage;
+import clovermill.dataplane.proxy.Usage;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.How;
 import java.io.IOException;
@@ -33,7 +33,7 @@
     private static final Usage.End[] ENDS = Usage.End.values();
     private static final How[] HOWS = How.values();
 
-    private final ByteBuffer scratch = ByteBuffer.allocate(clovermill.store.SegmentWriter.longest())
+    private final ByteBuffer scratch = ByteBuffer.allocate(clovermill.storage.SegmentWriter.longest())
             .order(ByteOrder.LITTLE_ENDIAN);
     private byte[] lastName = {};
     private String lastTenant = "";
--- a/src/main/java/clovermill/ledger/LogReader.java
+++ b/src/main/java/clovermill/ledger/LogReader.java
@@ -1,7 +1,7 @@
 package clovermill.ledger;
 
 import clovermill.ledger.decide.Entry;
-import clovermill.store.SegmentReader;
+import clovermill.storage.SegmentReader;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.NoSuchFileException;
--- a/src/main/java/clovermill/ledger/SharesFile.java
+++ b/src/main/java/clovermill/ledger/SharesFile.java
@@ -1,6 +1,6 @@
 package clovermill.ledger;
 
-import clovermill.store.Volume;
+import clovermill.storage.Volume;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
--- a/src/main/java/clovermill/ledger/Stage.java
+++ b/src/main/java/clovermill/ledger/Stage.java
@@ -1,7 +1,7 @@
 package clovermill.ledger;
 
 import clovermill.ledger.decide.Entry;
-import clovermill.store.FrameCodec;
+import clovermill.storage.FrameCodec;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
--- a/src/main/java/clovermill/ledger/decide/Entry.java
+++ b/src/main/java/clovermill/ledger/decide/Entry.java
@@ -1,6 +1,6 @@
 package clovermill.ledger.decide;
 
-import clovermill.host.Usage;
+import clovermill.dataplane.proxy.Usage;
 
 /** What the log holds, in the order of {@code seq}, which counts from 1 in each epoch without a hole. */
 public sealed interface Entry {
--- a/src/main/java/clovermill/ledger/decide/Totals.java
+++ b/src/main/java/clovermill/ledger/decide/Totals.java
@@ -1,6 +1,6 @@
 package clovermill.ledger.decide;
 
-import clovermill.host.Usage;
+import clovermill.dataplane.proxy.Usage;
 import java.util.Arrays;
 
 /** Sums over requests of one tenant in one period. Adding is commutative, so any order gives the same totals. */
--- a/src/main/java/clovermill/outage/package-info.java
+++ /dev/null
@@ -1,5 +0,0 @@
-/**
- * Caches that operators have taken out. {@link clovermill.outage.Outages} knows which they are and what that makes of
- * the list; {@link clovermill.outage.OutageFolder} keeps it where the processes of one director share a folder.
- */
-package clovermill.outage;
--- a/src/main/java/clovermill/placement/decide/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** What a policy says of places; pure. */
-package clovermill.placement.decide;
--- a/src/main/java/clovermill/module/Attempt.java
+++ b/src/main/java/clovermill/routing/Attempt.java
@@ -1,4 +1,4 @@
-package clovermill.module;
+package clovermill.routing;
 
 /**
  * One attempt of a request that is in flight.
--- a/src/main/java/clovermill/module/AttemptSender.java
+++ b/src/main/java/clovermill/routing/AttemptSender.java
@@ -1,11 +1,11 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter.Effect;
-import clovermill.CacheRouter.Permissions;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Send;
-import clovermill.CacheRouter.SendVia;
-import clovermill.memory.PurgeLog;
+import clovermill.routing.api.Effect;
+import clovermill.routing.api.Permissions;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Send;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.stats.PurgeLog;
 
 /** Sends attempts: charges them to the endpoints that they load, and gives the host its orders for a miss. */
 final class AttemptSender {
--- a/src/main/java/clovermill/module/CacheContentsIndex.java
+++ b/src/main/java/clovermill/routing/CacheContentsIndex.java
@@ -1,10 +1,10 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter.Purge;
-import clovermill.CacheRouter.Request;
-import clovermill.memory.DecayingCounts;
-import clovermill.memory.LruMap;
-import clovermill.memory.PurgeLog;
+import clovermill.routing.api.Purge;
+import clovermill.routing.api.Request;
+import clovermill.routing.stats.DecayingCounts;
+import clovermill.routing.stats.LruMap;
+import clovermill.routing.stats.PurgeLog;
 import java.util.HashMap;
 import java.util.Map;
 
--- a/src/main/java/clovermill/module/CapacityEstimator.java
+++ b/src/main/java/clovermill/routing/CapacityEstimator.java
@@ -1,11 +1,11 @@
-package clovermill.module;
-
-import clovermill.CacheRouter.LoadReport;
-import clovermill.memory.DeadlineQueue;
-import clovermill.memory.InFlightCount;
-import clovermill.module.Attempt.LoadSnapshot;
-import clovermill.module.Endpoint.Role;
-import clovermill.spread.decide.ConcurrencyEstimator;
+package clovermill.routing;
+
+import clovermill.routing.Attempt.LoadSnapshot;
+import clovermill.routing.Endpoint.Role;
+import clovermill.routing.api.LoadReport;
+import clovermill.routing.load.ConcurrencyEstimator;
+import clovermill.routing.stats.DeadlineQueue;
+import clovermill.routing.stats.InFlightCount;
 import java.util.List;
 
 /**
--- a/src/main/java/clovermill/module/Endpoint.java
+++ b/src/main/java/clovermill/routing/Endpoint.java
@@ -1,10 +1,10 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.memory.CircuitBreaker;
-import clovermill.memory.InFlightCount;
-import clovermill.memory.TokenBucket;
-import clovermill.spread.decide.ConcurrencyEstimator;
-import clovermill.spread.decide.PeerLoadEstimator;
+import clovermill.routing.load.ConcurrencyEstimator;
+import clovermill.routing.load.PeerLoadEstimator;
+import clovermill.routing.stats.CircuitBreaker;
+import clovermill.routing.stats.InFlightCount;
+import clovermill.routing.stats.TokenBucket;
 
 /** A cache, a parent, the origin or the location's link in, with what this director has learned of it. */
 final class Endpoint {
--- a/src/main/java/clovermill/module/EndpointRing.java
+++ b/src/main/java/clovermill/routing/EndpointRing.java
@@ -1,7 +1,7 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.memory.DecayingRate;
-import clovermill.memory.HashRing;
+import clovermill.routing.stats.DecayingRate;
+import clovermill.routing.stats.HashRing;
 import java.util.List;
 import java.util.function.Predicate;
 
--- a/src/main/java/clovermill/module/EndpointSet.java
+++ b/src/main/java/clovermill/routing/EndpointSet.java
@@ -1,10 +1,10 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.module.Endpoint.Role;
+import clovermill.routing.Endpoint.Role;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/clovermill/module/HedgingPolicy.java
+++ b/src/main/java/clovermill/routing/HedgingPolicy.java
@@ -1,6 +1,6 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.memory.DeadlineQueue;
+import clovermill.routing.stats.DeadlineQueue;
 
 /**
  * Hedged requests (Dean, Barroso, "The Tail at Scale", 2013): a request whose answer is overdue is sent to a second
--- a/src/main/java/clovermill/module/OriginLoadShedder.java
+++ b/src/main/java/clovermill/routing/OriginLoadShedder.java
@@ -1,10 +1,10 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.Telling;
-import clovermill.memory.DecayingAverage;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Telling;
+import clovermill.routing.stats.DecayingAverage;
 
 /**
  * Sheds load from the origin while it is slow, rejects work or is down: the greater the share of recent requests to it
--- a/src/main/java/clovermill/module/OutcomeObserver.java
+++ b/src/main/java/clovermill/routing/OutcomeObserver.java
@@ -1,10 +1,10 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.Telling;
-import clovermill.memory.ClassServiceTimes;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Telling;
+import clovermill.routing.stats.ClassServiceTimes;
 
 /** Learns from the outcome of each attempt: which cache holds what, the pace of endpoints, and which of them failed. */
 final class OutcomeObserver {
--- a/src/main/java/clovermill/module/OutlierDetector.java
+++ b/src/main/java/clovermill/routing/OutlierDetector.java
@@ -1,8 +1,8 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter.Log;
-import clovermill.memory.CircuitBreaker;
-import clovermill.spread.decide.ConcurrencyEstimator;
+import clovermill.routing.api.Log;
+import clovermill.routing.load.ConcurrencyEstimator;
+import clovermill.routing.stats.CircuitBreaker;
 import java.util.List;
 
 /**
--- a/src/main/java/clovermill/module/PendingRequest.java
+++ b/src/main/java/clovermill/routing/PendingRequest.java
@@ -1,10 +1,11 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter;
-import clovermill.CacheRouter.Effect;
-import clovermill.CacheRouter.KeyScope;
-import clovermill.CacheRouter.Settings;
-import clovermill.memory.ClassServiceTimes;
+import clovermill.routing.api.Effect;
+import clovermill.routing.api.KeyScope;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.RequestClass;
+import clovermill.routing.api.Settings;
+import clovermill.routing.stats.ClassServiceTimes;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -18,8 +19,8 @@
     /** No answer comes in less than this share of its service time. */
     private static final double FASTEST_SHARE = 0.8;
 
-    final CacheRouter.Request request;
-    final CacheRouter.RequestClass requestClass;
+    final Request request;
+    final RequestClass requestClass;
     /** When the client gives up, in microseconds. */
     final long deadlineUs;
     /** The time that the answer takes at full pace, in microseconds: by size, else the mean of its class. */
@@ -40,7 +41,7 @@
     private long possibleRunUs = RoutingContext.NEVER;
     private Endpoint possibleRunAt;
 
-    PendingRequest(CacheRouter.Request request, Settings settings, ClassServiceTimes serviceTimes, long nowUs) {
+    PendingRequest(Request request, Settings settings, ClassServiceTimes serviceTimes, long nowUs) {
         this.request = request;
         this.requestClass = settings.classes().get(request.requestClass());
         this.maxAttempts = settings.allowed().maxAttempts();
--- a/src/main/java/clovermill/module/RequestLifecycle.java
+++ b/src/main/java/clovermill/routing/RequestLifecycle.java
@@ -1,15 +1,15 @@
-package clovermill.module;
-
-import clovermill.CacheRouter.Cancel;
-import clovermill.CacheRouter.Fail;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Refuse;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.SetTimer;
-import clovermill.CacheRouter.Telling;
-import clovermill.memory.ClassServiceTimes;
+package clovermill.routing;
+
+import clovermill.routing.api.Cancel;
+import clovermill.routing.api.Fail;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Telling;
+import clovermill.routing.stats.ClassServiceTimes;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/clovermill/module/RequestRouter.java
+++ b/src/main/java/clovermill/routing/RequestRouter.java
@@ -1,8 +1,22 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter;
-import clovermill.memory.CircuitBreaker;
-import clovermill.memory.ClassServiceTimes;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.CacheRouter;
+import clovermill.routing.api.ClientGone;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Operated;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Purge;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Retuned;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Settings;
+import clovermill.routing.api.Timer;
+import clovermill.routing.api.Watch;
+import clovermill.routing.stats.CircuitBreaker;
+import clovermill.routing.stats.ClassServiceTimes;
 import java.util.function.Consumer;
 
 /**
--- a/src/main/java/clovermill/module/Route.java
+++ b/src/main/java/clovermill/routing/Route.java
@@ -1,4 +1,4 @@
-package clovermill.module;
+package clovermill.routing;
 
 /**
  * Where an attempt goes and where a miss is filled from.
--- a/src/main/java/clovermill/module/RouteSelector.java
+++ b/src/main/java/clovermill/routing/RouteSelector.java
@@ -1,10 +1,10 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Siblings;
-import clovermill.memory.HashRing;
-import clovermill.module.CacheContentsIndex.PartEntry;
-import clovermill.module.Endpoint.Role;
+import clovermill.routing.CacheContentsIndex.PartEntry;
+import clovermill.routing.Endpoint.Role;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Siblings;
+import clovermill.routing.stats.HashRing;
 
 /**
  * Selects the route of a request by the random tree of its object, after section 7 of "CS 7800 Lecture Notes:
--- a/src/main/java/clovermill/module/RoutingContext.java
+++ b/src/main/java/clovermill/routing/RoutingContext.java
@@ -1,7 +1,7 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Settings;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Settings;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
--- a/src/main/java/clovermill/module/SlowStart.java
+++ b/src/main/java/clovermill/routing/SlowStart.java
@@ -1,8 +1,8 @@
-package clovermill.module;
+package clovermill.routing;
 
-import clovermill.CacheRouter.ColdRule;
-import clovermill.memory.ClassServiceTimes;
-import clovermill.module.Endpoint.Role;
+import clovermill.routing.Endpoint.Role;
+import clovermill.routing.api.ColdRule;
+import clovermill.routing.stats.ClassServiceTimes;
 import java.util.function.Predicate;
 
 /**
--- /dev/null
+++ b/src/main/java/clovermill/routing/api/ClientGone.java
@@ -0,0 +1,4 @@
+package clovermill.routing.api;
+
+/** The client of a request has left. */
+public record ClientGone(String request) implements Event {}
--- /dev/null
+++ b/src/main/java/clovermill/routing/api/Log.java
@@ -0,0 +1,4 @@
+package clovermill.routing.api;
+
+/** A line for the operators. */
+public record Log(String line) implements Action {}
--- /dev/null
+++ b/src/main/java/clovermill/routing/api/Members.java
@@ -0,0 +1,6 @@
+package clovermill.routing.api;
+
+import java.util.List;
+
+/** News of the members. */
+public record Members(ListScope scope, List<Member> members) implements Event {}
--- a/src/main/java/clovermill/spread/decide/ConcurrencyEstimator.java
+++ b/src/main/java/clovermill/routing/load/ConcurrencyEstimator.java
@@ -1,4 +1,4 @@
-package clovermill.spread.decide;
+package clovermill.routing.load;
 
 /**
  * Estimates the concurrency limit of an endpoint or a link: how many transfers it can hold at full pace. It learns from
--- a/src/main/java/clovermill/spread/decide/PeerLoadEstimator.java
+++ b/src/main/java/clovermill/routing/load/PeerLoadEstimator.java
@@ -1,4 +1,4 @@
-package clovermill.spread.decide;
+package clovermill.routing.load;
 
 import java.util.random.RandomGenerator;
 
--- a/src/main/java/clovermill/memory/CircuitBreaker.java
+++ b/src/main/java/clovermill/routing/stats/CircuitBreaker.java
@@ -1,4 +1,4 @@
-package clovermill.memory;
+package clovermill.routing.stats;
 
 /**
  * A circuit breaker (Nygard, "Release It!", 2007) for one endpoint. It opens when the exponentially weighted average of
--- a/src/main/java/clovermill/memory/ClassServiceTimes.java
+++ b/src/main/java/clovermill/routing/stats/ClassServiceTimes.java
@@ -1,4 +1,4 @@
-package clovermill.memory;
+package clovermill.routing.stats;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/clovermill/memory/DeadlineQueue.java
+++ b/src/main/java/clovermill/routing/stats/DeadlineQueue.java
@@ -1,4 +1,4 @@
-package clovermill.memory;
+package clovermill.routing.stats;
 
 import java.util.PriorityQueue;
 import java.util.function.ToLongFunction;
--- a/src/main/java/clovermill/memory/DecayingAverage.java
+++ b/src/main/java/clovermill/routing/stats/DecayingAverage.java
@@ -1,4 +1,4 @@
-package clovermill.memory;
+package clovermill.routing.stats;
 
 /**
  * An exponentially weighted average of outcomes from 0 to 1 that decays towards 0 while none is recorded. Not
--- a/src/main/java/clovermill/memory/InFlightCount.java
+++ b/src/main/java/clovermill/routing/stats/InFlightCount.java
@@ -1,4 +1,4 @@
-package clovermill.memory;
+package clovermill.routing.stats;
 
 /**
  * How many attempts are in flight at an endpoint, now and on exponentially weighted average over time. Not thread-safe;
--- a/src/main/java/clovermill/memory/TokenBucket.java
+++ b/src/main/java/clovermill/routing/stats/TokenBucket.java
@@ -1,4 +1,4 @@
-package clovermill.memory;
+package clovermill.routing.stats;
 
 /**
  * A token bucket of no burst that may be overdrawn: it refills with time up to a balance of 0, a request is admitted
--- a/src/main/java/clovermill/net/Body.java
+++ b/src/main/java/clovermill/runtime/net/Body.java
@@ -1,4 +1,4 @@
-package clovermill.net;
+package clovermill.runtime.net;
 
 /** The bytes of a body together with their place in the budget; the holder closes it once. */
 public final class Body implements AutoCloseable {
--- a/src/main/java/clovermill/net/Clock.java
+++ b/src/main/java/clovermill/runtime/net/Clock.java
@@ -1,4 +1,4 @@
-package clovermill.net;
+package clovermill.runtime.net;
 
 /**
  * The time, injected so that tests can set it. The two readings are never mixed: one measures spans, the other dates what
--- a/src/main/java/clovermill/net/EventLoop.java
+++ b/src/main/java/clovermill/runtime/net/EventLoop.java
@@ -1,4 +1,4 @@
-package clovermill.net;
+package clovermill.runtime.net;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
--- a/src/main/java/clovermill/net/RecurringTask.java
+++ b/src/main/java/clovermill/runtime/net/RecurringTask.java
@@ -1,4 +1,4 @@
-package clovermill.net;
+package clovermill.runtime.net;
 
 /**
  * Work that recurs on the event loop until it is stopped or the loop ends. The next run is scheduled before the work is
--- a/src/main/java/clovermill/net/Timeout.java
+++ b/src/main/java/clovermill/runtime/net/Timeout.java
@@ -1,4 +1,4 @@
-package clovermill.net;
+package clovermill.runtime.net;
 
 /** A deadline of one owner, who sets it again and again; one is set at a time. */
 public final class Timeout {
--- a/src/main/java/clovermill/task/Mailbox.java
+++ b/src/main/java/clovermill/runtime/task/Mailbox.java
@@ -1,4 +1,4 @@
-package clovermill.task;
+package clovermill.runtime.task;
 
 /**
  * Where messages for a task go. Nobody waits for another's mailbox: at a full one the sender drops the message, or
--- a/src/main/java/clovermill/task/Task.java
+++ b/src/main/java/clovermill/runtime/task/Task.java
@@ -1,4 +1,4 @@
-package clovermill.task;
+package clovermill.runtime.task;
 
 /**
  * A part that takes messages one after another, on one thread at a time. What it decides sits in classes without I/O;
--- a/src/main/java/clovermill/task/TaskThread.java
+++ b/src/main/java/clovermill/runtime/task/TaskThread.java
@@ -1,6 +1,6 @@
-package clovermill.task;
+package clovermill.runtime.task;
 
-import clovermill.net.Clock;
+import clovermill.runtime.net.Clock;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
--- a/src/main/java/clovermill/adapter/Adapter.java
+++ b/src/main/java/clovermill/simulation/adapter/Adapter.java
@@ -1,19 +1,40 @@
-package clovermill.adapter;
+package clovermill.simulation.adapter;
 
-import clovermill.CacheRouter;
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.Event;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.LoadReport;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.Settings;
 import clovermill.config.Json;
 import clovermill.config.LoadReports;
 import clovermill.config.SettingsReader;
-import clovermill.module.RequestRouter;
+import clovermill.routing.RequestRouter;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.CacheRouter;
+import clovermill.routing.api.Cancel;
+import clovermill.routing.api.ClientGone;
+import clovermill.routing.api.CloseIdle;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.Fail;
+import clovermill.routing.api.FetchMembers;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.LoadReport;
+import clovermill.routing.api.Log;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.PeerMessage;
+import clovermill.routing.api.Probe;
+import clovermill.routing.api.Probed;
+import clovermill.routing.api.Purge;
+import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Send;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Settings;
+import clovermill.routing.api.Started;
+import clovermill.routing.api.Tell;
+import clovermill.routing.api.Timer;
+import clovermill.routing.api.Watch;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -136,24 +157,24 @@
                 String request = fields.text();
                 long elapsed = fields.integer();
                 String member = fields.text();
-                yield new CacheRouter.Started(request, fields.small(), member, elapsed);
+                yield new Started(request, fields.small(), member, elapsed);
             }
             case "REPORT_BACK" -> outcome(fields);
-            case "CLIENT_GONE" -> new CacheRouter.ClientGone(fields.text());
-            case "TICK_DUE" -> new CacheRouter.Timer(fields.integer());
+            case "CLIENT_GONE" -> new ClientGone(fields.text());
+            case "TICK_DUE" -> new Timer(fields.integer());
             case "ROSTER_CHANGE" -> roster(fields);
             case "PURGED" -> {
                 Long object = fields.optionalHex();
                 long age = fields.integerOr(0);
-                yield new CacheRouter.Purge(object, fields.smallOr(0), age);
+                yield new Purge(object, fields.smallOr(0), age);
             }
             case "CHECK_RESULT" -> {
                 long elapsed = fields.integer();
                 String member = fields.text();
                 Result result = result(fields);
-                yield new CacheRouter.Probed(member, result, elapsed, load(fields));
+                yield new Probed(member, result, elapsed, load(fields));
             }
-            case "PEER_DATA" -> new CacheRouter.PeerMessage(fields.small(), fields.bytes());
+            case "PEER_DATA" -> new PeerMessage(fields.small(), fields.bytes());
             default -> throw fields.malformed("unknown message");
         };
     }
@@ -168,7 +189,7 @@
         int group = fields.smallOr(0);
         int part = fields.smallOr(0);
         boolean repeat = (fields.smallOr(0) & 2) != 0;
-        return new CacheRouter.Request(id, requestClass, tenant, object == null ? 0 : object, part, group,
+        return new Request(id, requestClass, tenant, object == null ? 0 : object, part, group,
                 size, grace,
                 repeat);
     }
@@ -182,7 +203,7 @@
         boolean over = fields.flag();
         int note = fields.smallOr(0);
         long waited = fields.integerOr(0);
-        return new CacheRouter.Outcome(request, attempt, member, result, elapsed, over,
+        return new Outcome(request, attempt, member, result, elapsed, over,
                 note >= 0 && note < NOTES.length ? NOTES[note] : Note.NONE, waited, load(fields));
     }
 
@@ -225,7 +246,7 @@
             default -> throw fields.malformed("unknown scope " + word);
         };
         if (scope == ListScope.FAILED) {
-            return new CacheRouter.Members(scope, List.of());
+            return new Members(scope, List.of());
         }
         fields.integerOr(0);
         int list = fields.small();
@@ -233,7 +254,7 @@
         if (members == null) {
             throw fields.malformed("unknown list " + list);
         }
-        return new CacheRouter.Members(scope, members);
+        return new Members(scope, members);
     }
 
     private void directory(Fields header) throws IOException {
@@ -269,36 +290,36 @@
     }
 
     private void print(int who, Action action) {
-        if (action instanceof CacheRouter.SendVia a) {
+        if (action instanceof SendVia a) {
             line("SERVE_VIA", who).append(' ').append(a.request()).append(' ').append(a.member())
                     .append(' ')
                     .append(a.timeoutUs()).append(' ').append(a.source()).append(' ').append(a.rank()).append(' ')
                     .append(a.maxAgeUs()).append(' ')
                     .append((a.join() ? 1 : 0) + (a.heldOnly() ? 2 : 0) + (a.parentKeepsNone() ? 4 : 0)
                             + (a.renew() ? 8 : 0));
-        } else if (action instanceof CacheRouter.Send a) {
+        } else if (action instanceof Send a) {
             line("PASS_ON", who).append(' ').append(a.request()).append(' ').append(a.member()).append(' ')
                     .append(a.timeoutUs());
-        } else if (action instanceof CacheRouter.Cancel a) {
+        } else if (action instanceof Cancel a) {
             line("CALL_OFF", who).append(' ').append(a.request()).append(' ').append(a.attempt());
-        } else if (action instanceof CacheRouter.Refuse a) {
+        } else if (action instanceof Refuse a) {
             line("SHED", who).append(' ').append(a.request()).append(' ').append(a.retryAfterUs());
-        } else if (action instanceof CacheRouter.Fail a) {
+        } else if (action instanceof Fail a) {
             line("FAIL", who).append(' ').append(a.request());
-        } else if (action instanceof CacheRouter.SetTimer a) {
+        } else if (action instanceof SetTimer a) {
             line("WAKE_ME", who).append(' ').append(a.delayUs()).append(' ').append(a.token());
-        } else if (action instanceof CacheRouter.Probe a) {
+        } else if (action instanceof Probe a) {
             line("ASK_LOAD", who).append(' ').append(a.member());
-        } else if (action instanceof CacheRouter.CloseIdle a) {
+        } else if (action instanceof CloseIdle a) {
             line("RELEASE", who).append(' ').append(a.member());
-        } else if (action instanceof CacheRouter.Tell a) {
+        } else if (action instanceof Tell a) {
             line("NOTIFY", who).append(' ').append(a.to() < 0 ? "all" : Integer.toString(a.to())).append(' ')
                     .append(a.payload().length == 0 ? "-" : Base64.getEncoder().encodeToString(a.payload()));
-        } else if (action instanceof CacheRouter.Watch a) {
+        } else if (action instanceof Watch a) {
             line("OBSERVE", who).append(' ').append(a.on() ? 1 : 0);
-        } else if (action instanceof CacheRouter.FetchMembers) {
+        } else if (action instanceof FetchMembers) {
             line("FETCH", who);
-        } else if (action instanceof CacheRouter.Log a) {
+        } else if (action instanceof Log a) {
             line("NOTE_DOWN", who).append(' ').append(a.line());
         }
         reply.append('\n');
--- a/src/main/java/clovermill/adapter/Fields.java
+++ b/src/main/java/clovermill/simulation/adapter/Fields.java
@@ -1,4 +1,4 @@
-package clovermill.adapter;
+package clovermill.simulation.adapter;
 
 import java.util.Base64;
 
--- a/src/main/java/clovermill/adapter/MalformedInput.java
+++ b/src/main/java/clovermill/simulation/adapter/MalformedInput.java
@@ -1,4 +1,4 @@
-package clovermill.adapter;
+package clovermill.simulation.adapter;
 
 /** Input that the protocol does not allow; the message names the line. */
 public final class MalformedInput extends RuntimeException {
--- a/src/main/java/clovermill/emulator/EmulatedCache.java
+++ b/src/main/java/clovermill/simulation/emulator/EmulatedCache.java
@@ -1,7 +1,7 @@
-package clovermill.emulator;
+package clovermill.simulation.emulator;
 
-import clovermill.CacheRouter.ColdRule;
-import clovermill.CacheRouter.LoadReport;
+import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.LoadReport;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/src/main/java/clovermill/emulator/Emulation.java
+++ b/src/main/java/clovermill/simulation/emulator/Emulation.java
@@ -1,10 +1,10 @@
-package clovermill.emulator;
+package clovermill.simulation.emulator;
 
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.emulator.EmulatedCache.Transfer;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.simulation.emulator.EmulatedCache.Transfer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/clovermill/emulator/FleetMetrics.java
+++ b/src/main/java/clovermill/simulation/emulator/FleetMetrics.java
@@ -1,4 +1,4 @@
-package clovermill.emulator;
+package clovermill.simulation.emulator;
 
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/clovermill/emulator/GossipFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/GossipFleet.java
@@ -1,10 +1,10 @@
-package clovermill.emulator;
+package clovermill.simulation.emulator;
 
-import clovermill.fleet.decide.GossipMember.GroupMembership;
-import clovermill.fleet.decide.GossipMember.OutgoingMessage;
-import clovermill.fleet.decide.GossipMember;
-import clovermill.fleet.decide.GossipMessage;
-import clovermill.fleet.decide.RateLimitShare;
+import clovermill.controlplane.gossip.decide.GossipMember.GroupMembership;
+import clovermill.controlplane.gossip.decide.GossipMember.OutgoingMessage;
+import clovermill.controlplane.gossip.decide.GossipMember;
+import clovermill.controlplane.gossip.decide.GossipMessage;
+import clovermill.controlplane.gossip.decide.RateLimitShare;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/src/main/java/clovermill/emulator/LeastLoadedRouter.java
+++ b/src/main/java/clovermill/simulation/emulator/LeastLoadedRouter.java
@@ -1,6 +1,16 @@
-package clovermill.emulator;
+package clovermill.simulation.emulator;
 
-import clovermill.CacheRouter;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.CacheRouter;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.Fail;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.SendVia;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/clovermill/emulator/Plan.java
+++ b/src/main/java/clovermill/simulation/emulator/Plan.java
@@ -1,4 +1,4 @@
-package clovermill.emulator;
+package clovermill.simulation.emulator;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonMappingException;
--- a/src/main/java/clovermill/emulator/Workload.java
+++ b/src/main/java/clovermill/simulation/emulator/Workload.java
@@ -1,13 +1,13 @@
-package clovermill.emulator;
+package clovermill.simulation.emulator;
 
-import clovermill.CacheRouter.ColdRule;
-import clovermill.CacheRouter.Effect;
-import clovermill.CacheRouter.KeyScope;
-import clovermill.CacheRouter.Permissions;
-import clovermill.CacheRouter.RequestClass;
-import clovermill.CacheRouter.Settings;
-import clovermill.CacheRouter.Siblings;
-import clovermill.CacheRouter.Telling;
+import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.Effect;
+import clovermill.routing.api.KeyScope;
+import clovermill.routing.api.Permissions;
+import clovermill.routing.api.RequestClass;
+import clovermill.routing.api.Settings;
+import clovermill.routing.api.Siblings;
+import clovermill.routing.api.Telling;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/main/java/clovermill/emulator/eventlog/CrashingStorage.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/CrashingStorage.java
@@ -1,7 +1,7 @@
-package clovermill.emulator.eventlog;
+package clovermill.simulation.emulator.eventlog;
 
-import clovermill.consensus.MemoryRaftStorage;
-import clovermill.consensus.RaftStorage;
+import clovermill.controlplane.consensus.MemoryRaftStorage;
+import clovermill.controlplane.consensus.RaftStorage;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
--- a/src/main/java/clovermill/emulator/eventlog/DatagramListener.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/DatagramListener.java
@@ -1,4 +1,4 @@
-package clovermill.emulator.eventlog;
+package clovermill.simulation.emulator.eventlog;
 
 /** Sees each datagram that leaves a machine. */
 @FunctionalInterface
--- a/src/main/java/clovermill/emulator/eventlog/EventLogFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/EventLogFleet.java
@@ -1,13 +1,13 @@
-package clovermill.emulator.eventlog;
-
-import clovermill.emulator.world.World;
-import clovermill.eventlog.EventLogTask.Listener;
-import clovermill.eventlog.EventLogTask;
-import clovermill.eventlog.EventLogTaskMessage;
-import clovermill.eventlog.decide.Delivery;
-import clovermill.eventlog.decide.EventLogTiming;
-import clovermill.eventlog.decide.Follower;
-import clovermill.eventlog.decide.ReplicaFeed;
+package clovermill.simulation.emulator.eventlog;
+
+import clovermill.controlplane.eventlog.EventLogTask.Listener;
+import clovermill.controlplane.eventlog.EventLogTask;
+import clovermill.controlplane.eventlog.EventLogTaskMessage;
+import clovermill.controlplane.eventlog.decide.Delivery;
+import clovermill.controlplane.eventlog.decide.EventLogTiming;
+import clovermill.controlplane.eventlog.decide.Follower;
+import clovermill.controlplane.eventlog.decide.ReplicaFeed;
+import clovermill.simulation.emulator.world.World;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Random;
--- a/src/main/java/clovermill/emulator/eventlog/EventWorkload.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/EventWorkload.java
@@ -1,11 +1,11 @@
-package clovermill.emulator.eventlog;
+package clovermill.simulation.emulator.eventlog;
 
-import clovermill.emulator.world.World;
-import clovermill.eventlog.EventLogTaskMessage;
-import clovermill.eventlog.decide.Event;
-import clovermill.eventlog.decide.EventLog.AppendOutcome;
-import clovermill.eventlog.decide.Subject.Kind;
-import clovermill.eventlog.decide.Subject;
+import clovermill.controlplane.eventlog.EventLogTaskMessage;
+import clovermill.controlplane.eventlog.decide.Event;
+import clovermill.controlplane.eventlog.decide.EventLog.AppendOutcome;
+import clovermill.controlplane.eventlog.decide.Subject.Kind;
+import clovermill.controlplane.eventlog.decide.Subject;
+import clovermill.simulation.emulator.world.World;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
--- a/src/main/java/clovermill/emulator/eventlog/FaultInjector.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FaultInjector.java
@@ -1,4 +1,4 @@
-package clovermill.emulator.eventlog;
+package clovermill.simulation.emulator.eventlog;
 
 import java.util.Random;
 import java.util.stream.IntStream;
--- a/src/main/java/clovermill/emulator/eventlog/FleetLinks.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FleetLinks.java
@@ -1,7 +1,7 @@
-package clovermill.emulator.eventlog;
+package clovermill.simulation.emulator.eventlog;
 
-import clovermill.emulator.world.World;
-import clovermill.eventlog.EventLogTaskMessage;
+import clovermill.controlplane.eventlog.EventLogTaskMessage;
+import clovermill.simulation.emulator.world.World;
 import java.util.Arrays;
 import java.util.List;
 
--- a/src/main/java/clovermill/emulator/eventlog/FleetMetrics.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FleetMetrics.java
@@ -1,4 +1,4 @@
-package clovermill.emulator.eventlog;
+package clovermill.simulation.emulator.eventlog;
 
 /** What was seen in a run. */
 public record FleetMetrics(int events, int faults, long lost, long misordered, long twice, long stale, long late,
--- a/src/main/java/clovermill/emulator/eventlog/Traffic.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/Traffic.java
@@ -1,4 +1,4 @@
-package clovermill.emulator.eventlog;
+package clovermill.simulation.emulator.eventlog;
 
 /** Bytes, with headers of IP and UDP, and datagrams that a machine has sent and been sent. */
 public record Traffic(long bytesOut, long bytesIn, long datagramsOut, long datagramsIn) {
--- a/src/main/java/clovermill/emulator/accord/AccordFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/AccordFleet.java
@@ -1,14 +1,14 @@
-package clovermill.emulator.accord;
-
-import clovermill.accord.AccordTask;
-import clovermill.accord.Mail;
-import clovermill.accord.View;
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Register.Taken;
-import clovermill.accord.decide.Step;
-import clovermill.accord.decide.Terms;
-import clovermill.consensus.MemoryRaftStorage;
-import clovermill.emulator.world.World;
+package clovermill.simulation.emulator.policystore;
+
+import clovermill.controlplane.consensus.MemoryRaftStorage;
+import clovermill.controlplane.policystore.AccordTask;
+import clovermill.controlplane.policystore.Mail;
+import clovermill.controlplane.policystore.View;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.Step;
+import clovermill.controlplane.policystore.decide.Terms;
+import clovermill.simulation.emulator.world.World;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/clovermill/emulator/accord/InvariantChecker.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/InvariantChecker.java
@@ -1,4 +1,4 @@
-package clovermill.emulator.accord;
+package clovermill.simulation.emulator.policystore;
 
 import java.util.TreeMap;
 
--- a/src/main/java/clovermill/emulator/world/World.java
+++ b/src/main/java/clovermill/simulation/emulator/world/World.java
@@ -1,6 +1,6 @@
-package clovermill.emulator.world;
+package clovermill.simulation.emulator.world;
 
-import clovermill.task.Task;
+import clovermill.runtime.task.Task;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/clovermill/store/CrashPoint.java
+++ b/src/main/java/clovermill/storage/CrashPoint.java
@@ -1,4 +1,4 @@
-package clovermill.store;
+package clovermill.storage;
 
 /**
  * Named places at which a proof stops the process dead, as SIGKILL would. In service a call does nothing: the
--- a/src/main/java/clovermill/store/FrameCodec.java
+++ b/src/main/java/clovermill/storage/FrameCodec.java
@@ -1,4 +1,4 @@
-package clovermill.store;
+package clovermill.storage;
 
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
--- a/src/main/java/clovermill/store/Frames.java
+++ b/src/main/java/clovermill/storage/Frames.java
@@ -1,4 +1,4 @@
-package clovermill.store;
+package clovermill.storage;
 
 /**
  * The form of a segment: 8 bytes of magic and then frames as {@link FrameCodec} has them. No frame crosses a
--- a/src/main/java/clovermill/store/Volume.java
+++ b/src/main/java/clovermill/storage/Volume.java
@@ -1,4 +1,4 @@
-package clovermill.store;
+package clovermill.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/test/java/clovermill/LayersTest.java
+++ b/src/test/java/clovermill/LayersTest.java
@@ -1,6 +1,7 @@
 package clovermill;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
@@ -8,83 +9,115 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** An arrow may only point downwards: cli, assembly, fronts and subsystems, host, module, net and store. */
+/** The allowed dependencies between the packages, as docs/ARCHITECTURE.md shows them: arrows only point downwards. */
 class LayersTest {
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("clovermill");
 
+    /** What decisions must not touch: sockets, files, threads, locks. */
+    private static final String[] INPUT_OUTPUT_AND_THREADS = {"java.nio..", "java.net..", "java.io..",
+        "clovermill.runtime..", "clovermill.storage..", "java.util.concurrent.."};
+
+    @Test
+    void planesDependOnlyOnThoseBelowThem() {
+        layeredArchitecture().consideringOnlyDependenciesInLayers()
+                .layer("cli").definedBy("clovermill.cli..")
+                .layer("director").definedBy("clovermill.director..")
+                .layer("simulation").definedBy("clovermill.simulation..")
+                .layer("controlplane").definedBy("clovermill.controlplane..")
+                .layer("ledger").definedBy("clovermill.ledger..")
+                .layer("dataplane").definedBy("clovermill.dataplane..")
+                .layer("config").definedBy("clovermill.config..")
+                .layer("routing").definedBy("clovermill.routing", "clovermill.routing.stats..",
+                        "clovermill.routing.load..")
+                .layer("api").definedBy("clovermill.routing.api..")
+                .layer("runtime").definedBy("clovermill.runtime..")
+                .layer("storage").definedBy("clovermill.storage..")
+                .whereLayer("cli").mayNotBeAccessedByAnyLayer()
+                .whereLayer("director").mayOnlyBeAccessedByLayers("cli")
+                .whereLayer("simulation").mayOnlyBeAccessedByLayers("cli")
+                .whereLayer("controlplane").mayOnlyBeAccessedByLayers("director", "simulation")
+                .whereLayer("ledger").mayOnlyBeAccessedByLayers("cli", "director")
+                .whereLayer("dataplane").mayOnlyBeAccessedByLayers("controlplane", "ledger", "director")
+                .whereLayer("routing").mayOnlyBeAccessedByLayers("director", "simulation")
+                .whereLayer("config").mayOnlyBeAccessedByLayers("cli", "director", "simulation", "controlplane",
+                        "ledger", "dataplane")
+                .whereLayer("api").mayOnlyBeAccessedByLayers("director", "simulation", "controlplane", "ledger",
+                        "dataplane", "config", "routing")
+                .whereLayer("runtime").mayOnlyBeAccessedByLayers("cli", "director", "simulation", "controlplane",
+                        "ledger", "dataplane")
+                .whereLayer("storage").mayOnlyBeAccessedByLayers("cli", "director", "simulation", "controlplane",
+                        "ledger")
+                .check(CLASSES);
+    }
+
     @Test
     void decisionsDoNoInputOutputAndStartNoThread() {
-        noClasses().that().resideInAPackage("..decide..").should().dependOnClassesThat().resideInAnyPackage(
-                "java.nio..", "java.net..", "java.io..",
-                "clovermill.net..", "clovermill.store..", "java.util.concurrent..")
+        noClasses().that().resideInAPackage("..decide..").should()
+                .dependOnClassesThat().resideInAnyPackage(INPUT_OUTPUT_AND_THREADS)
                 .orShould().callMethod(System.class, "nanoTime")
                 .orShould().callMethod(System.class, "currentTimeMillis")
                 .check(CLASSES);
-        noClasses().that().resideInAnyPackage("clovermill.module..", "clovermill.memory..").or()
-                .haveSimpleName("CacheRouter").should().dependOnClassesThat().resideInAnyPackage("java.nio..",
-                        "java.net..", "java.io..", "clovermill.net..", "clovermill.host..", "clovermill.director..",
-                        "java.util.concurrent..")
+        noClasses().that().resideInAPackage("clovermill.routing..").should()
+                .dependOnClassesThat().resideInAnyPackage(INPUT_OUTPUT_AND_THREADS)
+                .orShould().callMethod(System.class, "nanoTime")
+                .orShould().callMethod(System.class, "currentTimeMillis")
                 .check(CLASSES);
-        noClasses().that().resideInAPackage("clovermill.memory..").should().dependOnClassesThat()
-                .resideInAnyPackage("clovermill", "clovermill.module..").check(CLASSES);
     }
 
     @Test
-    void netAndStoreKnowNothingAboveThem() {
-        noClasses().that().resideInAnyPackage("clovermill.net..", "clovermill.store..").should().dependOnClassesThat()
-                .resideInAnyPackage("clovermill", "clovermill.director..", "clovermill.module..", "clovermill.host..",
-                        "clovermill.front..", "clovermill.cache..", "clovermill.channel..", "clovermill.ledger..",
-                        "clovermill.cli..", "clovermill.settings..",
-                        "clovermill.reload..", "clovermill.admin..", "clovermill.outage..", "clovermill.upgrade..",
-                        "clovermill.fleet..")
+    void theApiStatisticsAndLoadEstimatesKnowNoDecisions() {
+        noClasses().that().resideInAPackage("clovermill.routing.api..").should()
+                .dependOnClassesThat().resideInAnyPackage("clovermill.routing", "clovermill.routing.stats..",
+                        "clovermill.routing.load..")
+                .check(CLASSES);
+        noClasses().that().resideInAnyPackage("clovermill.routing.stats..", "clovermill.routing.load..").should()
+                .dependOnClassesThat().resideInAnyPackage("clovermill.routing", "clovermill.routing.api..")
                 .check(CLASSES);
     }
 
     @Test
-    void whatIsKnownOfLoadKnowsNothingAboveItAndNobodyInServiceKnowsTheEmulator() {
-        noClasses().that().resideInAPackage("clovermill.spread.decide..").should().dependOnClassesThat()
-                .resideInAnyPackage("clovermill", "clovermill.host..", "clovermill.emulator..").check(CLASSES);
-        noClasses().that().resideOutsideOfPackages("clovermill.emulator..", "clovermill.cli..").should()
-                .dependOnClassesThat().resideInAPackage("clovermill.emulator..").check(CLASSES);
-    }
-
-    @Test
-    void theCoreKnowsNoFrontAndNoSubsystem() {
-        noClasses().that().resideInAPackage("clovermill.host..").should().dependOnClassesThat().resideInAnyPackage(
-                "clovermill.front..", "clovermill.cache..", "clovermill.channel..", "clovermill.ledger..",
-                "clovermill.cli..", "clovermill.settings..", "clovermill.reload..", "clovermill.store..",
-                "clovermill.admin..", "clovermill.outage..", "clovermill.upgrade..", "clovermill.fleet..")
+    void theRequestCoreKnowsNoServerAndNoClientProtocol() {
+        noClasses().that().resideInAPackage("clovermill.dataplane.proxy..").should()
+                .dependOnClassesThat().resideInAnyPackage("clovermill.dataplane.server..",
+                        "clovermill.dataplane.upstream..")
                 .check(CLASSES);
     }
 
     @Test
-    void nobodyBelowKnowsTheWiringAndTheStepsOfTheEndAreDecidedWithoutIt() {
-        noClasses().that().resideOutsideOfPackages("clovermill.director..", "clovermill.cli..").should()
-                .dependOnClassesThat().resideInAPackage("clovermill.director..").check(CLASSES);
+    void onlyTheCommandLineUsesItsLibraries() {
+        noClasses().that().resideOutsideOfPackage("clovermill.cli..").should()
+                .dependOnClassesThat().resideInAnyPackage("picocli..", "me.tongfei..").check(CLASSES);
     }
 
     @Test
-    void onlyTheCommandLineMeetsItsLibraryAndNobodyCallsIt() {
-        noClasses().that().resideOutsideOfPackage("clovermill.cli..").should().dependOnClassesThat()
-                .resideInAnyPackage("picocli..", "clovermill.cli..", "me.tongfei..").check(CLASSES);
+    void consensusKnowsNoneOfItsUsers() {
+        noClasses().that().resideInAPackage("clovermill.controlplane.consensus..").should()
+                .dependOnClassesThat(com.tngtech.archunit.core.domain.JavaClass.Predicates
+                        .resideInAPackage("clovermill..")
+                        .and(com.tngtech.archunit.base.DescribedPredicate.not(
+                                com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage(
+                                        "clovermill.controlplane.consensus..", "clovermill.storage.."))))
+                .check(CLASSES);
     }
 
     @Test
-    void consensusKnowsNoneOfThoseWhoAgreeByIt() {
-        noClasses().that().resideInAPackage("clovermill.consensus..").should().dependOnClassesThat()
-                .resideInAnyPackage("clovermill", "clovermill.accord..", "clovermill.eventlog..", "clovermill.host..",
-                        "clovermill.module..", "clovermill.director..", "clovermill.emulator..", "clovermill.fleet..",
-                        "clovermill.task..")
-                .check(CLASSES);
+    void theClientServerAndTheUpstreamPoolDoNotKnowEachOther() {
+        slices().matching("clovermill.dataplane.(server|upstream)..").should().notDependOnEachOther().check(CLASSES);
     }
 
     @Test
-    void subsystemsDoNotKnowOneAnother() {
-        slices().matching("clovermill.(front|ledger|reload|channel|cache|admin|outage|upgrade|fleet|accord|eventlog)..")
+    void subsystemsOfTheControlPlaneDoNotKnowOneAnother() {
+        slices().matching("clovermill.controlplane.(discovery|reload|admin|outage|handover|gossip|placement)..")
+                .should().notDependOnEachOther()
+                .ignoreDependency(clovermill.controlplane.discovery.Roster.class,
+                        clovermill.controlplane.outage.Outages.class)
+                .check(CLASSES);
+        slices().matching("clovermill.controlplane.(policystore|eventlog|discovery|reload|admin|outage|handover)..")
                 .should().notDependOnEachOther()
-                .ignoreDependency(clovermill.channel.Roster.class, clovermill.outage.Outages.class)
-                .ignoreDependency(clovermill.channel.Roster.class, clovermill.cache.CachePool.class).check(CLASSES);
+                .ignoreDependency(clovermill.controlplane.discovery.Roster.class,
+                        clovermill.controlplane.outage.Outages.class)
+                .check(CLASSES);
     }
 }
--- a/src/test/java/clovermill/config/ConfigTest.java
+++ b/src/test/java/clovermill/config/ConfigTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.CacheRouter.Effect;
+import clovermill.routing.api.Effect;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/clovermill/config/JsonTest.java
+++ b/src/test/java/clovermill/config/JsonTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.Splits;
+import clovermill.routing.Splits;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/clovermill/admin/CallParserTest.java
+++ b/src/test/java/clovermill/controlplane/admin/CallParserTest.java
@@ -1,10 +1,10 @@
-package clovermill.admin;
+package clovermill.controlplane.admin;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.Splits;
-import clovermill.admin.decide.Call;
+import clovermill.controlplane.admin.decide.Call;
+import clovermill.routing.Splits;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
--- a/src/test/java/clovermill/channel/CommandChannelTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/CommandChannelTest.java
@@ -1,10 +1,10 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.ManualClock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.ManualClock;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/src/test/java/clovermill/channel/HttpResponsesTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/HttpResponsesTest.java
@@ -1,10 +1,10 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.Splits;
-import clovermill.net.ProtocolException;
+import clovermill.routing.Splits;
+import clovermill.runtime.net.ProtocolException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/clovermill/channel/RedialTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/RedialTest.java
@@ -1,4 +1,4 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/clovermill/channel/RosterTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/RosterTest.java
@@ -1,18 +1,18 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Purge;
-import clovermill.cache.CachePool;
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.host.Host;
-import clovermill.net.Budget;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.ManualClock;
-import clovermill.outage.Outages;
+import clovermill.controlplane.outage.Outages;
+import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.upstream.CachePool;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Purge;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.ManualClock;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/clovermill/eventlog/EventLogFleetTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
@@ -1,12 +1,12 @@
-package clovermill.eventlog;
+package clovermill.controlplane.eventlog;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.emulator.eventlog.EventLogFleet;
-import clovermill.emulator.eventlog.FleetMetrics;
-import clovermill.emulator.eventlog.FleetSize;
-import clovermill.emulator.eventlog.Scenario;
-import clovermill.emulator.eventlog.Traffic;
+import clovermill.simulation.emulator.eventlog.EventLogFleet;
+import clovermill.simulation.emulator.eventlog.FleetMetrics;
+import clovermill.simulation.emulator.eventlog.FleetSize;
+import clovermill.simulation.emulator.eventlog.Scenario;
+import clovermill.simulation.emulator.eventlog.Traffic;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
--- a/src/test/java/clovermill/eventlog/PacketCodecTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/PacketCodecTest.java
@@ -1,17 +1,17 @@
-package clovermill.eventlog;
+package clovermill.controlplane.eventlog;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.consensus.ReplicaId;
-import clovermill.eventlog.decide.Entry;
-import clovermill.eventlog.decide.Event;
-import clovermill.eventlog.decide.EventLog;
-import clovermill.eventlog.decide.EventLogMessage;
-import clovermill.eventlog.decide.LogRange;
-import clovermill.eventlog.decide.Subject.Kind;
-import clovermill.eventlog.decide.Subject;
-import clovermill.eventlog.decide.TruncatedPrefix;
+import clovermill.controlplane.consensus.ReplicaId;
+import clovermill.controlplane.eventlog.decide.Entry;
+import clovermill.controlplane.eventlog.decide.Event;
+import clovermill.controlplane.eventlog.decide.EventLog;
+import clovermill.controlplane.eventlog.decide.EventLogMessage;
+import clovermill.controlplane.eventlog.decide.LogRange;
+import clovermill.controlplane.eventlog.decide.Subject.Kind;
+import clovermill.controlplane.eventlog.decide.Subject;
+import clovermill.controlplane.eventlog.decide.TruncatedPrefix;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/test/java/clovermill/eventlog/decide/EventLogTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/EventLogTest.java
@@ -1,10 +1,10 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.eventlog.decide.EventLog.AppendOutcome;
-import clovermill.eventlog.decide.EventLog.AppendResult;
-import clovermill.eventlog.decide.Subject.Kind;
+import clovermill.controlplane.eventlog.decide.EventLog.AppendOutcome;
+import clovermill.controlplane.eventlog.decide.EventLog.AppendResult;
+import clovermill.controlplane.eventlog.decide.Subject.Kind;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/clovermill/eventlog/decide/ReplayWindowTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/ReplayWindowTest.java
@@ -1,4 +1,4 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/clovermill/eventlog/decide/ReplicaFeedTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/ReplicaFeedTest.java
@@ -1,9 +1,9 @@
-package clovermill.eventlog.decide;
+package clovermill.controlplane.eventlog.decide;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.eventlog.decide.EventLogMessage.Follow;
-import clovermill.eventlog.decide.Subject.Kind;
+import clovermill.controlplane.eventlog.decide.EventLogMessage.Follow;
+import clovermill.controlplane.eventlog.decide.Subject.Kind;
 import java.util.List;
 import java.util.Random;
 import java.util.stream.LongStream;
--- a/src/test/java/clovermill/fleet/GossipCodecTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/GossipCodecTest.java
@@ -1,11 +1,11 @@
-package clovermill.fleet;
+package clovermill.controlplane.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.fleet.GossipCodec.InvalidMessageException;
-import clovermill.fleet.decide.GossipMessage;
-import clovermill.fleet.decide.ReplicatedEntry;
+import clovermill.controlplane.gossip.GossipCodec.InvalidMessageException;
+import clovermill.controlplane.gossip.decide.GossipMessage;
+import clovermill.controlplane.gossip.decide.ReplicatedEntry;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
 import java.util.Arrays;
--- a/src/test/java/clovermill/fleet/decide/ConcurrencyLimitShareTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShareTest.java
@@ -1,4 +1,4 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/clovermill/fleet/decide/GossipMemberTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/decide/GossipMemberTest.java
@@ -1,9 +1,9 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.fleet.decide.GossipMember.GroupMembership;
-import clovermill.fleet.decide.GossipMember.OutgoingMessage;
+import clovermill.controlplane.gossip.decide.GossipMember.GroupMembership;
+import clovermill.controlplane.gossip.decide.GossipMember.OutgoingMessage;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/clovermill/upgrade/PresenceTest.java
+++ b/src/test/java/clovermill/controlplane/handover/PresenceTest.java
@@ -1,4 +1,4 @@
-package clovermill.upgrade;
+package clovermill.controlplane.handover;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/clovermill/outage/OutageFolderTest.java
+++ b/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
@@ -1,8 +1,8 @@
-package clovermill.outage;
+package clovermill.controlplane.outage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.net.ManualClock;
+import clovermill.runtime.net.ManualClock;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.FileTime;
--- a/src/test/java/clovermill/placement/PlacementTest.java
+++ b/src/test/java/clovermill/controlplane/placement/PlacementTest.java
@@ -1,15 +1,15 @@
-package clovermill.placement;
+package clovermill.controlplane.placement;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
 import clovermill.config.Config;
-import clovermill.host.Ask;
-import clovermill.host.Audit;
-import clovermill.net.Clock;
+import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.Audit;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.runtime.net.Clock;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/test/java/clovermill/accord/AccordFleetTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/AccordFleetTest.java
@@ -1,10 +1,10 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.emulator.accord.AccordFleet;
-import clovermill.emulator.accord.AccordFleet.Case;
-import clovermill.emulator.accord.AccordFleet.Figures;
+import clovermill.simulation.emulator.policystore.AccordFleet.Case;
+import clovermill.simulation.emulator.policystore.AccordFleet.Figures;
+import clovermill.simulation.emulator.policystore.AccordFleet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/clovermill/accord/FailingVoterTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
@@ -1,14 +1,14 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Register.Taken;
-import clovermill.accord.decide.Terms;
-import clovermill.consensus.FileRaftStorage;
-import clovermill.emulator.world.World;
-import clovermill.store.FaultyVolume;
-import clovermill.task.Task;
+import clovermill.controlplane.consensus.FileRaftStorage;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.Terms;
+import clovermill.runtime.task.Task;
+import clovermill.simulation.emulator.world.World;
+import clovermill.storage.FaultyVolume;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/clovermill/accord/FileDiskTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FileDiskTest.java
@@ -1,13 +1,13 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.accord.decide.Change;
-import clovermill.consensus.FileRaftStorage;
-import clovermill.consensus.ReplicaId;
-import clovermill.store.FaultyVolume;
-import clovermill.store.Volume;
+import clovermill.controlplane.consensus.FileRaftStorage;
+import clovermill.controlplane.consensus.ReplicaId;
+import clovermill.controlplane.policystore.decide.Change;
+import clovermill.storage.FaultyVolume;
+import clovermill.storage.Volume;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/src/test/java/clovermill/accord/LetterCodecTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/LetterCodecTest.java
@@ -1,12 +1,12 @@
-package clovermill.accord;
+package clovermill.controlplane.policystore;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.accord.decide.Change;
-import clovermill.accord.decide.Register.Taken;
-import clovermill.accord.decide.Step;
-import clovermill.consensus.ReplicaId;
+import clovermill.controlplane.consensus.ReplicaId;
+import clovermill.controlplane.policystore.decide.Change;
+import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.Step;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import java.nio.ByteBuffer;
 import java.util.List;
--- a/src/test/java/clovermill/accord/decide/HolderTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/HolderTest.java
@@ -1,4 +1,4 @@
-package clovermill.accord.decide;
+package clovermill.controlplane.policystore.decide;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/clovermill/accord/decide/StepSearch.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/StepSearch.java
@@ -1,4 +1,4 @@
-package clovermill.accord.decide;
+package clovermill.controlplane.policystore.decide;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/test/java/clovermill/accord/decide/StepSearchTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/StepSearchTest.java
@@ -1,8 +1,8 @@
-package clovermill.accord.decide;
+package clovermill.controlplane.policystore.decide;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.accord.decide.StepSearch.Breakage;
+import clovermill.controlplane.policystore.decide.StepSearch.Breakage;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/clovermill/reload/ConfigWatchTest.java
+++ b/src/test/java/clovermill/controlplane/reload/ConfigWatchTest.java
@@ -1,8 +1,8 @@
-package clovermill.reload;
+package clovermill.controlplane.reload;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.reload.ConfigWatch.Stamp;
+import clovermill.controlplane.reload.ConfigWatch.Stamp;
 import org.junit.jupiter.api.Test;
 
 /** What is read when, and what is said. */
--- a/src/test/java/clovermill/reload/ReloaderTest.java
+++ b/src/test/java/clovermill/controlplane/reload/ReloaderTest.java
@@ -1,11 +1,11 @@
-package clovermill.reload;
+package clovermill.controlplane.reload;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import clovermill.config.Config;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/clovermill/reload/decide/ClassesTest.java
+++ b/src/test/java/clovermill/controlplane/reload/decide/ClassesTest.java
@@ -1,11 +1,11 @@
-package clovermill.reload.decide;
+package clovermill.controlplane.reload.decide;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Effect;
-import clovermill.CacheRouter.KeyScope;
-import clovermill.CacheRouter.Permissions;
-import clovermill.CacheRouter.RequestClass;
+import clovermill.routing.api.Effect;
+import clovermill.routing.api.KeyScope;
+import clovermill.routing.api.Permissions;
+import clovermill.routing.api.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.ForAll;
--- a/src/test/java/clovermill/host/HostTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/HostTest.java
@@ -1,24 +1,31 @@
-package clovermill.host;
+package clovermill.dataplane.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter;
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Cancel;
-import clovermill.CacheRouter.ClientGone;
-import clovermill.CacheRouter.Event;
-import clovermill.CacheRouter.Fail;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Refuse;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.Send;
-import clovermill.CacheRouter.SetTimer;
-import clovermill.CacheRouter.Timer;
-import clovermill.net.Body;
-import clovermill.net.Budget;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.CacheRouter;
+import clovermill.routing.api.Cancel;
+import clovermill.routing.api.ClientGone;
+import clovermill.routing.api.Effect;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.Fail;
+import clovermill.routing.api.KeyScope;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Permissions;
+import clovermill.routing.api.Refuse;
+import clovermill.routing.api.RequestClass;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Send;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Settings;
+import clovermill.routing.api.Siblings;
+import clovermill.routing.api.Telling;
+import clovermill.routing.api.Timer;
+import clovermill.runtime.net.Body;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -31,10 +38,10 @@
 
     private static final String ID = "00000000000000a1";
     private static final long WINDOW_US = 20_000;
-    private static final CacheRouter.RequestClass SAFE = new CacheRouter.RequestClass(1000, 0, 100_000, 1, 0,
-            CacheRouter.Effect.IDEMPOTENT, CacheRouter.KeyScope.ALL, 0, false, false, false, 0, 0, 0);
-    private static final CacheRouter.RequestClass KEYED = new CacheRouter.RequestClass(1000, 0, 100_000, 1, 0,
-            CacheRouter.Effect.DEDUPLICATED, CacheRouter.KeyScope.ALL, WINDOW_US, false, false,
+    private static final RequestClass SAFE = new RequestClass(1000, 0, 100_000, 1, 0,
+            Effect.IDEMPOTENT, KeyScope.ALL, 0, false, false, false, 0, 0, 0);
+    private static final RequestClass KEYED = new RequestClass(1000, 0, 100_000, 1, 0,
+            Effect.DEDUPLICATED, KeyScope.ALL, WINDOW_US, false, false,
             false, 0, 0, 0);
     private long nowUs = 1000;
     private final Deadlines deadlines = new Deadlines();
@@ -53,9 +60,9 @@
             events.add(event);
             (replies.isEmpty() ? List.<Action>of() : replies.poll()).forEach(out);
         }
-    }, new CacheRouter.Settings(0, 1, 0, List.of(SAFE, KEYED), List.of(), List.of(), -1, -1, 0, false,
-            CacheRouter.Siblings.NONE, CacheRouter.Telling.ALL, null, null, 0, 4000, 0, 0, 0, false, 0, 0, 0, 0,
-            new CacheRouter.Permissions(true, true, true, true, true, false, 2, 10, 500_000)),
+    }, new Settings(0, 1, 0, List.of(SAFE, KEYED), List.of(), List.of(), -1, -1, 0, false,
+            Siblings.NONE, Telling.ALL, null, null, 0, 4000, 0, 0, 0, false, 0, 0, 0, 0,
+            new Permissions(true, true, true, true, true, false, 2, 10, 500_000)),
             new Clock() {
                 @Override
                 public long micros() {
--- a/src/test/java/clovermill/front/FrameFrontTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameFrontTest.java
@@ -1,17 +1,17 @@
-package clovermill.front;
+package clovermill.dataplane.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.ClientGone;
-import clovermill.CacheRouter.Event;
-import clovermill.CacheRouter.Request;
 import clovermill.config.Config;
-import clovermill.host.Host;
-import clovermill.host.Upstream;
-import clovermill.net.Budget;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
+import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.proxy.Upstream;
+import clovermill.routing.api.ClientGone;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.Request;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/test/java/clovermill/cache/AnswerParserTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/AnswerParserTest.java
@@ -1,11 +1,11 @@
-package clovermill.cache;
+package clovermill.dataplane.upstream;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.Splits;
-import clovermill.net.Budget;
-import clovermill.net.ProtocolException;
+import clovermill.routing.Splits;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.ProtocolException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/clovermill/cache/CachePoolTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/CachePoolTest.java
@@ -1,16 +1,16 @@
-package clovermill.cache;
+package clovermill.dataplane.upstream;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Result;
-import clovermill.host.Answer;
-import clovermill.host.Ask;
-import clovermill.host.Upstream;
-import clovermill.net.Budget;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
+import clovermill.dataplane.proxy.Answer;
+import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.Upstream;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/test/java/clovermill/director/LedgerScenarioTest.java
+++ b/src/test/java/clovermill/director/LedgerScenarioTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.host.Usage;
+import clovermill.dataplane.proxy.Usage;
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LedgerSettings;
 import clovermill.ledger.LogReader;
--- a/src/test/java/clovermill/director/PlatformTest.java
+++ b/src/test/java/clovermill/director/PlatformTest.java
@@ -5,7 +5,7 @@
 
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.net.Clock;
+import clovermill.runtime.net.Clock;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/test/java/clovermill/director/Scenario.java
+++ b/src/test/java/clovermill/director/Scenario.java
@@ -4,7 +4,7 @@
 
 import clovermill.config.Config;
 import clovermill.ledger.LedgerSettings;
-import clovermill.net.ManualClock;
+import clovermill.runtime.net.ManualClock;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/test/java/clovermill/director/StartupRetryTest.java
+++ b/src/test/java/clovermill/director/StartupRetryTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.net.Clock;
+import clovermill.runtime.net.Clock;
 import java.io.IOException;
 import java.net.BindException;
 import java.nio.charset.MalformedInputException;
--- a/src/test/java/clovermill/director/WarmupTest.java
+++ b/src/test/java/clovermill/director/WarmupTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.channel.Commands;
 import clovermill.config.Config;
 import clovermill.config.Json;
+import clovermill.controlplane.discovery.Commands;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/test/java/clovermill/director/leave/DepartureTest.java
+++ b/src/test/java/clovermill/director/shutdown/DepartureTest.java
@@ -1,15 +1,15 @@
-package clovermill.director.leave;
+package clovermill.director.shutdown;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import clovermill.config.Config;
-import clovermill.front.Front;
-import clovermill.host.Host;
-import clovermill.host.Upstream;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
+import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.server.Front;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/clovermill/director/leave/decide/FarewellTest.java
+++ b/src/test/java/clovermill/director/shutdown/decide/FarewellTest.java
@@ -1,8 +1,8 @@
-package clovermill.director.leave.decide;
+package clovermill.director.shutdown.decide;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.director.leave.decide.Farewell.Step;
+import clovermill.director.shutdown.decide.Farewell.Step;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
--- a/src/test/java/clovermill/ledger/CrashPointsTest.java
+++ b/src/test/java/clovermill/ledger/CrashPointsTest.java
@@ -2,18 +2,18 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Note;
-import clovermill.host.Ask;
-import clovermill.host.Usage;
+import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.Usage;
 import clovermill.ledger.books.Books;
 import clovermill.ledger.books.Verification;
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.BatchText;
 import clovermill.ledger.export.Exporter;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.store.CrashPoint;
-import clovermill.store.Volume;
+import clovermill.routing.api.Note;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.storage.CrashPoint;
+import clovermill.storage.Volume;
 import java.io.Reader;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/clovermill/ledger/LedgerBench.java
+++ b/src/test/java/clovermill/ledger/LedgerBench.java
@@ -1,11 +1,11 @@
 package clovermill.ledger;
 
-import clovermill.host.Usage;
+import clovermill.dataplane.proxy.Usage;
 import clovermill.ledger.books.Books;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.How;
-import clovermill.store.SegmentWriter;
-import clovermill.store.Volume;
+import clovermill.storage.SegmentWriter;
+import clovermill.storage.Volume;
 import java.io.IOException;
 import java.util.List;
 
--- a/src/test/java/clovermill/ledger/decide/AccountsTest.java
+++ b/src/test/java/clovermill/ledger/decide/AccountsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.host.Usage;
+import clovermill.dataplane.proxy.Usage;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/clovermill/ledger/decide/DecisionsTest.java
+++ b/src/test/java/clovermill/ledger/decide/DecisionsTest.java
@@ -1,11 +1,11 @@
 package clovermill.ledger.decide;
 
-import clovermill.tenants.TenantRules;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 import static org.assertj.core.api.Assertions.within;
 
-import clovermill.host.Usage;
+import clovermill.config.tenants.TenantRules;
+import clovermill.dataplane.proxy.Usage;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/clovermill/prove/AccordSimProof.java
+++ b/src/test/java/clovermill/prove/AccordSimProof.java
@@ -1,8 +1,8 @@
 package clovermill.prove;
 
-import clovermill.emulator.accord.AccordFleet;
-import clovermill.emulator.accord.AccordFleet.Case;
-import clovermill.emulator.accord.AccordFleet.Figures;
+import clovermill.simulation.emulator.policystore.AccordFleet.Case;
+import clovermill.simulation.emulator.policystore.AccordFleet.Figures;
+import clovermill.simulation.emulator.policystore.AccordFleet;
 import java.util.List;
 import java.util.stream.LongStream;
 
--- a/src/test/java/clovermill/prove/CacheFleet.java
+++ b/src/test/java/clovermill/prove/CacheFleet.java
@@ -1,14 +1,14 @@
 package clovermill.prove;
 
-import clovermill.CacheRouter.ColdRule;
-import clovermill.CacheRouter.LoadReport;
-import clovermill.emulator.EmulatedCache;
-import clovermill.emulator.EmulatedCache.Transfer;
-import clovermill.net.Clock;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.Listener;
+import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.LoadReport;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.Listener;
+import clovermill.simulation.emulator.EmulatedCache.Transfer;
+import clovermill.simulation.emulator.EmulatedCache;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -24,10 +24,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.Consumer;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
+import java.util.function.Consumer;
 
 /**
  * Stand-in caches on sockets, each at an address of its own and as busy as the emulator's model says, and a command
--- a/src/test/java/clovermill/prove/DirectorProcess.java
+++ b/src/test/java/clovermill/prove/DirectorProcess.java
@@ -1,6 +1,6 @@
 package clovermill.prove;
 
-import clovermill.CacheRouter.ColdRule;
+import clovermill.routing.api.ColdRule;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/test/java/clovermill/prove/EventLogSimProof.java
+++ b/src/test/java/clovermill/prove/EventLogSimProof.java
@@ -1,10 +1,10 @@
 package clovermill.prove;
 
-import clovermill.emulator.eventlog.EventLogFleet;
-import clovermill.emulator.eventlog.FleetMetrics;
-import clovermill.emulator.eventlog.FleetSize;
-import clovermill.emulator.eventlog.Scenario;
-import clovermill.emulator.eventlog.Traffic;
+import clovermill.simulation.emulator.eventlog.EventLogFleet;
+import clovermill.simulation.emulator.eventlog.FleetMetrics;
+import clovermill.simulation.emulator.eventlog.FleetSize;
+import clovermill.simulation.emulator.eventlog.Scenario;
+import clovermill.simulation.emulator.eventlog.Traffic;
 import java.util.List;
 import java.util.function.ToLongFunction;
 import java.util.stream.IntStream;
--- a/src/test/java/clovermill/prove/LimitsProof.java
+++ b/src/test/java/clovermill/prove/LimitsProof.java
@@ -1,10 +1,10 @@
 package clovermill.prove;
 
-import clovermill.emulator.GossipFleet.Cut;
-import clovermill.emulator.GossipFleet.GossipMetrics;
-import clovermill.emulator.GossipFleet.Kill;
-import clovermill.emulator.GossipFleet.Scenario;
-import clovermill.emulator.GossipFleet;
+import clovermill.simulation.emulator.GossipFleet.Cut;
+import clovermill.simulation.emulator.GossipFleet.GossipMetrics;
+import clovermill.simulation.emulator.GossipFleet.Kill;
+import clovermill.simulation.emulator.GossipFleet.Scenario;
+import clovermill.simulation.emulator.GossipFleet;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/clovermill/prove/LinePeer.java
+++ b/src/test/java/clovermill/prove/LinePeer.java
@@ -1,6 +1,6 @@
 package clovermill.prove;
 
-import clovermill.net.Connection;
+import clovermill.runtime.net.Connection;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/clovermill/prove/SpreadProof.java
+++ b/src/test/java/clovermill/prove/SpreadProof.java
@@ -1,9 +1,9 @@
 package clovermill.prove;
 
-import clovermill.emulator.Emulation;
-import clovermill.emulator.FleetMetrics;
-import clovermill.emulator.Plan.Fault;
-import clovermill.emulator.Plan;
+import clovermill.simulation.emulator.Emulation;
+import clovermill.simulation.emulator.FleetMetrics;
+import clovermill.simulation.emulator.Plan.Fault;
+import clovermill.simulation.emulator.Plan;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/clovermill/prove/capacity/LimitsAtSize.java
+++ b/src/test/java/clovermill/prove/capacity/LimitsAtSize.java
@@ -1,9 +1,9 @@
 package clovermill.prove.capacity;
 
-import clovermill.emulator.GossipFleet.Cut;
-import clovermill.emulator.GossipFleet.GossipMetrics;
-import clovermill.emulator.GossipFleet.Scenario;
-import clovermill.emulator.GossipFleet;
+import clovermill.simulation.emulator.GossipFleet.Cut;
+import clovermill.simulation.emulator.GossipFleet.GossipMetrics;
+import clovermill.simulation.emulator.GossipFleet.Scenario;
+import clovermill.simulation.emulator.GossipFleet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/clovermill/prove/capacity/StateProof.java
+++ b/src/test/java/clovermill/prove/capacity/StateProof.java
@@ -1,12 +1,12 @@
 package clovermill.prove.capacity;
 
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Register;
-import clovermill.channel.Commands;
 import clovermill.config.Json;
-import clovermill.fleet.decide.GossipMember;
-import clovermill.memory.PurgeLog;
+import clovermill.controlplane.discovery.Commands;
+import clovermill.controlplane.gossip.decide.GossipMember;
+import clovermill.controlplane.policystore.decide.Document;
+import clovermill.controlplane.policystore.decide.Register;
 import clovermill.prove.capacity.LineFit.Point;
+import clovermill.routing.stats.PurgeLog;
 import java.lang.reflect.Field;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/test/java/clovermill/prove/scale/HollowProcess.java
+++ b/src/test/java/clovermill/prove/scale/HollowProcess.java
@@ -1,10 +1,10 @@
 package clovermill.prove.scale;
 
-import clovermill.accord.View;
 import clovermill.config.Config;
-import clovermill.settings.LogSettings;
-import clovermill.settings.SettingsFile;
-import clovermill.settings.StructuredLog;
+import clovermill.config.settings.LogSettings;
+import clovermill.config.settings.SettingsFile;
+import clovermill.config.settings.StructuredLog;
+import clovermill.controlplane.policystore.View;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/test/java/clovermill/ActionDigestTest.java
+++ b/src/test/java/clovermill/routing/ActionDigestTest.java
@@ -1,30 +1,30 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.Cancel;
-import clovermill.CacheRouter.ClientGone;
-import clovermill.CacheRouter.Event;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.LoadReport;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Operated;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Purge;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.Retuned;
-import clovermill.CacheRouter.Send;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.SetTimer;
-import clovermill.CacheRouter.Settings;
-import clovermill.CacheRouter.Telling;
-import clovermill.CacheRouter.Timer;
-import clovermill.module.RequestRouter;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.Cancel;
+import clovermill.routing.api.ClientGone;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.LoadReport;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Operated;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Permissions;
+import clovermill.routing.api.Purge;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Retuned;
+import clovermill.routing.api.Send;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Settings;
+import clovermill.routing.api.Telling;
+import clovermill.routing.api.Timer;
 import java.lang.reflect.RecordComponent;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -109,7 +109,7 @@
 
     /** The same settings with a link of known rate, a list that is asked for by the director, and what is told. */
     private static Settings withLinkAndListOnRequest(Settings given, boolean straight, Telling telling) {
-        CacheRouter.Permissions allowed = new CacheRouter.Permissions(straight, true, true, true, false, false, 6, 1000,
+        Permissions allowed = new Permissions(straight, true, true, true, false, false, 6, 1000,
                 400_000);
         return new Settings(given.position(), given.directors(), given.zone(), given.classes(),
                 given.directorsByZone(), given.hubOf(), given.parentKind(), given.originKind(), given.paceKbPerS(),
--- a/src/test/java/clovermill/BoundRequestTest.java
+++ b/src/test/java/clovermill/routing/BoundRequestTest.java
@@ -1,19 +1,18 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.SendVia;
 import clovermill.config.Config;
-import clovermill.module.RequestRouter;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.SendVia;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/clovermill/Director.java
+++ b/src/test/java/clovermill/routing/Director.java
@@ -1,25 +1,24 @@
-package clovermill;
-
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ColdRule;
-import clovermill.CacheRouter.Effect;
-import clovermill.CacheRouter.Event;
-import clovermill.CacheRouter.KeyScope;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Permissions;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.RequestClass;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.Settings;
-import clovermill.CacheRouter.Siblings;
-import clovermill.CacheRouter.Telling;
-import clovermill.module.RequestRouter;
+package clovermill.routing;
+
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.Effect;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.KeyScope;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Permissions;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.RequestClass;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.Settings;
+import clovermill.routing.api.Siblings;
+import clovermill.routing.api.Telling;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/test/java/clovermill/FailureTest.java
+++ b/src/test/java/clovermill/routing/FailureTest.java
@@ -1,4 +1,4 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,16 +6,18 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Refuse;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.SetTimer;
-import clovermill.CacheRouter.Telling;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Cancel;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Telling;
+import clovermill.routing.api.Timer;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -337,7 +339,7 @@
         long start = director.now;
         while (next instanceof SetTimer timer) {
             director.now += timer.delayUs();
-            next = director.tell(new CacheRouter.Timer(timer.token())).get(0);
+            next = director.tell(new Timer(timer.token())).get(0);
         }
         assertInstanceOf(Refuse.class, next);
         assertTrue(director.now - start <= 3_000_000, "of six seconds, after " + (director.now - start));
@@ -357,6 +359,6 @@
         assertEquals(0, second.rank(), "the second copy leaves nothing behind");
         List<Action> after = director.tell(new Outcome(second.request(), 1, second.member(), Result.OK, 9, true,
                 Note.FILLED, 0, null));
-        assertEquals(List.of(new CacheRouter.Cancel(first.request(), 0)), after, "nobody waits for the first");
+        assertEquals(List.of(new Cancel(first.request(), 0)), after, "nobody waits for the first");
     }
 }
--- a/src/test/java/clovermill/FleetTest.java
+++ b/src/test/java/clovermill/routing/FleetTest.java
@@ -1,20 +1,20 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Refuse;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.Telling;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.Telling;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.LongStream;
--- a/src/test/java/clovermill/ModuleSizeTest.java
+++ b/src/test/java/clovermill/routing/ModuleSizeTest.java
@@ -1,4 +1,4 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -20,13 +20,13 @@
     private static final String METHOD_INDENT = "    ";
 
     private static List<Path> sources(String folder) throws IOException {
-        try (Stream<Path> files = Files.walk(Path.of("src/main/java/clovermill").resolve(folder))) {
+        try (Stream<Path> files = Files.list(Path.of("src/main/java/clovermill").resolve(folder))) {
             return files.filter(file -> file.toString().endsWith(".java")).sorted().toList();
         }
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"module", "memory", "spread"})
+    @ValueSource(strings = {"routing", "routing/stats", "routing/load"})
     void filesAndMethodsAreShort(String folder) throws IOException {
         List<Path> files = sources(folder);
         assertThat(files).isNotEmpty();
@@ -61,7 +61,7 @@
     void theDeployFileNamesEveryFileOfTheDecisionsAndNoOther() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = ")).findFirst().orElseThrow();
-        assertThat(policy).isEqualTo(sources("module").stream().map(file -> '"' + file.toString() + '"').toList()
+        assertThat(policy).isEqualTo(sources("routing").stream().map(file -> '"' + file.toString() + '"').toList()
                 .toString().replaceFirst("^", "policy = "));
     }
 }
--- a/src/test/java/clovermill/OperatedTest.java
+++ b/src/test/java/clovermill/routing/OperatedTest.java
@@ -1,17 +1,19 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Operated;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Retuned;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.Telling;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Operated;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Retuned;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.Telling;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -50,8 +52,8 @@
                 assertThat(allowed(via.member())).as("to %s", via).isTrue();
                 assertThat(allowed(via.source())).as("from %s", via).isTrue();
                 director.now += 20_000;
-                open.addAll(director.tell(new Outcome(via.request(), 0, via.member(), CacheRouter.Result.OK, 20_000,
-                        true, CacheRouter.Note.HIT, 0, null)));
+                open.addAll(director.tell(new Outcome(via.request(), 0, via.member(), Result.OK, 20_000,
+                        true, Note.HIT, 0, null)));
             }
         }
     }
--- a/src/test/java/clovermill/ReportedLoadTest.java
+++ b/src/test/java/clovermill/routing/ReportedLoadTest.java
@@ -1,14 +1,14 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.LoadReport;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.Settings;
-import clovermill.CacheRouter.Telling;
+import clovermill.routing.api.LoadReport;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.Settings;
+import clovermill.routing.api.Telling;
 import java.util.HashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/clovermill/RequestPathTest.java
+++ b/src/test/java/clovermill/routing/RequestPathTest.java
@@ -1,13 +1,14 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.Settings;
-import clovermill.CacheRouter.Telling;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.Settings;
+import clovermill.routing.api.Telling;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -41,7 +42,7 @@
                             "a promoted copy is filled by a believed holder");
                     assertNotEquals(0, sent.rank());
                 }
-                director.answer(sent, 0, CacheRouter.Result.OK, Note.HIT, 110_000);
+                director.answer(sent, 0, Result.OK, Note.HIT, 110_000);
             }
             spread += used.size() > 1 ? 1 : 0;
         }
--- a/src/test/java/clovermill/RetunedTest.java
+++ b/src/test/java/clovermill/routing/RetunedTest.java
@@ -1,19 +1,23 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Fail;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Permissions;
-import clovermill.CacheRouter.Refuse;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.RequestClass;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.Retuned;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.Settings;
-import clovermill.CacheRouter.Telling;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Fail;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Permissions;
+import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.RequestClass;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Retuned;
+import clovermill.routing.api.Send;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Settings;
+import clovermill.routing.api.Telling;
+import clovermill.routing.api.Timer;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -40,9 +44,9 @@
             Action next = actions.remove(0);
             if (next instanceof SendVia via) {
                 actions.addAll(director.answer(via, sent++, Result.MISS, Note.NONE, 1000));
-            } else if (next instanceof CacheRouter.SetTimer timer) {
+            } else if (next instanceof SetTimer timer) {
                 director.now += timer.delayUs();
-                actions.addAll(director.tell(new CacheRouter.Timer(timer.token())));
+                actions.addAll(director.tell(new Timer(timer.token())));
             } else if (next instanceof Refuse || next instanceof Fail) {
                 return sent;
             }
@@ -65,13 +69,13 @@
         Request open = director.request(1, 11, 0);
         Action sent = director.tell(open).get(0);
         director.tell(new Retuned(with(6, List.of(Director.READ, Director.ONCE, Director.FRESH))));
-        assertThat(sent).isInstanceOf(CacheRouter.Send.class);
-        String member = ((CacheRouter.Send) sent).member();
-        assertThat(director.tell(new CacheRouter.Outcome(open.id(), 0, member, Result.BROKEN, 1000, false, Note.NONE,
+        assertThat(sent).isInstanceOf(Send.class);
+        String member = ((Send) sent).member();
+        assertThat(director.tell(new Outcome(open.id(), 0, member, Result.BROKEN, 1000, false, Note.NONE,
                 0, null))).as("a keyed one may be repeated").anyMatch(next -> next instanceof SendVia);
         Request later = director.request(1, 12, 0);
-        assertThat(director.tell(later)).anyMatch(CacheRouter.Send.class::isInstance);
-        assertThat(director.tell(new CacheRouter.Outcome(later.id(), 0, member, Result.BROKEN, 1000, false, Note.NONE,
+        assertThat(director.tell(later)).anyMatch(Send.class::isInstance);
+        assertThat(director.tell(new Outcome(later.id(), 0, member, Result.BROKEN, 1000, false, Note.NONE,
                 0, null))).as("one that runs at most once may not").anyMatch(Fail.class::isInstance);
         assertThat(director.tell(director.request(2, 13, 0))).as("a class that is new").isNotEmpty();
     }
--- a/src/test/java/clovermill/SlowStartSumTest.java
+++ b/src/test/java/clovermill/routing/SlowStartSumTest.java
@@ -1,22 +1,21 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ColdRule;
-import clovermill.CacheRouter.Event;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.Send;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.SetTimer;
-import clovermill.CacheRouter.Timer;
-import clovermill.module.RequestRouter;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Send;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Timer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/clovermill/Splits.java
+++ b/src/test/java/clovermill/routing/Splits.java
@@ -1,4 +1,4 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/clovermill/UntoldErrorTest.java
+++ b/src/test/java/clovermill/routing/UntoldErrorTest.java
@@ -1,18 +1,18 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Fail;
-import clovermill.CacheRouter.Log;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Refuse;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.SetTimer;
-import clovermill.CacheRouter.Telling;
-import clovermill.CacheRouter.Timer;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Fail;
+import clovermill.routing.api.Log;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Telling;
+import clovermill.routing.api.Timer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
--- a/src/test/java/clovermill/UntoldSizeTest.java
+++ b/src/test/java/clovermill/routing/UntoldSizeTest.java
@@ -1,13 +1,13 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.SendVia;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.SendVia;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/clovermill/spread/decide/PeerLoadEstimatorTest.java
+++ b/src/test/java/clovermill/routing/load/PeerLoadEstimatorTest.java
@@ -1,4 +1,4 @@
-package clovermill.spread.decide;
+package clovermill.routing.load;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
--- a/src/test/java/clovermill/net/EventLoopTest.java
+++ b/src/test/java/clovermill/runtime/net/EventLoopTest.java
@@ -1,4 +1,4 @@
-package clovermill.net;
+package clovermill.runtime.net;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/clovermill/net/ManualClock.java
+++ b/src/test/java/clovermill/runtime/net/ManualClock.java
@@ -1,4 +1,4 @@
-package clovermill.net;
+package clovermill.runtime.net;
 
 /**
  * A clock that tests set by hand. Time that passes moves both of its parts; a step moves the wall clock alone, as an
--- a/src/test/java/clovermill/adapter/AdapterTest.java
+++ b/src/test/java/clovermill/simulation/adapter/AdapterTest.java
@@ -1,4 +1,4 @@
-package clovermill.adapter;
+package clovermill.simulation.adapter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
