--- a/src/test/java/clovermill/emulator/EmulationTest.java
+++ b/src/test/java/clovermill/simulation/emulator/EmulationTest.java
@@ -1,9 +1,9 @@
-package clovermill.emulator;
+package clovermill.simulation.emulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.emulator.Plan.Fault;
+import clovermill.simulation.emulator.Plan.Fault;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/test/java/clovermill/emulator/GossipFleetTest.java
+++ b/src/test/java/clovermill/simulation/emulator/GossipFleetTest.java
@@ -1,11 +1,11 @@
-package clovermill.emulator;
+package clovermill.simulation.emulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.emulator.GossipFleet.Cut;
-import clovermill.emulator.GossipFleet.GossipMetrics;
-import clovermill.emulator.GossipFleet.Kill;
-import clovermill.emulator.GossipFleet.Scenario;
+import clovermill.simulation.emulator.GossipFleet.Cut;
+import clovermill.simulation.emulator.GossipFleet.GossipMetrics;
+import clovermill.simulation.emulator.GossipFleet.Kill;
+import clovermill.simulation.emulator.GossipFleet.Scenario;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/clovermill/emulator/eventlog/InvariantCheckerTest.java
+++ b/src/test/java/clovermill/simulation/emulator/eventlog/InvariantCheckerTest.java
@@ -1,12 +1,12 @@
-package clovermill.emulator.eventlog;
+package clovermill.simulation.emulator.eventlog;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.eventlog.decide.Delivery;
-import clovermill.eventlog.decide.Entry;
-import clovermill.eventlog.decide.Event;
-import clovermill.eventlog.decide.Subject;
-import clovermill.eventlog.decide.TruncatedPrefix;
+import clovermill.controlplane.eventlog.decide.Delivery;
+import clovermill.controlplane.eventlog.decide.Entry;
+import clovermill.controlplane.eventlog.decide.Event;
+import clovermill.controlplane.eventlog.decide.Subject;
+import clovermill.controlplane.eventlog.decide.TruncatedPrefix;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/clovermill/store/SegmentTest.java
+++ b/src/test/java/clovermill/storage/SegmentTest.java
@@ -1,4 +1,4 @@
-package clovermill.store;
+package clovermill.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
