--- a/src/test/java/clovermill/prove/faults/FaultyDirector.java
+++ b/src/test/java/clovermill/prove/faults/FaultyDirector.java
@@ -4,13 +4,16 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
 /** A {@code serve} process of our own with the library loaded, before the stand-in caches. */
@@ -20,6 +23,9 @@
     private static final long READY_MILLIS = 15_000;
     /** SIGKILL may come so long after SIGTERM: the longest deadline (3 s at most) and 0.7 s. */
     private static final long LEAVE_MILLIS = 3_700;
+    private static final int FIRST_PORT = 20_000;
+    /** The lower end of Linux's ip_local_port_range, unless somebody has set it. */
+    private static final int FIRST_CONNECTION_PORT = 32_768;
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
     final int port;
@@ -44,6 +50,7 @@
         Path file = DirectorProcess.configuration(root, channel, 1, 1);
         ObjectMapper mapper = new ObjectMapper();
         ObjectNode config = (ObjectNode) mapper.readTree(Files.readString(file));
+        config.put("listen", "127.0.0.1:" + freePort()).put("admin", "127.0.0.1:" + freePort());
         ObjectNode told = (ObjectNode) config.get("settings");
         ((ObjectNode) told.get("rules")).put("drain-grace-us", RuleJudge.DRAIN_GRACE_MICROS)
                 .put("cold-from", RuleJudge.COLD_PART).put("cold-us", RuleJudge.WARM_UP_MICROS)
@@ -73,6 +80,21 @@
         return new FaultyDirector(port(config, "listen"), port(config, "admin"), process);
     }
 
+    /**
+     * A port that nobody listens on, below those that Linux gives to connections: one of these could be taken between
+     * the look and the start.
+     */
+    private static int freePort() {
+        while (true) {
+            int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, FIRST_CONNECTION_PORT);
+            try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+                return free.getLocalPort();
+            } catch (IOException taken) {
+                continue;
+            }
+        }
+    }
+
     private static int port(ObjectNode config, String field) {
         return Integer.parseInt(config.get(field).asText().replaceAll(".*:", ""));
     }
--- a/src/test/java/clovermill/prove/faults/RuleJudge.java
+++ b/src/test/java/clovermill/prove/faults/RuleJudge.java
@@ -29,6 +29,7 @@
     /** Purges are dated in whole milliseconds. */
     private static final long DATE_STEP_MICROS = 5_000;
     private static final int FEW_CALLS = 30;
+    private static final int MOST_NOTES = 4;
 
     private record PurgeMade(Long object, int group, long atMicros) {
         boolean covers(long key, int keyGroup) {
@@ -53,6 +54,7 @@
     private final Map<String, ColdCache> starts = new HashMap<>();
     private final Map<String, Long> effects = new HashMap<>();
     private final Set<String> repeated = new HashSet<>();
+    private final List<String> notes = new ArrayList<>();
     private long stale;
     private long drained;
     private long overloaded;
@@ -94,6 +96,8 @@
             if (!cold.overloaded && cold.arrivals.size() > mostCalls(cold.startedMicros, nowMicros)) {
                 cold.overloaded = true;
                 overloaded++;
+                note("overloaded: " + cache + " " + cold.arrivals.size() + " calls, "
+                        + millis(nowMicros - cold.startedMicros) + " ms after its start");
             }
         }
     }
@@ -103,6 +107,7 @@
         Long since = drains.get(cache);
         if (since != null && nowMicros > since + DRAIN_GRACE_MICROS + SLACK_MICROS) {
             drained++;
+            note("drained: " + cache + " " + millis(nowMicros - since) + " ms after it was told");
         }
     }
 
@@ -112,6 +117,8 @@
             if (purge.covers(key, group) && madeMicros < purge.atMicros - DATE_STEP_MICROS
                     && arrivedMicros > purge.atMicros + PURGE_NOTICE_MICROS + SLACK_MICROS) {
                 stale++;
+                note("stale: object " + key + " asked for " + millis(arrivedMicros - purge.atMicros)
+                        + " ms after a purge, copy made " + millis(purge.atMicros - madeMicros) + " ms before it");
                 return;
             }
         }
@@ -122,6 +129,7 @@
         Long first = effects.putIfAbsent(token, nowMicros);
         if (first != null && nowMicros > first + EFFECT_WINDOW_MICROS) {
             repeated.add(token);
+            note("duplicate: ran again after " + millis(nowMicros - first) + " ms");
         }
     }
 
@@ -138,6 +146,21 @@
         return Math.min(1, COLD_PART + (1 - COLD_PART) * ageMicros / WARM_UP_MICROS);
     }
 
+    private void note(String what) {
+        if (notes.size() < MOST_NOTES) {
+            notes.add(what);
+        }
+    }
+
+    private static long millis(long micros) {
+        return micros / 1000;
+    }
+
+    /** The first things found, in words. */
+    List<String> notes() {
+        return List.copyOf(notes);
+    }
+
     /** What was found so far; faults and lost requests are not counted here. */
     Verdict verdict() {
         return new Verdict(0, 0, repeated.size(), stale, drained, overloaded);
--- a/src/test/java/clovermill/prove/faults/StandInCaches.java
+++ b/src/test/java/clovermill/prove/faults/StandInCaches.java
@@ -164,6 +164,11 @@
         return ask(judge::verdict);
     }
 
+    /** The first of it in words. */
+    List<String> notes() throws Exception {
+        return ask(judge::notes);
+    }
+
     private void tellOf(Member member) {
         tell("\"nodes\":{\"version\":2,\"full\":false,\"servers\":[" + member.entry() + "]}");
     }
