--- a/src/test/java/clovermill/prove/faults/FaultyDirector.java
+++ b/src/test/java/clovermill/prove/faults/FaultyDirector.java
@@ -48,16 +48,7 @@
     static FaultyDirector start(Path root, Path library, FaultControl control, Path lasting,
             Map.Entry<String, String> channel, String calls, int seed, boolean passed) throws IOException {
         Path file = DirectorProcess.configuration(root, channel, 1, 1);
-        ObjectMapper mapper = new ObjectMapper();
-        ObjectNode config = (ObjectNode) mapper.readTree(Files.readString(file));
-        config.put("listen", "127.0.0.1:" + freePort()).put("admin", "127.0.0.1:" + freePort());
-        ObjectNode told = (ObjectNode) config.get("settings");
-        ((ObjectNode) told.get("rules")).put("drain-grace-us", RuleJudge.DRAIN_GRACE_MICROS)
-                .put("cold-from", RuleJudge.COLD_PART).put("cold-us", RuleJudge.WARM_UP_MICROS)
-                .put("tip-multiple", RuleJudge.OVERLOAD_MULTIPLE).put("tip-after-us", RuleJudge.OVERLOAD_WINDOW_MICROS);
-        ((ObjectNode) told.get("family-info")).put("peers-fill", "location")
-                .put("notice-time-us", RuleJudge.PURGE_NOTICE_MICROS);
-        Files.writeString(file, mapper.writeValueAsString(config));
+        ObjectNode config = configure(file);
         ProcessBuilder builder = new ProcessBuilder(List.of(JAVA, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
                 "-Xmx88m", "-cp", System.getProperty("java.class.path"), "clovermill.cli.Main", "serve"));
         Map<String, String> environment = builder.environment();
@@ -80,6 +71,21 @@
         return new FaultyDirector(port(config, "listen"), port(config, "admin"), process);
     }
 
+    /** Gives a configuration ports of its own and the rules that {@link RuleJudge} judges by. */
+    private static ObjectNode configure(Path file) throws IOException {
+        ObjectMapper mapper = new ObjectMapper();
+        ObjectNode config = (ObjectNode) mapper.readTree(Files.readString(file));
+        config.put("listen", "127.0.0.1:" + freePort()).put("admin", "127.0.0.1:" + freePort());
+        ObjectNode settings = (ObjectNode) config.get("settings");
+        ((ObjectNode) settings.get("rules")).put("drain-grace-us", RuleJudge.DRAIN_GRACE_MICROS)
+                .put("cold-from", RuleJudge.COLD_PART).put("cold-us", RuleJudge.WARM_UP_MICROS)
+                .put("tip-multiple", RuleJudge.OVERLOAD_MULTIPLE).put("tip-after-us", RuleJudge.OVERLOAD_WINDOW_MICROS);
+        ((ObjectNode) settings.get("family-info")).put("peers-fill", "location")
+                .put("notice-time-us", RuleJudge.PURGE_NOTICE_MICROS);
+        Files.writeString(file, mapper.writeValueAsString(config));
+        return config;
+    }
+
     /**
      * A port that nobody listens on, below those that Linux gives to connections: one of these could be taken between
      * the look and the start.
