--- a/src/test/java/clovermill/prove/faults/StandInCaches.java
+++ b/src/test/java/clovermill/prove/faults/StandInCaches.java
@@ -31,6 +31,8 @@
     private static final long ANSWER_MICROS = 8_000;
     /** How long a copy is fresh by the settings, where a request names no age. */
     private static final long FRESH_MICROS = 20_000_000;
+    /** Caches drop what is purged within purge-done-us of the settings, 6 s; the longest that a director may trust. */
+    private static final long PURGE_DONE_MICROS = 5_900_000;
     private static final int GROUPS = 256;
     private static final int WEIGHT = 6;
 
@@ -118,9 +120,13 @@
         });
     }
 
-    /** Purges an object and a group. */
+    /** Purges an object and a group: directors are told now, and the caches have done it by the end of their time. */
     void purge(long object, int group) throws Exception {
         ask(() -> {
+            long nowMicros = clock.micros();
+            deadlines.add(nowMicros + PURGE_DONE_MICROS, () -> members.values().forEach(member -> member.copies
+                    .entrySet().removeIf(copy -> copy.getValue() < nowMicros
+                            && (copy.getKey() == object || group(copy.getKey()) == group))));
             judge.purged(object, 0, clock.micros());
             tell("\"drop\":{\"id\":\"" + String.format("%016x", object) + "\",\"when\":" + clock.unixMillis() + "}");
             judge.purged(null, group, clock.micros());
@@ -220,7 +226,7 @@
                 return;
             }
             member.copies.put(object, made);
-            judge.answered(object, (int) ((object & 0xffff_ffff_ffffL) % GROUPS), nowMicros, made);
+            judge.answered(object, group(object), nowMicros, made);
             answer(id, note, made);
         }
 
@@ -257,6 +263,11 @@
         }
     }
 
+    /** The group of an object, as {@link clovermill.prove.Load} gives it: from the last twelve digits of the key. */
+    private static int group(long object) {
+        return (int) ((object & 0xffff_ffff_ffffL) % GROUPS);
+    }
+
     /** What a source gives for a fill: a cache only what it holds, parent and origin always. Null for nothing. */
     private Long fetch(Member source, long object, long oldestMicros, long nowMicros) {
         Long made = source == null ? null : source.copy(object, oldestMicros, nowMicros);
