--- a/src/test/java/clovermill/prove/faults/FaultyDirector.java
+++ b/src/test/java/clovermill/prove/faults/FaultyDirector.java
@@ -144,10 +144,13 @@
         return process.isAlive();
     }
 
-    /** SIGTERM; whether it ended in time and with status 0. */
-    boolean leaves() throws InterruptedException {
+    /** SIGTERM; what is wrong with its end, or null where it ended in time and with status 0. */
+    String leave() throws InterruptedException {
         process.destroy();
-        return process.waitFor(LEAVE_MILLIS, TimeUnit.MILLISECONDS) && process.exitValue() == 0;
+        if (!process.waitFor(LEAVE_MILLIS, TimeUnit.MILLISECONDS)) {
+            return "a director still ran " + LEAVE_MILLIS + " ms after SIGTERM";
+        }
+        return process.exitValue() == 0 ? null : "a director left with status " + process.exitValue();
     }
 
     /** SIGKILL; returns once it has ended. */
--- a/src/test/java/clovermill/prove/faults/Trial.java
+++ b/src/test/java/clovermill/prove/faults/Trial.java
@@ -99,15 +99,24 @@
                 playEvents(caches, director, loads);
             }
             count(loads);
-            boolean last = number == scenario.starts() - 1;
-            if (!director.alive() || last && !director.leaves()) {
-                failed("a director did not end in time with status 0");
-            }
+            end(director, number == scenario.starts() - 1);
         } finally {
             director.kill();
         }
     }
 
+    /** A director has to run until its end; the last one is asked to leave. */
+    private void end(FaultyDirector director, boolean last) throws Exception {
+        if (!director.alive()) {
+            failed("a director ended by itself");
+            return;
+        }
+        String wrong = last ? director.leave() : null;
+        if (wrong != null) {
+            failed(wrong);
+        }
+    }
+
     /** New clients, whose requests and orders have ids and tokens that no others have. */
     private Load load(FaultyDirector director) throws IOException {
         return new Load(director.port, REQUESTS_PER_SECOND, random.nextLong(), KB, POPULARITY);
