--- a/src/test/java/clovermill/prove/faults/StandInChannel.java
+++ b/src/test/java/clovermill/prove/faults/StandInChannel.java
@@ -1,10 +1,10 @@
 package clovermill.prove.faults;
 
-import clovermill.net.Clock;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.Listener;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.Listener;
 import clovermill.prove.LinePeer;
 import java.io.IOException;
 import java.net.InetAddress;
