--- a/src/main/java/clovermill/controlplane/discovery/CommandChannel.java
+++ b/src/main/java/clovermill/controlplane/discovery/DiscoveryClient.java
@@ -18,7 +18,7 @@
  * Polls the command channel without a gap: the next poll leaves as soon as an answer is read. A new
  * connection resumes from the last event.
  */
-public final class CommandChannel implements Connection.Handler {
+public final class DiscoveryClient implements Connection.Handler {
 
     /**
      * How the channel is read: the names of the settings, the time that a dial may take, and the shorter of the times
@@ -26,7 +26,7 @@
      */
     public record Terms(List<String> zones, List<String> kinds, long dialUs, long windowUs) {}
 
-    private static final System.Logger LOG = System.getLogger(CommandChannel.class.getName());
+    private static final System.Logger LOG = System.getLogger(DiscoveryClient.class.getName());
     /** Short, because events count as told while the channel is cut off, and silence shows only after it. */
     private static final long BLOCK_MS = 1000;
     private static final long GRACE_US = 500_000;
@@ -37,20 +37,20 @@
     private final Clock clock;
     private final Deadlines deadlines;
     private final Terms terms;
-    private final Consumer<Commands> news;
-    private final Silence quiet;
+    private final Consumer<DiscoveryEvents> news;
+    private final StalenessMonitor quiet;
     private InetSocketAddress address;
     private Connection connection;
-    private HttpResponses responses;
+    private HttpResponseParser responses;
     private Deadlines.Deadline silence;
     private Deadlines.Deadline redial;
     private long cursor;
     /** When the last answer was read. */
-    private long answeredUs = Commands.NEVER_ANSWERED_US;
-    private final Redial redials;
+    private long answeredUs = DiscoveryEvents.NEVER_ANSWERED_US;
+    private final ReconnectBackoff redials;
 
-    public CommandChannel(EventLoop loop, Clock clock, Deadlines deadlines, InetSocketAddress address,
-            Terms terms, long cursor, Consumer<Commands> news) {
+    public DiscoveryClient(EventLoop loop, Clock clock, Deadlines deadlines, InetSocketAddress address,
+            Terms terms, long cursor, Consumer<DiscoveryEvents> news) {
         this.loop = loop;
         this.clock = clock;
         this.deadlines = deadlines;
@@ -58,8 +58,8 @@
         this.terms = terms;
         this.cursor = cursor;
         this.news = news;
-        this.redials = new Redial(terms.windowUs(), terms.dialUs());
-        this.quiet = new Silence(LONGEST_SILENCE_US, clock.micros());
+        this.redials = new ReconnectBackoff(terms.windowUs(), terms.dialUs());
+        this.quiet = new StalenessMonitor(LONGEST_SILENCE_US, clock.micros());
     }
 
     /** Goes on at another address, from the event after the last one that was read. */
@@ -79,7 +79,7 @@
 
     /** Whether the channel has answered at least once. */
     public boolean heard() {
-        return answeredUs != Commands.NEVER_ANSWERED_US;
+        return answeredUs != DiscoveryEvents.NEVER_ANSWERED_US;
     }
 
     /** Dials, and from then on keeps the channel up. */
@@ -97,7 +97,7 @@
     }
 
     private void dial() {
-        responses = new HttpResponses(this::response);
+        responses = new HttpResponseParser(this::response);
         try {
             connection = loop.connect(address, dialled -> this);
             silence = deadlines.add(clock.micros() + redials.dialUs(), connection::close);
@@ -128,9 +128,9 @@
         if (status != 200) {
             throw new ProtocolException("status " + status);
         }
-        Commands commands;
+        DiscoveryEvents commands;
         try {
-            commands = Commands.read(Json.parse(body), terms.zones(), terms.kinds()).after(cursor);
+            commands = DiscoveryEvents.read(Json.parse(body), terms.zones(), terms.kinds()).after(cursor);
         } catch (Json.Malformed malformed) {
             throw new ProtocolException(malformed.getMessage());
         }
@@ -154,9 +154,9 @@
     }
 
     /** An event that fails costs itself alone: asked for again it would fail again, and nothing behind it be heard. */
-    private void deliver(Commands.Command event, long answeredBeforeUs) {
+    private void deliver(DiscoveryEvents.Command event, long answeredBeforeUs) {
         try {
-            news.accept(new Commands(event.cursor(), List.of(event), answeredBeforeUs));
+            news.accept(new DiscoveryEvents(event.cursor(), List.of(event), answeredBeforeUs));
         } catch (RuntimeException fault) {
             LOG.log(Level.ERROR, "event " + event.cursor() + " of the command channel has failed", fault);
         }
--- a/src/main/java/clovermill/controlplane/discovery/Commands.java
+++ b/src/main/java/clovermill/controlplane/discovery/DiscoveryEvents.java
@@ -16,13 +16,13 @@
  * @param answeredUs the monotonic clock when the poll before the one that brought them was answered: they were made
  *            later; {@link #NEVER_ANSWERED_US} where there was none
  */
-public record Commands(long cursor, List<Command> list, long answeredUs) {
+public record DiscoveryEvents(long cursor, List<Command> list, long answeredUs) {
 
     /** No poll was answered before: the events may be of any age. */
     public static final long NEVER_ANSWERED_US = Long.MIN_VALUE / 2;
 
     /** Events of any age. */
-    public Commands(long cursor, List<Command> list) {
+    public DiscoveryEvents(long cursor, List<Command> list) {
         this(cursor, list, NEVER_ANSWERED_US);
     }
 
@@ -44,8 +44,8 @@
     public record Unusable(long cursor, String reason) implements Command {}
 
     /** Without the events up to a number: whoever resends them, none is taken twice. */
-    public Commands after(long read) {
-        return new Commands(cursor, list.stream().filter(command -> command.cursor() > read).toList(),
+    public DiscoveryEvents after(long read) {
+        return new DiscoveryEvents(cursor, list.stream().filter(command -> command.cursor() > read).toList(),
                 answeredUs);
     }
 
@@ -55,7 +55,7 @@
      *
      * @throws Json.Malformed if not even the numbers of the events can be read
      */
-    public static Commands read(Object json, List<String> zones, List<String> kinds) throws Json.Malformed {
+    public static DiscoveryEvents read(Object json, List<String> zones, List<String> kinds) throws Json.Malformed {
         Map<?, ?> root = Json.object(json);
         List<Command> list = new ArrayList<>();
         for (Object item : Json.list(root, "cmds")) {
@@ -72,7 +72,7 @@
             }
             // Events of other kinds may come with later versions; they count as read.
         }
-        return new Commands((long) Json.number(root, "cursor"), list);
+        return new DiscoveryEvents((long) Json.number(root, "cursor"), list);
     }
 
     /**
--- a/src/main/java/clovermill/controlplane/discovery/Roster.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -1,6 +1,6 @@
 package clovermill.controlplane.discovery;
 
-import clovermill.controlplane.discovery.Commands.Entry;
+import clovermill.controlplane.discovery.DiscoveryEvents.Entry;
 import clovermill.controlplane.outage.Outages;
 import clovermill.dataplane.proxy.Host;
 import clovermill.dataplane.upstream.CachePool;
@@ -21,14 +21,14 @@
 import java.util.Set;
 
 /** Takes the events of the command channel and tells the module and the pool of connections. */
-public final class Roster {
+public final class EndpointRegistry {
 
-    private static final Logger LOG = System.getLogger(Roster.class.getName());
+    private static final Logger LOG = System.getLogger(EndpointRegistry.class.getName());
     private static final int MOST_KNOWN = 1000;
 
     private final Map<String, Entry> listed = new LinkedHashMap<>();
     private final StartTimes starts;
-    private final PurgeAges purgeAges = new PurgeAges();
+    private final PurgeAgeEstimator purgeAges = new PurgeAgeEstimator();
     /** Whether the marks of another process were read before: what changes in them later has just happened. */
     private boolean marksRead;
     private final Clock clock;
@@ -47,7 +47,7 @@
     };
 
     /** {@code originKind} is the kind of the origin, which is no cache; caches that are out count as draining. */
-    public Roster(Clock clock, CachePool pool, Host host, Outages outages, int originKind) {
+    public EndpointRegistry(Clock clock, CachePool pool, Host host, Outages outages, int originKind) {
         this.clock = clock;
         this.pool = pool;
         this.host = host;
@@ -112,54 +112,54 @@
     }
 
     /** Takes what was known at the start: one list, as remembered, and then the purges. */
-    public void start(Commands known) {
-        List<Commands.Drop> drops = new ArrayList<>();
+    public void start(DiscoveryEvents known) {
+        List<DiscoveryEvents.Drop> drops = new ArrayList<>();
         known.list().forEach(this::observeStamps);
-        for (Commands.Command command : known.list()) {
-            if (command instanceof Commands.Nodes nodes) {
+        for (DiscoveryEvents.Command command : known.list()) {
+            if (command instanceof DiscoveryEvents.Nodes nodes) {
                 update(nodes, true);
-            } else if (command instanceof Commands.Unusable unusable) {
+            } else if (command instanceof DiscoveryEvents.Unusable unusable) {
                 tell(unusable);
-            } else if (command instanceof Commands.Drop drop) {
+            } else if (command instanceof DiscoveryEvents.Drop drop) {
                 drops.add(drop);
             }
         }
         host.tell(new Members(ListScope.REMEMBERED, listed.values().stream().map(this::member).toList()));
-        long[] agesUs = PurgeAges.agesAtStartUs(drops.stream().map(Commands.Drop::whenMs).toList());
+        long[] agesUs = PurgeAgeEstimator.agesAtStartUs(drops.stream().map(DiscoveryEvents.Drop::whenMs).toList());
         for (int i = 0; i < agesUs.length; i++) {
             purge(drops.get(i), agesUs[i]);
         }
     }
 
-    private void observeStamps(Commands.Command command) {
-        if (command instanceof Commands.Nodes nodes) {
+    private void observeStamps(DiscoveryEvents.Command command) {
+        if (command instanceof DiscoveryEvents.Nodes nodes) {
             nodes.entries().forEach(entry -> starts.observeStamp(entry.startedMs(), clock.micros()));
-        } else if (command instanceof Commands.Drop drop) {
+        } else if (command instanceof DiscoveryEvents.Drop drop) {
             starts.observeStamp(drop.whenMs(), clock.micros());
         }
     }
 
     /** Takes later events in their order. */
-    public void apply(Commands news) {
-        boolean first = news.answeredUs() == Commands.NEVER_ANSWERED_US;
+    public void apply(DiscoveryEvents news) {
+        boolean first = news.answeredUs() == DiscoveryEvents.NEVER_ANSWERED_US;
         if (first) {
             news.list().forEach(this::observeStamps);
         }
-        for (Commands.Command command : news.list()) {
-            if (command instanceof Commands.Nodes nodes) {
+        for (DiscoveryEvents.Command command : news.list()) {
+            if (command instanceof DiscoveryEvents.Nodes nodes) {
                 Set<String> unfit = update(nodes, first);
                 host.tell(new Members(nodes.full() ? ListScope.FULL : ListScope.CHANGES,
                         nodes.entries().stream().map(this::member).toList()));
                 drop(unfit);
-            } else if (command instanceof Commands.Drop drop) {
+            } else if (command instanceof DiscoveryEvents.Drop drop) {
                 purge(drop, purgeAges.ageUs(drop.whenMs(), clock.micros(), news.answeredUs()));
-            } else if (command instanceof Commands.Unusable unusable) {
+            } else if (command instanceof DiscoveryEvents.Unusable unusable) {
                 tell(unusable);
             }
         }
     }
 
-    private static void tell(Commands.Unusable unusable) {
+    private static void tell(DiscoveryEvents.Unusable unusable) {
         LOG.log(Level.WARNING, "event {0} of the command channel cannot be used: {1}",
                 Long.toString(unusable.cursor()), unusable.reason());
     }
@@ -170,7 +170,7 @@
     }
 
     /** Takes over a list, {@code first} if it may tell of times before this process; returns who is to get no more. */
-    private Set<String> update(Commands.Nodes nodes, boolean first) {
+    private Set<String> update(DiscoveryEvents.Nodes nodes, boolean first) {
         Set<String> unfit = new HashSet<>();
         if (nodes.full()) {
             unfit.addAll(listed.keySet());
@@ -224,7 +224,7 @@
     }
 
     /** What is queued for the object would take an older copy: the module, which knows by then, sends it anew. */
-    private void purge(Commands.Drop drop, long ageUs) {
+    private void purge(DiscoveryEvents.Drop drop, long ageUs) {
         host.tell(new Purge(drop.object(), drop.group(), ageUs));
         pool.withdraw(ask -> drop.object() == null ? ask.group() == drop.group()
                 : Long.parseUnsignedLong(ask.object(), 16) == drop.object());
--- a/src/main/java/clovermill/controlplane/discovery/HttpResponses.java
+++ b/src/main/java/clovermill/controlplane/discovery/HttpResponseParser.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** Reads HTTP/1.1 responses one after another: a sized, a chunked or an unsized body that ends with the peer. */
-final class HttpResponses {
+final class HttpResponseParser {
 
     /** Where whole responses go; {@code last} if the connection takes no further request. */
     interface Sink {
@@ -30,7 +30,7 @@
     private boolean old;
     private int left;
 
-    HttpResponses(Sink sink) {
+    HttpResponseParser(Sink sink) {
         this.sink = sink;
     }
 
--- a/src/main/java/clovermill/controlplane/discovery/PurgeAges.java
+++ b/src/main/java/clovermill/controlplane/discovery/PurgeAgeEstimator.java
@@ -12,7 +12,7 @@
  * the purge was made now. An age is therefore never more than the true one unless the writer's clock is stepped back by
  * less than that. Does no I/O and reads no clock.
  */
-final class PurgeAges {
+final class PurgeAgeEstimator {
 
     /** Ages beyond this are not told from a stepped clock; a purge is usually told within 400 ms. */
     static final long LONGEST_BELIEVED_US = 500_000;
--- a/src/main/java/clovermill/controlplane/discovery/Redial.java
+++ b/src/main/java/clovermill/controlplane/discovery/ReconnectBackoff.java
@@ -5,7 +5,7 @@
  * to tell counts as told from the moment it is there, connected or not (the protocol page), so a channel that can be
  * reached again is to be heard within the shorter of the windows for drains and purges. Does no I/O and reads no clock.
  */
-final class Redial {
+final class ReconnectBackoff {
 
     private static final long FIRST_US = 50_000;
     /** A site may have no window for drains or purges; a busy director needs so long to connect all the same. */
@@ -19,7 +19,7 @@
     private long nextUs;
 
     /** {@code windowUs} is the shorter window; {@code dialUs} how long a dial may take by the settings. */
-    Redial(long windowUs, long dialUs) {
+    ReconnectBackoff(long windowUs, long dialUs) {
         this.windowUs = Math.max(LEAST_WINDOW_US, windowUs);
         this.dialUs = dialUs;
     }
--- a/src/main/java/clovermill/controlplane/discovery/Silence.java
+++ b/src/main/java/clovermill/controlplane/discovery/StalenessMonitor.java
@@ -4,13 +4,13 @@
  * Notes how long nothing has been heard, and when that is worth a line: once when it has lasted longer than
  * {@code limitUs}, and once when it ends. Does no I/O and reads no clock.
  */
-final class Silence {
+final class StalenessMonitor {
 
     private final long limitUs;
     private long sinceUs;
     private boolean told;
 
-    Silence(long limitUs, long nowUs) {
+    StalenessMonitor(long limitUs, long nowUs) {
         this.limitUs = limitUs;
         this.sinceUs = nowUs;
     }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -4,9 +4,9 @@
 import clovermill.config.Json;
 import clovermill.controlplane.admin.AdminFront;
 import clovermill.controlplane.admin.decide.Desk;
-import clovermill.controlplane.discovery.CommandChannel;
-import clovermill.controlplane.discovery.Commands;
-import clovermill.controlplane.discovery.Roster;
+import clovermill.controlplane.discovery.DiscoveryClient;
+import clovermill.controlplane.discovery.DiscoveryEvents;
+import clovermill.controlplane.discovery.EndpointRegistry;
 import clovermill.controlplane.gossip.GossipService;
 import clovermill.controlplane.gossip.GossipSettings;
 import clovermill.controlplane.handover.Shares;
@@ -63,7 +63,7 @@
     /** How much longer than it settles a process waits for the command channel, which may be cut off. */
     private static final long CATCH_UP_US = 1_000_000;
 
-    private final CommandChannel channel;
+    private final DiscoveryClient channel;
     private final FrameFront front;
     /** Null where this director never has more than one process. */
     private final Sharing sharing;
@@ -87,7 +87,7 @@
             AccordSettings agreed,
             Platform platform, StartupRetry startup) throws IOException, Json.Malformed {
         Settings settings = config.settings();
-        Commands known = Commands.read(config.known(), config.zones(), config.kinds());
+        DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
         Deadlines deadlines = new Deadlines();
         Budget budget = new Budget(Runtime.getRuntime().maxMemory() / BODIES_PART);
         this.startup = startup;
@@ -108,9 +108,9 @@
                 agreed.allBound(), audit);
         Host host = new Host(new RequestRouter(settings, config.seed()), settings, clock, deadlines, pool,
                 placement == null ? audit : placement, placement);
-        Roster roster = new Roster(clock, pool, host, new Outages(), settings.originKind());
+        EndpointRegistry roster = new EndpointRegistry(clock, pool, host, new Outages(), settings.originKind());
         roster.start(known);
-        channel = new CommandChannel(loop, clock, deadlines, config.channel(), new CommandChannel.Terms(
+        channel = new DiscoveryClient(loop, clock, deadlines, config.channel(), new DiscoveryClient.Terms(
                 config.zones(), config.kinds(), settings.dialTimeoutUs(),
                 Math.min(settings.drainGraceUs(), settings.purgeNoticeUs())), known.cursor(), roster::apply);
         long settledUs = clock.micros() + settleUs;
--- a/src/main/java/clovermill/director/Warmup.java
+++ b/src/main/java/clovermill/director/Warmup.java
@@ -1,6 +1,6 @@
 package clovermill.director;
 
-import clovermill.controlplane.discovery.Commands;
+import clovermill.controlplane.discovery.DiscoveryEvents;
 import clovermill.routing.RequestRouter;
 import clovermill.routing.api.Action;
 import clovermill.routing.api.ListScope;
@@ -29,11 +29,11 @@
     private Warmup() {}
 
     /** Returns how many requests were sent to a member. */
-    static int play(Settings settings, Commands known) {
+    static int play(Settings settings, DiscoveryEvents known) {
         RequestRouter module = new RequestRouter(settings, 0);
         List<Member> members = new ArrayList<>();
-        for (Commands.Command command : known.list()) {
-            if (command instanceof Commands.Nodes nodes) {
+        for (DiscoveryEvents.Command command : known.list()) {
+            if (command instanceof DiscoveryEvents.Nodes nodes) {
                 nodes.entries().forEach(entry -> members.add(entry.member()));
             }
         }
--- a/src/main/java/clovermill/director/operations/Sharing.java
+++ b/src/main/java/clovermill/director/operations/Sharing.java
@@ -1,6 +1,6 @@
 package clovermill.director.operations;
 
-import clovermill.controlplane.discovery.Roster;
+import clovermill.controlplane.discovery.EndpointRegistry;
 import clovermill.controlplane.handover.Presence;
 import clovermill.controlplane.handover.Shares;
 import clovermill.controlplane.outage.OutageFolder;
@@ -29,14 +29,14 @@
     private final Shares shares;
     private final Clock clock;
     private final Deadlines deadlines;
-    private final Roster roster;
+    private final EndpointRegistry roster;
     private final FrameFront front;
     private final CachePool pool;
     private Presence.Others others = Presence.Others.NONE;
 
     /** Shares by a folder; null if that is null, or, with a line in the log, if it cannot be used. */
     public static Sharing open(Path folder, Shares shares, Clock clock, Deadlines deadlines,
-            Roster roster, FrameFront front, CachePool pool) {
+            EndpointRegistry roster, FrameFront front, CachePool pool) {
         try {
             return folder == null ? null : new Sharing(folder, shares, clock, deadlines, roster, front, pool);
         } catch (IOException unusable) {
@@ -46,7 +46,7 @@
         }
     }
 
-    private Sharing(Path folder, Shares shares, Clock clock, Deadlines deadlines, Roster roster, FrameFront front,
+    private Sharing(Path folder, Shares shares, Clock clock, Deadlines deadlines, EndpointRegistry roster, FrameFront front,
             CachePool pool) throws IOException {
         this.outages = new OutageFolder(folder, clock::micros);
         this.presence = Presence.ofThisProcess(folder);
--- a/src/main/java/clovermill/director/reload/Retuning.java
+++ b/src/main/java/clovermill/director/reload/Retuning.java
@@ -2,7 +2,7 @@
 
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.controlplane.discovery.CommandChannel;
+import clovermill.controlplane.discovery.DiscoveryClient;
 import clovermill.controlplane.reload.decide.Classes;
 import clovermill.dataplane.proxy.Host;
 import clovermill.dataplane.server.FrameFront;
@@ -21,14 +21,14 @@
     private final Deadlines deadlines;
     private final Host host;
     private final FrameFront front;
-    private final CommandChannel channel;
+    private final DiscoveryClient channel;
     private final Classes classes;
     private Config inForce;
     private Settings told;
     private Deadlines.Deadline settling;
 
     public Retuning(Config start, Clock clock, Deadlines deadlines, Host host, FrameFront front,
-            CommandChannel channel) {
+            DiscoveryClient channel) {
         this.inForce = start;
         this.told = start.settings();
         this.clock = clock;
--- a/src/test/java/clovermill/LayersTest.java
+++ b/src/test/java/clovermill/LayersTest.java
@@ -111,12 +111,12 @@
     void subsystemsOfTheControlPlaneDoNotKnowOneAnother() {
         slices().matching("clovermill.controlplane.(discovery|reload|admin|outage|handover|gossip|placement)..")
                 .should().notDependOnEachOther()
-                .ignoreDependency(clovermill.controlplane.discovery.Roster.class,
+                .ignoreDependency(clovermill.controlplane.discovery.EndpointRegistry.class,
                         clovermill.controlplane.outage.Outages.class)
                 .check(CLASSES);
         slices().matching("clovermill.controlplane.(policystore|eventlog|discovery|reload|admin|outage|handover)..")
                 .should().notDependOnEachOther()
-                .ignoreDependency(clovermill.controlplane.discovery.Roster.class,
+                .ignoreDependency(clovermill.controlplane.discovery.EndpointRegistry.class,
                         clovermill.controlplane.outage.Outages.class)
                 .check(CLASSES);
     }
--- a/src/test/java/clovermill/controlplane/discovery/CommandChannelTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/DiscoveryClientTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class CommandChannelTest {
+class DiscoveryClientTest {
 
     private static final int MOST_TURNS = 500;
 
@@ -24,9 +24,9 @@
     private final List<Long> applied = new ArrayList<>();
     private final List<Long> answeredUs = new ArrayList<>();
 
-    private void apply(Commands news) {
+    private void apply(DiscoveryEvents news) {
         answeredUs.add(news.answeredUs());
-        for (Commands.Command event : news.list()) {
+        for (DiscoveryEvents.Command event : news.list()) {
             if (event.cursor() == 2) {
                 throw new IllegalStateException("a fault while the event is applied");
             }
@@ -56,8 +56,8 @@
         EventLoop loop = new EventLoop(clock, deadlines);
         try (ServerSocketChannel listener = ServerSocketChannel.open()
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            new CommandChannel(loop, clock, deadlines, (InetSocketAddress) listener.getLocalAddress(),
-                    new CommandChannel.Terms(List.of("edge"), List.of("std"), 400_000, 500_000), 1, this::apply)
+            new DiscoveryClient(loop, clock, deadlines, (InetSocketAddress) listener.getLocalAddress(),
+                    new DiscoveryClient.Terms(List.of("edge"), List.of("std"), 400_000, 500_000), 1, this::apply)
                     .start();
             try (SocketChannel peer = listener.accept()) {
                 peer.configureBlocking(false);
@@ -85,8 +85,8 @@
         long secondUs;
         try (ServerSocketChannel listener = ServerSocketChannel.open()
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            new CommandChannel(loop, clock, deadlines, (InetSocketAddress) listener.getLocalAddress(),
-                    new CommandChannel.Terms(List.of("edge"), List.of("std"), 400_000, 500_000), 2, this::apply)
+            new DiscoveryClient(loop, clock, deadlines, (InetSocketAddress) listener.getLocalAddress(),
+                    new DiscoveryClient.Terms(List.of("edge"), List.of("std"), 400_000, 500_000), 2, this::apply)
                     .start();
             try (SocketChannel peer = listener.accept()) {
                 peer.configureBlocking(false);
@@ -116,6 +116,6 @@
                 assertThat(request(loop, peer)).contains("resume=5&");
             }
         }
-        assertThat(answeredUs).containsExactly(Commands.NEVER_ANSWERED_US, firstUs, secondUs);
+        assertThat(answeredUs).containsExactly(DiscoveryEvents.NEVER_ANSWERED_US, firstUs, secondUs);
     }
 }
--- a/src/test/java/clovermill/controlplane/discovery/RosterTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What the module is told of ages. Stamps are of the true time; the director's own wall clock is stepped. */
-class RosterTest {
+class EndpointRegistryTest {
 
     private static final long HOUR_MS = 3_600_000;
     private static final long HOUR_US = HOUR_MS * 1000;
@@ -34,7 +34,7 @@
     private final List<Long> startsUs = new ArrayList<>();
     private final List<Long> agesUs = new ArrayList<>();
     private Config config;
-    private Roster roster;
+    private EndpointRegistry roster;
     private long answeredUs = clock.micros();
 
     @BeforeEach
@@ -55,15 +55,15 @@
                 agesUs.add(purge.ageUs());
             }
         }, config.settings(), clock, deadlines, pool);
-        roster = new Roster(clock, pool, host, new Outages(), config.settings().originKind());
+        roster = new EndpointRegistry(clock, pool, host, new Outages(), config.settings().originKind());
         startsUs.clear();
         agesUs.clear();
     }
 
-    private Commands commands(String... events) throws Json.Malformed {
-        Commands read = Commands.read(Json.parse("{\"cursor\":9,\"cmds\":[" + String.join(",", events) + "]}"),
+    private DiscoveryEvents commands(String... events) throws Json.Malformed {
+        DiscoveryEvents read = DiscoveryEvents.read(Json.parse("{\"cursor\":9,\"cmds\":[" + String.join(",", events) + "]}"),
                 config.zones(), config.kinds());
-        return new Commands(read.cursor(), read.list(), answeredUs);
+        return new DiscoveryEvents(read.cursor(), read.list(), answeredUs);
     }
 
     private static String listed(boolean full, String state, long startedMs) {
@@ -232,7 +232,7 @@
         processStarts();
         clock.passMillis(20_000);
         clock.stepMillis(stepMs);
-        answeredUs = Commands.NEVER_ANSWERED_US;
+        answeredUs = DiscoveryEvents.NEVER_ANSWERED_US;
         roster.apply(commands(listed(true, "ready", clock.trueMillis() - 60_000), drop(clock.trueMillis() - 500)));
         assertThat(startsUs).containsExactly(clock.micros() - 59_500_000);
         assertThat(agesUs).containsExactly(0L);
--- a/src/test/java/clovermill/controlplane/discovery/HttpResponsesTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/HttpResponseParserTest.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-class HttpResponsesTest {
+class HttpResponseParserTest {
 
     private static final byte[] INPUT = ("HTTP/1.1 200 OK\r\ncontent-LENGTH: 5\r\n\r\nhello"
             + "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -21,7 +21,7 @@
             .getBytes(StandardCharsets.US_ASCII);
 
     private Splits.Parser parser(Consumer<String> told) {
-        return new HttpResponses((status, body, last) -> told.accept(status + " " + body + " " + last))::parse;
+        return new HttpResponseParser((status, body, last) -> told.accept(status + " " + body + " " + last))::parse;
     }
 
     @Test
@@ -37,7 +37,7 @@
     @Test
     void anUnsizedBodyEndsWithThePeer() throws Exception {
         List<String> told = new ArrayList<>();
-        HttpResponses responses = new HttpResponses((status, body, last) -> told.add(body + " " + last));
+        HttpResponseParser responses = new HttpResponseParser((status, body, last) -> told.add(body + " " + last));
         responses.parse(ByteBuffer.wrap("HTTP/1.0 200 OK\r\n\r\nall".getBytes(StandardCharsets.US_ASCII)));
         assertThat(told).isEmpty();
         responses.end();
--- a/src/test/java/clovermill/controlplane/discovery/SilenceTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/StalenessMonitorTest.java
@@ -5,11 +5,11 @@
 import org.junit.jupiter.api.Test;
 
 /** A silence is told once, and its length at its end. */
-class SilenceTest {
+class StalenessMonitorTest {
 
     @Test
     void itIsToldOnceAndAtItsEnd() {
-        Silence silence = new Silence(100, 1000);
+        StalenessMonitor silence = new StalenessMonitor(100, 1000);
         assertThat(silence.nextLookUs(1000)).isEqualTo(1100);
         assertThat(silence.tooLong(1099)).isFalse();
         assertThat(silence.tooLong(1100)).isTrue();
@@ -24,7 +24,7 @@
 
     @Test
     void aShortOneIsNotTold() {
-        Silence silence = new Silence(100, 0);
+        StalenessMonitor silence = new StalenessMonitor(100, 0);
         assertThat(silence.tooLong(99)).isFalse();
         assertThat(silence.heard(99)).isZero();
     }
--- a/src/test/java/clovermill/director/WarmupTest.java
+++ b/src/test/java/clovermill/director/WarmupTest.java
@@ -4,7 +4,7 @@
 
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.controlplane.discovery.Commands;
+import clovermill.controlplane.discovery.DiscoveryEvents;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -16,9 +16,9 @@
     @Test
     void theModuleDecidesOnEveryRequestWhateverTheList() throws Exception {
         Config config = Config.read(Files.readString(Path.of("example/config.json")), null);
-        Commands known = Commands.read(config.known(), config.zones(), config.kinds());
+        DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
         assertThat(Warmup.play(config.settings(), known)).isEqualTo(300);
-        Commands empty = Commands.read(Json.parse("{\"cursor\":0,\"cmds\":[]}"), List.of(), List.of());
+        DiscoveryEvents empty = DiscoveryEvents.read(Json.parse("{\"cursor\":0,\"cmds\":[]}"), List.of(), List.of());
         assertThat(Warmup.play(config.settings(), empty)).isZero();
     }
 }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -2,8 +2,8 @@
 
 import clovermill.config.Config;
 import clovermill.config.settings.SettingsFile;
-import clovermill.controlplane.discovery.CommandChannel;
-import clovermill.controlplane.discovery.Commands;
+import clovermill.controlplane.discovery.DiscoveryClient;
+import clovermill.controlplane.discovery.DiscoveryEvents;
 import clovermill.controlplane.gossip.GossipService;
 import clovermill.controlplane.gossip.GossipSettings;
 import clovermill.controlplane.placement.Placement;
@@ -77,9 +77,9 @@
         AccordTask.Meaning meaning = new AccordTask.Meaning(document -> placement.check(document.text()),
                 (one, other) -> placement.binding(one.text(), other.text()));
         accord = new Accord(agreed, meaning, clock, loop::post, view -> observer.policy(number, view));
-        Commands known = Commands.read(config.known(), config.zones(), config.kinds());
-        CommandChannel channel = new CommandChannel(loop, clock, deadlines, config.channel(),
-                new CommandChannel.Terms(config.zones(), config.kinds(), config.settings().dialTimeoutUs(),
+        DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
+        DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
+                new DiscoveryClient.Terms(config.zones(), config.kinds(), config.settings().dialTimeoutUs(),
                         Math.min(config.settings().drainGraceUs(), config.settings().purgeNoticeUs())),
                 known.cursor(), news -> {});
         deadlines.add(clock.micros() + (long) (stagger * STAGGER_US), () -> {
