--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -1,7 +1,7 @@
 package clovermill.controlplane.discovery;
 
 import clovermill.controlplane.discovery.DiscoveryEvents.Entry;
-import clovermill.controlplane.outage.Outages;
+import clovermill.controlplane.outage.OutageRegistry;
 import clovermill.dataplane.proxy.Host;
 import clovermill.dataplane.upstream.CachePool;
 import clovermill.routing.api.Availability;
@@ -34,7 +34,7 @@
     private final Clock clock;
     private final CachePool pool;
     private final Host host;
-    private final Outages outages;
+    private final OutageRegistry outages;
     private final int originKind;
     /** Caches that were listed at some time: one that is gone just now may still be taken out or put back. */
     private final Map<String, Boolean> caches = new LinkedHashMap<>(64, 0.75f, true) {
@@ -47,7 +47,7 @@
     };
 
     /** {@code originKind} is the kind of the origin, which is no cache; caches that are out count as draining. */
-    public EndpointRegistry(Clock clock, CachePool pool, Host host, Outages outages, int originKind) {
+    public EndpointRegistry(Clock clock, CachePool pool, Host host, OutageRegistry outages, int originKind) {
         this.clock = clock;
         this.pool = pool;
         this.host = host;
--- a/src/main/java/clovermill/controlplane/outage/Outages.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageRegistry.java
@@ -9,7 +9,7 @@
  * Which caches are out by the word of operators, and since when those that came back have been back; what that means
  * the module decides. Reads no clock and does no I/O.
  */
-public final class Outages {
+public final class OutageRegistry {
 
     /** Returns that are remembered: more than any director has caches, so that what is forgotten is old and warm. */
     private static final int MOST_BACK = 1000;
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -11,7 +11,7 @@
 import clovermill.controlplane.gossip.GossipSettings;
 import clovermill.controlplane.handover.Shares;
 import clovermill.controlplane.outage.OutageMarks;
-import clovermill.controlplane.outage.Outages;
+import clovermill.controlplane.outage.OutageRegistry;
 import clovermill.controlplane.placement.Placement;
 import clovermill.controlplane.policystore.Accord;
 import clovermill.controlplane.policystore.AccordSettings;
@@ -108,7 +108,7 @@
                 agreed.allBound(), audit);
         Host host = new Host(new RequestRouter(settings, config.seed()), settings, clock, deadlines, pool,
                 placement == null ? audit : placement, placement);
-        EndpointRegistry roster = new EndpointRegistry(clock, pool, host, new Outages(), settings.originKind());
+        EndpointRegistry roster = new EndpointRegistry(clock, pool, host, new OutageRegistry(), settings.originKind());
         roster.start(known);
         channel = new DiscoveryClient(loop, clock, deadlines, config.channel(), new DiscoveryClient.Terms(
                 config.zones(), config.kinds(), settings.dialTimeoutUs(),
--- a/src/test/java/clovermill/LayersTest.java
+++ b/src/test/java/clovermill/LayersTest.java
@@ -112,12 +112,12 @@
         slices().matching("clovermill.controlplane.(discovery|reload|admin|outage|handover|gossip|placement)..")
                 .should().notDependOnEachOther()
                 .ignoreDependency(clovermill.controlplane.discovery.EndpointRegistry.class,
-                        clovermill.controlplane.outage.Outages.class)
+                        clovermill.controlplane.outage.OutageRegistry.class)
                 .check(CLASSES);
         slices().matching("clovermill.controlplane.(policystore|eventlog|discovery|reload|admin|outage|handover)..")
                 .should().notDependOnEachOther()
                 .ignoreDependency(clovermill.controlplane.discovery.EndpointRegistry.class,
-                        clovermill.controlplane.outage.Outages.class)
+                        clovermill.controlplane.outage.OutageRegistry.class)
                 .check(CLASSES);
     }
 }
--- a/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
@@ -4,7 +4,7 @@
 
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.controlplane.outage.Outages;
+import clovermill.controlplane.outage.OutageRegistry;
 import clovermill.dataplane.proxy.Host;
 import clovermill.dataplane.upstream.CachePool;
 import clovermill.routing.api.Members;
@@ -55,7 +55,7 @@
                 agesUs.add(purge.ageUs());
             }
         }, config.settings(), clock, deadlines, pool);
-        roster = new EndpointRegistry(clock, pool, host, new Outages(), config.settings().originKind());
+        roster = new EndpointRegistry(clock, pool, host, new OutageRegistry(), config.settings().originKind());
         startsUs.clear();
         agesUs.clear();
     }
--- a/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
+++ b/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
@@ -107,7 +107,7 @@
 
     @Test
     void aCacheThatIsBackHasJustStarted() {
-        Outages outages = new Outages();
+        OutageRegistry outages = new OutageRegistry();
         assertThat(outages.takeOut("s-1")).isTrue();
         assertThat(outages.takeOut("s-1")).isFalse();
         assertThat(outages.isOut("s-1")).isTrue();
@@ -127,7 +127,7 @@
     /** The other process could not mark the return itself: the mark of an earlier one is still there. */
     @Test
     void aCacheThatIsBackAgainHasJustStartedWhateverItIsMarkedWith() {
-        Outages outages = new Outages();
+        OutageRegistry outages = new OutageRegistry();
         outages.returned("s-1", 7_000, 500);
         outages.takeOut("s-1");
         assertThat(outages.putBack("s-1", 7_000, 900)).isTrue();
