--- a/src/main/java/clovermill/controlplane/handover/Shares.java
+++ b/src/main/java/clovermill/controlplane/handover/DescriptorShares.java
@@ -5,7 +5,7 @@
  * quarter, the rest is for files and the like. While another process of the same director is there each has half of
  * that. Pure.
  */
-public final class Shares {
+public final class DescriptorShares {
 
     private static final int CLIENTS_PART = 2;
     private static final int MEMBERS_PART = 4;
@@ -13,7 +13,7 @@
     private final int sockets;
 
     /** {@code sockets} is the limit on descriptors of the whole director. */
-    public Shares(int sockets) {
+    public DescriptorShares(int sockets) {
         this.sockets = sockets;
     }
 
--- a/src/main/java/clovermill/controlplane/handover/PassedSocket.java
+++ b/src/main/java/clovermill/controlplane/handover/InheritedSocket.java
@@ -9,12 +9,12 @@
  * platform: a process that is done with it stops to accept and leaves its descriptor to its end. Closing the
  * inherited channel would also point the standard streams, and with them the log, at nothing.
  */
-public final class PassedSocket {
+public final class InheritedSocket {
 
     /** Names the descriptor; set exactly where a socket is handed down. */
     public static final String VARIABLE = "BALANCER_PASSED_SOCKET";
 
-    private PassedSocket() {}
+    private InheritedSocket() {}
 
     /**
      * Takes the socket over if {@code named} is not null, else returns null.
--- a/src/main/java/clovermill/controlplane/handover/Presence.java
+++ b/src/main/java/clovermill/controlplane/handover/ProcessRegistry.java
@@ -15,7 +15,7 @@
  * the ticks say, since a wall clock may be stepped; the millisecond is for processes of earlier versions, which read two
  * words. What a process left behind that ended without taking its file away is found out by its number, and taken away.
  */
-public final class Presence {
+public final class ProcessRegistry {
 
     /** Who else is there. */
     public enum Others {
@@ -27,7 +27,7 @@
         SUCCESSOR
     }
 
-    private static final System.Logger LOG = System.getLogger(Presence.class.getName());
+    private static final System.Logger LOG = System.getLogger(ProcessRegistry.class.getName());
     private static final String HERE = "here-";
     /** A folder that is full for a moment is left alone for so long. */
     static final long MARK_PAUSE_US = 500_000;
@@ -42,13 +42,13 @@
     private long markAgainUs;
 
     /** For this process, on Linux, from now on. */
-    public static Presence ofThisProcess(Path folder) throws IOException {
-        return new Presence(folder, ProcessHandle.current().pid(), System.currentTimeMillis(),
+    public static ProcessRegistry ofThisProcess(Path folder) throws IOException {
+        return new ProcessRegistry(folder, ProcessHandle.current().pid(), System.currentTimeMillis(),
                 new ProcessTable.Linux());
     }
 
     /** Makes the folder if need be, and the file of the process {@code self}; throws where that cannot be done. */
-    Presence(Path folder, long self, long startedMs, ProcessTable processes) throws IOException {
+    ProcessRegistry(Path folder, long self, long startedMs, ProcessTable processes) throws IOException {
         this.folder = Files.createDirectories(folder);
         this.self = self;
         this.startedMs = startedMs;
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -9,7 +9,7 @@
 import clovermill.controlplane.discovery.EndpointRegistry;
 import clovermill.controlplane.gossip.GossipService;
 import clovermill.controlplane.gossip.GossipSettings;
-import clovermill.controlplane.handover.Shares;
+import clovermill.controlplane.handover.DescriptorShares;
 import clovermill.controlplane.outage.OutageMarks;
 import clovermill.controlplane.outage.OutageRegistry;
 import clovermill.controlplane.placement.Placement;
@@ -93,7 +93,7 @@
         this.startup = startup;
         loop = startup.get("the selector", () -> new EventLoop(clock, deadlines));
         Warmup.play(settings, known);
-        Shares shares = new Shares(config.sockets());
+        DescriptorShares shares = new DescriptorShares(config.sockets());
         CachePool pool = new CachePool(loop, clock, deadlines, budget, new CachePool.Limits(
                 config.streamsPerConnection(), shares.members(false), settings.dialTimeoutUs(),
                 (long) (IDLE_PART * config.connectionIdleUs())));
--- a/src/main/java/clovermill/director/Platform.java
+++ b/src/main/java/clovermill/director/Platform.java
@@ -2,7 +2,7 @@
 
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.controlplane.handover.PassedSocket;
+import clovermill.controlplane.handover.InheritedSocket;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
@@ -19,11 +19,11 @@
     /** What the variables of the environment tell; the names stand in the operators' page on upgrades. */
     static Platform read(Map<String, String> environment, Config config, StartupRetry startup)
             throws IOException, Json.Malformed {
-        String named = environment.get(PassedSocket.VARIABLE);
+        String named = environment.get(InheritedSocket.VARIABLE);
         if (named != null) {
             startup.get("the passed socket", System::inheritedChannel); // kept by the JVM once it was had
         }
-        ServerSocketChannel passed = PassedSocket.take(named);
+        ServerSocketChannel passed = InheritedSocket.take(named);
         String admin = environment.get("BALANCER_ADMIN");
         String folder = environment.get("TMPDIR");
         return new Platform(passed, admin == null ? config.admin() : Config.address(admin),
--- a/src/main/java/clovermill/director/operations/Sharing.java
+++ b/src/main/java/clovermill/director/operations/Sharing.java
@@ -1,8 +1,8 @@
 package clovermill.director.operations;
 
 import clovermill.controlplane.discovery.EndpointRegistry;
-import clovermill.controlplane.handover.Presence;
-import clovermill.controlplane.handover.Shares;
+import clovermill.controlplane.handover.DescriptorShares;
+import clovermill.controlplane.handover.ProcessRegistry;
 import clovermill.controlplane.outage.OutageFolder;
 import clovermill.controlplane.outage.OutageMarks;
 import clovermill.dataplane.server.FrameFront;
@@ -25,17 +25,17 @@
     private static final long LOOK_US = 100_000;
 
     private final OutageFolder outages;
-    private final Presence presence;
-    private final Shares shares;
+    private final ProcessRegistry presence;
+    private final DescriptorShares shares;
     private final Clock clock;
     private final Deadlines deadlines;
     private final EndpointRegistry roster;
     private final FrameFront front;
     private final CachePool pool;
-    private Presence.Others others = Presence.Others.NONE;
+    private ProcessRegistry.Others others = ProcessRegistry.Others.NONE;
 
     /** Shares by a folder; null if that is null, or, with a line in the log, if it cannot be used. */
-    public static Sharing open(Path folder, Shares shares, Clock clock, Deadlines deadlines,
+    public static Sharing open(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines,
             EndpointRegistry roster, FrameFront front, CachePool pool) {
         try {
             return folder == null ? null : new Sharing(folder, shares, clock, deadlines, roster, front, pool);
@@ -46,10 +46,10 @@
         }
     }
 
-    private Sharing(Path folder, Shares shares, Clock clock, Deadlines deadlines, EndpointRegistry roster, FrameFront front,
+    private Sharing(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines, EndpointRegistry roster, FrameFront front,
             CachePool pool) throws IOException {
         this.outages = new OutageFolder(folder, clock::micros);
-        this.presence = Presence.ofThisProcess(folder);
+        this.presence = ProcessRegistry.ofThisProcess(folder);
         this.shares = shares;
         this.clock = clock;
         this.deadlines = deadlines;
@@ -79,14 +79,14 @@
     private void look() {
         catchUp();
         presence.markReady(front.ready(), clock.micros());
-        Presence.Others now = presence.look();
+        ProcessRegistry.Others now = presence.look();
         if (now != others) {
             others = now;
-            boolean beside = now != Presence.Others.NONE;
+            boolean beside = now != ProcessRegistry.Others.NONE;
             front.limit(shares.clients(beside));
             pool.limit(shares.members(beside));
             // Of a successor that ends before this process is asked to leave, the connections come here again.
-            front.accepting(now != Presence.Others.SUCCESSOR);
+            front.accepting(now != ProcessRegistry.Others.SUCCESSOR);
             LOG.log(Level.INFO, switch (now) {
                 case NONE -> "this process is alone again";
                 case BESIDE -> "another process of this director is here";
--- a/src/test/java/clovermill/controlplane/handover/PresenceTest.java
+++ b/src/test/java/clovermill/controlplane/handover/ProcessRegistryTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class PresenceTest {
+class ProcessRegistryTest {
 
     private static final long NOW_US = 1_700_000_000_000_000L;
 
@@ -44,39 +44,39 @@
     void processesSeeEachOtherAndWhoHasEndedIsForgotten() throws Exception {
         Processes running = new Processes(Map.of(1L, 100L, 2L, 200L));
         Path shared = folder.resolve("shared");
-        Presence one = new Presence(shared, 1, 100, running);
-        assertThat(one.look()).isEqualTo(Presence.Others.NONE);
-        Presence two = new Presence(shared, 2, 200, running);
+        ProcessRegistry one = new ProcessRegistry(shared, 1, 100, running);
+        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.NONE);
+        ProcessRegistry two = new ProcessRegistry(shared, 2, 200, running);
         one.markReady(true, NOW_US);
-        assertThat(one.look()).isEqualTo(Presence.Others.BESIDE);
-        assertThat(two.look()).as("the earlier one is no successor").isEqualTo(Presence.Others.BESIDE);
+        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.BESIDE);
+        assertThat(two.look()).as("the earlier one is no successor").isEqualTo(ProcessRegistry.Others.BESIDE);
         two.markReady(true, NOW_US);
-        assertThat(one.look()).isEqualTo(Presence.Others.SUCCESSOR);
+        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.SUCCESSOR);
         running.ticks.remove(2L); // killed before the first was asked to leave, with its file left behind
-        assertThat(one.look()).isEqualTo(Presence.Others.NONE);
+        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.NONE);
         running.ticks.put(2L, 300L); // its number is given out anew
-        assertThat(one.look()).isEqualTo(Presence.Others.NONE);
-        Presence three = new Presence(shared, 2, 300, running);
+        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.NONE);
+        ProcessRegistry three = new ProcessRegistry(shared, 2, 300, running);
         one.leave();
         one.leave();
-        assertThat(three.look()).isEqualTo(Presence.Others.NONE);
+        assertThat(three.look()).isEqualTo(ProcessRegistry.Others.NONE);
     }
 
     /** A file of another version, or half of one, is taken for a process that is not ready. */
     @Test
     void whatCannotBeReadIsNoSuccessor() throws Exception {
-        Presence one = new Presence(folder, 1, 100, new Processes(Map.of(1L, 100L, 2L, 100L)));
+        ProcessRegistry one = new ProcessRegistry(folder, 1, 100, new Processes(Map.of(1L, 100L, 2L, 100L)));
         Files.writeString(folder.resolve("here-nobody"), "900 ready");
-        assertThat(one.look()).isEqualTo(Presence.Others.NONE);
+        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.NONE);
         for (String text : new String[] {"", "900", "ready", "x ready", "900 READY2",
             "900 ready x", "900 READY2 900"}) {
             Files.writeString(folder.resolve("here-2"), text);
-            assertThat(one.look()).as(text).isEqualTo(Presence.Others.BESIDE);
+            assertThat(one.look()).as(text).isEqualTo(ProcessRegistry.Others.BESIDE);
         }
         for (String text : new String[] {"100 ready", "100 ready 100"}) {
             Files.writeString(folder.resolve("here-2"), text);
             assertThat(one.look()).as("of two that start at once the higher number").isEqualTo(
-                    Presence.Others.SUCCESSOR);
+                    ProcessRegistry.Others.SUCCESSOR);
         }
     }
 
@@ -85,22 +85,22 @@
     @ValueSource(longs = {-3_600_000, -5_000, 5_000, 3_600_000})
     void whoStartedLaterIsToldByTheKernelAndByNoWallClock(long stepMs) throws Exception {
         Processes running = new Processes(Map.of(1L, 100L, 2L, 200L));
-        Presence earlier = new Presence(folder, 1, 1_700_000_000_000L, running);
-        Presence later = new Presence(folder, 2, 1_700_000_000_000L + stepMs, running);
+        ProcessRegistry earlier = new ProcessRegistry(folder, 1, 1_700_000_000_000L, running);
+        ProcessRegistry later = new ProcessRegistry(folder, 2, 1_700_000_000_000L + stepMs, running);
         earlier.markReady(true, NOW_US);
         later.markReady(true, NOW_US);
-        assertThat(earlier.look()).isEqualTo(Presence.Others.SUCCESSOR);
-        assertThat(later.look()).isEqualTo(Presence.Others.BESIDE);
+        assertThat(earlier.look()).isEqualTo(ProcessRegistry.Others.SUCCESSOR);
+        assertThat(later.look()).isEqualTo(ProcessRegistry.Others.BESIDE);
         Files.writeString(folder.resolve("here-1"), "1700000000000 ready");
-        assertThat(later.look()).as("an earlier version, which writes no ticks").isEqualTo(Presence.Others.BESIDE);
+        assertThat(later.look()).as("an earlier version, which writes no ticks").isEqualTo(ProcessRegistry.Others.BESIDE);
         Files.writeString(folder.resolve("here-2"), 1_700_000_000_000L + stepMs + " ready");
-        assertThat(earlier.look()).as("an earlier version that starts later").isEqualTo(Presence.Others.SUCCESSOR);
+        assertThat(earlier.look()).as("an earlier version that starts later").isEqualTo(ProcessRegistry.Others.SUCCESSOR);
     }
 
     /** An earlier version reads the first two words alone. */
     @Test
     void anEarlierVersionReadsTheMark() throws Exception {
-        Presence one = new Presence(folder, 1, 100, new Processes(Map.of(1L, 7L)));
+        ProcessRegistry one = new ProcessRegistry(folder, 1, 100, new Processes(Map.of(1L, 7L)));
         assertThat(Files.readString(folder.resolve("here-1")).split(" ")).startsWith("100", "starts");
         one.markReady(true, NOW_US);
         assertThat(Files.readString(folder.resolve("here-1")).split(" ")).containsExactly("100", "ready", "7");
@@ -110,29 +110,29 @@
     @Test
     void aMarkThatCannotBeWrittenIsTriedAgainAfterAPause() throws Exception {
         Processes running = new Processes(Map.of(1L, 100L, 2L, 200L));
-        Presence one = new Presence(folder, 1, 100, running);
-        Presence two = new Presence(folder, 2, 200, running);
+        ProcessRegistry one = new ProcessRegistry(folder, 1, 100, running);
+        ProcessRegistry two = new ProcessRegistry(folder, 2, 200, running);
         Path inTheWay = Files.createDirectory(folder.resolve("new-here-2"));
         two.markReady(true, NOW_US);
-        assertThat(one.look()).isEqualTo(Presence.Others.BESIDE);
+        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.BESIDE);
         Files.delete(inTheWay);
-        two.markReady(true, NOW_US + Presence.MARK_PAUSE_US - 1);
-        assertThat(one.look()).as("within the pause").isEqualTo(Presence.Others.BESIDE);
-        two.markReady(true, NOW_US + Presence.MARK_PAUSE_US);
-        assertThat(one.look()).isEqualTo(Presence.Others.SUCCESSOR);
+        two.markReady(true, NOW_US + ProcessRegistry.MARK_PAUSE_US - 1);
+        assertThat(one.look()).as("within the pause").isEqualTo(ProcessRegistry.Others.BESIDE);
+        two.markReady(true, NOW_US + ProcessRegistry.MARK_PAUSE_US);
+        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.SUCCESSOR);
         Files.createDirectory(folder.resolve("new-here-2"));
-        two.markReady(true, NOW_US + 2 * Presence.MARK_PAUSE_US);
-        assertThat(one.look()).as("what is marked is not marked again").isEqualTo(Presence.Others.SUCCESSOR);
+        two.markReady(true, NOW_US + 2 * ProcessRegistry.MARK_PAUSE_US);
+        assertThat(one.look()).as("what is marked is not marked again").isEqualTo(ProcessRegistry.Others.SUCCESSOR);
     }
 
     @Test
     void whoLeavesIsNobodysSuccessor() throws Exception {
         Processes running = new Processes(Map.of(1L, 100L, 2L, 200L));
-        Presence one = new Presence(folder, 1, 100, running);
-        Presence two = new Presence(folder, 2, 200, running);
+        ProcessRegistry one = new ProcessRegistry(folder, 1, 100, running);
+        ProcessRegistry two = new ProcessRegistry(folder, 2, 200, running);
         two.markReady(true, NOW_US);
         two.markReady(false, NOW_US);
-        assertThat(one.look()).isEqualTo(Presence.Others.BESIDE);
+        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.BESIDE);
     }
 
     @Test
@@ -151,15 +151,15 @@
     /** Both processes at their bounds, and the files of two JVMs, fit the smallest limit of the deployment. */
     @Test
     void twoProcessesKeepWithinTheLimitOfOne() {
-        Shares shares = new Shares(256);
+        DescriptorShares shares = new DescriptorShares(256);
         assertThat(2 * (shares.clients(true) + shares.members(true)) + 2 * 30).isLessThanOrEqualTo(256);
         assertThat(shares.clients(false) + shares.members(false)).isEqualTo(192);
     }
 
     @Test
     void whatIsNoSocketOfThePlatformIsRefused() throws Exception {
-        assertThat(PassedSocket.take(null)).isNull();
-        assertThatThrownBy(() -> PassedSocket.take("7")).isInstanceOf(IOException.class)
+        assertThat(InheritedSocket.take(null)).isNull();
+        assertThatThrownBy(() -> InheritedSocket.take("7")).isInstanceOf(IOException.class)
                 .hasMessageContaining("BALANCER_PASSED_SOCKET=7");
     }
 }
