--- a/src/main/java/clovermill/controlplane/policystore/Leading.java
+++ b/src/main/java/clovermill/controlplane/policystore/Leading.java
@@ -33,12 +33,12 @@
 
     private final int self;
     private final Terms terms;
-    private final RaftReplica<RegisterMachine> voter;
+    private final RaftReplica<PolicyStateMachine> voter;
     private final Library library;
-    private final Post post;
+    private final MessageTransport post;
     private final BiPredicate<Document, Document> binding;
     private final Steady steady;
-    private List<Letter.Ask> waiting = new ArrayList<>();
+    private List<PolicyMessage.Ask> waiting = new ArrayList<>();
     private final Map<String, Stage> submitted = new LinkedHashMap<>();
     private Overseer overseer = Overseer.IDLE;
     private boolean reading;
@@ -47,7 +47,7 @@
     private int calls;
 
     /** {@code binding} says whether all that differs between two policies is refused where there is no lease. */
-    Leading(int self, Terms terms, RaftReplica<RegisterMachine> voter, Library library, Post post,
+    Leading(int self, Terms terms, RaftReplica<PolicyStateMachine> voter, Library library, MessageTransport post,
             BiPredicate<Document, Document> binding, long nowUs) {
         this.self = self;
         this.terms = terms;
@@ -83,7 +83,7 @@
             // In a change those that have not confirmed; after it all, more than once, as a call may be lost.
             for (int director = 0; director < terms.directors(); director++) {
                 if (!register.step().both() || !overseer.confirmed().containsKey(director)) {
-                    post.send(director, new Letter.Elsewhere(self, -1, self));
+                    post.send(director, new PolicyMessage.Elsewhere(self, -1, self));
                 }
             }
         }
@@ -96,9 +96,9 @@
         calls = CALLS;
     }
 
-    void asked(Letter.Ask ask) {
+    void asked(PolicyMessage.Ask ask) {
         if (!voter.leads()) {
-            post.send(ask.from(), new Letter.Elsewhere(self, ask.question(), voter.leader()));
+            post.send(ask.from(), new PolicyMessage.Elsewhere(self, ask.question(), voter.leader()));
             return;
         }
         overseer = overseer.confirmed(ask.from(), ask.boot(), ask.step());
@@ -116,10 +116,10 @@
         if (reading || waiting.isEmpty()) {
             return;
         }
-        List<Letter.Ask> batch = waiting;
+        List<PolicyMessage.Ask> batch = waiting;
         waiting = new ArrayList<>();
         reading = true;
-        voter.query(new RegisterMachine.Look(), answer -> {
+        voter.query(new PolicyStateMachine.Look(), answer -> {
             reading = false;
             if (answer instanceof Register register) {
                 batch.forEach(ask -> post.send(ask.from(), grant(ask, register)));
@@ -128,9 +128,9 @@
         });
     }
 
-    private Letter.Grant grant(Letter.Ask ask, Register register) {
+    private PolicyMessage.Grant grant(PolicyMessage.Ask ask, Register register) {
         boolean both = register.step().both();
-        return new Letter.Grant(self, ask.boot(), ask.question(), register.step(), register.policy().digest(),
+        return new PolicyMessage.Grant(self, ask.boot(), ask.question(), register.step(), register.policy().digest(),
                 register.policy().parts().size(), both ? register.pending().digest() : "",
                 both ? register.pending().parts().size() : 0, both ? missing() : Set.of(),
                 both ? Math.max(0, terms.outUs() - overseer.livedSince(steady)) : 0, register.last().reason());
@@ -147,9 +147,9 @@
     }
 
     /** Operators at a director want a change. */
-    void submitted(Letter.Submit submit) {
+    void submitted(PolicyMessage.Submit submit) {
         if (!voter.leads()) {
-            post.send(submit.from(), new Letter.Elsewhere(self, submit.call(), voter.leader()));
+            post.send(submit.from(), new PolicyMessage.Elsewhere(self, submit.call(), voter.leader()));
             return;
         }
         Register register = voter.machine().register();
@@ -159,7 +159,7 @@
             if (there) {
                 voter.replicate(new Change.Abort(register.step().number(), "taken back by operators"), result -> {});
             }
-            post.send(submit.from(), new Letter.Submitted(self, submit.call(), there ? Taken.BEGUN : Taken.CONFLICT,
+            post.send(submit.from(), new PolicyMessage.Submitted(self, submit.call(), there ? Taken.BEGUN : Taken.CONFLICT,
                     submit.follows()));
             return;
         }
@@ -170,7 +170,7 @@
         } else if (library.get(submit.digest()) == null) {
             submitted.put(key, Stage.FETCHING);
             for (int number : library.wanted(submit.digest(), submit.parts(), PARTS_AT_ONCE)) {
-                post.send(submit.from(), new Letter.PartAsk(self, submit.digest(), number));
+                post.send(submit.from(), new PolicyMessage.PartAsk(self, submit.digest(), number));
             }
         } else if (submitted.get(key) != Stage.PUTTING) {
             submitted.put(key, Stage.PUTTING);
@@ -182,7 +182,7 @@
     }
 
     /** Puts part after part, then the proposal; if the log takes one no more the director hands it in again. */
-    private void put(Letter.Submit submit, List<String> parts, int at, String key) {
+    private void put(PolicyMessage.Submit submit, List<String> parts, int at, String key) {
         Change change = at < parts.size() ? new Change.Part(submit.digest(), at, parts.get(at))
                 : new Change.Propose(submit.follows(), submit.digest());
         voter.replicate(change, result -> {
@@ -197,8 +197,8 @@
         });
     }
 
-    private void answer(Letter.Submit submit, Taken taken, Register register) {
+    private void answer(PolicyMessage.Submit submit, Taken taken, Register register) {
         long version = register.step().both() ? register.step().next() : register.step().version();
-        post.send(submit.from(), new Letter.Submitted(self, submit.call(), taken, version));
+        post.send(submit.from(), new PolicyMessage.Submitted(self, submit.call(), taken, version));
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/Leases.java
+++ b/src/main/java/clovermill/controlplane/policystore/Leases.java
@@ -24,13 +24,13 @@
     private final long boot;
     private final List<Integer> voters;
     private final Terms terms;
-    private final Post post;
+    private final MessageTransport post;
     private final Function<Document, String> check;
-    private final Consumer<View> views;
+    private final Consumer<PolicyView> views;
     private final Library library;
     private Holder holder = Holder.EMPTY;
-    private View view = View.NONE;
-    private Letter.Grant latest;
+    private PolicyView view = PolicyView.NONE;
+    private PolicyMessage.Grant latest;
     private String no;
     private long lastUs = Long.MIN_VALUE / 2;
     private long askAtUs;
@@ -40,8 +40,8 @@
     private int unanswered;
 
     /** {@code check} says why a policy cannot be kept here, or null. */
-    Leases(int self, long boot, List<Integer> voters, Terms terms, Library library, Post post,
-            Function<Document, String> check, Consumer<View> views) {
+    Leases(int self, long boot, List<Integer> voters, Terms terms, Library library, MessageTransport post,
+            Function<Document, String> check, Consumer<PolicyView> views) {
         this.self = self;
         this.boot = boot;
         this.voters = voters;
@@ -57,7 +57,7 @@
         return leader;
     }
 
-    View view() {
+    PolicyView view() {
         return view;
     }
 
@@ -82,14 +82,14 @@
             leader = voters.get((voters.indexOf(leader) + 1) % voters.size());
         }
         holder = holder.asks(++question, nowUs);
-        post.send(leader, new Letter.Ask(self, boot, question, holder.step() == null ? Step.NONE
+        post.send(leader, new PolicyMessage.Ask(self, boot, question, holder.step() == null ? Step.NONE
                 : holder.step().number(), holder.refused(), no));
         // While no leader is known the questions go round quickly.
         askAtUs = nowUs + (unanswered > PATIENCE ? terms.askUs() / 4 : terms.askUs());
     }
 
     /** The leader is another, or calls for a question. */
-    void elsewhere(Letter.Elsewhere letter, long nowUs) {
+    void elsewhere(PolicyMessage.Elsewhere letter, long nowUs) {
         boolean calls = letter.leader() == letter.from();
         if (letter.leader() >= 0 && voters.contains(letter.leader()) && (calls || letter.leader() != leader)) {
             leader = letter.leader();
@@ -99,7 +99,7 @@
     }
 
     /** An answer has come. */
-    void granted(Letter.Grant grant, long nowUs) {
+    void granted(PolicyMessage.Grant grant, long nowUs) {
         if (grant.boot() != boot || !holder.awaits(grant.question(), grant.step())) {
             return;
         }
@@ -110,7 +110,7 @@
     }
 
     /** A part of a text has come. */
-    void part(Letter.Part part, long nowUs) {
+    void part(PolicyMessage.Part part, long nowUs) {
         library.part(part.digest(), part.number(), part.text());
         if (latest != null) {
             take(nowUs);
@@ -122,7 +122,7 @@
         for (String digest : List.of(latest.policy(), latest.next())) {
             int parts = digest.equals(latest.policy()) ? latest.policyParts() : latest.nextParts();
             for (int number : library.wanted(digest, parts, PARTS_AT_ONCE)) {
-                post.send(leader, new Letter.PartAsk(self, digest, number));
+                post.send(leader, new PolicyMessage.PartAsk(self, digest, number));
             }
         }
         take(nowUs);
@@ -136,7 +136,7 @@
         if (policy == null || step.both() && next == null) {
             return;
         }
-        Letter.Grant grant = latest;
+        PolicyMessage.Grant grant = latest;
         latest = null;
         boolean other = holder.step() == null || holder.step().number() != step.number();
         no = other && step.both() ? check.apply(next) : null;
@@ -147,7 +147,7 @@
             if (other) {
                 library.keep(step.both() ? List.of(grant.policy(), grant.next()) : List.of(grant.policy()));
             }
-            view = new View(step, policy, next, holder.untilUs(), grant.missing(), grant.leftUs(), grant.lastReason());
+            view = new PolicyView(step, policy, next, holder.untilUs(), grant.missing(), grant.leftUs(), grant.lastReason());
             publish();
         }
         if (other) {
@@ -156,7 +156,7 @@
     }
 
     private void publish() {
-        view = new View(holder.step(), view.policy(), view.next(), holder.untilUs(), view.missing(), view.leftUs(),
+        view = new PolicyView(holder.step(), view.policy(), view.next(), holder.untilUs(), view.missing(), view.leftUs(),
                 view.lastReason());
         views.accept(view);
     }
--- a/src/main/java/clovermill/controlplane/policystore/LetterCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyMessageCodec.java
@@ -26,7 +26,7 @@
  * <p>Whatever is not exactly this, for this director and by this key, is a {@link BadLetter} and nothing else. A letter
  * that is played again gives no lease and no vote: each is bound to a process, a question, a term or a step.
  */
-final class LetterCodec {
+final class PolicyMessageCodec {
 
     /** A datagram that is none of ours; the message says why, and holds nothing of what it carried. */
     static final class BadLetter extends Exception {
@@ -44,13 +44,13 @@
     private final int self;
     private final Mac mac;
 
-    LetterCodec(int self, byte[] key) {
+    PolicyMessageCodec(int self, byte[] key) {
         this.self = self;
         mac = Peers.mac(key);
     }
 
     /** A letter to a fellow, ready to be sent. */
-    ByteBuffer write(int to, Letter letter) {
+    ByteBuffer write(int to, PolicyMessage letter) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
             DataOutputStream out = new DataOutputStream(bytes);
@@ -67,15 +67,15 @@
         }
     }
 
-    private static void body(Letter letter, DataOutputStream out) throws IOException {
-        if (letter instanceof Letter.Ask ask) {
+    private static void body(PolicyMessage letter, DataOutputStream out) throws IOException {
+        if (letter instanceof PolicyMessage.Ask ask) {
             out.writeByte(1);
             out.writeLong(ask.boot());
             out.writeLong(ask.question());
             out.writeLong(ask.step());
             out.writeLong(ask.noTo());
             text(ask.no(), out);
-        } else if (letter instanceof Letter.Grant grant) {
+        } else if (letter instanceof PolicyMessage.Grant grant) {
             out.writeByte(2);
             out.writeLong(grant.boot());
             out.writeLong(grant.question());
@@ -92,40 +92,40 @@
             }
             out.writeLong(grant.leftUs());
             text(grant.lastReason(), out);
-        } else if (letter instanceof Letter.Elsewhere elsewhere) {
+        } else if (letter instanceof PolicyMessage.Elsewhere elsewhere) {
             out.writeByte(3);
             out.writeLong(elsewhere.question());
             out.writeInt(elsewhere.leader());
-        } else if (letter instanceof Letter.PartAsk ask) {
+        } else if (letter instanceof PolicyMessage.PartAsk ask) {
             out.writeByte(4);
             out.writeUTF(ask.digest());
             out.writeInt(ask.number());
-        } else if (letter instanceof Letter.Part part) {
+        } else if (letter instanceof PolicyMessage.Part part) {
             out.writeByte(5);
             out.writeUTF(part.digest());
             out.writeInt(part.number());
             out.writeInt(part.parts());
             out.writeUTF(part.text());
-        } else if (letter instanceof Letter.Submit submit) {
+        } else if (letter instanceof PolicyMessage.Submit submit) {
             out.writeByte(6);
             out.writeLong(submit.call());
             out.writeLong(submit.follows());
             out.writeUTF(submit.digest());
             out.writeInt(submit.parts());
-        } else if (letter instanceof Letter.Submitted done) {
+        } else if (letter instanceof PolicyMessage.Submitted done) {
             out.writeByte(7);
             out.writeLong(done.call());
             out.writeByte(done.taken().ordinal());
             out.writeLong(done.version());
-        } else if (letter instanceof Letter.Raft raft) {
+        } else if (letter instanceof PolicyMessage.Raft raft) {
             out.writeByte(8);
             out.writeLong(raft.disk());
-            RegisterOperationCodec.messages().write(raft.message(), out);
-        } else if (letter instanceof Letter.Join join) {
+            PolicyOperationCodec.messages().write(raft.message(), out);
+        } else if (letter instanceof PolicyMessage.Join join) {
             out.writeByte(9);
             out.writeLong(join.disk());
             out.writeBoolean(join.empty());
-        } else if (letter instanceof Letter.Joined joined) {
+        } else if (letter instanceof PolicyMessage.Joined joined) {
             out.writeByte(10);
             out.writeLong(joined.disk());
             out.writeBoolean(joined.group());
@@ -134,7 +134,7 @@
     }
 
     /** Reads a datagram. */
-    Letter read(ByteBuffer datagram) throws BadLetter {
+    PolicyMessage read(ByteBuffer datagram) throws BadLetter {
         byte[] all = new byte[datagram.remaining()];
         datagram.get(all);
         int length = all.length - SIGNATURE;
@@ -150,7 +150,7 @@
             if (in.readUnsignedShort() != self) {
                 throw new BadLetter("for another director");
             }
-            Letter letter = letter(in.readUnsignedShort(), in);
+            PolicyMessage letter = letter(in.readUnsignedShort(), in);
             if (in.read() >= 0) {
                 throw new BadLetter("more follows the letter");
             }
@@ -160,20 +160,20 @@
         }
     }
 
-    private static Letter letter(int from, DataInputStream in) throws IOException, BadLetter {
+    private static PolicyMessage letter(int from, DataInputStream in) throws IOException, BadLetter {
         return switch (in.readByte()) {
-            case 1 -> new Letter.Ask(from, in.readLong(), in.readLong(), in.readLong(), in.readLong(), text(in));
-            case 2 -> new Letter.Grant(from, in.readLong(), in.readLong(), new Step(in.readLong(), in.readLong(),
+            case 1 -> new PolicyMessage.Ask(from, in.readLong(), in.readLong(), in.readLong(), in.readLong(), text(in));
+            case 2 -> new PolicyMessage.Grant(from, in.readLong(), in.readLong(), new Step(in.readLong(), in.readLong(),
                     in.readLong()), in.readUTF(), in.readInt(), in.readUTF(), in.readInt(), numbers(in), in.readLong(),
                     text(in));
-            case 3 -> new Letter.Elsewhere(from, in.readLong(), in.readInt());
-            case 4 -> new Letter.PartAsk(from, in.readUTF(), in.readInt());
-            case 5 -> new Letter.Part(from, in.readUTF(), in.readInt(), in.readInt(), in.readUTF());
-            case 6 -> new Letter.Submit(from, in.readLong(), in.readLong(), in.readUTF(), in.readInt());
-            case 7 -> new Letter.Submitted(from, in.readLong(), Taken.values()[in.readByte()], in.readLong());
-            case 8 -> new Letter.Raft(from, in.readLong(), RegisterOperationCodec.messages().read(in));
-            case 9 -> new Letter.Join(from, in.readLong(), in.readBoolean());
-            case 10 -> new Letter.Joined(from, in.readLong(), in.readBoolean(), in.readBoolean());
+            case 3 -> new PolicyMessage.Elsewhere(from, in.readLong(), in.readInt());
+            case 4 -> new PolicyMessage.PartAsk(from, in.readUTF(), in.readInt());
+            case 5 -> new PolicyMessage.Part(from, in.readUTF(), in.readInt(), in.readInt(), in.readUTF());
+            case 6 -> new PolicyMessage.Submit(from, in.readLong(), in.readLong(), in.readUTF(), in.readInt());
+            case 7 -> new PolicyMessage.Submitted(from, in.readLong(), Taken.values()[in.readByte()], in.readLong());
+            case 8 -> new PolicyMessage.Raft(from, in.readLong(), PolicyOperationCodec.messages().read(in));
+            case 9 -> new PolicyMessage.Join(from, in.readLong(), in.readBoolean());
+            case 10 -> new PolicyMessage.Joined(from, in.readLong(), in.readBoolean(), in.readBoolean());
             default -> throw new BadLetter("of an unknown kind: a later version may have sent it");
         };
     }
--- a/src/main/java/clovermill/controlplane/policystore/RegisterOperationCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyOperationCodec.java
@@ -9,19 +9,19 @@
 import java.io.IOException;
 
 /** The register's changes and the pieces of its snapshot as bytes. */
-final class RegisterOperationCodec implements OperationCodec {
+final class PolicyOperationCodec implements OperationCodec {
 
     /** The name of the group that agrees on the register. */
     static final Object GROUP = "policy";
 
     /** The codec of the voters' messages and of their files. */
     static RaftMessageCodec messages() {
-        return new RaftMessageCodec(GROUP, new RegisterOperationCodec());
+        return new RaftMessageCodec(GROUP, new PolicyOperationCodec());
     }
 
     @Override
     public void write(Object operation, DataOutputStream out) throws IOException {
-        if (operation instanceof RegisterMachine.NewTerm) {
+        if (operation instanceof PolicyStateMachine.NewTerm) {
             out.writeByte(1);
         } else if (operation instanceof Change.Part part) {
             out.writeByte(2);
@@ -39,15 +39,15 @@
             out.writeByte(5);
             out.writeLong(abort.step());
             out.writeUTF(abort.reason());
-        } else if (operation instanceof RegisterMachine.Head head) {
+        } else if (operation instanceof PolicyStateMachine.Head head) {
             out.writeByte(7);
             out.writeLong(head.step().number());
             out.writeLong(head.step().version());
             out.writeLong(head.step().next());
             out.writeLong(head.endedVersion());
-            LetterCodec.text(head.endedReason(), out);
+            PolicyMessageCodec.text(head.endedReason(), out);
             out.writeUTF(head.draftDigest());
-        } else if (operation instanceof RegisterMachine.Piece piece) {
+        } else if (operation instanceof PolicyStateMachine.Piece piece) {
             out.writeByte(8);
             out.writeByte(piece.which());
             out.writeUTF(piece.text());
@@ -59,14 +59,14 @@
     @Override
     public Object read(int kind, DataInputStream in) throws IOException {
         return switch (kind) {
-            case 1 -> new RegisterMachine.NewTerm();
+            case 1 -> new PolicyStateMachine.NewTerm();
             case 2 -> new Change.Part(in.readUTF(), in.readInt(), in.readUTF());
             case 3 -> new Change.Propose(in.readLong(), in.readUTF());
             case 4 -> new Change.Settle(in.readLong());
             case 5 -> new Change.Abort(in.readLong(), in.readUTF());
-            case 7 -> new RegisterMachine.Head(new Step(in.readLong(), in.readLong(), in.readLong()), in.readLong(),
-                    LetterCodec.text(in), in.readUTF());
-            case 8 -> new RegisterMachine.Piece(in.readByte(), in.readUTF());
+            case 7 -> new PolicyStateMachine.Head(new Step(in.readLong(), in.readLong(), in.readLong()), in.readLong(),
+                    PolicyMessageCodec.text(in), in.readUTF());
+            case 8 -> new PolicyStateMachine.Piece(in.readByte(), in.readUTF());
             default -> throw new IOException("an unknown entry");
         };
     }
--- a/src/main/java/clovermill/controlplane/policystore/RegisterMachine.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStateMachine.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 
 /** The register as MicroRaft's state machine: the same log gives the same register. */
-final class RegisterMachine implements ReplicatedStateMachine {
+final class PolicyStateMachine implements ReplicatedStateMachine {
 
     /** The first entry of a leader's term, which changes nothing. */
     record NewTerm() {}
@@ -31,7 +31,7 @@
     private boolean began;
 
     /** {@code changed} hears of each register that is another than before. */
-    RegisterMachine(Consumer<Register> changed) {
+    PolicyStateMachine(Consumer<Register> changed) {
         this.changed = changed;
     }
 
--- a/src/main/java/clovermill/controlplane/policystore/Accord.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
@@ -23,9 +23,9 @@
  * This director's part in the one policy as it runs in service: a thread of its own with a UDP socket and, for a voter,
  * a file. What holds is told on the director's loop.
  */
-public final class Accord implements AutoCloseable {
+public final class PolicyStore implements AutoCloseable {
 
-    private static final System.Logger LOG = System.getLogger(Accord.class.getName());
+    private static final System.Logger LOG = System.getLogger(PolicyStore.class.getName());
     /** The head of a voter's file. */
     static final String MAGIC = "CVACCOR1";
     private static final int ROOM = 1024;
@@ -33,29 +33,29 @@
 
     private final DatagramChannel socket;
     private final FileRaftStorage disk;
-    private final LetterCodec codec;
+    private final PolicyMessageCodec codec;
     private final List<InetSocketAddress> addresses;
     private final int self;
     private final Clock clock;
-    private final AccordTask task;
-    private final TaskThread<Mail> thread;
+    private final PolicyStoreTask task;
+    private final TaskThread<PolicyTaskMessage> thread;
 
     /**
      * Begins once {@link #start} is called. {@code views} is told on {@code loop} of what holds from then on.
      *
      * @throws IllegalArgumentException naming the setting that cannot be used
      */
-    public Accord(AccordSettings settings, AccordTask.Meaning meaning, Clock clock, Executor loop, Consumer<View> views)
+    public PolicyStore(PolicyStoreSettings settings, PolicyStoreTask.Meaning meaning, Clock clock, Executor loop, Consumer<PolicyView> views)
             throws IOException {
         settings.check();
         this.self = settings.self();
         this.clock = clock;
         this.addresses = settings.addresses();
-        this.codec = new LetterCodec(self, settings.key());
+        this.codec = new PolicyMessageCodec(self, settings.key());
         this.disk = settings.votes() ? new FileRaftStorage(Volume.local(), Path.of(settings.folder()),
-                MAGIC, RegisterOperationCodec.messages()) : null;
+                MAGIC, PolicyOperationCodec.messages()) : null;
         this.socket = DatagramChannel.open().bind(addresses.get(self));
-        this.task = new AccordTask(new AccordTask.Place(self, settings.voters(), settings.terms()), meaning, this::send,
+        this.task = new PolicyStoreTask(new PolicyStoreTask.Place(self, settings.voters(), settings.terms()), meaning, this::send,
                 disk, new SecureRandom(), view -> loop.execute(() -> views.accept(view)), clock.micros());
         this.thread = new TaskThread<>("accord", clock, task, ROOM, socket, this::received, fault -> {});
     }
@@ -70,14 +70,14 @@
      * back. {@code done} hears on the accord's thread; null stands for no room.
      */
     public void want(long follows, Document policy, BiConsumer<Taken, Long> done) {
-        if (!thread.offer(new Mail.Wanted(follows, policy, done))) {
+        if (!thread.offer(new PolicyTaskMessage.Wanted(follows, policy, done))) {
             done.accept(null, 0L);
         }
     }
 
-    private void send(int to, Letter letter) {
+    private void send(int to, PolicyMessage letter) {
         if (to == self) {
-            thread.offer(new Mail.Arrived(letter)); // at a full mailbox it is lost, as on any link
+            thread.offer(new PolicyTaskMessage.Arrived(letter)); // at a full mailbox it is lost, as on any link
             return;
         }
         try {
@@ -89,8 +89,8 @@
 
     private void received(ByteBuffer datagram) {
         try {
-            task.on(new Mail.Arrived(codec.read(datagram)), clock.micros());
-        } catch (LetterCodec.BadLetter bad) {
+            task.on(new PolicyTaskMessage.Arrived(codec.read(datagram)), clock.micros());
+        } catch (PolicyMessageCodec.BadLetter bad) {
             LOG.log(Level.DEBUG, "a datagram was ignored: {0}", bad.getMessage());
         }
     }
--- a/src/main/java/clovermill/controlplane/policystore/AccordSettings.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
@@ -12,7 +12,7 @@
  * one is, which vote, the key, a folder that lasts for those that vote, and the figures. What is absent has its
  * default.
  */
-public record AccordSettings(List<String> directors, int self, List<Integer> voters,
+public record PolicyStoreSettings(List<String> directors, int self, List<Integer> voters,
         @JsonProperty("key_file") String keyFile, String folder, @JsonProperty("lease_ms") Long leaseMs,
         @JsonProperty("ask_ms") Long askMs, Double drift, @JsonProperty("without_lease") String withoutLease) {
 
--- a/src/main/java/clovermill/controlplane/policystore/AccordTask.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
@@ -23,7 +23,7 @@
  * A director's part in the one policy: it holds leases, hands in what its operators want and, if it is one of the
  * voters, votes and may lead. All its state is its own; it meets others by letters only.
  */
-public final class AccordTask implements Task<Mail> {
+public final class PolicyStoreTask implements Task<PolicyTaskMessage> {
 
     /**
      * Who it is among whom.
@@ -46,13 +46,13 @@
 
     private final Place place;
     private final Meaning meaning;
-    private final Post post;
+    private final MessageTransport post;
     private final Random random;
     private final RaftScheduler agenda;
     private final Library library = new Library();
     private final Leases leases;
-    private final Map<Long, Mail.Wanted> wanted = new LinkedHashMap<>();
-    private final RaftMember<RegisterMachine> member;
+    private final Map<Long, PolicyTaskMessage.Wanted> wanted = new LinkedHashMap<>();
+    private final RaftMember<PolicyStateMachine> member;
     private Leading leading;
     private long handInAtUs;
     private long turnUs;
@@ -64,7 +64,7 @@
      * @param disk where a voter keeps its promises; null for who does not vote
      * @param views hears of each change of what holds here
      */
-    public AccordTask(Place place, Meaning meaning, Post post, RaftStorage disk, Random random, Consumer<View> views,
+    public PolicyStoreTask(Place place, Meaning meaning, MessageTransport post, RaftStorage disk, Random random, Consumer<PolicyView> views,
             long nowUs) {
         this.place = place;
         this.meaning = meaning;
@@ -77,10 +77,10 @@
         calls = random.nextLong() >>> 1;
         member = disk == null ? null : new RaftMember<>(new RaftMember.Place(place.self(), place.voters(),
                 place.terms().askUs() / 2), disk,
-                new RaftReplica.Host(RegisterOperationCodec.GROUP, CONFIG, disk,
-                        agenda, random, (to, message) -> post.send(to.node(), new Letter.Raft(place.self(), to.disk(),
+                new RaftReplica.Host(PolicyOperationCodec.GROUP, CONFIG, disk,
+                        agenda, random, (to, message) -> post.send(to.node(), new PolicyMessage.Raft(place.self(), to.disk(),
                                 message))),
-                () -> new RegisterMachine(this::changed), this::began, new Joins());
+                () -> new PolicyStateMachine(this::changed), this::began, new Joins());
         turnUs = nowUs;
         if (member != null) {
             member.restore();
@@ -91,12 +91,12 @@
     private final class Joins implements RaftMember.Outbox {
         @Override
         public void join(int to, long disk, boolean empty) {
-            post.send(to, new Letter.Join(place.self(), disk, empty));
+            post.send(to, new PolicyMessage.Join(place.self(), disk, empty));
         }
 
         @Override
         public void joined(int to, long disk, boolean group, boolean votes) {
-            post.send(to, new Letter.Joined(place.self(), disk, group, votes));
+            post.send(to, new PolicyMessage.Joined(place.self(), disk, group, votes));
         }
     }
 
@@ -106,15 +106,15 @@
     }
 
     /** What holds here. */
-    public View view() {
+    public PolicyView view() {
         return leases.view();
     }
 
-    private RaftReplica<RegisterMachine> voter() {
+    private RaftReplica<PolicyStateMachine> voter() {
         return member == null ? null : member.replica();
     }
 
-    private void began(RaftReplica<RegisterMachine> voter) {
+    private void began(RaftReplica<PolicyStateMachine> voter) {
         leading = new Leading(place.self(), place.terms(), voter, library, post, meaning.binding(), turnUs);
     }
 
@@ -129,12 +129,12 @@
     }
 
     @Override
-    public void on(Mail mail, long nowUs) {
+    public void on(PolicyTaskMessage mail, long nowUs) {
         turnUs = nowUs;
         agenda.run(nowUs);
-        if (mail instanceof Mail.Arrived arrived) {
+        if (mail instanceof PolicyTaskMessage.Arrived arrived) {
             arrived(arrived.letter(), nowUs);
-        } else if (mail instanceof Mail.Wanted want) {
+        } else if (mail instanceof PolicyTaskMessage.Wanted want) {
             if (wanted.size() >= MOST_WANTED) {
                 want.done().accept(null, 0L);
             } else {
@@ -145,52 +145,52 @@
         agenda.run(nowUs);
     }
 
-    private void arrived(Letter letter, long nowUs) {
-        if (letter instanceof Letter.Grant grant) {
+    private void arrived(PolicyMessage letter, long nowUs) {
+        if (letter instanceof PolicyMessage.Grant grant) {
             leases.granted(grant, nowUs);
-        } else if (letter instanceof Letter.Elsewhere elsewhere) {
+        } else if (letter instanceof PolicyMessage.Elsewhere elsewhere) {
             leases.elsewhere(elsewhere, nowUs);
-        } else if (letter instanceof Letter.Part part) {
+        } else if (letter instanceof PolicyMessage.Part part) {
             leases.part(part, nowUs);
-        } else if (letter instanceof Letter.PartAsk ask) {
+        } else if (letter instanceof PolicyMessage.PartAsk ask) {
             give(ask);
-        } else if (letter instanceof Letter.Submitted done) {
+        } else if (letter instanceof PolicyMessage.Submitted done) {
             settled(done);
-        } else if (letter instanceof Letter.Joined joined) {
+        } else if (letter instanceof PolicyMessage.Joined joined) {
             joined(joined);
-        } else if (letter instanceof Letter.Join join && member != null) {
+        } else if (letter instanceof PolicyMessage.Join join && member != null) {
             member.onJoin(join.from(), join.disk(), join.empty());
         } else if (voter() != null) {
             atVoter(letter, nowUs);
         }
     }
 
-    private void atVoter(Letter letter, long nowUs) {
-        if (letter instanceof Letter.Raft raft && raft.disk() == voter().self().disk()) {
+    private void atVoter(PolicyMessage letter, long nowUs) {
+        if (letter instanceof PolicyMessage.Raft raft && raft.disk() == voter().self().disk()) {
             voter().handle(raft.message(), nowUs);
-        } else if (letter instanceof Letter.Ask ask) {
+        } else if (letter instanceof PolicyMessage.Ask ask) {
             leading.asked(ask);
-        } else if (letter instanceof Letter.Submit submit) {
+        } else if (letter instanceof PolicyMessage.Submit submit) {
             leading.submitted(submit);
         }
     }
 
-    private void give(Letter.PartAsk ask) {
+    private void give(PolicyMessage.PartAsk ask) {
         Document document = library.get(ask.digest());
         if (document == null && voter() != null) {
             document = voter().machine().register().document(ask.digest());
         }
-        Document own = document != null ? document : wanted.values().stream().map(Mail.Wanted::policy)
+        Document own = document != null ? document : wanted.values().stream().map(PolicyTaskMessage.Wanted::policy)
                 .filter(each -> each != null && each.digest().equals(ask.digest())).findFirst().orElse(null);
         if (own != null && ask.number() >= 0 && ask.number() < own.parts().size()) {
-            post.send(ask.from(), new Letter.Part(place.self(), ask.digest(), ask.number(), own.parts().size(),
+            post.send(ask.from(), new PolicyMessage.Part(place.self(), ask.digest(), ask.number(), own.parts().size(),
                     own.parts().get(ask.number())));
         }
     }
 
-    private void settled(Letter.Submitted done) {
+    private void settled(PolicyMessage.Submitted done) {
         if (done.taken() != Taken.UNKNOWN) {
-            Mail.Wanted want = wanted.remove(done.call());
+            PolicyTaskMessage.Wanted want = wanted.remove(done.call());
             if (want != null) {
                 want.done().accept(done.taken(), done.version());
             }
@@ -204,7 +204,7 @@
         long memberAtUs = member == null ? Long.MAX_VALUE : tickMember(nowUs);
         if (!wanted.isEmpty() && nowUs >= handInAtUs) {
             handInAtUs = nowUs + place.terms().askUs() / 4;
-            wanted.forEach((call, want) -> post.send(leases.leader(), new Letter.Submit(place.self(), call,
+            wanted.forEach((call, want) -> post.send(leases.leader(), new PolicyMessage.Submit(place.self(), call,
                     want.follows(), want.policy() == null ? "" : want.policy().digest(),
                     want.policy() == null ? 0 : want.policy().parts().size())));
         }
@@ -227,7 +227,7 @@
         return Math.min(recoverAtUs, member.join(nowUs));
     }
 
-    private void joined(Letter.Joined joined) {
+    private void joined(PolicyMessage.Joined joined) {
         if (member != null) {
             member.onJoined(joined.from(), joined.disk(), joined.group(), joined.member());
         }
--- a/src/main/java/clovermill/controlplane/policystore/View.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyView.java
@@ -14,11 +14,11 @@
  * @param leftUs how long the change may still wait for them
  * @param lastReason why the last change was taken back, or null
  */
-public record View(Step step, Document policy, Document next, long untilUs, Set<Integer> missing, long leftUs,
+public record PolicyView(Step step, Document policy, Document next, long untilUs, Set<Integer> missing, long leftUs,
         String lastReason) {
 
     /** Nothing is known yet. */
-    public static final View NONE = new View(null, Document.EMPTY, null, 0, Set.of(), 0, null);
+    public static final PolicyView NONE = new PolicyView(null, Document.EMPTY, null, 0, Set.of(), 0, null);
 
     /** Whether anything may be done by it at this moment: to be asked when an attempt is written. */
     public boolean holds(long nowUs) {
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -13,9 +13,9 @@
 import clovermill.controlplane.outage.OutageMarks;
 import clovermill.controlplane.outage.OutageRegistry;
 import clovermill.controlplane.placement.Placement;
-import clovermill.controlplane.policystore.Accord;
-import clovermill.controlplane.policystore.AccordSettings;
-import clovermill.controlplane.policystore.AccordTask;
+import clovermill.controlplane.policystore.PolicyStore;
+import clovermill.controlplane.policystore.PolicyStoreSettings;
+import clovermill.controlplane.policystore.PolicyStoreTask;
 import clovermill.controlplane.reload.Reloader;
 import clovermill.dataplane.proxy.Audit;
 import clovermill.dataplane.proxy.Host;
@@ -76,7 +76,7 @@
     /** Null where this director is no member of a fleet. */
     private final GossipService fleet;
     /** Null where no policy of the whole fleet is kept. */
-    private final Accord accord;
+    private final PolicyStore accord;
 
     /**
      * Says that it is ready {@code settleUs} from now, once it is opened and its loop runs. Later
@@ -84,7 +84,7 @@
      * the director acts alone. What the machine refuses for a moment is tried again by {@code startup}.
      */
     Assembly(Config config, Path file, Clock clock, long settleUs, LedgerSettings kept, GossipSettings fleetSettings,
-            AccordSettings agreed,
+            PolicyStoreSettings agreed,
             Platform platform, StartupRetry startup) throws IOException, Json.Malformed {
         Settings settings = config.settings();
         DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
@@ -130,7 +130,7 @@
             marks = new PeerOutages.ReplicatedMarks(marks, fleet);
         }
         PolicyDesk[] policies = {null};
-        accord = agreed == null ? null : new Accord(agreed, new AccordTask.Meaning(document -> placement.check(
+        accord = agreed == null ? null : new PolicyStore(agreed, new PolicyStoreTask.Meaning(document -> placement.check(
                 document.text()), (one, other) -> placement.binding(one.text(), other.text())), clock, loop::post,
                 view -> {
                     if (view.step() != null) {
--- a/src/main/java/clovermill/director/Service.java
+++ b/src/main/java/clovermill/director/Service.java
@@ -6,7 +6,7 @@
 import clovermill.config.settings.SettingsFile;
 import clovermill.config.settings.StructuredLog;
 import clovermill.controlplane.gossip.GossipSettings;
-import clovermill.controlplane.policystore.AccordSettings;
+import clovermill.controlplane.policystore.PolicyStoreSettings;
 import clovermill.ledger.LedgerSettings;
 import clovermill.runtime.net.Clock;
 import java.io.IOException;
@@ -49,14 +49,14 @@
         SettingsFile own = null;
         LedgerSettings ledger = null;
         GossipSettings fleet = null;
-        AccordSettings accord = null;
+        PolicyStoreSettings accord = null;
         if (settings != null) {
             try {
                 own = SettingsFile.read(settings);
                 Optional<LogSettings> log = own.part("log", LogSettings.class);
                 ledger = own.part("ledger", LedgerSettings.class).orElse(null);
                 fleet = own.part("fleet", GossipSettings.class).orElse(null);
-                accord = own.part("accord", AccordSettings.class).orElse(null);
+                accord = own.part("accord", PolicyStoreSettings.class).orElse(null);
                 log.ifPresent(StructuredLog::start);
             } catch (SettingsFile.Fault fault) {
                 throw new BadStart(fault.getMessage());
@@ -126,7 +126,7 @@
             if (fleet.isPresent()) {
                 fleet.get().check(classes);
             }
-            own.part("accord", AccordSettings.class).ifPresent(AccordSettings::check);
+            own.part("accord", PolicyStoreSettings.class).ifPresent(PolicyStoreSettings::check);
         } catch (Json.Malformed bad) {
             throw new BadStart("the configuration: " + bad.getMessage());
         } catch (IllegalArgumentException bad) {
--- a/src/main/java/clovermill/director/operations/PolicyDesk.java
+++ b/src/main/java/clovermill/director/operations/PolicyDesk.java
@@ -2,8 +2,8 @@
 
 import clovermill.controlplane.admin.decide.Desk;
 import clovermill.controlplane.admin.decide.Reply;
-import clovermill.controlplane.policystore.Accord;
-import clovermill.controlplane.policystore.View;
+import clovermill.controlplane.policystore.PolicyStore;
+import clovermill.controlplane.policystore.PolicyView;
 import clovermill.controlplane.policystore.decide.Document;
 import clovermill.controlplane.policystore.decide.Register.Taken;
 import clovermill.runtime.net.Clock;
@@ -20,20 +20,20 @@
 
     private static final JsonMapper JSON = JsonMapper.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
 
-    private final Accord accord;
+    private final PolicyStore accord;
     private final Clock clock;
     private final Executor loop;
-    private View view = View.NONE;
+    private PolicyView view = PolicyView.NONE;
 
     /** Answers come on {@code loop}. */
-    public PolicyDesk(Accord accord, Clock clock, Executor loop) {
+    public PolicyDesk(PolicyStore accord, Clock clock, Executor loop) {
         this.accord = accord;
         this.clock = clock;
         this.loop = loop;
     }
 
     /** What holds from now on. */
-    public void holds(View now) {
+    public void holds(PolicyView now) {
         view = now;
     }
 
--- a/src/main/java/clovermill/simulation/emulator/policystore/AccordFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/AccordFleet.java
@@ -1,9 +1,9 @@
 package clovermill.simulation.emulator.policystore;
 
 import clovermill.controlplane.consensus.MemoryRaftStorage;
-import clovermill.controlplane.policystore.AccordTask;
-import clovermill.controlplane.policystore.Mail;
-import clovermill.controlplane.policystore.View;
+import clovermill.controlplane.policystore.PolicyStoreTask;
+import clovermill.controlplane.policystore.PolicyTaskMessage;
+import clovermill.controlplane.policystore.PolicyView;
 import clovermill.controlplane.policystore.decide.Document;
 import clovermill.controlplane.policystore.decide.Register.Taken;
 import clovermill.controlplane.policystore.decide.Step;
@@ -43,11 +43,11 @@
     private static final String BAD = "bad";
 
     private final Case plan;
-    private final World<Mail> world;
+    private final World<PolicyTaskMessage> world;
     private final Random chance;
     private final Terms terms;
     private final List<MemoryRaftStorage> disks = new ArrayList<>();
-    private final View[] views;
+    private final PolicyView[] views;
     private final long[] blindSinceUs;
     private final InvariantChecker checker = new InvariantChecker();
     private final CRC32C digest = new CRC32C();
@@ -63,11 +63,11 @@
         this.terms = new Terms(plan.directors(), 5 * SECOND_US, SECOND_US, 0.01);
         this.world = new World<>(plan.directors(), terms.drift(), seed);
         this.chance = new Random(seed * 31 + 7);
-        this.views = new View[plan.directors()];
+        this.views = new PolicyView[plan.directors()];
         this.blindSinceUs = new long[plan.directors()];
         for (int i = 0; i < plan.directors(); i++) {
             disks.add(i < plan.voters() ? new MemoryRaftStorage() : null);
-            views[i] = View.NONE;
+            views[i] = PolicyView.NONE;
         }
     }
 
@@ -77,12 +77,12 @@
     }
 
     private void start(int i) {
-        views[i] = View.NONE;
+        views[i] = PolicyView.NONE;
         List<Integer> voters = IntStream.range(0, plan.voters()).boxed().toList();
         Random own = new Random(world.random().nextLong());
-        world.machine(i).start(clock -> new AccordTask(new AccordTask.Place(i, voters, terms), new AccordTask.Meaning(
+        world.machine(i).start(clock -> new PolicyStoreTask(new PolicyStoreTask.Place(i, voters, terms), new PolicyStoreTask.Meaning(
                 text -> i % 2 == 1 && text.text().contains(BAD) ? "it is bad" : null, (old, next) -> true),
-                (to, letter) -> world.send(i, to, new Mail.Arrived(letter)), disks.get(i), own,
+                (to, letter) -> world.send(i, to, new PolicyTaskMessage.Arrived(letter)), disks.get(i), own,
                 view -> views[i] = view, clock));
     }
 
@@ -121,7 +121,7 @@
     private void look(long at, boolean calm) {
         checker.moment();
         for (int i = 0; i < plan.directors(); i++) {
-            World<Mail>.Machine machine = world.machine(i);
+            World<PolicyTaskMessage>.Machine machine = world.machine(i);
             boolean holds = machine.up() && views[i].holds(machine.clock());
             if (holds) {
                 Step step = views[i].step();
@@ -150,21 +150,21 @@
                     + ",\"fill\":\"" + "x".repeat(chance.nextInt(3000)) + "\"}";
             long calledUs = world.nowUs();
             Document policy = Document.of(text);
-            world.machine(at).hand(new Mail.Wanted(step.version(), policy, (taken, version) -> {
+            world.machine(at).hand(new PolicyTaskMessage.Wanted(step.version(), policy, (taken, version) -> {
                 note("wanted " + taken + " " + version);
                 if (taken == Taken.BEGUN || taken == Taken.SAME) {
                     follow(at, policy, calledUs);
                 }
             }));
             if (chance.nextInt(10) == 0) {
-                world.at(world.nowUs() + 200_000, () -> world.machine(at).hand(new Mail.Wanted(
+                world.at(world.nowUs() + 200_000, () -> world.machine(at).hand(new PolicyTaskMessage.Wanted(
                         views[at].step() == null ? 0 : views[at].step().next(), null, (taken, version) -> {})));
             }
         }
     }
 
     private void follow(int at, Document policy, long calledUs) {
-        View view = views[at];
+        PolicyView view = views[at];
         if (view.step() != null && !view.step().both() && view.policy().equals(policy)) {
             settled++;
             commitMs.add((world.nowUs() - calledUs) / 1000);
@@ -178,7 +178,7 @@
     private void fault() {
         faults++;
         int which = chance.nextInt(plan.directors());
-        World<Mail>.Machine machine = world.machine(which);
+        World<PolicyTaskMessage>.Machine machine = world.machine(which);
         long lastsUs = (long) (chance.nextDouble() * chance.nextDouble() * 20 * SECOND_US);
         long until = world.nowUs() + lastsUs;
         switch (chance.nextInt(8)) {
@@ -220,7 +220,7 @@
             return;
         }
         world.machine(which).kill();
-        views[which] = View.NONE;
+        views[which] = PolicyView.NONE;
         if (losesDisk && which == 0 && disks.get(which) != null) {
             disks.get(which).clear();
         }
--- a/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
@@ -33,11 +33,11 @@
 
     @TempDir
     private Path folder;
-    private final World<Mail> world = new World<>(VOTERS, TERMS.drift(), 1);
+    private final World<PolicyTaskMessage> world = new World<>(VOTERS, TERMS.drift(), 1);
     private final List<FaultyVolume> volumes = new ArrayList<>();
     private final List<FileRaftStorage> files = new ArrayList<>();
-    private final AccordTask[] tasks = new AccordTask[VOTERS];
-    private final View[] views = new View[VOTERS];
+    private final PolicyStoreTask[] tasks = new PolicyStoreTask[VOTERS];
+    private final PolicyView[] views = new PolicyView[VOTERS];
     /** Raft's letters that a voter has sent while its file had failed. */
     private final Map<Integer, Integer> sentWhileFailed = new HashMap<>();
 
@@ -58,24 +58,24 @@
     }
 
     private void start(int i) throws IOException {
-        files.set(i, new FileRaftStorage(volumes.get(i), folder.resolve("v" + i), Accord.MAGIC,
-                RegisterOperationCodec.messages()));
-        views[i] = View.NONE;
+        files.set(i, new FileRaftStorage(volumes.get(i), folder.resolve("v" + i), PolicyStore.MAGIC,
+                PolicyOperationCodec.messages()));
+        views[i] = PolicyView.NONE;
         world.machine(i).start(clock -> {
-            tasks[i] = new AccordTask(new AccordTask.Place(i, IntStream.range(0, VOTERS).boxed().toList(), TERMS),
-                    new AccordTask.Meaning(text -> null, (old, next) -> true), (to, letter) -> send(i, to, letter),
+            tasks[i] = new PolicyStoreTask(new PolicyStoreTask.Place(i, IntStream.range(0, VOTERS).boxed().toList(), TERMS),
+                    new PolicyStoreTask.Meaning(text -> null, (old, next) -> true), (to, letter) -> send(i, to, letter),
                     files.get(i), new Random(i), view -> views[i] = view, clock);
             return repeating(tasks[i]);
         });
     }
 
     /** Each letter comes several times before the task's next tick, as a link may have it and a busy thread too. */
-    private static Task<Mail> repeating(AccordTask task) {
+    private static Task<PolicyTaskMessage> repeating(PolicyStoreTask task) {
         return new Task<>() {
             @Override
-            public void on(Mail mail, long nowUs) {
+            public void on(PolicyTaskMessage mail, long nowUs) {
                 task.on(mail, nowUs);
-                if (mail instanceof Mail.Arrived) {
+                if (mail instanceof PolicyTaskMessage.Arrived) {
                     task.on(mail, nowUs);
                     task.on(mail, nowUs);
                 }
@@ -93,11 +93,11 @@
         };
     }
 
-    private void send(int from, int to, Letter letter) {
-        if (letter instanceof Letter.Raft && files.get(from).failed()) {
+    private void send(int from, int to, PolicyMessage letter) {
+        if (letter instanceof PolicyMessage.Raft && files.get(from).failed()) {
             sentWhileFailed.merge(from, 1, Integer::sum);
         }
-        world.send(from, to, new Mail.Arrived(letter));
+        world.send(from, to, new PolicyTaskMessage.Arrived(letter));
     }
 
     private void pass(long seconds) {
@@ -111,7 +111,7 @@
     /** Hands a policy in; returns what became of it, as far as it is known within some seconds. */
     private Taken want(int at, Document policy, long withinSeconds) {
         Taken[] taken = {null};
-        world.machine(at).hand(new Mail.Wanted(views[at].step().version(), policy, (what, version) -> taken[0] = what));
+        world.machine(at).hand(new PolicyTaskMessage.Wanted(views[at].step().version(), policy, (what, version) -> taken[0] = what));
         pass(withinSeconds);
         return taken[0];
     }
--- a/src/test/java/clovermill/controlplane/policystore/FileDiskTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FileDiskTest.java
@@ -31,7 +31,7 @@
     }
 
     private FileRaftStorage opened(Volume volume) throws IOException {
-        return new FileRaftStorage(volume, folder, Accord.MAGIC, RegisterOperationCodec.messages());
+        return new FileRaftStorage(volume, folder, PolicyStore.MAGIC, PolicyOperationCodec.messages());
     }
 
     private FileRaftStorage written() throws IOException {
@@ -133,8 +133,8 @@
         }
         Path killed = Files.createDirectory(folder.resolve("killed"));
         Files.copy(folder.resolve("votes"), killed.resolve("votes"));
-        FileRaftStorage next = new FileRaftStorage(Volume.local(), killed, Accord.MAGIC,
-                RegisterOperationCodec.messages());
+        FileRaftStorage next = new FileRaftStorage(Volume.local(), killed, PolicyStore.MAGIC,
+                PolicyOperationCodec.messages());
         assertThat(next.restored().getTermPersistentState().getTerm()).isBetween(3, 4);
         assertThat(next.restored().getLogEntries()).hasSize(38);
         next.close();
--- a/src/test/java/clovermill/controlplane/policystore/LetterCodecTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
@@ -15,24 +15,24 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-class LetterCodecTest {
+class PolicyMessageCodecTest {
 
     private static final byte[] KEY = "0123456789abcdef".getBytes();
-    private final LetterCodec from = new LetterCodec(1, KEY);
-    private final LetterCodec to = new LetterCodec(2, KEY);
+    private final PolicyMessageCodec from = new PolicyMessageCodec(1, KEY);
+    private final PolicyMessageCodec to = new PolicyMessageCodec(2, KEY);
 
-    private static List<Letter> letters() {
-        return List.of(new Letter.Ask(1, 7, 8, -1, 3, "no such site"), new Letter.Ask(1, 7, 8, 5, -1, null),
-                new Letter.Grant(1, 7, 8, new Step(4, 2, 4), "aa", 1, "bb", 3, new TreeSet<>(Set.of(1, 900)), 5,
+    private static List<PolicyMessage> letters() {
+        return List.of(new PolicyMessage.Ask(1, 7, 8, -1, 3, "no such site"), new PolicyMessage.Ask(1, 7, 8, 5, -1, null),
+                new PolicyMessage.Grant(1, 7, 8, new Step(4, 2, 4), "aa", 1, "bb", 3, new TreeSet<>(Set.of(1, 900)), 5,
                         "late"),
-                new Letter.Elsewhere(1, -1, 3), new Letter.PartAsk(1, "ab", 2), new Letter.Part(1, "ab", 2, 4, "text"),
-                new Letter.Submit(1, 9, 2, "ab", 4), new Letter.Submitted(1, 9, Taken.CONFLICT, 4),
-                new Letter.Join(1, 77, true), new Letter.Joined(1, 77, true, false));
+                new PolicyMessage.Elsewhere(1, -1, 3), new PolicyMessage.PartAsk(1, "ab", 2), new PolicyMessage.Part(1, "ab", 2, 4, "text"),
+                new PolicyMessage.Submit(1, 9, 2, "ab", 4), new PolicyMessage.Submitted(1, 9, Taken.CONFLICT, 4),
+                new PolicyMessage.Join(1, 77, true), new PolicyMessage.Joined(1, 77, true, false));
     }
 
     @Test
     void everyLetterIsReadAsItWasWritten() throws Exception {
-        for (Letter letter : letters()) {
+        for (PolicyMessage letter : letters()) {
             assertThat(to.read(from.write(2, letter))).isEqualTo(letter);
         }
     }
@@ -42,28 +42,28 @@
         var models = new DefaultRaftModelFactory();
         var entry = models.createLogEntryBuilder().setIndex(5).setTerm(2).setOperation(new Change.Part("ab", 0,
                 "x")).build();
-        var append = models.createAppendEntriesRequestBuilder().setGroupId(RegisterOperationCodec.GROUP)
+        var append = models.createAppendEntriesRequestBuilder().setGroupId(PolicyOperationCodec.GROUP)
                 .setSender(new ReplicaId(1, 0)).setTerm(2)
                 .setPreviousLogTerm(1).setPreviousLogIndex(4).setCommitIndex(3).setLogEntries(List.of(entry))
                 .setQuerySequenceNumber(6).setFlowControlSequenceNumber(7).build();
-        Letter read = to.read(from.write(2, new Letter.Raft(1, 3, append)));
-        assertThat(read.toString()).isEqualTo(new Letter.Raft(1, 3, append).toString());
+        PolicyMessage read = to.read(from.write(2, new PolicyMessage.Raft(1, 3, append)));
+        assertThat(read.toString()).isEqualTo(new PolicyMessage.Raft(1, 3, append).toString());
     }
 
     @Test
     void whatIsForgedCutOrForAnotherIsNoLetter() {
         Random random = new Random(5);
-        for (Letter letter : letters()) {
+        for (PolicyMessage letter : letters()) {
             byte[] good = from.write(2, letter).array();
             for (int i = 0; i < 50; i++) {
                 byte[] bad = good.clone();
                 bad[random.nextInt(bad.length)] ^= (byte) (1 << random.nextInt(8));
-                assertThatThrownBy(() -> to.read(ByteBuffer.wrap(bad))).isInstanceOf(LetterCodec.BadLetter.class);
+                assertThatThrownBy(() -> to.read(ByteBuffer.wrap(bad))).isInstanceOf(PolicyMessageCodec.BadLetter.class);
             }
             assertThatThrownBy(() -> to.read(ByteBuffer.wrap(good, 0, good.length - 1)))
-                    .isInstanceOf(LetterCodec.BadLetter.class);
-            assertThatThrownBy(() -> new LetterCodec(3, KEY).read(ByteBuffer.wrap(good)))
-                    .isInstanceOf(LetterCodec.BadLetter.class);
+                    .isInstanceOf(PolicyMessageCodec.BadLetter.class);
+            assertThatThrownBy(() -> new PolicyMessageCodec(3, KEY).read(ByteBuffer.wrap(good)))
+                    .isInstanceOf(PolicyMessageCodec.BadLetter.class);
         }
     }
 }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -7,10 +7,10 @@
 import clovermill.controlplane.gossip.GossipService;
 import clovermill.controlplane.gossip.GossipSettings;
 import clovermill.controlplane.placement.Placement;
-import clovermill.controlplane.policystore.Accord;
-import clovermill.controlplane.policystore.AccordSettings;
-import clovermill.controlplane.policystore.AccordTask;
-import clovermill.controlplane.policystore.View;
+import clovermill.controlplane.policystore.PolicyStore;
+import clovermill.controlplane.policystore.PolicyStoreSettings;
+import clovermill.controlplane.policystore.PolicyStoreTask;
+import clovermill.controlplane.policystore.PolicyView;
 import clovermill.controlplane.policystore.decide.Document;
 import clovermill.controlplane.policystore.decide.Register.Taken;
 import clovermill.runtime.net.Clock;
@@ -35,7 +35,7 @@
     interface Observer {
         void event(int director, String id);
 
-        void policy(int director, View view);
+        void policy(int director, PolicyView view);
     }
 
     private static final class OffsetClock implements Clock {
@@ -59,7 +59,7 @@
 
     private final EventLoop loop;
     private final GossipService fleet;
-    private final Accord accord;
+    private final PolicyStore accord;
     private final Thread thread;
 
     /** Begins at once; {@code stagger}, from 0 to 1, sets when within a second. */
@@ -71,12 +71,12 @@
         SettingsFile own = SettingsFile.read(settings.toString());
         fleet = new GossipService(own.part("fleet", GossipSettings.class).orElseThrow(), config.classes(),
                 config.settings().answerSlackUs(), clock, deadlines, null);
-        AccordSettings agreed = own.part("accord", AccordSettings.class).orElseThrow();
+        PolicyStoreSettings agreed = own.part("accord", PolicyStoreSettings.class).orElseThrow();
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
                 agreed.allBound(), null);
-        AccordTask.Meaning meaning = new AccordTask.Meaning(document -> placement.check(document.text()),
+        PolicyStoreTask.Meaning meaning = new PolicyStoreTask.Meaning(document -> placement.check(document.text()),
                 (one, other) -> placement.binding(one.text(), other.text()));
-        accord = new Accord(agreed, meaning, clock, loop::post, view -> observer.policy(number, view));
+        accord = new PolicyStore(agreed, meaning, clock, loop::post, view -> observer.policy(number, view));
         DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
         DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
                 new DiscoveryClient.Terms(config.zones(), config.kinds(), config.settings().dialTimeoutUs(),
--- a/src/test/java/clovermill/prove/scale/HollowProcess.java
+++ b/src/test/java/clovermill/prove/scale/HollowProcess.java
@@ -4,7 +4,7 @@
 import clovermill.config.settings.LogSettings;
 import clovermill.config.settings.SettingsFile;
 import clovermill.config.settings.StructuredLog;
-import clovermill.controlplane.policystore.View;
+import clovermill.controlplane.policystore.PolicyView;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public void policy(int director, View view) {
+    public void policy(int director, PolicyView view) {
         if (view.step() == null || view.step().both()) {
             return;
         }
