--- a/src/main/java/clovermill/controlplane/policystore/Leading.java
+++ b/src/main/java/clovermill/controlplane/policystore/Leading.java
@@ -1,14 +1,14 @@
 package clovermill.controlplane.policystore;
 
 import clovermill.controlplane.consensus.RaftReplica;
-import clovermill.controlplane.policystore.decide.Change;
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Library;
-import clovermill.controlplane.policystore.decide.Overseer;
-import clovermill.controlplane.policystore.decide.Register.Taken;
-import clovermill.controlplane.policystore.decide.Register;
-import clovermill.controlplane.policystore.decide.Steady;
-import clovermill.controlplane.policystore.decide.Terms;
+import clovermill.controlplane.policystore.decide.Coordinator;
+import clovermill.controlplane.policystore.decide.LeaseTiming;
+import clovermill.controlplane.policystore.decide.MonotonicClock;
+import clovermill.controlplane.policystore.decide.PolicyChange;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.PolicyRegister;
+import clovermill.controlplane.policystore.decide.PolicyVersions;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -19,7 +19,7 @@
 
 /**
  * What a voter does while it leads: answers questions by a read of the register that begins after they came, takes
- * changes on or back as the {@link Overseer} decides, and puts into the log what operators hand in.
+ * changes on or back as the {@link Coordinator} decides, and puts into the log what operators hand in.
  */
 final class Leading {
 
@@ -32,36 +32,36 @@
     private enum Stage { FETCHING, PUTTING }
 
     private final int self;
-    private final Terms terms;
+    private final LeaseTiming terms;
     private final RaftReplica<PolicyStateMachine> voter;
-    private final Library library;
+    private final PolicyVersions library;
     private final MessageTransport post;
-    private final BiPredicate<Document, Document> binding;
-    private final Steady steady;
+    private final BiPredicate<PolicyDocument, PolicyDocument> binding;
+    private final MonotonicClock steady;
     private List<PolicyMessage.Ask> waiting = new ArrayList<>();
     private final Map<String, Stage> submitted = new LinkedHashMap<>();
-    private Overseer overseer = Overseer.IDLE;
+    private Coordinator overseer = Coordinator.IDLE;
     private boolean reading;
     private boolean deciding;
     private long callAtUs;
     private int calls;
 
     /** {@code binding} says whether all that differs between two policies is refused where there is no lease. */
-    Leading(int self, Terms terms, RaftReplica<PolicyStateMachine> voter, Library library, MessageTransport post,
-            BiPredicate<Document, Document> binding, long nowUs) {
+    Leading(int self, LeaseTiming terms, RaftReplica<PolicyStateMachine> voter, PolicyVersions library, MessageTransport post,
+            BiPredicate<PolicyDocument, PolicyDocument> binding, long nowUs) {
         this.self = self;
         this.terms = terms;
         this.voter = voter;
         this.library = library;
         this.post = post;
         this.binding = binding;
-        this.steady = new Steady(nowUs, Math.min(terms.askUs(), 1_000_000));
+        this.steady = new MonotonicClock(nowUs, Math.min(terms.askUs(), 1_000_000));
     }
 
     /** Does what is due while this voter leads; returns when it is to be called again. */
     long tick(long nowUs) {
         long livedUs = steady.at(nowUs);
-        Register register = voter.machine().register();
+        PolicyRegister register = voter.machine().register();
         overseer = overseer.learned(register.step(), livedUs);
         if (!voter.leads()) {
             waiting.clear();
@@ -70,7 +70,7 @@
         }
         read();
         if (register.step().both() && !deciding) {
-            Change due = overseer.due(register, terms, binding.test(register.policy(), register.pending()), livedUs);
+            PolicyChange due = overseer.due(register, terms, binding.test(register.policy(), register.pending()), livedUs);
             if (due != null) {
                 deciding = true;
                 voter.replicate(due, result -> deciding = false);
@@ -121,14 +121,14 @@
         reading = true;
         voter.query(new PolicyStateMachine.Look(), answer -> {
             reading = false;
-            if (answer instanceof Register register) {
+            if (answer instanceof PolicyRegister register) {
                 batch.forEach(ask -> post.send(ask.from(), grant(ask, register)));
             }
             read();
         });
     }
 
-    private PolicyMessage.Grant grant(PolicyMessage.Ask ask, Register register) {
+    private PolicyMessage.Grant grant(PolicyMessage.Ask ask, PolicyRegister register) {
         boolean both = register.step().both();
         return new PolicyMessage.Grant(self, ask.boot(), ask.question(), register.step(), register.policy().digest(),
                 register.policy().parts().size(), both ? register.pending().digest() : "",
@@ -152,18 +152,18 @@
             post.send(submit.from(), new PolicyMessage.Elsewhere(self, submit.call(), voter.leader()));
             return;
         }
-        Register register = voter.machine().register();
+        PolicyRegister register = voter.machine().register();
         String key = submit.from() + "/" + submit.call();
         if (submit.digest().isEmpty()) {
             boolean there = register.step().both() && register.step().next() == submit.follows();
             if (there) {
-                voter.replicate(new Change.Abort(register.step().number(), "taken back by operators"), result -> {});
+                voter.replicate(new PolicyChange.Abort(register.step().number(), "taken back by operators"), result -> {});
             }
             post.send(submit.from(), new PolicyMessage.Submitted(self, submit.call(), there ? Taken.BEGUN : Taken.CONFLICT,
                     submit.follows()));
             return;
         }
-        Change.Propose propose = new Change.Propose(submit.follows(), submit.digest());
+        PolicyChange.Propose propose = new PolicyChange.Propose(submit.follows(), submit.digest());
         Taken now = register.answer(propose);
         if (now == Taken.SAME || now == Taken.CONFLICT) {
             answer(submit, now, register);
@@ -183,8 +183,8 @@
 
     /** Puts part after part, then the proposal; if the log takes one no more the director hands it in again. */
     private void put(PolicyMessage.Submit submit, List<String> parts, int at, String key) {
-        Change change = at < parts.size() ? new Change.Part(submit.digest(), at, parts.get(at))
-                : new Change.Propose(submit.follows(), submit.digest());
+        PolicyChange change = at < parts.size() ? new PolicyChange.Part(submit.digest(), at, parts.get(at))
+                : new PolicyChange.Propose(submit.follows(), submit.digest());
         voter.replicate(change, result -> {
             if (result == null) {
                 submitted.remove(key);
@@ -197,7 +197,7 @@
         });
     }
 
-    private void answer(PolicyMessage.Submit submit, Taken taken, Register register) {
+    private void answer(PolicyMessage.Submit submit, Taken taken, PolicyRegister register) {
         long version = register.step().both() ? register.step().next() : register.step().version();
         post.send(submit.from(), new PolicyMessage.Submitted(self, submit.call(), taken, version));
     }
--- a/src/main/java/clovermill/controlplane/policystore/Leases.java
+++ b/src/main/java/clovermill/controlplane/policystore/Leases.java
@@ -1,10 +1,10 @@
 package clovermill.controlplane.policystore;
 
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Holder;
-import clovermill.controlplane.policystore.decide.Library;
-import clovermill.controlplane.policystore.decide.Step;
-import clovermill.controlplane.policystore.decide.Terms;
+import clovermill.controlplane.policystore.decide.LeaseHolder;
+import clovermill.controlplane.policystore.decide.LeaseTiming;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyTransition;
+import clovermill.controlplane.policystore.decide.PolicyVersions;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -23,12 +23,12 @@
     private final int self;
     private final long boot;
     private final List<Integer> voters;
-    private final Terms terms;
+    private final LeaseTiming terms;
     private final MessageTransport post;
-    private final Function<Document, String> check;
+    private final Function<PolicyDocument, String> check;
     private final Consumer<PolicyView> views;
-    private final Library library;
-    private Holder holder = Holder.EMPTY;
+    private final PolicyVersions library;
+    private LeaseHolder holder = LeaseHolder.EMPTY;
     private PolicyView view = PolicyView.NONE;
     private PolicyMessage.Grant latest;
     private String no;
@@ -40,8 +40,8 @@
     private int unanswered;
 
     /** {@code check} says why a policy cannot be kept here, or null. */
-    Leases(int self, long boot, List<Integer> voters, Terms terms, Library library, MessageTransport post,
-            Function<Document, String> check, Consumer<PolicyView> views) {
+    Leases(int self, long boot, List<Integer> voters, LeaseTiming terms, PolicyVersions library, MessageTransport post,
+            Function<PolicyDocument, String> check, Consumer<PolicyView> views) {
         this.self = self;
         this.boot = boot;
         this.voters = voters;
@@ -64,7 +64,7 @@
     /** Asks if it is time; returns when that is next. */
     long tick(long nowUs) {
         if (nowUs < lastUs) { // a clock that runs back would make the lease longer
-            holder = Holder.EMPTY;
+            holder = LeaseHolder.EMPTY;
             publish();
         }
         lastUs = nowUs;
@@ -82,7 +82,7 @@
             leader = voters.get((voters.indexOf(leader) + 1) % voters.size());
         }
         holder = holder.asks(++question, nowUs);
-        post.send(leader, new PolicyMessage.Ask(self, boot, question, holder.step() == null ? Step.NONE
+        post.send(leader, new PolicyMessage.Ask(self, boot, question, holder.step() == null ? PolicyTransition.NONE
                 : holder.step().number(), holder.refused(), no));
         // While no leader is known the questions go round quickly.
         askAtUs = nowUs + (unanswered > PATIENCE ? terms.askUs() / 4 : terms.askUs());
@@ -130,9 +130,9 @@
 
     /** Takes the latest answer, if all that it names is here. */
     private void take(long nowUs) {
-        Step step = latest.step();
-        Document policy = library.get(latest.policy());
-        Document next = step.both() ? library.get(latest.next()) : null;
+        PolicyTransition step = latest.step();
+        PolicyDocument policy = library.get(latest.policy());
+        PolicyDocument next = step.both() ? library.get(latest.next()) : null;
         if (policy == null || step.both() && next == null) {
             return;
         }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyMessage.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyMessage.java
@@ -1,7 +1,7 @@
 package clovermill.controlplane.policystore;
 
-import clovermill.controlplane.policystore.decide.Register.Taken;
-import clovermill.controlplane.policystore.decide.Step;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.PolicyTransition;
 import io.microraft.model.message.RaftMessage;
 import java.util.Set;
 
@@ -14,7 +14,7 @@
     int from();
 
     /**
-     * A process of a director asks for a lease, and confirms the step that it has, or {@link Step#NONE}. It may say no
+     * A process of a director asks for a lease, and confirms the step that it has, or {@link PolicyTransition#NONE}. It may say no
      * to a step, with the reason; else {@code no} is null.
      */
     record Ask(int from, long boot, long question, long step, long noTo, String no) implements PolicyMessage {}
@@ -23,7 +23,7 @@
      * The step that was agreed after the question was asked, and the digests of its policies; {@code next} may be
      * empty.
      */
-    record Grant(int from, long boot, long question, Step step, String policy, int policyParts, String next,
+    record Grant(int from, long boot, long question, PolicyTransition step, String policy, int policyParts, String next,
             int nextParts, Set<Integer> missing, long leftUs, String lastReason) implements PolicyMessage {}
 
     /** Not the leader; {@code leader} is, or -1. */
--- a/src/main/java/clovermill/controlplane/policystore/PolicyMessageCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyMessageCodec.java
@@ -1,7 +1,7 @@
 package clovermill.controlplane.policystore;
 
-import clovermill.controlplane.policystore.decide.Register.Taken;
-import clovermill.controlplane.policystore.decide.Step;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.PolicyTransition;
 import clovermill.runtime.net.Peers;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -163,7 +163,7 @@
     private static PolicyMessage letter(int from, DataInputStream in) throws IOException, BadLetter {
         return switch (in.readByte()) {
             case 1 -> new PolicyMessage.Ask(from, in.readLong(), in.readLong(), in.readLong(), in.readLong(), text(in));
-            case 2 -> new PolicyMessage.Grant(from, in.readLong(), in.readLong(), new Step(in.readLong(), in.readLong(),
+            case 2 -> new PolicyMessage.Grant(from, in.readLong(), in.readLong(), new PolicyTransition(in.readLong(), in.readLong(),
                     in.readLong()), in.readUTF(), in.readInt(), in.readUTF(), in.readInt(), numbers(in), in.readLong(),
                     text(in));
             case 3 -> new PolicyMessage.Elsewhere(from, in.readLong(), in.readInt());
--- a/src/main/java/clovermill/controlplane/policystore/PolicyOperationCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyOperationCodec.java
@@ -2,8 +2,8 @@
 
 import clovermill.controlplane.consensus.OperationCodec;
 import clovermill.controlplane.consensus.RaftMessageCodec;
-import clovermill.controlplane.policystore.decide.Change;
-import clovermill.controlplane.policystore.decide.Step;
+import clovermill.controlplane.policystore.decide.PolicyChange;
+import clovermill.controlplane.policystore.decide.PolicyTransition;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -23,19 +23,19 @@
     public void write(Object operation, DataOutputStream out) throws IOException {
         if (operation instanceof PolicyStateMachine.NewTerm) {
             out.writeByte(1);
-        } else if (operation instanceof Change.Part part) {
+        } else if (operation instanceof PolicyChange.Part part) {
             out.writeByte(2);
             out.writeUTF(part.digest());
             out.writeInt(part.number());
             out.writeUTF(part.text());
-        } else if (operation instanceof Change.Propose propose) {
+        } else if (operation instanceof PolicyChange.Propose propose) {
             out.writeByte(3);
             out.writeLong(propose.follows());
             out.writeUTF(propose.digest());
-        } else if (operation instanceof Change.Settle settle) {
+        } else if (operation instanceof PolicyChange.Settle settle) {
             out.writeByte(4);
             out.writeLong(settle.step());
-        } else if (operation instanceof Change.Abort abort) {
+        } else if (operation instanceof PolicyChange.Abort abort) {
             out.writeByte(5);
             out.writeLong(abort.step());
             out.writeUTF(abort.reason());
@@ -60,11 +60,11 @@
     public Object read(int kind, DataInputStream in) throws IOException {
         return switch (kind) {
             case 1 -> new PolicyStateMachine.NewTerm();
-            case 2 -> new Change.Part(in.readUTF(), in.readInt(), in.readUTF());
-            case 3 -> new Change.Propose(in.readLong(), in.readUTF());
-            case 4 -> new Change.Settle(in.readLong());
-            case 5 -> new Change.Abort(in.readLong(), in.readUTF());
-            case 7 -> new PolicyStateMachine.Head(new Step(in.readLong(), in.readLong(), in.readLong()), in.readLong(),
+            case 2 -> new PolicyChange.Part(in.readUTF(), in.readInt(), in.readUTF());
+            case 3 -> new PolicyChange.Propose(in.readLong(), in.readUTF());
+            case 4 -> new PolicyChange.Settle(in.readLong());
+            case 5 -> new PolicyChange.Abort(in.readLong(), in.readUTF());
+            case 7 -> new PolicyStateMachine.Head(new PolicyTransition(in.readLong(), in.readLong(), in.readLong()), in.readLong(),
                     PolicyMessageCodec.text(in), in.readUTF());
             case 8 -> new PolicyStateMachine.Piece(in.readByte(), in.readUTF());
             default -> throw new IOException("an unknown entry");
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStateMachine.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStateMachine.java
@@ -1,10 +1,10 @@
 package clovermill.controlplane.policystore;
 
 import clovermill.controlplane.consensus.ReplicatedStateMachine;
-import clovermill.controlplane.policystore.decide.Change;
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Register;
-import clovermill.controlplane.policystore.decide.Step;
+import clovermill.controlplane.policystore.decide.PolicyChange;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister;
+import clovermill.controlplane.policystore.decide.PolicyTransition;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -21,17 +21,17 @@
     /**
      * A piece of a snapshot: first the steps, then parts of the text in force, of the one to come, and of the draft.
      */
-    record Head(Step step, long endedVersion, String endedReason, String draftDigest) {}
+    record Head(PolicyTransition step, long endedVersion, String endedReason, String draftDigest) {}
 
     /** A part of the text that is in force (0), to come (1) or a draft (2). */
     record Piece(int which, String text) {}
 
-    private final Consumer<Register> changed;
-    private Register register = Register.FIRST;
+    private final Consumer<PolicyRegister> changed;
+    private PolicyRegister register = PolicyRegister.FIRST;
     private boolean began;
 
     /** {@code changed} hears of each register that is another than before. */
-    PolicyStateMachine(Consumer<Register> changed) {
+    PolicyStateMachine(Consumer<PolicyRegister> changed) {
         this.changed = changed;
     }
 
@@ -40,25 +40,25 @@
         return began;
     }
 
-    Register register() {
+    PolicyRegister register() {
         return register;
     }
 
     @Override
     public Object runOperation(long commitIndex, Object operation) {
         began = true;
-        if (operation instanceof Change.Propose propose) {
-            Register.Taken taken = register.answer(propose);
+        if (operation instanceof PolicyChange.Propose propose) {
+            PolicyRegister.Taken taken = register.answer(propose);
             become(register.after(propose));
             return taken;
         }
-        if (operation instanceof Change change) {
+        if (operation instanceof PolicyChange change) {
             become(register.after(change));
         }
         return register;
     }
 
-    private void become(Register next) {
+    private void become(PolicyRegister next) {
         if (next != register) {
             register = next;
             changed.accept(next);
@@ -90,9 +90,9 @@
                 draft.add(piece.text);
             }
         }
-        become(new Register(head.step, Document.of(texts.get(0).toString()), head.step.both()
-                ? Document.of(texts.get(1).toString()) : null, new Register.Ended(head.endedVersion, head.endedReason),
-                new Register.Draft(head.draftDigest, List.copyOf(draft))));
+        become(new PolicyRegister(head.step, PolicyDocument.of(texts.get(0).toString()), head.step.both()
+                ? PolicyDocument.of(texts.get(1).toString()) : null, new PolicyRegister.Ended(head.endedVersion, head.endedReason),
+                new PolicyRegister.Draft(head.draftDigest, List.copyOf(draft))));
     }
 
     @Override
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
@@ -1,8 +1,8 @@
 package clovermill.controlplane.policystore;
 
 import clovermill.controlplane.consensus.FileRaftStorage;
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.task.TaskThread;
 import clovermill.storage.Volume;
@@ -69,7 +69,7 @@
      * Hands in what operators want: a policy in place of version {@code follows}, or, with null, that a change is taken
      * back. {@code done} hears on the accord's thread; null stands for no room.
      */
-    public void want(long follows, Document policy, BiConsumer<Taken, Long> done) {
+    public void want(long follows, PolicyDocument policy, BiConsumer<Taken, Long> done) {
         if (!thread.offer(new PolicyTaskMessage.Wanted(follows, policy, done))) {
             done.accept(null, 0L);
         }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
@@ -1,6 +1,6 @@
 package clovermill.controlplane.policystore;
 
-import clovermill.controlplane.policystore.decide.Terms;
+import clovermill.controlplane.policystore.decide.LeaseTiming;
 import clovermill.runtime.net.Peers;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.net.InetSocketAddress;
@@ -48,8 +48,8 @@
         return "refuse".equals(withoutLease);
     }
 
-    Terms terms() {
-        return new Terms(directors.size(), (leaseMs == null ? 10_000 : leaseMs) * 1000, (askMs == null ? 1000 : askMs)
+    LeaseTiming terms() {
+        return new LeaseTiming(directors.size(), (leaseMs == null ? 10_000 : leaseMs) * 1000, (askMs == null ? 1000 : askMs)
                 * 1000, drift == null ? 0.01 : drift);
     }
 
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
@@ -4,11 +4,11 @@
 import clovermill.controlplane.consensus.RaftReplica;
 import clovermill.controlplane.consensus.RaftScheduler;
 import clovermill.controlplane.consensus.RaftStorage;
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Library;
-import clovermill.controlplane.policystore.decide.Register.Taken;
-import clovermill.controlplane.policystore.decide.Register;
-import clovermill.controlplane.policystore.decide.Terms;
+import clovermill.controlplane.policystore.decide.LeaseTiming;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.PolicyRegister;
+import clovermill.controlplane.policystore.decide.PolicyVersions;
 import clovermill.runtime.task.Task;
 import io.microraft.RaftConfig;
 import java.util.LinkedHashMap;
@@ -31,7 +31,7 @@
      * @param self this director's number
      * @param voters the directors that vote, by number, the same list everywhere
      */
-    public record Place(int self, List<Integer> voters, Terms terms) {}
+    public record Place(int self, List<Integer> voters, LeaseTiming terms) {}
 
     /**
      * What the policy means to those who keep it.
@@ -39,7 +39,7 @@
      * @param check why a policy cannot be kept here, or null
      * @param binding whether all that differs between two policies is refused where there is no lease
      */
-    public record Meaning(Function<Document, String> check, BiPredicate<Document, Document> binding) {}
+    public record Meaning(Function<PolicyDocument, String> check, BiPredicate<PolicyDocument, PolicyDocument> binding) {}
 
     private static final int MOST_WANTED = 16;
     private static final RaftConfig CONFIG = RaftReplica.config().build();
@@ -49,7 +49,7 @@
     private final MessageTransport post;
     private final Random random;
     private final RaftScheduler agenda;
-    private final Library library = new Library();
+    private final PolicyVersions library = new PolicyVersions();
     private final Leases leases;
     private final Map<Long, PolicyTaskMessage.Wanted> wanted = new LinkedHashMap<>();
     private final RaftMember<PolicyStateMachine> member;
@@ -71,7 +71,7 @@
         this.post = post;
         this.random = random;
         this.agenda = new RaftScheduler(nowUs);
-        library.add(Document.EMPTY);
+        library.add(PolicyDocument.EMPTY);
         leases = new Leases(place.self(), random.nextLong(), place.voters(), place.terms(), library, post,
                 meaning.check(), views);
         calls = random.nextLong() >>> 1;
@@ -118,7 +118,7 @@
         leading = new Leading(place.self(), place.terms(), voter, library, post, meaning.binding(), turnUs);
     }
 
-    private void changed(Register register) {
+    private void changed(PolicyRegister register) {
         library.add(register.policy());
         if (register.pending() != null) {
             library.add(register.pending());
@@ -176,11 +176,11 @@
     }
 
     private void give(PolicyMessage.PartAsk ask) {
-        Document document = library.get(ask.digest());
+        PolicyDocument document = library.get(ask.digest());
         if (document == null && voter() != null) {
             document = voter().machine().register().document(ask.digest());
         }
-        Document own = document != null ? document : wanted.values().stream().map(PolicyTaskMessage.Wanted::policy)
+        PolicyDocument own = document != null ? document : wanted.values().stream().map(PolicyTaskMessage.Wanted::policy)
                 .filter(each -> each != null && each.digest().equals(ask.digest())).findFirst().orElse(null);
         if (own != null && ask.number() >= 0 && ask.number() < own.parts().size()) {
             post.send(ask.from(), new PolicyMessage.Part(place.self(), ask.digest(), ask.number(), own.parts().size(),
--- a/src/main/java/clovermill/controlplane/policystore/PolicyTaskMessage.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyTaskMessage.java
@@ -1,7 +1,7 @@
 package clovermill.controlplane.policystore;
 
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
 import java.util.function.BiConsumer;
 
 /** What an {@link PolicyStoreTask} takes: a letter from a fellow, or what this director's operators want. */
@@ -14,5 +14,5 @@
      * Operators hand in a policy in place of version {@code follows}, or take back the change that brings it, where
      * {@code policy} is null. {@code done} hears once what became of it, and the version; it must not wait.
      */
-    record Wanted(long follows, Document policy, BiConsumer<Taken, Long> done) implements PolicyTaskMessage {}
+    record Wanted(long follows, PolicyDocument policy, BiConsumer<Taken, Long> done) implements PolicyTaskMessage {}
 }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyView.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyView.java
@@ -1,7 +1,7 @@
 package clovermill.controlplane.policystore;
 
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Step;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyTransition;
 import java.util.Set;
 
 /**
@@ -14,11 +14,11 @@
  * @param leftUs how long the change may still wait for them
  * @param lastReason why the last change was taken back, or null
  */
-public record PolicyView(Step step, Document policy, Document next, long untilUs, Set<Integer> missing, long leftUs,
+public record PolicyView(PolicyTransition step, PolicyDocument policy, PolicyDocument next, long untilUs, Set<Integer> missing, long leftUs,
         String lastReason) {
 
     /** Nothing is known yet. */
-    public static final PolicyView NONE = new PolicyView(null, Document.EMPTY, null, 0, Set.of(), 0, null);
+    public static final PolicyView NONE = new PolicyView(null, PolicyDocument.EMPTY, null, 0, Set.of(), 0, null);
 
     /** Whether anything may be done by it at this moment: to be asked when an attempt is written. */
     public boolean holds(long nowUs) {
--- a/src/main/java/clovermill/controlplane/policystore/decide/Overseer.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/Coordinator.java
@@ -14,53 +14,53 @@
  * @param confirmed the directors that have confirmed it
  * @param no why a director refuses it, or null
  */
-public record Overseer(long step, long knownUs, Map<Integer, Long> confirmed, String no) {
+public record Coordinator(long step, long knownUs, Map<Integer, Long> confirmed, String no) {
 
     /** Looks after nothing yet. */
-    public static final Overseer IDLE = new Overseer(Step.NONE, 0, Map.of(), null);
+    public static final Coordinator IDLE = new Coordinator(PolicyTransition.NONE, 0, Map.of(), null);
 
     /** This voter has learned of a step. */
-    public Overseer learned(Step agreed, long nowUs) {
-        return agreed.number() == step ? this : new Overseer(agreed.number(), nowUs, Map.of(), null);
+    public Coordinator learned(PolicyTransition agreed, long nowUs) {
+        return agreed.number() == step ? this : new Coordinator(agreed.number(), nowUs, Map.of(), null);
     }
 
     /** How long the step has been known, on the clock that gave {@link #knownUs}. */
-    public long livedSince(Steady steady) {
+    public long livedSince(MonotonicClock steady) {
         return steady.lived() - knownUs;
     }
 
     /** A process of a director, told apart by {@code boot}, has given up every step before {@code confirmedStep}. */
-    public Overseer confirmed(int director, long boot, long confirmedStep) {
+    public Coordinator confirmed(int director, long boot, long confirmedStep) {
         if (confirmedStep != step || confirmed.containsKey(director)) {
             return this;
         }
         Map<Integer, Long> more = new TreeMap<>(confirmed);
         more.put(director, boot);
-        return new Overseer(step, knownUs, Map.copyOf(more), no);
+        return new Coordinator(step, knownUs, Map.copyOf(more), no);
     }
 
     /** A director refuses a step. */
-    public Overseer refused(long refusedStep, String reason) {
-        return refusedStep == step && no == null ? new Overseer(step, knownUs, confirmed, reason) : this;
+    public Coordinator refused(long refusedStep, String reason) {
+        return refusedStep == step && no == null ? new Coordinator(step, knownUs, confirmed, reason) : this;
     }
 
     /**
      * What is to be put into the log now, or null. {@code binding} if who has no lease does nothing that the change is
      * about; else every director has to confirm, and one that stays away takes it back.
      */
-    public Change due(Register register, Terms terms, boolean binding, long nowUs) {
+    public PolicyChange due(PolicyRegister register, LeaseTiming terms, boolean binding, long nowUs) {
         if (!register.step().both() || register.step().number() != step) {
             return null;
         }
         if (no != null) {
-            return new Change.Abort(step, no);
+            return new PolicyChange.Abort(step, no);
         }
         if (confirmed.size() == terms.directors()) {
-            return new Change.Settle(step);
+            return new PolicyChange.Settle(step);
         }
         if (nowUs - knownUs < terms.outUs()) {
             return null;
         }
-        return binding ? new Change.Settle(step) : new Change.Abort(step, "not every director has confirmed it");
+        return binding ? new PolicyChange.Settle(step) : new PolicyChange.Abort(step, "not every director has confirmed it");
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/Terms.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/LeaseTiming.java
@@ -8,7 +8,7 @@
  * @param askUs how often it asks
  * @param drift how much faster or slower than true time any clock may run, as a share
  */
-public record Terms(int directors, long leaseUs, long askUs, double drift) {
+public record LeaseTiming(int directors, long leaseUs, long askUs, double drift) {
 
     /**
      * After so long on any clock, counted from a moment after a step was agreed, no lease on an earlier step is left:
--- a/src/main/java/clovermill/controlplane/policystore/decide/Steady.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/MonotonicClock.java
@@ -4,14 +4,14 @@
  * Time that was surely lived through: a clock that jumps ahead, or a process that was stopped, adds no more than a turn
  * may last. Who waits for others' leases to run out counts in it, as it can only run late. Not thread-safe.
  */
-public final class Steady {
+public final class MonotonicClock {
 
     private final long mostUs;
     private long lastUs;
     private long livedUs;
 
     /** From a moment on; no turn counts for more than {@code mostUs}. */
-    public Steady(long nowUs, long mostUs) {
+    public MonotonicClock(long nowUs, long mostUs) {
         this.lastUs = nowUs;
         this.mostUs = mostUs;
     }
--- a/src/main/java/clovermill/controlplane/policystore/decide/Document.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyDocument.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /** The text of a policy, in ASCII; {@code digest} is its SHA-256 in hex digits, by which everybody names it. */
-public record Document(String digest, String text) {
+public record PolicyDocument(String digest, String text) {
 
     /** The empty policy, which binds nothing. */
-    public static final Document EMPTY = of("{}");
+    public static final PolicyDocument EMPTY = of("{}");
 
     /** Letters of a part, as texts go through datagrams and the log. */
     public static final int PART = 900;
@@ -25,13 +25,13 @@
     }
 
     /** The document of a text. */
-    public static Document of(String text) {
+    public static PolicyDocument of(String text) {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
             for (int i = 0; i < text.length(); i++) {
                 sha.update((byte) text.charAt(i));
             }
-            return new Document(HexFormat.of().formatHex(sha.digest()), text);
+            return new PolicyDocument(HexFormat.of().formatHex(sha.digest()), text);
         } catch (NoSuchAlgorithmException impossible) {
             throw new IllegalStateException(impossible);
         }
--- a/src/main/java/clovermill/controlplane/policystore/decide/Register.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyRegister.java
@@ -8,16 +8,16 @@
  * last change ended, and the parts of a text that is still being put in. A log of changes gives the same register at
  * every voter.
  */
-public record Register(Step step, Document policy, Document pending, Ended last, Draft draft) {
+public record PolicyRegister(PolicyTransition step, PolicyDocument policy, PolicyDocument pending, Ended last, Draft draft) {
 
     /** The largest text of a policy, in parts. */
     public static final int MOST_PARTS = 4096;
     private static final Draft NO_DRAFT = new Draft("", List.of());
     /** Before any change. */
-    public static final Register FIRST = new Register(Step.FIRST, Document.EMPTY, null, new Ended(Step.NONE, null),
+    public static final PolicyRegister FIRST = new PolicyRegister(PolicyTransition.FIRST, PolicyDocument.EMPTY, null, new Ended(PolicyTransition.NONE, null),
             NO_DRAFT);
 
-    /** The version whose change ended last, {@link Step#NONE} before the first, and why it was taken back, or null. */
+    /** The version whose change ended last, {@link PolicyTransition#NONE} before the first, and why it was taken back, or null. */
     public record Ended(long version, String reason) {}
 
     /** The parts of a text so far, by the digest of the whole. */
@@ -27,23 +27,23 @@
     public enum Taken { BEGUN, SAME, CONFLICT, UNKNOWN }
 
     /** The register after a change. */
-    public Register after(Change change) {
-        if (change instanceof Change.Part part) {
-            return new Register(step, policy, pending, last, drafted(part));
+    public PolicyRegister after(PolicyChange change) {
+        if (change instanceof PolicyChange.Part part) {
+            return new PolicyRegister(step, policy, pending, last, drafted(part));
         }
-        if (change instanceof Change.Propose propose && answer(propose) == Taken.BEGUN) {
-            return new Register(step.propose(), policy, Document.of(String.join("", draft.parts())), last, NO_DRAFT);
+        if (change instanceof PolicyChange.Propose propose && answer(propose) == Taken.BEGUN) {
+            return new PolicyRegister(step.propose(), policy, PolicyDocument.of(String.join("", draft.parts())), last, NO_DRAFT);
         }
-        if (change instanceof Change.Settle settle && step.both() && settle.step() == step.number()) {
-            return new Register(step.settle(), pending, null, new Ended(step.next(), null), draft);
+        if (change instanceof PolicyChange.Settle settle && step.both() && settle.step() == step.number()) {
+            return new PolicyRegister(step.settle(), pending, null, new Ended(step.next(), null), draft);
         }
-        if (change instanceof Change.Abort abort && step.both() && abort.step() == step.number()) {
-            return new Register(step.abort(), policy, null, new Ended(step.next(), abort.reason()), draft);
+        if (change instanceof PolicyChange.Abort abort && step.both() && abort.step() == step.number()) {
+            return new PolicyRegister(step.abort(), policy, null, new Ended(step.next(), abort.reason()), draft);
         }
         return this;
     }
 
-    private Draft drafted(Change.Part part) {
+    private Draft drafted(PolicyChange.Part part) {
         boolean same = draft.digest().equals(part.digest());
         if (part.number() == 0 && !(same && !draft.parts().isEmpty())) {
             return new Draft(part.digest(), List.of(part.text()));
@@ -57,8 +57,8 @@
     }
 
     /** What a proposal would meet now: the same text again is one change, and of two that follow the same one wins. */
-    public Taken answer(Change.Propose propose) {
-        Document newest = step.both() ? pending : policy;
+    public Taken answer(PolicyChange.Propose propose) {
+        PolicyDocument newest = step.both() ? pending : policy;
         if (newest.digest().equals(propose.digest())) {
             return Taken.SAME;
         }
@@ -66,12 +66,12 @@
             return Taken.CONFLICT;
         }
         boolean whole = draft.digest().equals(propose.digest())
-                && Document.of(String.join("", draft.parts())).digest().equals(propose.digest());
+                && PolicyDocument.of(String.join("", draft.parts())).digest().equals(propose.digest());
         return whole ? Taken.BEGUN : Taken.UNKNOWN;
     }
 
     /** A document that is in force or to come, by its digest, or null. */
-    public Document document(String digest) {
+    public PolicyDocument document(String digest) {
         return policy.digest().equals(digest) ? policy
                 : pending != null && pending.digest().equals(digest) ? pending : null;
     }
--- a/src/main/java/clovermill/controlplane/policystore/decide/Step.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyTransition.java
@@ -8,12 +8,12 @@
  * @param version what was in force before, or is in force alone
  * @param next what is to come, or {@link #NONE}
  */
-public record Step(long number, long version, long next) {
+public record PolicyTransition(long number, long version, long next) {
 
     /** No version. */
     public static final long NONE = -1;
     /** The first step: the empty policy. */
-    public static final Step FIRST = new Step(0, 0, NONE);
+    public static final PolicyTransition FIRST = new PolicyTransition(0, 0, NONE);
 
     /** Whether a change is under way. */
     public boolean both() {
@@ -21,17 +21,17 @@
     }
 
     /** The step in which a new version stands beside the present one. */
-    Step propose() {
-        return new Step(number + 1, version, number + 1);
+    PolicyTransition propose() {
+        return new PolicyTransition(number + 1, version, number + 1);
     }
 
     /** The step in which the new version stands alone. */
-    Step settle() {
-        return new Step(number + 1, next, NONE);
+    PolicyTransition settle() {
+        return new PolicyTransition(number + 1, next, NONE);
     }
 
     /** The step in which the version before stands alone again. */
-    Step abort() {
-        return new Step(number + 1, version, NONE);
+    PolicyTransition abort() {
+        return new PolicyTransition(number + 1, version, NONE);
     }
 }
--- a/src/main/java/clovermill/director/operations/PolicyDesk.java
+++ b/src/main/java/clovermill/director/operations/PolicyDesk.java
@@ -4,8 +4,8 @@
 import clovermill.controlplane.admin.decide.Reply;
 import clovermill.controlplane.policystore.PolicyStore;
 import clovermill.controlplane.policystore.PolicyView;
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
 import clovermill.runtime.net.Clock;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.json.JsonWriteFeature;
@@ -75,7 +75,7 @@
             return;
         }
         accord.want(call.get("follows").asLong(),
-                Document.of(call.get("policy").toString().chars().allMatch(c -> c < 128)
+                PolicyDocument.of(call.get("policy").toString().chars().allMatch(c -> c < 128)
                         ? call.get("policy").toString() : ascii(call.get("policy"))),
                 (taken, version) -> loop.execute(() -> reply.accept(answer(taken, version))));
     }
--- a/src/main/java/clovermill/simulation/emulator/policystore/AccordFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/AccordFleet.java
@@ -4,10 +4,10 @@
 import clovermill.controlplane.policystore.PolicyStoreTask;
 import clovermill.controlplane.policystore.PolicyTaskMessage;
 import clovermill.controlplane.policystore.PolicyView;
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Register.Taken;
-import clovermill.controlplane.policystore.decide.Step;
-import clovermill.controlplane.policystore.decide.Terms;
+import clovermill.controlplane.policystore.decide.LeaseTiming;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.PolicyTransition;
 import clovermill.simulation.emulator.world.World;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -45,7 +45,7 @@
     private final Case plan;
     private final World<PolicyTaskMessage> world;
     private final Random chance;
-    private final Terms terms;
+    private final LeaseTiming terms;
     private final List<MemoryRaftStorage> disks = new ArrayList<>();
     private final PolicyView[] views;
     private final long[] blindSinceUs;
@@ -60,7 +60,7 @@
 
     private AccordFleet(Case plan, long seed) {
         this.plan = plan;
-        this.terms = new Terms(plan.directors(), 5 * SECOND_US, SECOND_US, 0.01);
+        this.terms = new LeaseTiming(plan.directors(), 5 * SECOND_US, SECOND_US, 0.01);
         this.world = new World<>(plan.directors(), terms.drift(), seed);
         this.chance = new Random(seed * 31 + 7);
         this.views = new PolicyView[plan.directors()];
@@ -98,7 +98,7 @@
             world.run(at);
             look(at, at > calmFrom + 10 * SECOND_US);
         }
-        Step step = views[0].step();
+        PolicyTransition step = views[0].step();
         boolean agreed = step != null && IntStream.range(0, plan.directors()).allMatch(i -> step.equals(views[i].step())
                 && views[i].holds(world.machine(i).clock()));
         return new Figures(changes, settled, takenBack, faults, checker.broken(), checker.first(), commitMs,
@@ -124,7 +124,7 @@
             World<PolicyTaskMessage>.Machine machine = world.machine(i);
             boolean holds = machine.up() && views[i].holds(machine.clock());
             if (holds) {
-                Step step = views[i].step();
+                PolicyTransition step = views[i].step();
                 checker.acted(at, i, step.version(), step.next());
                 note(i + ":" + step + "@" + at);
             }
@@ -142,14 +142,14 @@
     private void change() {
         for (int calls = chance.nextInt(4) == 0 ? 2 : 1; calls > 0; calls--) {
             int at = chance.nextInt(plan.directors());
-            Step step = views[at].step();
+            PolicyTransition step = views[at].step();
             if (!world.machine(at).alive() || step == null) {
                 continue;
             }
             String text = "{\"change\":" + ++changes + (chance.nextInt(6) == 0 ? ",\"" + BAD + "\":1" : "")
                     + ",\"fill\":\"" + "x".repeat(chance.nextInt(3000)) + "\"}";
             long calledUs = world.nowUs();
-            Document policy = Document.of(text);
+            PolicyDocument policy = PolicyDocument.of(text);
             world.machine(at).hand(new PolicyTaskMessage.Wanted(step.version(), policy, (taken, version) -> {
                 note("wanted " + taken + " " + version);
                 if (taken == Taken.BEGUN || taken == Taken.SAME) {
@@ -163,7 +163,7 @@
         }
     }
 
-    private void follow(int at, Document policy, long calledUs) {
+    private void follow(int at, PolicyDocument policy, long calledUs) {
         PolicyView view = views[at];
         if (view.step() != null && !view.step().both() && view.policy().equals(policy)) {
             settled++;
--- a/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.controlplane.consensus.FileRaftStorage;
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Register.Taken;
-import clovermill.controlplane.policystore.decide.Terms;
+import clovermill.controlplane.policystore.decide.LeaseTiming;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
 import clovermill.runtime.task.Task;
 import clovermill.simulation.emulator.world.World;
 import clovermill.storage.FaultyVolume;
@@ -29,7 +29,7 @@
 
     private static final long SECOND_US = 1_000_000;
     private static final int VOTERS = 3;
-    private static final Terms TERMS = new Terms(VOTERS, 5 * SECOND_US, SECOND_US, 0.01);
+    private static final LeaseTiming TERMS = new LeaseTiming(VOTERS, 5 * SECOND_US, SECOND_US, 0.01);
 
     @TempDir
     private Path folder;
@@ -109,7 +109,7 @@
     }
 
     /** Hands a policy in; returns what became of it, as far as it is known within some seconds. */
-    private Taken want(int at, Document policy, long withinSeconds) {
+    private Taken want(int at, PolicyDocument policy, long withinSeconds) {
         Taken[] taken = {null};
         world.machine(at).hand(new PolicyTaskMessage.Wanted(views[at].step().version(), policy, (what, version) -> taken[0] = what));
         pass(withinSeconds);
@@ -121,7 +121,7 @@
         volumes.get(which).syncFails = !full && fails;
     }
 
-    private void allHold(Document policy) {
+    private void allHold(PolicyDocument policy) {
         assertThat(views).allSatisfy(view -> {
             assertThat(view.holds(world.nowUs())).isTrue();
             assertThat(view.policy()).isEqualTo(policy);
@@ -137,7 +137,7 @@
         assertThat(failing).isNotNegative();
         int other = (failing + 1) % VOTERS;
         fail(failing, full, true);
-        Document policy = Document.of("{\"a\":1}");
+        PolicyDocument policy = PolicyDocument.of("{\"a\":1}");
         assertThat(want(other, policy, 10)).isEqualTo(Taken.BEGUN);
         assertThat(files.get(failing).failed()).isTrue();
         assertThat(tasks[failing].leads()).isFalse();
@@ -154,12 +154,12 @@
     @ValueSource(booleans = {true, false})
     void withoutAMajorityOfDisksNothingIsAcknowledgedAndNothingIsForgotten(boolean full) {
         pass(5);
-        Document first = Document.of("{\"a\":1}");
+        PolicyDocument first = PolicyDocument.of("{\"a\":1}");
         assertThat(want(0, first, 10)).isEqualTo(Taken.BEGUN);
         allHold(first);
         fail(0, full, true);
         fail(1, full, true);
-        Document second = Document.of("{\"a\":2}");
+        PolicyDocument second = PolicyDocument.of("{\"a\":2}");
         assertThat(want(2, second, 10)).isNull();
         assertThat(views).allMatch(view -> view.policy().equals(first));
         fail(0, full, false);
@@ -189,10 +189,10 @@
     @Test
     void aVoterThatIsKilledWhileItsDiskFailsIsAVoterAgain() throws IOException {
         pass(5);
-        Document first = Document.of("{\"a\":1}");
+        PolicyDocument first = PolicyDocument.of("{\"a\":1}");
         assertThat(want(0, first, 10)).isEqualTo(Taken.BEGUN);
         fail(1, true, true);
-        Document second = Document.of("{\"a\":2}");
+        PolicyDocument second = PolicyDocument.of("{\"a\":2}");
         assertThat(want(0, second, 10)).isEqualTo(Taken.BEGUN);
         assertThat(files.get(1).failed()).isTrue();
         world.machine(1).kill();
--- a/src/test/java/clovermill/controlplane/policystore/FileDiskTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FileDiskTest.java
@@ -5,7 +5,7 @@
 
 import clovermill.controlplane.consensus.FileRaftStorage;
 import clovermill.controlplane.consensus.ReplicaId;
-import clovermill.controlplane.policystore.decide.Change;
+import clovermill.controlplane.policystore.decide.PolicyChange;
 import clovermill.storage.FaultyVolume;
 import clovermill.storage.Volume;
 import io.microraft.model.impl.DefaultRaftModelFactory;
@@ -46,7 +46,7 @@
                 .setVotingMembers(List.of(new ReplicaId(0, 0), new ReplicaId(1, 0))).build());
         for (int i = 1; i <= 40; i++) {
             disk.persistLogEntries(List.of(models.createLogEntryBuilder().setIndex(i).setTerm(1)
-                    .setOperation(new Change.Part("d", i, "x".repeat(900))).build()));
+                    .setOperation(new PolicyChange.Part("d", i, "x".repeat(900))).build()));
         }
         disk.truncateLogEntriesFrom(39);
         disk.persistAndFlushTerm(models.createRaftTermPersistentStateBuilder().setTerm(3)
--- a/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
@@ -4,9 +4,9 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import clovermill.controlplane.consensus.ReplicaId;
-import clovermill.controlplane.policystore.decide.Change;
-import clovermill.controlplane.policystore.decide.Register.Taken;
-import clovermill.controlplane.policystore.decide.Step;
+import clovermill.controlplane.policystore.decide.PolicyChange;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.PolicyTransition;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import java.nio.ByteBuffer;
 import java.util.List;
@@ -23,7 +23,7 @@
 
     private static List<PolicyMessage> letters() {
         return List.of(new PolicyMessage.Ask(1, 7, 8, -1, 3, "no such site"), new PolicyMessage.Ask(1, 7, 8, 5, -1, null),
-                new PolicyMessage.Grant(1, 7, 8, new Step(4, 2, 4), "aa", 1, "bb", 3, new TreeSet<>(Set.of(1, 900)), 5,
+                new PolicyMessage.Grant(1, 7, 8, new PolicyTransition(4, 2, 4), "aa", 1, "bb", 3, new TreeSet<>(Set.of(1, 900)), 5,
                         "late"),
                 new PolicyMessage.Elsewhere(1, -1, 3), new PolicyMessage.PartAsk(1, "ab", 2), new PolicyMessage.Part(1, "ab", 2, 4, "text"),
                 new PolicyMessage.Submit(1, 9, 2, "ab", 4), new PolicyMessage.Submitted(1, 9, Taken.CONFLICT, 4),
@@ -40,7 +40,7 @@
     @Test
     void theVotersOwnAreReadAsTheyWereWritten() throws Exception {
         var models = new DefaultRaftModelFactory();
-        var entry = models.createLogEntryBuilder().setIndex(5).setTerm(2).setOperation(new Change.Part("ab", 0,
+        var entry = models.createLogEntryBuilder().setIndex(5).setTerm(2).setOperation(new PolicyChange.Part("ab", 0,
                 "x")).build();
         var append = models.createAppendEntriesRequestBuilder().setGroupId(PolicyOperationCodec.GROUP)
                 .setSender(new ReplicaId(1, 0)).setTerm(2)
--- a/src/test/java/clovermill/controlplane/policystore/decide/LibraryTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/PolicyVersionsTest.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class LibraryTest {
+class PolicyVersionsTest {
 
-    private final Library library = new Library();
-    private final Document text = Document.of("x".repeat(2000));
+    private final PolicyVersions library = new PolicyVersions();
+    private final PolicyDocument text = PolicyDocument.of("x".repeat(2000));
 
     private void part(int number) {
         library.part(text.digest(), number, text.parts().get(number));
@@ -39,7 +39,7 @@
     void textsThatNobodyCompletesDoNotGather() {
         library.wanted(text.digest(), 3, 3);
         part(0);
-        for (int i = 0; i < Library.MOST_INCOMPLETE; i++) {
+        for (int i = 0; i < PolicyVersions.MOST_INCOMPLETE; i++) {
             library.wanted("other" + i, 1, 1);
         }
         part(1);
--- a/src/test/java/clovermill/controlplane/policystore/decide/StepSearch.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/StepSearch.java
@@ -24,19 +24,19 @@
         ANSWER_TO_AN_EARLIER_PROCESS, BACK_TO_AN_EARLIER_STEP, GRANT_OF_A_FORMER_LEADER, LEASE_KEPT_FOR_THE_NEXT_STEP
     }
 
-    private static final Document[] POLICIES = {Document.of("{\"a\":1}"), Document.of("{\"b\":1}")};
+    private static final PolicyDocument[] POLICIES = {PolicyDocument.of("{\"a\":1}"), PolicyDocument.of("{\"b\":1}")};
     private static final long MAX_AGE = 3;
 
     /** A question on its way, or, with a step, its answer; told apart by the process and by when it was asked. */
-    private record Message(int boot, long question, Step granted) {}
+    private record Message(int boot, long question, PolicyTransition granted) {}
 
     /** {@code confirms} are on their way to the leader, which has those of {@code confirmed} already. */
-    private record Director(int boot, Holder holder, List<Message> inFlight, Set<Long> confirms, long confirmed) {}
+    private record Director(int boot, LeaseHolder holder, List<Message> inFlight, Set<Long> confirms, long confirmed) {}
 
-    private record World(Register register, Step before, long overseen, long knownUs, List<Director> directors,
+    private record World(PolicyRegister register, PolicyTransition before, long overseen, long knownUs, List<Director> directors,
             int proposed, int aborts, int crashes, long highest) {}
 
-    private final Terms terms;
+    private final LeaseTiming terms;
     private final int inFlight;
     private final int changes;
     private final int mishaps;
@@ -51,7 +51,7 @@
     StepSearch(int directors, int inFlight, int changes, int mishaps, Breakage broken) {
         this.changes = changes;
         this.mishaps = mishaps;
-        this.terms = new Terms(directors, 2, 1, 0);
+        this.terms = new LeaseTiming(directors, 2, 1, 0);
         this.inFlight = inFlight;
         this.broken = broken;
     }
@@ -60,9 +60,9 @@
     String run() {
         List<Director> all = new ArrayList<>();
         for (int i = 0; i < terms.directors(); i++) {
-            all.add(new Director(0, Holder.EMPTY, List.of(), Set.of(), Step.NONE));
+            all.add(new Director(0, LeaseHolder.EMPTY, List.of(), Set.of(), PolicyTransition.NONE));
         }
-        reach(new World(Register.FIRST, Step.FIRST, 0, 0, all, 0, 0, 0, 0));
+        reach(new World(PolicyRegister.FIRST, PolicyTransition.FIRST, 0, 0, all, 0, 0, 0, 0));
         while (!todo.isEmpty() && violation == null) {
             expand(todo.poll());
         }
@@ -76,7 +76,7 @@
     private void reach(World w) {
         long highest = w.highest;
         for (Director director : w.directors) {
-            Step step = director.holder.step();
+            PolicyTransition step = director.holder.step();
             highest = director.holder.holds(0) && !step.both() ? Math.max(highest, step.version()) : highest;
         }
         List<Director> sorted = new ArrayList<>(w.directors);
@@ -101,7 +101,7 @@
         Set<Long> common = null;
         for (Director director : w.directors) {
             if (director.holder.holds(0)) {
-                Step step = director.holder.step();
+                PolicyTransition step = director.holder.step();
                 Set<Long> obeyed = new HashSet<>(List.of(step.version(), step.both() ? step.next() : step.version()));
                 if (obeyed.stream().allMatch(version -> version < w.highest)) {
                     violation = "older than " + w.highest + ": " + w;
@@ -119,17 +119,17 @@
     }
 
     private void expand(World w) {
-        Step step = w.register.step();
+        PolicyTransition step = w.register.step();
         reach(tick(w));
         if (w.proposed < changes && !step.both()) {
-            agreed(w, new Change.Propose(step.version(), POLICIES[w.proposed].digest()), w.proposed + 1, w.aborts);
+            agreed(w, new PolicyChange.Propose(step.version(), POLICIES[w.proposed].digest()), w.proposed + 1, w.aborts);
         }
         if (w.aborts < mishaps && step.both()) {
-            agreed(w, new Change.Abort(step.number(), "asked for"), w.proposed, 1);
+            agreed(w, new PolicyChange.Abort(step.number(), "asked for"), w.proposed, 1);
         }
         // Another voter leads: it knows of no confirmation, and learns of the step only now.
         List<Director> anew = w.directors.stream()
-                .map(d -> new Director(d.boot, d.holder, d.inFlight, d.confirms, Step.NONE)).toList();
+                .map(d -> new Director(d.boot, d.holder, d.inFlight, d.confirms, PolicyTransition.NONE)).toList();
         long knownUs = broken == Breakage.WAIT_FORGOTTEN_BY_THE_NEXT_LEADER ? -MAX_AGE : 0;
         reach(new World(w.register, w.before, step.number(), knownUs, anew, w.proposed, w.aborts, w.crashes,
                 w.highest));
@@ -139,7 +139,7 @@
                 confirmed.put(i, 0L);
             }
         }
-        Change due = new Overseer(w.overseen, w.knownUs, confirmed, null).due(w.register, terms, true,
+        PolicyChange due = new Coordinator(w.overseen, w.knownUs, confirmed, null).due(w.register, terms, true,
                 broken == Breakage.NO_WAIT_FOR_LEASES ? 99 : 0);
         if (due != null) {
             agreed(w, due, w.proposed, w.aborts);
@@ -151,12 +151,12 @@
         }
     }
 
-    private void agreed(World w, Change change, int proposed, int aborts) {
-        Register drafted = change instanceof Change.Propose propose ? w.register.after(new Change.Part(propose.digest(),
+    private void agreed(World w, PolicyChange change, int proposed, int aborts) {
+        PolicyRegister drafted = change instanceof PolicyChange.Propose propose ? w.register.after(new PolicyChange.Part(propose.digest(),
                 0, POLICIES[w.proposed].text())) : w.register;
-        Register after = drafted.after(change);
+        PolicyRegister after = drafted.after(change);
         if (broken == Breakage.BOTH_SKIPPED && after.step().both()) {
-            after = after.after(new Change.Settle(after.step().number()));
+            after = after.after(new PolicyChange.Settle(after.step().number()));
         }
         reach(new World(after, w.register.step(), after.step().number(), 0, w.directors, proposed, aborts, w.crashes,
                 w.highest));
@@ -176,7 +176,7 @@
                     w.crashes);
         }
         if (w.crashes == 0) {
-            with(w, i, new Director(d.boot + 1, Holder.EMPTY, d.inFlight, d.confirms, d.confirmed), 1);
+            with(w, i, new Director(d.boot + 1, LeaseHolder.EMPTY, d.inFlight, d.confirms, d.confirmed), 1);
         }
         for (Message message : Set.copyOf(d.inFlight)) {
             List<Message> rest = new ArrayList<>(d.inFlight);
@@ -189,7 +189,7 @@
                     answer(w, i, rest, message, w.before);
                 }
             } else if (message.boot == d.boot || broken == Breakage.ANSWER_TO_AN_EARLIER_PROCESS) {
-                Holder after = answered(d.holder, message);
+                LeaseHolder after = answered(d.holder, message);
                 Set<Long> confirms = new HashSet<>(d.confirms);
                 if (after != d.holder && after.step().both()) {
                     confirms.add(after.step().number());
@@ -201,38 +201,38 @@
     }
 
     /** A question whose answer can never come makes no difference any more. */
-    private static Holder forget(Holder holder, Message message) {
+    private static LeaseHolder forget(LeaseHolder holder, Message message) {
         Map<Long, Long> asked = new TreeMap<>(holder.asked());
         asked.remove(message.question);
-        return new Holder(holder.step(), holder.untilUs(), Map.copyOf(asked), holder.refused());
+        return new LeaseHolder(holder.step(), holder.untilUs(), Map.copyOf(asked), holder.refused());
     }
 
-    private void answer(World w, int i, List<Message> rest, Message asked, Step step) {
+    private void answer(World w, int i, List<Message> rest, Message asked, PolicyTransition step) {
         Director d = w.directors.get(i);
         with(w, i, message(d, d.holder, rest, new Message(asked.boot, asked.question, step)), w.crashes);
     }
 
-    private Holder answered(Holder holder, Message message) {
-        Holder asked = holder;
+    private LeaseHolder answered(LeaseHolder holder, Message message) {
+        LeaseHolder asked = holder;
         if (broken == Breakage.LEASE_FROM_THE_ANSWER && holder.asked().containsKey(message.question)) {
             asked = holder.asks(message.question, 0);
         } else if (broken == Breakage.ANSWER_TO_AN_EARLIER_PROCESS) {
             asked = holder.asks(message.question, holder.asked().getOrDefault(message.question, 0L));
         } else if (broken == Breakage.BACK_TO_AN_EARLIER_STEP) {
-            asked = new Holder(null, holder.untilUs(), holder.asked(), holder.refused());
+            asked = new LeaseHolder(null, holder.untilUs(), holder.asked(), holder.refused());
         }
-        Holder after = asked.granted(message.question, message.granted, terms);
+        LeaseHolder after = asked.granted(message.question, message.granted, terms);
         if (broken == Breakage.LEASE_KEPT_FOR_THE_NEXT_STEP && after != asked && holder.step() != null) {
-            after = new Holder(holder.step(), after.untilUs(), after.asked(), after.refused());
+            after = new LeaseHolder(holder.step(), after.untilUs(), after.asked(), after.refused());
         }
         return after == asked ? holder : after;
     }
 
-    private static Director message(Director d, Holder holder, List<Message> rest, Message one) {
+    private static Director message(Director d, LeaseHolder holder, List<Message> rest, Message one) {
         List<Message> all = new ArrayList<>(rest);
         all.add(one);
         all.sort(Comparator.comparing(Message::boot).thenComparing(Message::question)
-                .thenComparing(each -> each.granted == null ? Step.NONE : each.granted.number()));
+                .thenComparing(each -> each.granted == null ? PolicyTransition.NONE : each.granted.number()));
         return new Director(d.boot, holder, List.copyOf(all), d.confirms, d.confirmed);
     }
 
@@ -249,7 +249,7 @@
         for (Director d : w.directors) {
             Map<Long, Long> asked = new TreeMap<>();
             d.holder.asked().forEach((question, at) -> asked.put(question, Math.max(-MAX_AGE, at - 1)));
-            directors.add(new Director(d.boot, new Holder(d.holder.step(), Math.max(0, d.holder.untilUs() - 1),
+            directors.add(new Director(d.boot, new LeaseHolder(d.holder.step(), Math.max(0, d.holder.untilUs() - 1),
                     Map.copyOf(asked), d.holder.refused()), d.inFlight, d.confirms, d.confirmed));
         }
         return new World(w.register, w.before, w.overseen, Math.max(-MAX_AGE, w.knownUs - 1), directors, w.proposed,
--- a/src/test/java/clovermill/prove/capacity/StateProof.java
+++ b/src/test/java/clovermill/prove/capacity/StateProof.java
@@ -3,8 +3,8 @@
 import clovermill.config.Json;
 import clovermill.controlplane.discovery.DiscoveryEvents;
 import clovermill.controlplane.gossip.decide.GossipMember;
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Register;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister;
 import clovermill.prove.capacity.LineFit.Point;
 import clovermill.routing.stats.PurgeLog;
 import java.lang.reflect.Field;
@@ -305,8 +305,8 @@
 
     /** A policy text of the greatest length that the register takes. */
     private void policies() throws Exception {
-        double bytes = Heap.heldBy(() -> Document.of("x".repeat(Register.MOST_PARTS * Document.PART)));
-        file.add("policy", "", "", "largest", bytes / MB, 2, "MB", "one text of " + Register.MOST_PARTS
+        double bytes = Heap.heldBy(() -> PolicyDocument.of("x".repeat(PolicyRegister.MOST_PARTS * PolicyDocument.PART)));
+        file.add("policy", "", "", "largest", bytes / MB, 2, "MB", "one text of " + PolicyRegister.MOST_PARTS
                 + " parts; a change holds two");
     }
 }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -11,8 +11,8 @@
 import clovermill.controlplane.policystore.PolicyStoreSettings;
 import clovermill.controlplane.policystore.PolicyStoreTask;
 import clovermill.controlplane.policystore.PolicyView;
-import clovermill.controlplane.policystore.decide.Document;
-import clovermill.controlplane.policystore.decide.Register.Taken;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
@@ -107,6 +107,6 @@
 
     /** Hands in a policy as an operator at this director would. */
     void propose(long follows, String policy, BiConsumer<Taken, Long> done) {
-        accord.want(follows, Document.of(policy), done);
+        accord.want(follows, PolicyDocument.of(policy), done);
     }
 }
