--- a/src/main/java/clovermill/simulation/emulator/policystore/AccordFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
@@ -21,7 +21,7 @@
  * lose disks, and links are lost and cut. An {@link InvariantChecker} sees what each does by which version. One seed
  * gives one run.
  */
-public final class AccordFleet {
+public final class PolicyFleet {
 
     /**
      * A run: so many directors of which the first vote; an operator's change every so often; a fault every so often,
@@ -58,7 +58,7 @@
     private int faults;
     private long blindUs;
 
-    private AccordFleet(Case plan, long seed) {
+    private PolicyFleet(Case plan, long seed) {
         this.plan = plan;
         this.terms = new LeaseTiming(plan.directors(), 5 * SECOND_US, SECOND_US, 0.01);
         this.world = new World<>(plan.directors(), terms.drift(), seed);
@@ -73,7 +73,7 @@
 
     /** Plays a case. */
     public static Figures play(Case plan, long seed) {
-        return new AccordFleet(plan, seed).run();
+        return new PolicyFleet(plan, seed).run();
     }
 
     private void start(int i) {
--- a/src/test/java/clovermill/controlplane/policystore/AccordFleetTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/AccordFleetTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.simulation.emulator.policystore.AccordFleet.Case;
-import clovermill.simulation.emulator.policystore.AccordFleet.Figures;
-import clovermill.simulation.emulator.policystore.AccordFleet;
+import clovermill.simulation.emulator.policystore.PolicyFleet.Case;
+import clovermill.simulation.emulator.policystore.PolicyFleet.Figures;
+import clovermill.simulation.emulator.policystore.PolicyFleet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -17,7 +17,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 24, 30, 70, 225, 377})
     void onePolicyHoldsWhateverFailsAndTheFleetComesToAgreeAgain(long seed) {
-        Figures figures = AccordFleet.play(FAULTS, seed);
+        Figures figures = PolicyFleet.play(FAULTS, seed);
         assertThat(figures.first()).isNull();
         assertThat(figures.broken()).isZero();
         assertThat(figures.agreed()).isTrue();
@@ -27,13 +27,13 @@
 
     @Test
     void oneSeedGivesOneRun() {
-        assertThat(AccordFleet.play(FAULTS, 9)).isEqualTo(AccordFleet.play(FAULTS, 9));
-        assertThat(AccordFleet.play(FAULTS, 10).digest()).isNotEqualTo(AccordFleet.play(FAULTS, 9).digest());
+        assertThat(PolicyFleet.play(FAULTS, 9)).isEqualTo(PolicyFleet.play(FAULTS, 9));
+        assertThat(PolicyFleet.play(FAULTS, 10).digest()).isNotEqualTo(PolicyFleet.play(FAULTS, 9).digest());
     }
 
     @Test
     void withoutFaultsAChangeHoldsEverywhereWithinTwoSeconds() {
-        Figures figures = AccordFleet.play(new Case(9, 5, 100, 4, 0, 0), 5);
+        Figures figures = PolicyFleet.play(new Case(9, 5, 100, 4, 0, 0), 5);
         assertThat(figures.commitMs()).hasSizeGreaterThan(5).allMatch(ms -> ms <= 2000);
         assertThat(figures.blindMs()).isZero();
     }
--- a/src/test/java/clovermill/prove/AccordSimProof.java
+++ b/src/test/java/clovermill/prove/AccordSimProof.java
@@ -1,8 +1,8 @@
 package clovermill.prove;
 
-import clovermill.simulation.emulator.policystore.AccordFleet.Case;
-import clovermill.simulation.emulator.policystore.AccordFleet.Figures;
-import clovermill.simulation.emulator.policystore.AccordFleet;
+import clovermill.simulation.emulator.policystore.PolicyFleet.Case;
+import clovermill.simulation.emulator.policystore.PolicyFleet.Figures;
+import clovermill.simulation.emulator.policystore.PolicyFleet;
 import java.util.List;
 import java.util.stream.LongStream;
 
@@ -16,13 +16,13 @@
     public static void main(String[] args) {
         int seeds = Integer.getInteger("seeds", 1000);
         Case faults = new Case(10, 5, 150, 3, 2, 0.01);
-        List<Figures> runs = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> AccordFleet.play(faults,
+        List<Figures> runs = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> PolicyFleet.play(faults,
                 seed))
                 .toList();
         long broken = runs.stream().mapToLong(Figures::broken).sum();
         long half = runs.stream().filter(run -> !run.agreed()).count();
         List<Long> commits = runs.stream().flatMap(run -> run.commitMs().stream()).sorted().toList();
-        boolean again = AccordFleet.play(faults, 1).equals(runs.get(0));
+        boolean again = PolicyFleet.play(faults, 1).equals(runs.get(0));
         StringBuilder line = new StringBuilder("prove-accord-sim: directors=10 voters=5 seeds=" + seeds + " faults="
                 + runs.stream().mapToLong(Figures::faults).sum() + " changes="
                 + runs.stream().mapToLong(Figures::changes)
@@ -33,7 +33,7 @@
                 + " same_again=" + again);
         boolean holds = broken == 0 && half == 0 && again;
         for (int directors : new int[] {10, 100, 1000}) {
-            Figures calm = AccordFleet.play(new Case(directors, 5, 60, 4, 0, 0.01), 1);
+            Figures calm = PolicyFleet.play(new Case(directors, 5, 60, 4, 0, 0.01), 1);
             long most = calm.commitMs().stream().mapToLong(each -> each).max().orElse(-1);
             line.append(" calm_commit_ms_max_").append(directors).append('=').append(most).append(" datagrams_s_")
                     .append(directors).append('=').append(calm.sent() / 60);
