--- a/src/main/java/clovermill/director/Rehearsal.java
+++ b/src/main/java/clovermill/director/ClassDataArchiveRun.java
@@ -23,7 +23,7 @@
  * all played here too, so that the classes and lambdas that serving needs go into the archive that the JVM
  * writes at exit. Loading them anew made the first seconds of a director on a shared core slow.
  */
-final class Rehearsal {
+final class ClassDataArchiveRun {
 
     private static final int REQUESTS = 20;
     private static final long LONGEST_US = 20_000_000;
@@ -33,7 +33,7 @@
     private final Assembly director;
     private int answered;
 
-    private Rehearsal(Assembly director) {
+    private ClassDataArchiveRun(Assembly director) {
         this.director = director;
     }
 
@@ -48,7 +48,7 @@
             Assembly director = new Assembly(config, Path.of(file), clock, 0, null, null, null,
                     new Platform(null, anywhere, null), new StartupRetry(clock));
             director.open();
-            Rehearsal rehearsal = new Rehearsal(director);
+            ClassDataArchiveRun rehearsal = new ClassDataArchiveRun(director);
             InetSocketAddress front = new InetSocketAddress(InetAddress.getLoopbackAddress(), director.port());
             director.loop().connect(front, rehearsal.new Client()::over);
             director.loop().connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), director.adminPort()),
--- a/src/main/java/clovermill/director/Service.java
+++ b/src/main/java/clovermill/director/Service.java
@@ -99,7 +99,7 @@
     /** Part of the build: serves a few made-up requests with a director's configuration. */
     public static void rehearse(String file) throws BadStart, IOException {
         try {
-            Rehearsal.play(file);
+            ClassDataArchiveRun.play(file);
         } catch (Json.Malformed bad) {
             throw new BadStart("the configuration: " + bad.getMessage());
         }
--- a/src/test/java/clovermill/director/RehearsalTest.java
+++ b/src/test/java/clovermill/director/ClassDataArchiveRunTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-class RehearsalTest {
+class ClassDataArchiveRunTest {
 
     /** An archive from a rehearsal that reached nobody would lack the classes that serving needs. */
     @Test
     void everyRequestIsAnswered() throws Exception {
-        assertThat(Rehearsal.play("example/config.json")).isEqualTo(20);
+        assertThat(ClassDataArchiveRun.play("example/config.json")).isEqualTo(20);
     }
 }
