--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -26,7 +26,7 @@
 import clovermill.director.operations.PolicyDesk;
 import clovermill.director.operations.Sharing;
 import clovermill.director.reload.Retuning;
-import clovermill.director.shutdown.Departure;
+import clovermill.director.shutdown.GracefulShutdown;
 import clovermill.ledger.Ledger;
 import clovermill.ledger.LedgerSettings;
 import clovermill.routing.RequestRouter;
@@ -70,7 +70,7 @@
     /** Null where operators call nowhere. */
     private final AdminFront admin;
     private final InetSocketAddress adminAddress;
-    private final Departure departure;
+    private final GracefulShutdown departure;
     private final Reloader reloader;
     private final Ledger ledger;
     /** Null where this director is no member of a fleet. */
@@ -145,7 +145,7 @@
                 new Operations(roster, front, clock, marks, sharing == null ? () -> {} : sharing::catchUp),
                 policies[0]));
         Retuning retuning = new Retuning(config, clock, deadlines, host, front, channel);
-        departure = new Departure(loop, clock, deadlines, front, host, retuning::longestUs, platform.passed() != null);
+        departure = new GracefulShutdown(loop, clock, deadlines, front, host, retuning::longestUs, platform.passed() != null);
         reloader = new Reloader(file, clock, deadlines, config, retuning::take);
     }
 
--- a/src/main/java/clovermill/director/shutdown/Departure.java
+++ b/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
@@ -14,9 +14,9 @@
  * A planned end: clients are told to go and served meanwhile, each connection is closed when nothing is open on it, and
  * the loop stops when none is left, so that no client finds a socket of a process that is about to end.
  */
-public final class Departure {
+public final class GracefulShutdown {
 
-    private static final System.Logger LOG = System.getLogger(Departure.class.getName());
+    private static final System.Logger LOG = System.getLogger(GracefulShutdown.class.getName());
     private static final long CHECK_US = 10_000;
 
     private final EventLoop loop;
@@ -31,7 +31,7 @@
     private boolean cut;
 
     /** {@code longestUs} gives the longest deadline of a request; {@code handsOver} where another process follows. */
-    public Departure(EventLoop loop, Clock clock, Deadlines deadlines, Front front, Host host, LongSupplier longestUs,
+    public GracefulShutdown(EventLoop loop, Clock clock, Deadlines deadlines, Front front, Host host, LongSupplier longestUs,
             boolean handsOver) {
         this.longestUs = longestUs;
         this.handsOver = handsOver;
--- a/src/test/java/clovermill/director/shutdown/DepartureTest.java
+++ b/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
@@ -14,7 +14,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-class DepartureTest {
+class GracefulShutdownTest {
 
     private static final long STEP_US = 10_000;
     private static final long LONGEST_US = 3_000_000;
@@ -89,7 +89,7 @@
     @Test
     void aStepThatFailsDoesNotKeepTheProcessFromEnding() throws Exception {
         FailingFront front = new FailingFront();
-        Departure departure = new Departure(new EventLoop(clock, deadlines), clock, deadlines, front,
+        GracefulShutdown departure = new GracefulShutdown(new EventLoop(clock, deadlines), clock, deadlines, front,
                 host(clock, deadlines), () -> LONGEST_US, false);
         departure.begin();
         assertThatThrownBy(() -> {
