--- a/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
+++ b/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
@@ -2,7 +2,7 @@
 
 import clovermill.dataplane.proxy.Host;
 import clovermill.dataplane.server.Front;
-import clovermill.director.shutdown.decide.Farewell;
+import clovermill.director.shutdown.decide.ShutdownSequence;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
@@ -26,7 +26,7 @@
     private final LongSupplier longestUs;
     private final boolean handsOver;
     private final RecurringTask checking;
-    private Farewell farewell;
+    private ShutdownSequence farewell;
     private boolean shut;
     private boolean cut;
 
@@ -44,27 +44,27 @@
 
     /** Begins the end; once is enough. */
     public void begin() {
-        farewell = new Farewell(clock.micros(), longestUs.getAsLong(), handsOver);
+        farewell = new ShutdownSequence(clock.micros(), longestUs.getAsLong(), handsOver);
         front.leave();
         checking.start();
     }
 
     private void check() {
-        Farewell.Step step = farewell.at(clock.micros());
-        if (!shut && step.compareTo(Farewell.Step.ENDS_IDLE) >= 0) {
+        ShutdownSequence.Step step = farewell.at(clock.micros());
+        if (!shut && step.compareTo(ShutdownSequence.Step.ENDS_IDLE) >= 0) {
             shut = true;
             front.shut();
         }
-        if (step.compareTo(Farewell.Step.ANSWERS_ALL) >= 0) {
+        if (step.compareTo(ShutdownSequence.Step.ANSWERS_ALL) >= 0) {
             host.answerAll();
         }
-        if (!cut && step == Farewell.Step.CUTS_OFF) {
+        if (!cut && step == ShutdownSequence.Step.CUTS_OFF) {
             cut = true;
             LOG.log(Level.WARNING, "clients that do not read are cut off, {0} ms after the signal to leave",
                     Long.toString(farewell.mostUs() / 1000));
         }
         if (shut) {
-            front.part(step.compareTo(Farewell.Step.TURNS_AWAY) >= 0, cut);
+            front.part(step.compareTo(ShutdownSequence.Step.TURNS_AWAY) >= 0, cut);
         }
         if (front.empty() && (shut || handsOver)) {
             checking.stop();
--- a/src/main/java/clovermill/director/shutdown/decide/Farewell.java
+++ b/src/main/java/clovermill/director/shutdown/decide/ShutdownSequence.java
@@ -7,7 +7,7 @@
  * for as long as it is open, so that a moment with nothing open anywhere may never come: each connection is brought to
  * its own. Pure; times in microseconds.
  */
-public final class Farewell {
+public final class ShutdownSequence {
 
     /** What a front does with its clients; each step does all that the one before did. */
     public enum Step {
@@ -41,7 +41,7 @@
      * From a signal at {@code sinceUs}; requests are open for up to {@code longestUs}. Where another process takes
      * over, clients get most of the time to go by themselves: a close that crosses a request costs there.
      */
-    public Farewell(long sinceUs, long longestUs, boolean handsOver) {
+    public ShutdownSequence(long sinceUs, long longestUs, boolean handsOver) {
         this.sinceUs = sinceUs;
         long killUs = sinceUs + Math.min(longestUs, MOST_OPEN_US) + LINGER_US;
         answersAllUs = killUs - ANSWERS_BEFORE_KILL_US;
