--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -21,10 +21,10 @@
 import clovermill.dataplane.proxy.Host;
 import clovermill.dataplane.server.FrameFront;
 import clovermill.dataplane.upstream.CachePool;
-import clovermill.director.operations.Operations;
-import clovermill.director.operations.PeerOutages;
-import clovermill.director.operations.PolicyDesk;
-import clovermill.director.operations.Sharing;
+import clovermill.director.operations.GossipedOutages;
+import clovermill.director.operations.HandoverCoordinator;
+import clovermill.director.operations.OperatorActions;
+import clovermill.director.operations.PolicyEndpoint;
 import clovermill.director.reload.Retuning;
 import clovermill.director.shutdown.GracefulShutdown;
 import clovermill.ledger.Ledger;
@@ -66,7 +66,7 @@
     private final DiscoveryClient channel;
     private final FrameFront front;
     /** Null where this director never has more than one process. */
-    private final Sharing sharing;
+    private final HandoverCoordinator sharing;
     /** Null where operators call nowhere. */
     private final AdminFront admin;
     private final InetSocketAddress adminAddress;
@@ -120,16 +120,16 @@
         front = new FrameFront(loop, clock, deadlines, budget, host, settings, config.classes(),
                 new FrameFront.Terms(config.listen(), platform.passed(), shares.clients(false),
                         () -> roster.known() && clock.micros() >= settledUs && caughtUp.getAsBoolean()));
-        sharing = Sharing.open(platform.shared(), shares, clock, deadlines, roster, front, pool);
+        sharing = HandoverCoordinator.open(platform.shared(), shares, clock, deadlines, roster, front, pool);
         if (sharing != null) {
             sharing.start();
         }
         OutageMarks marks = sharing == null ? OutageMarks.NONE : sharing.marks();
         if (fleet != null) {
-            fleet.open(loop, new PeerOutages(roster, marks, clock));
-            marks = new PeerOutages.ReplicatedMarks(marks, fleet);
+            fleet.open(loop, new GossipedOutages(roster, marks, clock));
+            marks = new GossipedOutages.ReplicatedMarks(marks, fleet);
         }
-        PolicyDesk[] policies = {null};
+        PolicyEndpoint[] policies = {null};
         accord = agreed == null ? null : new PolicyStore(agreed, new PolicyStoreTask.Meaning(document -> placement.check(
                 document.text()), (one, other) -> placement.binding(one.text(), other.text())), clock, loop::post,
                 view -> {
@@ -139,10 +139,10 @@
                     }
                     policies[0].holds(view);
                 });
-        policies[0] = accord == null ? null : new PolicyDesk(accord, clock, loop::post);
+        policies[0] = accord == null ? null : new PolicyEndpoint(accord, clock, loop::post);
         adminAddress = platform.admin();
         admin = platform.admin() == null ? null : new AdminFront(loop, clock, deadlines, new Desk(
-                new Operations(roster, front, clock, marks, sharing == null ? () -> {} : sharing::catchUp),
+                new OperatorActions(roster, front, clock, marks, sharing == null ? () -> {} : sharing::catchUp),
                 policies[0]));
         Retuning retuning = new Retuning(config, clock, deadlines, host, front, channel);
         departure = new GracefulShutdown(loop, clock, deadlines, front, host, retuning::longestUs, platform.passed() != null);
--- a/src/main/java/clovermill/director/operations/Sharing.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -18,9 +18,9 @@
  * What the processes of one director have in common while one takes over from the other: the outages that operators
  * have called for, and the descriptors. Each looks at their folder a few times a second.
  */
-public final class Sharing {
+public final class HandoverCoordinator {
 
-    private static final System.Logger LOG = System.getLogger(Sharing.class.getName());
+    private static final System.Logger LOG = System.getLogger(HandoverCoordinator.class.getName());
     /** A fifth of the time in which nothing more may go to a cache that was taken out at the other process. */
     private static final long LOOK_US = 100_000;
 
@@ -35,10 +35,10 @@
     private ProcessRegistry.Others others = ProcessRegistry.Others.NONE;
 
     /** Shares by a folder; null if that is null, or, with a line in the log, if it cannot be used. */
-    public static Sharing open(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines,
+    public static HandoverCoordinator open(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines,
             EndpointRegistry roster, FrameFront front, CachePool pool) {
         try {
-            return folder == null ? null : new Sharing(folder, shares, clock, deadlines, roster, front, pool);
+            return folder == null ? null : new HandoverCoordinator(folder, shares, clock, deadlines, roster, front, pool);
         } catch (IOException unusable) {
             LOG.log(Level.WARNING, "TMPDIR cannot be used, so the next process will not know which caches are out: {0}",
                     unusable.toString());
@@ -46,7 +46,7 @@
         }
     }
 
-    private Sharing(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines, EndpointRegistry roster, FrameFront front,
+    private HandoverCoordinator(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines, EndpointRegistry roster, FrameFront front,
             CachePool pool) throws IOException {
         this.outages = new OutageFolder(folder, clock::micros);
         this.presence = ProcessRegistry.ofThisProcess(folder);
--- a/src/main/java/clovermill/director/operations/Operations.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -10,7 +10,7 @@
  * What operators can have done. A call to one process counts for its whole director: what the other one was told before
  * is taken over first, and what changes is marked before the answer.
  */
-public record Operations(EndpointRegistry roster, Front front, Clock clock, OutageMarks marks, Runnable catchUp)
+public record OperatorActions(EndpointRegistry roster, Front front, Clock clock, OutageMarks marks, Runnable catchUp)
         implements Desk.Director {
 
     @Override
--- a/src/main/java/clovermill/director/operations/PolicyDesk.java
+++ b/src/main/java/clovermill/director/operations/PolicyEndpoint.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 
 /** Operators' calls about the one policy: what holds, a change, taking a change back. On the loop's thread. */
-public final class PolicyDesk implements Desk.Policies {
+public final class PolicyEndpoint implements Desk.Policies {
 
     private static final JsonMapper JSON = JsonMapper.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
 
@@ -26,7 +26,7 @@
     private PolicyView view = PolicyView.NONE;
 
     /** Answers come on {@code loop}. */
-    public PolicyDesk(PolicyStore accord, Clock clock, Executor loop) {
+    public PolicyEndpoint(PolicyStore accord, Clock clock, Executor loop) {
         this.accord = accord;
         this.clock = clock;
         this.loop = loop;
