--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -25,7 +25,7 @@
 import clovermill.director.operations.HandoverCoordinator;
 import clovermill.director.operations.OperatorActions;
 import clovermill.director.operations.PolicyEndpoint;
-import clovermill.director.reload.Retuning;
+import clovermill.director.reload.SettingsReload;
 import clovermill.director.shutdown.GracefulShutdown;
 import clovermill.ledger.Ledger;
 import clovermill.ledger.LedgerSettings;
@@ -144,7 +144,7 @@
         admin = platform.admin() == null ? null : new AdminFront(loop, clock, deadlines, new Desk(
                 new OperatorActions(roster, front, clock, marks, sharing == null ? () -> {} : sharing::catchUp),
                 policies[0]));
-        Retuning retuning = new Retuning(config, clock, deadlines, host, front, channel);
+        SettingsReload retuning = new SettingsReload(config, clock, deadlines, host, front, channel);
         departure = new GracefulShutdown(loop, clock, deadlines, front, host, retuning::longestUs, platform.passed() != null);
         reloader = new Reloader(file, clock, deadlines, config, retuning::take);
     }
--- a/src/main/java/clovermill/director/reload/Retuning.java
+++ b/src/main/java/clovermill/director/reload/SettingsReload.java
@@ -13,9 +13,9 @@
 import java.util.Objects;
 
 /** Hands a new configuration to the parts that it concerns, while requests are in flight. */
-public final class Retuning {
+public final class SettingsReload {
 
-    private static final System.Logger LOG = System.getLogger(Retuning.class.getName());
+    private static final System.Logger LOG = System.getLogger(SettingsReload.class.getName());
 
     private final Clock clock;
     private final Deadlines deadlines;
@@ -27,7 +27,7 @@
     private Settings told;
     private Deadlines.Deadline settling;
 
-    public Retuning(Config start, Clock clock, Deadlines deadlines, Host host, FrameFront front,
+    public SettingsReload(Config start, Clock clock, Deadlines deadlines, Host host, FrameFront front,
             DiscoveryClient channel) {
         this.inForce = start;
         this.told = start.settings();
