--- a/src/main/java/clovermill/controlplane/admin/CallParser.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminRequestParser.java
@@ -11,7 +11,7 @@
  * Reads one request of HTTP/1.1 (RFC 9112), cut at whatever bytes: a request line, headers, and a body that is sized
  * or chunked. Whatever follows it is left alone, since a connection carries one call.
  */
-final class CallParser {
+final class AdminRequestParser {
 
     /** A request that cannot be read, with the status that says why. */
     static final class BadCall extends Exception {
--- a/src/main/java/clovermill/controlplane/admin/AdminFront.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminServer.java
@@ -20,9 +20,9 @@
 import java.util.Set;
 
 /** Listens where operators call, reads each connection's one call and writes its answer. */
-public final class AdminFront {
+public final class AdminServer {
 
-    private static final System.Logger LOG = System.getLogger(AdminFront.class.getName());
+    private static final System.Logger LOG = System.getLogger(AdminServer.class.getName());
     /** A call takes some milliseconds; one that is not whole by then is told so and let go. */
     private static final long PATIENCE_US = 4_000_000;
     /** So many callers may be connected; for a further one the caller that has been silent longest gives way. */
@@ -42,7 +42,7 @@
     private final Set<Caller> callers = new LinkedHashSet<>();
     private Listener listener;
 
-    public AdminFront(EventLoop loop, Clock clock, Deadlines deadlines, Desk desk) {
+    public AdminServer(EventLoop loop, Clock clock, Deadlines deadlines, Desk desk) {
         this.loop = loop;
         this.clock = clock;
         this.deadlines = deadlines;
@@ -66,7 +66,7 @@
     /** One connection, and the one call that comes on it. */
     private final class Caller implements Connection.Handler {
         private final Connection connection;
-        private final CallParser parser = new CallParser();
+        private final AdminRequestParser parser = new AdminRequestParser();
         private final Deadlines.Deadline patience;
         private boolean asked;
         private boolean answered;
@@ -98,7 +98,7 @@
                 } else if (parser.waitsToSend()) {
                     say("HTTP/1.1 100 Continue\r\n\r\n");
                 }
-            } catch (CallParser.BadCall bad) {
+            } catch (AdminRequestParser.BadCall bad) {
                 answer(new Reply(bad.status(), bad.getMessage()));
             }
             data.position(data.limit());
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -2,7 +2,7 @@
 
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.controlplane.admin.AdminFront;
+import clovermill.controlplane.admin.AdminServer;
 import clovermill.controlplane.admin.decide.Desk;
 import clovermill.controlplane.discovery.DiscoveryClient;
 import clovermill.controlplane.discovery.DiscoveryEvents;
@@ -68,7 +68,7 @@
     /** Null where this director never has more than one process. */
     private final HandoverCoordinator sharing;
     /** Null where operators call nowhere. */
-    private final AdminFront admin;
+    private final AdminServer admin;
     private final InetSocketAddress adminAddress;
     private final GracefulShutdown departure;
     private final Reloader reloader;
@@ -141,7 +141,7 @@
                 });
         policies[0] = accord == null ? null : new PolicyEndpoint(accord, clock, loop::post);
         adminAddress = platform.admin();
-        admin = platform.admin() == null ? null : new AdminFront(loop, clock, deadlines, new Desk(
+        admin = platform.admin() == null ? null : new AdminServer(loop, clock, deadlines, new Desk(
                 new OperatorActions(roster, front, clock, marks, sharing == null ? () -> {} : sharing::catchUp),
                 policies[0]));
         SettingsReload retuning = new SettingsReload(config, clock, deadlines, host, front, channel);
--- a/src/test/java/clovermill/controlplane/admin/CallParserTest.java
+++ b/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class CallParserTest {
+class AdminRequestParserTest {
 
     private static final String SIZED = "PUT /caches/disable?by=night HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n"
             + "{\"id\":\"s\"}";
@@ -20,7 +20,7 @@
             + "0123456789\r\n0\r\nTrailer: t\r\n\r\n";
 
     private static Splits.Parser parser(Consumer<String> told) {
-        CallParser parser = new CallParser();
+        AdminRequestParser parser = new AdminRequestParser();
         return data -> {
             Call call = parser.parse(data);
             if (call != null && data.limit() > 0) {
@@ -30,19 +30,19 @@
     }
 
     private static Call parse(String text) throws Exception {
-        return new CallParser().parse(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
+        return new AdminRequestParser().parse(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
     }
 
     @Test
     void aCallIsTheSameWhereverItIsCut() throws Exception {
         for (int cut = 0; cut < SIZED.length(); cut++) {
-            CallParser parser = new CallParser();
+            AdminRequestParser parser = new AdminRequestParser();
             assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(0, cut).getBytes()))).isNull();
             assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(cut).getBytes())))
                     .isEqualTo(new Call("PUT", "/caches/disable", "{\"id\":\"s\"}"));
         }
         for (int cut = 0; cut < CHUNKED.length(); cut++) {
-            CallParser parser = new CallParser();
+            AdminRequestParser parser = new AdminRequestParser();
             assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(0, cut).getBytes()))).isNull();
             assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(cut).getBytes())))
                     .isEqualTo(new Call("PUT", "/x", "abc0123456789"));
@@ -58,13 +58,13 @@
         "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
         "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n"})
     void whatCannotBeReadIsRefused(String text) {
-        assertThatThrownBy(() -> parse(text)).isInstanceOf(CallParser.BadCall.class);
+        assertThatThrownBy(() -> parse(text)).isInstanceOf(AdminRequestParser.BadCall.class);
     }
 
     @Test
     void aHeadWithoutEndIsRefusedAndJunkIsNoFault() {
         assertThatThrownBy(() -> parse("GET / HTTP/1.1\r\nA: " + "a".repeat(9000)))
-                .isInstanceOf(CallParser.BadCall.class);
-        Splits.junk(CHUNKED.getBytes(StandardCharsets.US_ASCII), CallParser.BadCall.class, CallParserTest::parser);
+                .isInstanceOf(AdminRequestParser.BadCall.class);
+        Splits.junk(CHUNKED.getBytes(StandardCharsets.US_ASCII), AdminRequestParser.BadCall.class, AdminRequestParserTest::parser);
     }
 }
