--- a/src/main/java/clovermill/controlplane/admin/AdminRequestParser.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminRequestParser.java
@@ -1,6 +1,6 @@
 package clovermill.controlplane.admin;
 
-import clovermill.controlplane.admin.decide.Call;
+import clovermill.controlplane.admin.decide.AdminRequest;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -51,7 +51,7 @@
     private boolean awaited;
 
     /** Takes bytes; returns the call once it is whole, else null. */
-    Call parse(ByteBuffer data) throws BadCall {
+    AdminRequest parse(ByteBuffer data) throws BadCall {
         while (data.hasRemaining() && state != State.DONE) {
             if (state == State.SIZED || state == State.CHUNK) {
                 byte[] part = new byte[Math.min(left, data.remaining())];
@@ -75,7 +75,7 @@
                 }
             }
         }
-        return state == State.DONE ? new Call(method, path, body.toString(StandardCharsets.UTF_8)) : null;
+        return state == State.DONE ? new AdminRequest(method, path, body.toString(StandardCharsets.UTF_8)) : null;
     }
 
     /** Whether the caller waits to be asked for its body (RFC 9110, 10.1.1); true once. */
--- a/src/main/java/clovermill/controlplane/admin/AdminServer.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminServer.java
@@ -2,9 +2,9 @@
 
 import static java.util.Map.entry;
 
-import clovermill.controlplane.admin.decide.Call;
-import clovermill.controlplane.admin.decide.Desk;
-import clovermill.controlplane.admin.decide.Reply;
+import clovermill.controlplane.admin.decide.AdminRequest;
+import clovermill.controlplane.admin.decide.AdminResponse;
+import clovermill.controlplane.admin.decide.AdminService;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Connection;
 import clovermill.runtime.net.Deadlines;
@@ -38,11 +38,11 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Deadlines deadlines;
-    private final Desk desk;
+    private final AdminService desk;
     private final Set<Caller> callers = new LinkedHashSet<>();
     private Listener listener;
 
-    public AdminServer(EventLoop loop, Clock clock, Deadlines deadlines, Desk desk) {
+    public AdminServer(EventLoop loop, Clock clock, Deadlines deadlines, AdminService desk) {
         this.loop = loop;
         this.clock = clock;
         this.deadlines = deadlines;
@@ -84,7 +84,7 @@
                 return;
             }
             try {
-                Call call = parser.parse(data);
+                AdminRequest call = parser.parse(data);
                 if (call != null) {
                     asked = true;
                     desk.answer(call, reply -> {
@@ -99,12 +99,12 @@
                     say("HTTP/1.1 100 Continue\r\n\r\n");
                 }
             } catch (AdminRequestParser.BadCall bad) {
-                answer(new Reply(bad.status(), bad.getMessage()));
+                answer(new AdminResponse(bad.status(), bad.getMessage()));
             }
             data.position(data.limit());
         }
 
-        private void answer(Reply reply) {
+        private void answer(AdminResponse reply) {
             answered = true;
             String body = reply.reason() + "\n";
             say("HTTP/1.1 " + reply.status() + " " + PHRASES.getOrDefault(reply.status(), "Error")
@@ -123,8 +123,8 @@
             if (answered) {
                 connection.close();
             } else {
-                answer(asked ? new Reply(504, "the voters have not answered: GET /policy tells what became of it")
-                        : new Reply(408, "the call was not whole in time"));
+                answer(asked ? new AdminResponse(504, "the voters have not answered: GET /policy tells what became of it")
+                        : new AdminResponse(408, "the call was not whole in time"));
             }
         }
 
@@ -134,7 +134,7 @@
             if (answered) {
                 connection.close();
             } else {
-                answer(new Reply(503, reason));
+                answer(new AdminResponse(503, reason));
             }
         }
 
@@ -142,7 +142,7 @@
         @Override
         public void ended() {
             if (!asked && !answered) {
-                answer(new Reply(400, "the call ended early"));
+                answer(new AdminResponse(400, "the call ended early"));
             }
         }
 
--- a/src/main/java/clovermill/controlplane/admin/decide/Call.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/AdminRequest.java
@@ -1,4 +1,4 @@
 package clovermill.controlplane.admin.decide;
 
 /** One call of an operator: the method and path of its request line, without any query, and its body. */
-public record Call(String method, String path, String body) {}
+public record AdminRequest(String method, String path, String body) {}
--- a/src/main/java/clovermill/controlplane/admin/decide/Desk.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /** Decides how the calls of operators are answered, and has done what they ask for. */
-public final class Desk {
+public final class AdminService {
 
     /** What can be asked of the director. */
     public interface Director {
@@ -25,26 +25,26 @@
     public interface Policies {
 
         /** What holds here. */
-        Reply show();
+        AdminResponse show();
 
         /** A change. */
-        void put(String body, Consumer<Reply> reply);
+        void put(String body, Consumer<AdminResponse> reply);
 
         /** The change that is under way is to be taken back. */
-        void drop(Consumer<Reply> reply);
+        void drop(Consumer<AdminResponse> reply);
     }
 
     private final Director director;
     private final Policies policies;
 
     /** {@code policies} is null where this director takes no part in a policy. */
-    public Desk(Director director, Policies policies) {
+    public AdminService(Director director, Policies policies) {
         this.director = director;
         this.policies = policies;
     }
 
     /** The one answer to a call goes to {@code reply}, maybe later. */
-    public void answer(Call call, Consumer<Reply> reply) {
+    public void answer(AdminRequest call, Consumer<AdminResponse> reply) {
         switch (policies == null ? "" : call.method() + " " + call.path()) {
             case "PUT /policy" -> policies.put(call.body(), reply);
             case "DELETE /policy/pending" -> policies.drop(reply);
@@ -53,31 +53,31 @@
         }
     }
 
-    private Reply answer(Call call) {
+    private AdminResponse answer(AdminRequest call) {
         return switch (policies == null && call.path().startsWith("/policy") ? "" : call.path()) {
             case "/policy" -> wrongMethod("GET, PUT");
             case "/policy/pending" -> wrongMethod("DELETE");
             case "/ready" -> !call.method().equals("GET") ? wrongMethod("GET")
-                    : director.ready() ? new Reply(200, "ready") : new Reply(503, "this process cannot serve");
+                    : director.ready() ? new AdminResponse(200, "ready") : new AdminResponse(503, "this process cannot serve");
             case "/caches/disable" -> !call.method().equals("PUT") ? wrongMethod("PUT") : change(call, true);
             case "/caches/enable" -> !call.method().equals("PUT") ? wrongMethod("PUT") : change(call, false);
-            default -> new Reply(404, "no such call");
+            default -> new AdminResponse(404, "no such call");
         };
     }
 
-    private static Reply wrongMethod(String allow) {
-        return new Reply(405, "this call is made with " + allow, allow);
+    private static AdminResponse wrongMethod(String allow) {
+        return new AdminResponse(405, "this call is made with " + allow, allow);
     }
 
-    private Reply change(Call call, boolean out) {
+    private AdminResponse change(AdminRequest call, boolean out) {
         String id;
         try {
             id = Json.string(Json.object(Json.parse(call.body())), "id");
         } catch (Json.Malformed malformed) {
-            return new Reply(400, "body: " + malformed.getMessage());
+            return new AdminResponse(400, "body: " + malformed.getMessage());
         }
         boolean known = out ? director.takeOut(id) : director.putBack(id);
-        return !known ? new Reply(404, "id: no cache is known by that id")
-                : new Reply(200, out ? "nothing more goes to it" : "it may serve again");
+        return !known ? new AdminResponse(404, "id: no cache is known by that id")
+                : new AdminResponse(200, out ? "nothing more goes to it" : "it may serve again");
     }
 }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -3,7 +3,7 @@
 import clovermill.config.Config;
 import clovermill.config.Json;
 import clovermill.controlplane.admin.AdminServer;
-import clovermill.controlplane.admin.decide.Desk;
+import clovermill.controlplane.admin.decide.AdminService;
 import clovermill.controlplane.discovery.DiscoveryClient;
 import clovermill.controlplane.discovery.DiscoveryEvents;
 import clovermill.controlplane.discovery.EndpointRegistry;
@@ -141,7 +141,7 @@
                 });
         policies[0] = accord == null ? null : new PolicyEndpoint(accord, clock, loop::post);
         adminAddress = platform.admin();
-        admin = platform.admin() == null ? null : new AdminServer(loop, clock, deadlines, new Desk(
+        admin = platform.admin() == null ? null : new AdminServer(loop, clock, deadlines, new AdminService(
                 new OperatorActions(roster, front, clock, marks, sharing == null ? () -> {} : sharing::catchUp),
                 policies[0]));
         SettingsReload retuning = new SettingsReload(config, clock, deadlines, host, front, channel);
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -1,6 +1,6 @@
 package clovermill.director.operations;
 
-import clovermill.controlplane.admin.decide.Desk;
+import clovermill.controlplane.admin.decide.AdminService;
 import clovermill.controlplane.discovery.EndpointRegistry;
 import clovermill.controlplane.outage.OutageMarks;
 import clovermill.dataplane.server.Front;
@@ -11,7 +11,7 @@
  * is taken over first, and what changes is marked before the answer.
  */
 public record OperatorActions(EndpointRegistry roster, Front front, Clock clock, OutageMarks marks, Runnable catchUp)
-        implements Desk.Director {
+        implements AdminService.Director {
 
     @Override
     public boolean ready() {
--- a/src/main/java/clovermill/director/operations/PolicyEndpoint.java
+++ b/src/main/java/clovermill/director/operations/PolicyEndpoint.java
@@ -1,7 +1,7 @@
 package clovermill.director.operations;
 
-import clovermill.controlplane.admin.decide.Desk;
-import clovermill.controlplane.admin.decide.Reply;
+import clovermill.controlplane.admin.decide.AdminResponse;
+import clovermill.controlplane.admin.decide.AdminService;
 import clovermill.controlplane.policystore.PolicyStore;
 import clovermill.controlplane.policystore.PolicyView;
 import clovermill.controlplane.policystore.decide.PolicyDocument;
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 
 /** Operators' calls about the one policy: what holds, a change, taking a change back. On the loop's thread. */
-public final class PolicyEndpoint implements Desk.Policies {
+public final class PolicyEndpoint implements AdminService.Policies {
 
     private static final JsonMapper JSON = JsonMapper.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
 
@@ -38,9 +38,9 @@
     }
 
     @Override
-    public Reply show() {
+    public AdminResponse show() {
         if (view.step() == null) {
-            return new Reply(503, "this director has not learned of the policy yet");
+            return new AdminResponse(503, "this director has not learned of the policy yet");
         }
         try {
             ObjectNode answer = JSON.createObjectNode().put("version", view.step().version())
@@ -55,23 +55,23 @@
             if (view.lastReason() != null) {
                 answer.put("last_taken_back", view.lastReason());
             }
-            return new Reply(200, JSON.writeValueAsString(answer));
+            return new AdminResponse(200, JSON.writeValueAsString(answer));
         } catch (JsonProcessingException impossible) {
             throw new IllegalStateException(impossible);
         }
     }
 
     @Override
-    public void put(String body, Consumer<Reply> reply) {
+    public void put(String body, Consumer<AdminResponse> reply) {
         JsonNode call;
         try {
             call = JSON.readTree(body);
         } catch (JsonProcessingException bad) {
-            reply.accept(new Reply(400, "body: " + bad.getOriginalMessage()));
+            reply.accept(new AdminResponse(400, "body: " + bad.getOriginalMessage()));
             return;
         }
         if (call == null || !call.path("follows").isIntegralNumber() || !call.path("policy").isObject()) {
-            reply.accept(new Reply(400, "body: {\"follows\": VERSION, \"policy\": {...}} is wanted"));
+            reply.accept(new AdminResponse(400, "body: {\"follows\": VERSION, \"policy\": {...}} is wanted"));
             return;
         }
         accord.want(call.get("follows").asLong(),
@@ -88,16 +88,16 @@
         }
     }
 
-    private static Reply answer(Taken taken, long version) {
-        return taken == null ? new Reply(503, "too many calls wait for the voters")
-                : taken == Taken.CONFLICT ? new Reply(409, "another change came first: version " + version)
-                : new Reply(202, "{\"version\":" + version + "}");
+    private static AdminResponse answer(Taken taken, long version) {
+        return taken == null ? new AdminResponse(503, "too many calls wait for the voters")
+                : taken == Taken.CONFLICT ? new AdminResponse(409, "another change came first: version " + version)
+                : new AdminResponse(202, "{\"version\":" + version + "}");
     }
 
     @Override
-    public void drop(Consumer<Reply> reply) {
+    public void drop(Consumer<AdminResponse> reply) {
         if (view.step() == null || !view.step().both()) {
-            reply.accept(new Reply(409, "no change is under way"));
+            reply.accept(new AdminResponse(409, "no change is under way"));
             return;
         }
         accord.want(view.step().next(), null, (taken, version) -> loop.execute(() -> reply.accept(answer(taken,
--- a/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
+++ b/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.controlplane.admin.decide.Call;
+import clovermill.controlplane.admin.decide.AdminRequest;
 import clovermill.routing.Splits;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -22,14 +22,14 @@
     private static Splits.Parser parser(Consumer<String> told) {
         AdminRequestParser parser = new AdminRequestParser();
         return data -> {
-            Call call = parser.parse(data);
+            AdminRequest call = parser.parse(data);
             if (call != null && data.limit() > 0) {
                 told.accept(call.method() + " " + call.path() + " " + call.body());
             }
         };
     }
 
-    private static Call parse(String text) throws Exception {
+    private static AdminRequest parse(String text) throws Exception {
         return new AdminRequestParser().parse(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
     }
 
@@ -39,15 +39,15 @@
             AdminRequestParser parser = new AdminRequestParser();
             assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(0, cut).getBytes()))).isNull();
             assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(cut).getBytes())))
-                    .isEqualTo(new Call("PUT", "/caches/disable", "{\"id\":\"s\"}"));
+                    .isEqualTo(new AdminRequest("PUT", "/caches/disable", "{\"id\":\"s\"}"));
         }
         for (int cut = 0; cut < CHUNKED.length(); cut++) {
             AdminRequestParser parser = new AdminRequestParser();
             assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(0, cut).getBytes()))).isNull();
             assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(cut).getBytes())))
-                    .isEqualTo(new Call("PUT", "/x", "abc0123456789"));
+                    .isEqualTo(new AdminRequest("PUT", "/x", "abc0123456789"));
         }
-        assertThat(parse("GET /ready HTTP/1.0\r\n\r\n")).isEqualTo(new Call("GET", "/ready", ""));
+        assertThat(parse("GET /ready HTTP/1.0\r\n\r\n")).isEqualTo(new AdminRequest("GET", "/ready", ""));
     }
 
     @ParameterizedTest
