--- a/src/main/java/clovermill/controlplane/reload/Reloader.java
+++ b/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
@@ -18,9 +18,9 @@
  * taken; where the signal cannot come that span never ends. Runs on the loop, a look costs one call for the
  * file's attributes.
  */
-public final class Reloader {
+public final class ConfigReloader {
 
-    private static final System.Logger LOG = System.getLogger(Reloader.class.getName());
+    private static final System.Logger LOG = System.getLogger(ConfigReloader.class.getName());
     /** An eighth of the time after which what the new channel tells counts as told; see below. */
     static final long LOOK_US = 500_000;
     /** The rules count a new channel's events as told 4 s after the signal; what comes later needs a new one. */
@@ -44,12 +44,12 @@
     }
 
     /** {@code taker} gets each configuration that is whole; the file as it is now counts as known. */
-    public Reloader(Path file, Clock clock, Deadlines deadlines, Config inForce, Taker taker) {
+    public ConfigReloader(Path file, Clock clock, Deadlines deadlines, Config inForce, Taker taker) {
         this(file, () -> Files.readString(file), clock, deadlines, inForce, taker);
     }
 
     /** As above, with the text of the file from {@code source}. */
-    Reloader(Path file, Config.Source source, Clock clock, Deadlines deadlines, Config inForce, Taker taker) {
+    ConfigReloader(Path file, Config.Source source, Clock clock, Deadlines deadlines, Config inForce, Taker taker) {
         this.file = file;
         this.source = source;
         this.clock = clock;
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -16,7 +16,7 @@
 import clovermill.controlplane.policystore.PolicyStore;
 import clovermill.controlplane.policystore.PolicyStoreSettings;
 import clovermill.controlplane.policystore.PolicyStoreTask;
-import clovermill.controlplane.reload.Reloader;
+import clovermill.controlplane.reload.ConfigReloader;
 import clovermill.dataplane.proxy.Audit;
 import clovermill.dataplane.proxy.Host;
 import clovermill.dataplane.server.FrameFront;
@@ -71,7 +71,7 @@
     private final AdminServer admin;
     private final InetSocketAddress adminAddress;
     private final GracefulShutdown departure;
-    private final Reloader reloader;
+    private final ConfigReloader reloader;
     private final Ledger ledger;
     /** Null where this director is no member of a fleet. */
     private final GossipService fleet;
@@ -146,7 +146,7 @@
                 policies[0]));
         SettingsReload retuning = new SettingsReload(config, clock, deadlines, host, front, channel);
         departure = new GracefulShutdown(loop, clock, deadlines, front, host, retuning::longestUs, platform.passed() != null);
-        reloader = new Reloader(file, clock, deadlines, config, retuning::take);
+        reloader = new ConfigReloader(file, clock, deadlines, config, retuning::take);
     }
 
     EventLoop loop() {
@@ -195,7 +195,7 @@
     }
 
     /** Takes new configurations in. */
-    Reloader reloader() {
+    ConfigReloader reloader() {
         return reloader;
     }
 
--- a/src/test/java/clovermill/controlplane/reload/ReloaderTest.java
+++ b/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ReloaderTest {
+class ConfigReloaderTest {
 
     @TempDir
     private Path folder;
@@ -41,7 +41,7 @@
     }
 
     private void look() {
-        nowUs += Reloader.LOOK_US;
+        nowUs += ConfigReloader.LOOK_US;
         deadlines.sweep(nowUs);
     }
 
@@ -50,7 +50,7 @@
     void aConfigurationThatCannotBeTakenDoesNotEndTheWatchOnItsFile() throws Exception {
         Path file = write("first");
         List<String> taken = new ArrayList<>();
-        Reloader reloader = new Reloader(file, clock, deadlines, Config.load(file.toString(), null), config -> {
+        ConfigReloader reloader = new ConfigReloader(file, clock, deadlines, Config.load(file.toString(), null), config -> {
             if (config.name().equals("second-file")) {
                 throw new IllegalStateException("cannot be taken");
             }
@@ -70,7 +70,7 @@
         Path file = write("first");
         List<String> taken = new ArrayList<>();
         int[] failures = {10};
-        Reloader reloader = new Reloader(file, () -> {
+        ConfigReloader reloader = new ConfigReloader(file, () -> {
             if (failures[0]-- > 0) {
                 throw new IOException("Too many open files");
             }
