--- a/src/main/java/clovermill/controlplane/reload/decide/Classes.java
+++ b/src/main/java/clovermill/controlplane/reload/decide/RequestClassRegistry.java
@@ -17,7 +17,7 @@
  * new terms both allow, a request may be attempted only as often as both allow, and one that is dropped is still taken.
  * Not thread-safe.
  */
-public final class Classes {
+public final class RequestClassRegistry {
 
     /** Clients name new classes 1.2 s after the signal; the rest is for what is on its way. */
     public static final long OVERLAP_US = 2_000_000;
@@ -35,7 +35,7 @@
     private boolean overlaps;
 
     /** The classes of the start, numbered as they stand, and how often a request may be attempted. */
-    public Classes(List<String> names, List<RequestClass> terms, int attempts) {
+    public RequestClassRegistry(List<String> names, List<RequestClass> terms, int attempts) {
         this.names.addAll(names);
         this.terms.addAll(terms);
         this.wanted = List.copyOf(names);
--- a/src/main/java/clovermill/director/reload/SettingsReload.java
+++ b/src/main/java/clovermill/director/reload/SettingsReload.java
@@ -3,7 +3,7 @@
 import clovermill.config.Config;
 import clovermill.config.Json;
 import clovermill.controlplane.discovery.DiscoveryClient;
-import clovermill.controlplane.reload.decide.Classes;
+import clovermill.controlplane.reload.decide.RequestClassRegistry;
 import clovermill.dataplane.proxy.Host;
 import clovermill.dataplane.server.FrameFront;
 import clovermill.routing.api.Settings;
@@ -22,7 +22,7 @@
     private final Host host;
     private final FrameFront front;
     private final DiscoveryClient channel;
-    private final Classes classes;
+    private final RequestClassRegistry classes;
     private Config inForce;
     private Settings told;
     private Deadlines.Deadline settling;
@@ -36,7 +36,7 @@
         this.host = host;
         this.front = front;
         this.channel = channel;
-        this.classes = new Classes(start.classes(), told.classes(), told.allowed().maxAttempts());
+        this.classes = new RequestClassRegistry(start.classes(), told.classes(), told.allowed().maxAttempts());
     }
 
     /**
@@ -66,7 +66,7 @@
         classes.change(next.classes(), next.settings().classes(), next.settings().allowed().maxAttempts());
         tell();
         deadlines.cancel(settling);
-        settling = deadlines.add(clock.micros() + Classes.OVERLAP_US, () -> {
+        settling = deadlines.add(clock.micros() + RequestClassRegistry.OVERLAP_US, () -> {
             classes.settle();
             tell();
         });
--- a/src/test/java/clovermill/controlplane/reload/decide/ClassesTest.java
+++ b/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class ClassesTest {
+class RequestClassRegistryTest {
 
     private static final Permissions TOLD = new Permissions(true, true, true, true, true, false, 99, 1000, 0);
 
@@ -27,7 +27,7 @@
     @Property(tries = 200)
     void aNameKeepsItsNumber(
             @ForAll @Size(max = 12) List<@Size(min = 1, max = 5) List<@IntRange(max = 7) Integer>> changes) {
-        Classes classes = new Classes(List.of("c0"), List.of(with(Effect.IDEMPOTENT, 1000, 0, 0)), 8);
+        RequestClassRegistry classes = new RequestClassRegistry(List.of("c0"), List.of(with(Effect.IDEMPOTENT, 1000, 0, 0)), 8);
         List<String> numbers = new ArrayList<>(List.of("c0"));
         for (int i = 0; i < changes.size(); i++) {
             List<String> names = changes.get(i).stream().distinct().map(n -> "c" + n).toList();
@@ -50,7 +50,7 @@
 
     @Test
     void bothTheOldAndTheNewTermsBindForAWhile() {
-        Classes classes = new Classes(List.of("a", "b"), List.of(with(Effect.DEDUPLICATED, 3000, 500, 0),
+        RequestClassRegistry classes = new RequestClassRegistry(List.of("a", "b"), List.of(with(Effect.DEDUPLICATED, 3000, 500, 0),
                 with(Effect.IDEMPOTENT, 1000, 0, 20)), 2);
         classes.change(List.of("b", "a"), List.of(with(Effect.AT_MOST_ONCE, 2000, 0, 0),
                 with(Effect.IDEMPOTENT, 1000, 900, 30)), 8);
@@ -66,7 +66,7 @@
     /** The platform's kill follows it. */
     @Test
     void theLongestDeadlineIsTheShorterOfBothForAWhileAndThatOfTheNewTermsThen() {
-        Classes classes = new Classes(List.of("a", "b"), List.of(with(Effect.IDEMPOTENT, 3000, 0, 0),
+        RequestClassRegistry classes = new RequestClassRegistry(List.of("a", "b"), List.of(with(Effect.IDEMPOTENT, 3000, 0, 0),
                 with(Effect.IDEMPOTENT, 1000, 0, 0)), 2);
         assertThat(classes.longestDeadlineUs()).isEqualTo(3000);
         classes.change(List.of("b"), List.of(with(Effect.IDEMPOTENT, 2000, 0, 0)), 2);
@@ -83,7 +83,7 @@
         for (int i = 0; i < 255; i++) {
             many.add("c" + i);
         }
-        Classes classes = new Classes(List.of("c0"), List.of(with(Effect.IDEMPOTENT, 1, 0, 0)), 1);
+        RequestClassRegistry classes = new RequestClassRegistry(List.of("c0"), List.of(with(Effect.IDEMPOTENT, 1, 0, 0)), 1);
         assertThat(classes.hasRoomFor(many)).isTrue();
         many.add("one more");
         assertThat(classes.hasRoomFor(many)).isFalse();
