--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -2,7 +2,7 @@
 
 import clovermill.controlplane.discovery.DiscoveryEvents.Entry;
 import clovermill.controlplane.outage.OutageRegistry;
-import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.upstream.CachePool;
 import clovermill.routing.api.Availability;
 import clovermill.routing.api.ListScope;
@@ -33,7 +33,7 @@
     private boolean marksRead;
     private final Clock clock;
     private final CachePool pool;
-    private final Host host;
+    private final ProxyCore host;
     private final OutageRegistry outages;
     private final int originKind;
     /** Caches that were listed at some time: one that is gone just now may still be taken out or put back. */
@@ -47,7 +47,7 @@
     };
 
     /** {@code originKind} is the kind of the origin, which is no cache; caches that are out count as draining. */
-    public EndpointRegistry(Clock clock, CachePool pool, Host host, OutageRegistry outages, int originKind) {
+    public EndpointRegistry(Clock clock, CachePool pool, ProxyCore host, OutageRegistry outages, int originKind) {
         this.clock = clock;
         this.pool = pool;
         this.host = host;
--- a/src/main/java/clovermill/controlplane/gossip/GossipService.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipService.java
@@ -5,9 +5,9 @@
 import clovermill.controlplane.gossip.decide.GossipMessage;
 import clovermill.controlplane.gossip.decide.LimitShare;
 import clovermill.controlplane.gossip.decide.ReplicatedEntry;
-import clovermill.dataplane.proxy.Ask;
-import clovermill.dataplane.proxy.Audit;
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.UsageListener;
+import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.routing.api.Members;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Datagrams;
@@ -27,7 +27,7 @@
  * This director as a member of its fleet: owns the UDP socket and the {@link GossipMember}, calls it once an interval,
  * and refuses requests beyond the fleet's limits. All on the loop's thread.
  */
-public final class GossipService implements Audit {
+public final class GossipService implements UsageListener {
 
     private static final System.Logger LOG = System.getLogger(GossipService.class.getName());
     /** Ignored datagrams are logged at most this often. */
@@ -45,7 +45,7 @@
     private final List<InetSocketAddress> addresses;
     private final List<GossipSettings.Limit> limits;
     private final long slackUs;
-    private final Audit next;
+    private final UsageListener next;
     private Datagrams socket;
     private BiConsumer<String, Boolean> outageHandler = (id, out) -> {};
     private boolean waitingForSocket;
@@ -57,7 +57,7 @@
      * ended {@code slackUs} after its client has given up, at the latest.
      */
     public GossipService(GossipSettings settings, List<String> classes, long slackUs, Clock clock, Deadlines deadlines,
-            Audit next) {
+            UsageListener next) {
         settings.check(classes);
         this.clock = clock;
         this.deadlines = deadlines;
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public long turnsAway(Ask ask) {
+    public long turnsAway(ClientRequest ask) {
         long first = next == null ? TAKEN : next.turnsAway(ask);
         long now = clock.micros();
         for (int i = 0; first == TAKEN && i < limits.size(); i++) {
@@ -160,7 +160,7 @@
     }
 
     /** A request that was admitted under the first so many limits has ended, or never began. */
-    private void release(Ask ask, int count) {
+    private void release(ClientRequest ask, int count) {
         for (int i = 0; i < count; i++) {
             if (appliesTo(limits.get(i), ask)) {
                 member.share(i).release();
@@ -168,7 +168,7 @@
         }
     }
 
-    private static boolean appliesTo(GossipSettings.Limit limit, Ask ask) {
+    private static boolean appliesTo(GossipSettings.Limit limit, ClientRequest ask) {
         return (limit.requestClass() == null || limit.requestClass().equals(ask.className()))
                 && (limit.groups() == null || ask.group() >= limit.groups().get(0)
                         && ask.group() <= limit.groups().get(1))
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public void ended(Usage usage) {
+    public void ended(UsageRecord usage) {
         if (usage.admitted()) {
             release(usage.ask(), limits.size());
         }
--- a/src/main/java/clovermill/controlplane/placement/Placement.java
+++ b/src/main/java/clovermill/controlplane/placement/Placement.java
@@ -2,10 +2,10 @@
 
 import clovermill.config.Json;
 import clovermill.controlplane.placement.decide.PlacementRules;
-import clovermill.dataplane.proxy.Ask;
-import clovermill.dataplane.proxy.Audit;
 import clovermill.dataplane.proxy.Bounds;
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.UsageListener;
+import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.routing.api.Availability;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
@@ -21,7 +21,7 @@
  * The policy in force at this director, as far as it says where data may be: turns away at once what it binds and
  * nobody may serve, and tells of any member whether an attempt may meet it at this very moment. On the loop's thread.
  */
-public final class Placement implements Audit, Bounds {
+public final class Placement implements UsageListener, Bounds {
 
     /** A lease is back within a moment, or not for long. */
     private static final long AFTER_MS = 200;
@@ -34,7 +34,7 @@
     private final List<String> zones;
     private final List<String> classes;
     private final boolean allBound;
-    private final Audit next;
+    private final UsageListener next;
     private final Map<String, Member> members = new HashMap<>();
     private final Map<String, PlacementRules> read = new HashMap<>();
     private InForce inForce;
@@ -43,7 +43,7 @@
      * {@code allBound} if nothing at all is served without a lease; {@code next} hears of all requests too, or null.
      */
     public Placement(Clock clock, Settings settings, List<String> zones, List<String> classes, boolean allBound,
-            Audit next) {
+            UsageListener next) {
         this.clock = clock;
         this.settings = settings;
         this.zones = zones;
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public long turnsAway(Ask ask) {
+    public long turnsAway(ClientRequest ask) {
         if (inForce == null || allBound && !leased()) {
             return AFTER_MS;
         }
@@ -108,20 +108,20 @@
     }
 
     /** Whether any member that is up may serve a request. */
-    private boolean anywhere(Ask ask) {
+    private boolean anywhere(ClientRequest ask) {
         return members.values().stream().anyMatch(member -> member.availability() == Availability.HEALTHY
                 && allows(ask, member) && (member.zone() == settings.zone() || settings.allowed().straight()));
     }
 
     @Override
-    public Predicate<String> bind(Ask ask) {
+    public Predicate<String> bind(ClientRequest ask) {
         return id -> {
             Member member = members.get(id);
             return member != null && allows(ask, member);
         };
     }
 
-    private boolean allows(Ask ask, Member member) {
+    private boolean allows(ClientRequest ask, Member member) {
         if (inForce == null || allBound && !leased()) {
             return false;
         }
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void ended(Usage usage) {
+    public void ended(UsageRecord usage) {
         if (next != null) {
             next.ended(usage);
         }
--- a/src/main/java/clovermill/dataplane/proxy/Attempt.java
+++ b/src/main/java/clovermill/dataplane/proxy/Attempt.java
@@ -12,7 +12,7 @@
     /** What nobody waits for must not go on going out for longer: it counts as begun when all of it has arrived. */
     private static final long GOES_ON_US = 50_000;
 
-    final Call call;
+    final RequestContext call;
     final int number;
     final String member;
     final long sentUs;
@@ -21,14 +21,14 @@
     /** Null until it is sent. */
     Upstream.Exchange exchange;
     Deadlines.Deadline timeout;
-    private final Host host;
+    private final ProxyCore host;
     /** How long after the first a further attempt may be sent, or {@link Long#MAX_VALUE} where nothing binds it. */
     private final long windowUs;
     private boolean ended;
     private long endedUs;
     private LoadReport load;
 
-    Attempt(Host host, Call call, String member, long windowUs) {
+    Attempt(ProxyCore host, RequestContext call, String member, long windowUs) {
         this.host = host;
         this.call = call;
         this.number = call.sent++;
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void ended(Result told, Note note, long waitedUs, Answer answer) {
+    public void ended(Result told, Note note, long waitedUs, UpstreamResponse answer) {
         // A member that finds the client's copy good where the client holds none has served nothing.
         boolean empty = answer != null && answer.notModified() && call.ask.have() == null;
         Result result = empty ? Result.ERROR : told;
--- a/src/main/java/clovermill/dataplane/proxy/Bounds.java
+++ b/src/main/java/clovermill/dataplane/proxy/Bounds.java
@@ -10,5 +10,5 @@
      * The members that a request's attempts and their fills may meet, or null where nothing binds it. It is asked when
      * a member is chosen, and again when the attempt is written, as what was allowed may not be any more.
      */
-    Predicate<String> bind(Ask ask);
+    Predicate<String> bind(ClientRequest ask);
 }
--- a/src/main/java/clovermill/dataplane/proxy/Host.java
+++ b/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
@@ -37,9 +37,9 @@
  * The core of a director, without any protocol in it: owns requests and their attempts, carries out what the
  * module decides and gives it back events with the meaning that they have on the simulator's wire.
  */
-public final class Host {
+public final class ProxyCore {
 
-    private static final System.Logger LOG = System.getLogger(Host.class.getName());
+    private static final System.Logger LOG = System.getLogger(ProxyCore.class.getName());
 
     private static final Predicate<String> ANY = member -> true;
     /** As the module asks of those whom it refuses. */
@@ -53,22 +53,22 @@
     final Deadlines deadlines;
     private final Upstream upstream;
     /** Null where nobody keeps count. */
-    final Audit audit;
+    final UsageListener audit;
     /** Null where nothing binds requests. */
     private final Bounds bounds;
-    private final Map<String, Call> calls = new HashMap<>();
+    private final Map<String, RequestContext> calls = new HashMap<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private boolean delivering;
 
     /** A host of whose requests nobody keeps count. */
-    public Host(CacheRouter router, Settings settings, Clock clock, Deadlines deadlines,
+    public ProxyCore(CacheRouter router, Settings settings, Clock clock, Deadlines deadlines,
             Upstream upstream) {
         this(router, settings, clock, deadlines, upstream, null, null);
     }
 
     /** {@code audit} and {@code bounds} may be null. */
-    public Host(CacheRouter router, Settings settings, Clock clock, Deadlines deadlines,
-            Upstream upstream, Audit audit, Bounds bounds) {
+    public ProxyCore(CacheRouter router, Settings settings, Clock clock, Deadlines deadlines,
+            Upstream upstream, UsageListener audit, Bounds bounds) {
         this.bounds = bounds;
         this.router = router;
         this.allowed = settings.allowed();
@@ -81,24 +81,24 @@
     }
 
     /** Takes a request; {@code asker} gets its one answer, maybe before this returns. */
-    public void submit(Ask ask, Asker asker) {
+    public void submit(ClientRequest ask, ResponseHandler asker) {
         if (calls.size() >= allowed.maxOpen()) {
             asker.refused(allowed.maxRetryAfterUs() / 1000);
-            notTaken(ask, Usage.End.REFUSED);
+            notTaken(ask, UsageRecord.End.REFUSED);
             return;
         }
         if (calls.containsKey(ask.id())) {
             asker.failed();
-            notTaken(ask, Usage.End.FAILED);
+            notTaken(ask, UsageRecord.End.FAILED);
             return;
         }
-        long afterMs = audit == null ? Audit.TAKEN : audit.turnsAway(ask);
-        if (afterMs != Audit.TAKEN) {
+        long afterMs = audit == null ? UsageListener.TAKEN : audit.turnsAway(ask);
+        if (afterMs != UsageListener.TAKEN) {
             asker.refused(Math.min(afterMs, allowed.maxRetryAfterUs() / 1000));
-            notTaken(ask, Usage.End.REFUSED);
+            notTaken(ask, UsageRecord.End.REFUSED);
             return;
         }
-        Call call = new Call(this, ask, asker, bounds == null ? null : bounds.bind(ask));
+        RequestContext call = new RequestContext(this, ask, asker, bounds == null ? null : bounds.bind(ask));
         calls.put(ask.id(), call);
         deliver(new Request(ask.id(), ask.requestClass(), 0,
                 Long.parseUnsignedLong(ask.object(), 16), ask.part(), ask.group(), ask.sizeKb(),
@@ -106,10 +106,10 @@
     }
 
     /** Tells the audit of a request that a front or the host turned away before the module saw it. */
-    public void notTaken(Ask ask, Usage.End how) {
+    public void notTaken(ClientRequest ask, UsageRecord.End how) {
         if (audit != null) {
             long nowUs = clock.micros();
-            audit.ended(new Usage(ask, false, nowUs, nowUs, how, 0, null, null, null, 0, 0));
+            audit.ended(new UsageRecord(ask, false, nowUs, nowUs, how, 0, null, null, null, 0, 0));
         }
     }
 
@@ -120,10 +120,10 @@
 
     /** The client no longer waits: no answer is owed. */
     public void clientGone(String id) {
-        Call call = calls.get(id);
+        RequestContext call = calls.get(id);
         if (call != null && !call.over()) {
             call.end();
-            call.audited(Usage.End.GONE);
+            call.audited(UsageRecord.End.GONE);
             deliver(new ClientGone(id));
         }
     }
@@ -133,7 +133,7 @@
      * still be answered; where nothing is, the final answer is given now.
      */
     public void clientLeft(String id) {
-        Call call = calls.get(id);
+        RequestContext call = calls.get(id);
         if (call == null || call.over() || call.left()) {
             return;
         }
@@ -167,7 +167,7 @@
 
     /** Gives every open request its final answer now: the end of the process is near. */
     public void answerAll() {
-        for (Call call : List.copyOf(calls.values())) {
+        for (RequestContext call : List.copyOf(calls.values())) {
             if (!call.over()) {
                 if (call.sent == 0) {
                     call.refuse(Math.min(1, awayMs()));
@@ -217,18 +217,18 @@
             send(a.request(), a.member(), a.timeoutUs(), (call, left) -> new Upstream.Order(call.ask, a.member(),
                     left, null, 0, 0, false, false, false, false));
         } else if (action instanceof Cancel a) {
-            Call call = calls.get(a.request());
+            RequestContext call = calls.get(a.request());
             Attempt attempt = call == null ? null : call.out.get(a.attempt());
             if (attempt != null && !(call.left() && attempt.begun())) {
                 attempt.giveUp(Result.CANCELLED);
             }
         } else if (action instanceof Refuse a) {
-            Call call = calls.get(a.request());
+            RequestContext call = calls.get(a.request());
             if (call != null && !call.over()) {
                 call.refuse(Math.max(0, a.retryAfterUs()) / 1000);
             }
         } else if (action instanceof Fail a) {
-            Call call = calls.get(a.request());
+            RequestContext call = calls.get(a.request());
             if (call != null && !call.over()) {
                 call.fail();
             }
@@ -247,12 +247,12 @@
     }
 
     private interface Ordering {
-        Upstream.Order order(Call call, long timeoutUs);
+        Upstream.Order order(RequestContext call, long timeoutUs);
     }
 
     /** Sends an attempt, its time-out cut to the client's deadline; one too many or too late is not sent. */
     private void send(String request, String member, long timeoutUs, Ordering ordering) {
-        Call call = calls.get(request);
+        RequestContext call = calls.get(request);
         if (call == null) {
             LOG.log(Level.ERROR, "the module named the unknown request {0}", request);
             return;
@@ -274,7 +274,7 @@
     }
 
     /** How long after an attempt that may have run another may be sent. */
-    private long windowUs(Ask ask) {
+    private long windowUs(ClientRequest ask) {
         RequestClass kind = ask.requestClass() < classes.size() ? classes.get(ask.requestClass()) : null;
         return kind == null || kind.effect() != Effect.DEDUPLICATED ? Long.MAX_VALUE : kind.windowUs();
     }
@@ -288,11 +288,11 @@
         return Math.min(AWAY_US, allowed.maxRetryAfterUs()) / 1000;
     }
 
-    void forget(Call call) {
+    void forget(RequestContext call) {
         calls.remove(call.ask.id(), call);
     }
 
-    void overdue(Call call) {
+    void overdue(RequestContext call) {
         LOG.log(Level.WARNING, "request {0} was overdue", call.ask.id());
         call.fail();
         deliver(new ClientGone(call.ask.id()));
--- a/src/main/java/clovermill/dataplane/proxy/Call.java
+++ b/src/main/java/clovermill/dataplane/proxy/RequestContext.java
@@ -7,20 +7,20 @@
 import java.util.function.Predicate;
 
 /** A request from its arrival until it has its answer and all its attempts have ended. */
-final class Call {
+final class RequestContext {
 
     private static final long OPEN = Long.MAX_VALUE;
 
-    final Ask ask;
+    final ClientRequest ask;
     final long takenUs;
     final long deadlineUs;
     final Map<Integer, Attempt> out = new HashMap<>(2);
     /** Null where nothing binds it. */
     final Predicate<String> allowed;
-    private final Host host;
+    private final ProxyCore host;
     /** Guards the rule of one answer in time against a module that says nothing. */
     private final Deadlines.Deadline overdue;
-    private Asker asker;
+    private ResponseHandler asker;
     /** Since when nobody may wait for it any more: answered, given up, or its client sends no more. */
     private long unwantedUs = OPEN;
     private boolean left;
@@ -28,7 +28,7 @@
     private long mayHaveRunUs = OPEN;
     int sent;
 
-    Call(Host host, Ask ask, Asker asker, Predicate<String> allowed) {
+    RequestContext(ProxyCore host, ClientRequest ask, ResponseHandler asker, Predicate<String> allowed) {
         this.host = host;
         this.ask = ask;
         this.asker = asker;
@@ -70,8 +70,8 @@
     }
 
     /** The one place where a request ends; the first to end it gets the asker to answer. */
-    Asker end() {
-        Asker answered = asker;
+    ResponseHandler end() {
+        ResponseHandler answered = asker;
         asker = null;
         unwantedUs = Math.min(unwantedUs, host.clock.micros());
         host.deadlines.cancel(overdue);
@@ -88,12 +88,12 @@
 
     void refuse(long afterMs) {
         end().refused(afterMs);
-        audited(Usage.End.REFUSED);
+        audited(UsageRecord.End.REFUSED);
     }
 
     void fail() {
         end().failed();
-        audited(Usage.End.FAILED);
+        audited(UsageRecord.End.FAILED);
     }
 
     /** The final answer where nothing more may be tried: a refusal only if nothing may have run. */
@@ -106,22 +106,22 @@
     }
 
     /** Tells the audit of an end without bytes. */
-    void audited(Usage.End how) {
+    void audited(UsageRecord.End how) {
         if (host.audit != null) {
-            host.audit.ended(new Usage(ask, true, takenUs, host.clock.micros(), how, sent, null, null, null, 0, 0));
+            host.audit.ended(new UsageRecord(ask, true, takenUs, host.clock.micros(), how, sent, null, null, null, 0, 0));
         }
     }
 
     /** Hands over the answer of an attempt; the audit is told when it has been written, or never will be. */
-    void serve(Answer answer, Attempt by, Note note) {
+    void serve(UpstreamResponse answer, Attempt by, Note note) {
         if (host.audit == null) {
             end().served(answer);
             return;
         }
         int attempts = sent;
         int size = answer.notModified() ? 0 : answer.body().bytes().length;
-        end().served(answer.with((bytes, whole) -> host.audit.ended(new Usage(ask, true, takenUs, host.clock.micros(),
-                !whole ? Usage.End.BROKEN_OFF : answer.notModified() ? Usage.End.NOT_MODIFIED : Usage.End.SERVED,
+        end().served(answer.with((bytes, whole) -> host.audit.ended(new UsageRecord(ask, true, takenUs, host.clock.micros(),
+                !whole ? UsageRecord.End.BROKEN_OFF : answer.notModified() ? UsageRecord.End.NOT_MODIFIED : UsageRecord.End.SERVED,
                 attempts, by.member, by.source, note, bytes, size))));
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/Upstream.java
+++ b/src/main/java/clovermill/dataplane/proxy/Upstream.java
@@ -11,7 +11,7 @@
      * One attempt on its way; {@code source} is null where a miss is not to be filled, {@code maxAgeUs} 0 for
      * the class's fresh time.
      */
-    record Order(Ask ask, String member, long timeoutUs, String source, int rank, long maxAgeUs, boolean join,
+    record Order(ClientRequest ask, String member, long timeoutUs, String source, int rank, long maxAgeUs, boolean join,
             boolean heldOnly, boolean parentKeepsNone, boolean renew) {}
 
     /** Told exactly once how an exchange ended, unless it was given up. */
@@ -31,7 +31,7 @@
         default void reported(LoadReport load) {}
 
         /** {@code answer} is set exactly with {@link Result#OK}; the callee owns it. */
-        void ended(Result result, Note note, long waitedUs, Answer answer);
+        void ended(Result result, Note note, long waitedUs, UpstreamResponse answer);
     }
 
     /** An attempt that is out. */
--- a/src/main/java/clovermill/dataplane/proxy/Answer.java
+++ b/src/main/java/clovermill/dataplane/proxy/UpstreamResponse.java
@@ -6,7 +6,7 @@
  * What a member served; {@code notModified}: the client's own copy is the one, and the body is empty. Whoever
  * writes the answer tells {@code receipt} once how much of the body went out; it is null where nobody asks.
  */
-public record Answer(Body body, boolean notModified, String tag, Receipt receipt) {
+public record UpstreamResponse(Body body, boolean notModified, String tag, Receipt receipt) {
 
     /** Hears how an answer was written. */
     public interface Receipt {
@@ -16,12 +16,12 @@
     }
 
     /** An answer about which nobody asks. */
-    public Answer(Body body, boolean notModified, String tag) {
+    public UpstreamResponse(Body body, boolean notModified, String tag) {
         this(body, notModified, tag, null);
     }
 
     /** The same answer for somebody who wants to hear how it was written. */
-    Answer with(Receipt hears) {
-        return new Answer(body, notModified, tag, hears);
+    UpstreamResponse with(Receipt hears) {
+        return new UpstreamResponse(body, notModified, tag, hears);
     }
 }
--- a/src/main/java/clovermill/dataplane/server/ClientStream.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStream.java
@@ -1,13 +1,13 @@
 package clovermill.dataplane.server;
 
-import clovermill.dataplane.proxy.Answer;
-import clovermill.dataplane.proxy.Asker;
+import clovermill.dataplane.proxy.ResponseHandler;
+import clovermill.dataplane.proxy.UpstreamResponse;
 import java.nio.ByteBuffer;
 import java.util.Map;
 import java.util.TreeMap;
 
 /** A request that is open on a connection; it is answered once. */
-final class ClientStream implements Asker {
+final class ClientStream implements ResponseHandler {
 
     final long number;
     final String id;
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public void served(Answer answer) {
+    public void served(UpstreamResponse answer) {
         connection.end(this);
         Map<String, String> fields = new TreeMap<>();
         if (answer.notModified()) {
--- a/src/main/java/clovermill/dataplane/server/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -1,7 +1,7 @@
 package clovermill.dataplane.server;
 
-import clovermill.dataplane.proxy.Ask;
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.runtime.net.ProtocolException;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
@@ -75,11 +75,11 @@
         byte[] body = new byte[bodyBytes];
         payload.get(body);
         try {
-            Ask ask = shared.reader().read(fields, body).later(shared.clock().micros() - arrivedMicros);
+            ClientRequest ask = shared.reader().read(fields, body).later(shared.clock().micros() - arrivedMicros);
             if (ask.waitUs() <= 0) {
                 shared.budget().give(bodyBytes);
                 connection.refuse(stream, shared.awayMs().getAsLong());
-                shared.host().notTaken(ask, Usage.End.REFUSED);
+                shared.host().notTaken(ask, UsageRecord.End.REFUSED);
                 return;
             }
             ClientStream opened = new ClientStream(connection, stream, ask.id(), bodyBytes);
@@ -96,7 +96,7 @@
     private void notTaken(Map<String, String> fields) {
         if (shared.host().audited()) {
             try {
-                shared.host().notTaken(shared.reader().read(fields, new byte[0]), Usage.End.REFUSED);
+                shared.host().notTaken(shared.reader().read(fields, new byte[0]), UsageRecord.End.REFUSED);
             } catch (RequestReader.BadRequest bad) {
                 // what cannot be read belongs to nobody
             }
--- a/src/main/java/clovermill/dataplane/server/FrameFront.java
+++ b/src/main/java/clovermill/dataplane/server/FrameFront.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.server;
 
-import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.routing.api.Settings;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.Clock;
@@ -50,7 +50,7 @@
     private boolean leaving;
     private boolean turningAway;
 
-    public FrameFront(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, Host host,
+    public FrameFront(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, ProxyCore host,
             Settings settings, List<String> classNames, Terms terms) {
         this.loop = loop;
         this.clock = clock;
--- a/src/main/java/clovermill/dataplane/server/FrontParts.java
+++ b/src/main/java/clovermill/dataplane/server/FrontParts.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.server;
 
-import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
@@ -9,6 +9,6 @@
 import java.util.function.LongSupplier;
 
 /** What all connections of the front share; {@code awayMs} is for how long a client that is turned away keeps away. */
-record FrontParts(Host host, RequestReader reader, Budget budget, Clock clock, Deadlines deadlines,
+record FrontParts(ProxyCore host, RequestReader reader, Budget budget, Clock clock, Deadlines deadlines,
         LongSupplier awayMs, BooleanSupplier ready, BooleanSupplier turningAway, IdleConnections idle,
         Consumer<FrameConnection> closed) {}
--- a/src/main/java/clovermill/dataplane/server/RequestReader.java
+++ b/src/main/java/clovermill/dataplane/server/RequestReader.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.server;
 
-import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.routing.api.Effect;
 import clovermill.routing.api.RequestClass;
 import java.util.HashMap;
@@ -58,7 +58,7 @@
      * cannot read one line closes on all that is open with it, and a figure that is out of range would be
      * learned from.
      */
-    Ask read(Map<String, String> fields, byte[] body) throws BadRequest {
+    ClientRequest read(Map<String, String> fields, byte[] body) throws BadRequest {
         String className = needed(fields, "class");
         Integer index = classes.get(className);
         if (index == null) {
@@ -75,7 +75,7 @@
         if (waitUs == 0 || body.length > LARGEST_BODY || !retry.equals("0") && !retry.equals("1")) {
             throw new BadRequest("out of range");
         }
-        return new Ask(hex(needed(fields, "id")), index, className, hex(needed(fields, "key")),
+        return new ClientRequest(hex(needed(fields, "id")), index, className, hex(needed(fields, "key")),
                 whole(fields.getOrDefault("seg", "0"), LAST_PART),
                 whole(fields.getOrDefault("bucket", "0"), LAST_GROUP),
                 number(fields.getOrDefault("kb", "0"), longestKb), withoutMargin(waitUs),
--- a/src/main/java/clovermill/dataplane/upstream/CacheConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/CacheConnection.java
@@ -1,7 +1,7 @@
 package clovermill.dataplane.upstream;
 
 import clovermill.config.LoadReports;
-import clovermill.dataplane.proxy.Answer;
+import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Body;
@@ -241,7 +241,7 @@
         open.remove(id);
         spent.answered(id, pool.now());
         unheardSinceUs = open.isEmpty() ? 0 : guard.heardUs();
-        Answer answer = result != Result.OK ? null : new Answer(body, word.equals("KEEP"), fields.get("etag"));
+        UpstreamResponse answer = result != Result.OK ? null : new UpstreamResponse(body, word.equals("KEEP"), fields.get("etag"));
         if (answer == null) {
             body.close();
         }
--- a/src/main/java/clovermill/dataplane/upstream/CacheExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/CacheExchange.java
@@ -1,8 +1,8 @@
 package clovermill.dataplane.upstream;
 
-import clovermill.dataplane.proxy.Answer;
-import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Deadlines.Deadline;
@@ -53,7 +53,7 @@
     }
 
     /** Whether it asks for one of these. */
-    boolean isFor(Predicate<Ask> which) {
+    boolean isFor(Predicate<ClientRequest> which) {
         return request.isFor(which);
     }
 
@@ -87,7 +87,7 @@
         revoked = true;
     }
 
-    void end(Result result, Note note, long waitedUs, Answer answer) {
+    void end(Result result, Note note, long waitedUs, UpstreamResponse answer) {
         ending.ended(result, note, waitedUs, answer);
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/CachePool.java
+++ b/src/main/java/clovermill/dataplane/upstream/CachePool.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.upstream;
 
-import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Upstream;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
@@ -127,7 +127,7 @@
     }
 
     /** Withdraws what is queued for these objects: it would take a copy from before their purge. */
-    public void withdraw(Predicate<Ask> purged) {
+    public void withdraw(Predicate<ClientRequest> purged) {
         for (Peer peer : List.copyOf(peers.values())) {
             withdraw(peer, each -> each.isFor(purged), Result.NOT_SENT);
         }
@@ -147,7 +147,7 @@
 
     @Override
     public Exchange send(Order order, Ending ending) {
-        Ask ask = order.ask();
+        ClientRequest ask = order.ask();
         long dueUs = clock.micros() + order.timeoutUs();
         return send(new CacheRequest(order.member(), ask.id(), ask, order.source(), dueUs,
                 leftUs -> RequestLine.want(order, leftUs), ending));
--- a/src/main/java/clovermill/dataplane/upstream/CacheRequest.java
+++ b/src/main/java/clovermill/dataplane/upstream/CacheRequest.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.upstream;
 
-import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Upstream;
 import java.nio.ByteBuffer;
 import java.util.List;
@@ -13,7 +13,7 @@
  * not to be filled; {@code dueUs} is when its time is over, in microseconds of the clock, and {@code encoder} gives its
  * bytes for the microseconds that are left.
  */
-record CacheRequest(String member, String id, Ask ask, String source, long dueUs,
+record CacheRequest(String member, String id, ClientRequest ask, String source, long dueUs,
         LongFunction<List<ByteBuffer>> encoder, Upstream.Ending ending) {
 
     /** Whether a miss of it is to be filled from one of these members. */
@@ -22,7 +22,7 @@
     }
 
     /** Whether it asks for one of these. */
-    boolean isFor(Predicate<Ask> which) {
+    boolean isFor(Predicate<ClientRequest> which) {
         return ask != null && which.test(ask);
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/RequestLine.java
+++ b/src/main/java/clovermill/dataplane/upstream/RequestLine.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.upstream;
 
-import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Upstream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -14,7 +14,7 @@
 
     /** The parts of an attempt's request, whose client has {@code leftUs} microseconds left as it is written. */
     static List<ByteBuffer> want(Upstream.Order order, long leftUs) {
-        Ask ask = order.ask();
+        ClientRequest ask = order.ask();
         String head = "want " + ask.id() + " " + fields(order, leftUs) + " " + ask.body().length + "\r\n";
         return ask.body().length == 0
                 ? List.of(text(head + "\r\n"))
@@ -31,7 +31,7 @@
     }
 
     private static String fields(Upstream.Order order, long leftUs) {
-        Ask ask = order.ask();
+        ClientRequest ask = order.ask();
         StringJoiner fields = new StringJoiner(",");
         fields.add("kind=" + ask.className()).add("obj=" + ask.object()).add("seg=" + ask.part());
         fields.add("ms=" + Math.max(1, leftUs / 1000));
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -17,8 +17,8 @@
 import clovermill.controlplane.policystore.PolicyStoreSettings;
 import clovermill.controlplane.policystore.PolicyStoreTask;
 import clovermill.controlplane.reload.ConfigReloader;
-import clovermill.dataplane.proxy.Audit;
-import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.proxy.ProxyCore;
+import clovermill.dataplane.proxy.UsageListener;
 import clovermill.dataplane.server.FrameFront;
 import clovermill.dataplane.upstream.CachePool;
 import clovermill.director.operations.GossipedOutages;
@@ -103,10 +103,10 @@
         fleet = fleetSettings == null ? null
                 : new GossipService(fleetSettings, config.classes(), settings.answerSlackUs(),
                         clock, deadlines, ledger);
-        Audit audit = fleet == null ? ledger : fleet;
+        UsageListener audit = fleet == null ? ledger : fleet;
         Placement placement = agreed == null ? null : new Placement(clock, settings, config.zones(), config.classes(),
                 agreed.allBound(), audit);
-        Host host = new Host(new RequestRouter(settings, config.seed()), settings, clock, deadlines, pool,
+        ProxyCore host = new ProxyCore(new RequestRouter(settings, config.seed()), settings, clock, deadlines, pool,
                 placement == null ? audit : placement, placement);
         EndpointRegistry roster = new EndpointRegistry(clock, pool, host, new OutageRegistry(), settings.originKind());
         roster.start(known);
--- a/src/main/java/clovermill/director/reload/SettingsReload.java
+++ b/src/main/java/clovermill/director/reload/SettingsReload.java
@@ -4,7 +4,7 @@
 import clovermill.config.Json;
 import clovermill.controlplane.discovery.DiscoveryClient;
 import clovermill.controlplane.reload.decide.RequestClassRegistry;
-import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.server.FrameFront;
 import clovermill.routing.api.Settings;
 import clovermill.runtime.net.Clock;
@@ -19,7 +19,7 @@
 
     private final Clock clock;
     private final Deadlines deadlines;
-    private final Host host;
+    private final ProxyCore host;
     private final FrameFront front;
     private final DiscoveryClient channel;
     private final RequestClassRegistry classes;
@@ -27,7 +27,7 @@
     private Settings told;
     private Deadlines.Deadline settling;
 
-    public SettingsReload(Config start, Clock clock, Deadlines deadlines, Host host, FrameFront front,
+    public SettingsReload(Config start, Clock clock, Deadlines deadlines, ProxyCore host, FrameFront front,
             DiscoveryClient channel) {
         this.inForce = start;
         this.told = start.settings();
--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -1,9 +1,9 @@
 package clovermill.ledger;
 
 import clovermill.config.tenants.TenantRules;
-import clovermill.dataplane.proxy.Ask;
-import clovermill.dataplane.proxy.Audit;
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.UsageListener;
+import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.ledger.decide.Allowances;
 import clovermill.ledger.decide.Backlog;
 import clovermill.ledger.decide.Closing;
@@ -40,7 +40,7 @@
  * writer does not take is counted exactly and written as a gap later, or the tenant's requests are turned away,
  * as the settings say for each tenant. {@link #open} blocks, before anything is served.
  */
-public final class Ledger implements Audit, AutoCloseable {
+public final class Ledger implements UsageListener, AutoCloseable {
 
     /** What the director tells of itself. {@code kinds} are the numbers of the member kinds parent and origin. */
     public record Director(String instance, List<String> classes, int parentKind, int originKind, int maxOpen) {}
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public long turnsAway(Ask ask) {
+    public long turnsAway(ClientRequest ask) {
         String tenant = rules.tenant(ask.requestClass(), ask.group());
         if (refusers.contains(tenant)
                 && (backlog.refuses(stage.used()) || writer.failing() || !missed.isEmpty())) {
@@ -177,8 +177,8 @@
     }
 
     @Override
-    public void ended(Usage usage) {
-        Ask ask = usage.ask();
+    public void ended(UsageRecord usage) {
+        ClientRequest ask = usage.ask();
         String tenant = rules.tenant(ask.requestClass(), ask.group());
         long takenMs = timeline.at(usage.takenUs() / 1000);
         if (usage.admitted()) {
@@ -201,7 +201,7 @@
         }
     }
 
-    private boolean passed(Usage usage, int kind) {
+    private boolean passed(UsageRecord usage, int kind) {
         return kind(usage.member()) == kind || kind(usage.source()) == kind;
     }
 
@@ -210,7 +210,7 @@
     }
 
     /** By what the answer's note says and where it was asked for. */
-    private How how(Usage usage) {
+    private How how(UsageRecord usage) {
         if (usage.member() == null) {
             return How.NONE;
         }
@@ -233,7 +233,7 @@
     }
 
     /** The same for all tries of one request: by its idempotency key, or by what is asked for. */
-    private long tryKey(Ask ask) {
+    private long tryKey(ClientRequest ask) {
         hash.reset();
         return ask.token() != null ? hash.putString(ask.token()).getAsLong()
                 : hash.putString(ask.object()).putInt(ask.part()).putInt(ask.requestClass()).getAsLong();
--- a/src/main/java/clovermill/ledger/LogFormat.java
+++ b/src/main/java/clovermill/ledger/LogFormat.java
@@ -1,6 +1,6 @@
 package clovermill.ledger;
 
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.How;
 import java.io.IOException;
@@ -30,7 +30,7 @@
     /** The longest name of a tenant, an instance or a class, in bytes. */
     static final int LONGEST_NAME = 200;
 
-    private static final Usage.End[] ENDS = Usage.End.values();
+    private static final UsageRecord.End[] ENDS = UsageRecord.End.values();
     private static final How[] HOWS = How.values();
 
     private final ByteBuffer scratch = ByteBuffer.allocate(clovermill.storage.SegmentWriter.longest())
@@ -147,7 +147,7 @@
                     int fromParent = from.getInt();
                     int fromOrigin = from.getInt();
                     int requestClass = from.get() & 255;
-                    Usage.End end = ENDS[from.get()];
+                    UsageRecord.End end = ENDS[from.get()];
                     How how = HOWS[from.get()];
                     int attempts = from.get() & 255;
                     boolean repeat = from.get() != 0;
--- a/src/main/java/clovermill/ledger/decide/Entry.java
+++ b/src/main/java/clovermill/ledger/decide/Entry.java
@@ -1,6 +1,6 @@
 package clovermill.ledger.decide;
 
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.UsageRecord;
 
 /** What the log holds, in the order of {@code seq}, which counts from 1 in each epoch without a hole. */
 public sealed interface Entry {
@@ -13,7 +13,7 @@
      * {@code written} bytes of the body went to the client.
      */
     record Used(long seq, long takenMs, long wallMs, long monoUs, long request, long tryKey, String tenant,
-            int requestClass, Usage.End end, How how, int attempts, boolean repeat, int written, int fromParent,
+            int requestClass, UsageRecord.End end, How how, int attempts, boolean repeat, int written, int fromParent,
             int fromOrigin) implements Entry {}
 
     /** Requests of one tenant that could not be written down, taken from {@code firstMs} to {@code lastMs}. */
--- a/src/main/java/clovermill/ledger/decide/Totals.java
+++ b/src/main/java/clovermill/ledger/decide/Totals.java
@@ -1,6 +1,6 @@
 package clovermill.ledger.decide;
 
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.UsageRecord;
 import java.util.Arrays;
 
 /** Sums over requests of one tenant in one period. Adding is commutative, so any order gives the same totals. */
@@ -88,7 +88,7 @@
     }
 
     /** The sum in which an end is counted. */
-    static Sum of(Usage.End end) {
+    static Sum of(UsageRecord.End end) {
         return BY_END[end.ordinal()];
     }
 }
--- a/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
@@ -5,7 +5,7 @@
 import clovermill.config.Config;
 import clovermill.config.Json;
 import clovermill.controlplane.outage.OutageRegistry;
-import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.upstream.CachePool;
 import clovermill.routing.api.Members;
 import clovermill.routing.api.Purge;
@@ -48,7 +48,7 @@
         Deadlines deadlines = new Deadlines();
         CachePool pool = new CachePool(new EventLoop(clock, deadlines), clock, deadlines, new Budget(1000),
                 new CachePool.Limits(1, 1, 1, 1));
-        Host host = new Host((atUs, event, out) -> {
+        ProxyCore host = new ProxyCore((atUs, event, out) -> {
             if (event instanceof Members news) {
                 news.members().forEach(member -> startsUs.add(member.startedUs()));
             } else if (event instanceof Purge purge) {
--- a/src/test/java/clovermill/controlplane/placement/PlacementTest.java
+++ b/src/test/java/clovermill/controlplane/placement/PlacementTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.config.Config;
-import clovermill.dataplane.proxy.Ask;
-import clovermill.dataplane.proxy.Audit;
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.UsageListener;
 import clovermill.routing.api.Availability;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
@@ -54,8 +54,8 @@
         return new Member(id, zone, kind, 0, Availability.HEALTHY, 1, 0);
     }
 
-    private static Ask ask(int group) {
-        return new Ask("00000000000000a1", 1, "page", "7f3a9c21e0b4d655", 0, group, 4, 1_000_000, false, null, null,
+    private static ClientRequest ask(int group) {
+        return new ClientRequest("00000000000000a1", 1, "page", "7f3a9c21e0b4d655", 0, group, 4, 1_000_000, false, null, null,
                 new byte[0]);
     }
 
@@ -67,7 +67,7 @@
     void nothingIsServedBeforeAnythingIsKnownAndAllOfItWithoutRules() {
         assertThat(placement.turnsAway(ask(0))).isPositive();
         placement.holds(List.of("{}"), 0);
-        assertThat(placement.turnsAway(ask(0))).isEqualTo(Audit.TAKEN);
+        assertThat(placement.turnsAway(ask(0))).isEqualTo(UsageListener.TAKEN);
         assertThat(placement.bind(ask(0)).test("s-1")).isTrue();
     }
 
@@ -104,7 +104,7 @@
         nowUs = 10_000;
         assertThat(bound.test("s-1")).isFalse();
         assertThat(placement.turnsAway(ask(0))).isPositive();
-        assertThat(placement.turnsAway(ask(10))).isEqualTo(Audit.TAKEN);
+        assertThat(placement.turnsAway(ask(10))).isEqualTo(UsageListener.TAKEN);
         placement.holds(List.of(policy(LOOSE)), 10_000);
         assertThat(placement.bind(ask(0)).test("s-1")).isTrue();
         assertThat(placement.bind(ask(0)).test("p-1")).isFalse();
@@ -115,7 +115,7 @@
         placement.holds(List.of(policy("{\"tenant\":\"a\",\"sites\":[]}")), 10_000);
         assertThat(placement.turnsAway(ask(0))).isPositive();
         placement.holds(List.of(policy(LOOSE)), 10_000);
-        assertThat(placement.turnsAway(ask(0))).isEqualTo(Audit.TAKEN);
+        assertThat(placement.turnsAway(ask(0))).isEqualTo(UsageListener.TAKEN);
         placement.members(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
                 0))));
         assertThat(placement.turnsAway(ask(0))).isPositive();
--- a/src/test/java/clovermill/dataplane/proxy/HostTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The core gives events the meaning that they have on the simulator's wire. */
-class HostTest {
+class ProxyCoreTest {
 
     private static final String ID = "00000000000000a1";
     private static final long WINDOW_US = 20_000;
@@ -54,7 +54,7 @@
     private Result atOnce;
     private boolean mayHaveRun = true;
 
-    private final Host host = new Host(new CacheRouter() {
+    private final ProxyCore host = new ProxyCore(new CacheRouter() {
         @Override
         public void handle(long at, Event event, Consumer<Action> out) {
             events.add(event);
@@ -109,11 +109,11 @@
 
     private void submit(int requestClass, Action... reply) {
         replies.add(List.of(reply));
-        host.submit(new Ask(ID, requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1, 100_000, false, null, null,
+        host.submit(new ClientRequest(ID, requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1, 100_000, false, null, null,
                 new byte[0]),
-                new Asker() {
+                new ResponseHandler() {
                     @Override
-                    public void served(Answer answer) {
+                    public void served(UpstreamResponse answer) {
                         answers.add("served");
                         answer.body().close();
                     }
@@ -130,9 +130,9 @@
                 });
     }
 
-    private Answer answer() {
+    private UpstreamResponse answer() {
         assertThat(budget.take(10)).isTrue();
-        return new Answer(new Body(new byte[10], budget), false, "t");
+        return new UpstreamResponse(new Body(new byte[10], budget), false, "t");
     }
 
     private void at(long us) {
@@ -172,7 +172,7 @@
     void notModifiedForAClientWithoutACopyIsAnError() {
         submit(new Send(ID, "a", 0));
         assertThat(budget.take(10)).isTrue();
-        endings.get(0).ended(Result.OK, Note.HIT, 0, new Answer(new Body(new byte[10], budget), true, "t"));
+        endings.get(0).ended(Result.OK, Note.HIT, 0, new UpstreamResponse(new Body(new byte[10], budget), true, "t"));
         assertThat(answers).isEmpty();
         assertThat(((Outcome) events.get(1)).result()).isEqualTo(Result.ERROR);
         assertThat(budget.used()).isZero();
--- a/src/test/java/clovermill/dataplane/server/FrameFrontTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameFrontTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.config.Config;
-import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.proxy.Upstream;
 import clovermill.routing.api.ClientGone;
 import clovermill.routing.api.Event;
@@ -68,7 +68,7 @@
     private FrameFront front(EventLoop loop, ServerSocketChannel passed, BooleanSupplier able) throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
-        Host host = new Host((atUs, event, out) -> events.add(event), config.settings(), clock, deadlines, NOBODY);
+        ProxyCore host = new ProxyCore((atUs, event, out) -> events.add(event), config.settings(), clock, deadlines, NOBODY);
         return new FrameFront(loop, clock, deadlines, budget, host, config.settings(), config.classes(),
                 new FrameFront.Terms(new InetSocketAddress(
                         InetAddress.getLoopbackAddress(), 0), passed, 8, able));
--- a/src/test/java/clovermill/dataplane/upstream/CachePoolTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/CachePoolTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.dataplane.proxy.Answer;
-import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Budget;
@@ -92,7 +92,7 @@
         }
 
         @Override
-        public void ended(Result told, Note note, long waitedUs, Answer answer) {
+        public void ended(Result told, Note note, long waitedUs, UpstreamResponse answer) {
             result = told;
             if (answer != null) {
                 answer.body().close();
@@ -106,7 +106,7 @@
 
     private Attempt send(String id, String object, String source, int bodyBytes, long timeoutUs) {
         Attempt attempt = new Attempt();
-        Ask ask = new Ask(id, 0, "page", object, 0, 17, 1, 1_000_000, false, null, null, new byte[bodyBytes]);
+        ClientRequest ask = new ClientRequest(id, 0, "page", object, 0, 17, 1, 1_000_000, false, null, null, new byte[bodyBytes]);
         attempt.exchange = pool.send(new Upstream.Order(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
                 attempt);
         return attempt;
--- a/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.dataplane.proxy.Answer;
-import clovermill.dataplane.proxy.Ask;
+import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Budget;
@@ -86,7 +86,7 @@
     }
 
     private Upstream.Exchange send(String id, String object, String source, long timeoutUs) {
-        Ask ask = new Ask(id, 0, "page", object, 0, 17, 1, timeoutUs, false, null, null, new byte[0]);
+        ClientRequest ask = new ClientRequest(id, 0, "page", object, 0, 17, 1, timeoutUs, false, null, null, new byte[0]);
         return pool.send(new Upstream.Order(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
                 new Upstream.Ending() {
                     @Override
@@ -95,7 +95,7 @@
                     }
 
                     @Override
-                    public void ended(Result result, Note note, long waitedUs, Answer answer) {
+                    public void ended(Result result, Note note, long waitedUs, UpstreamResponse answer) {
                         results.add(result);
                     }
                 });
--- a/src/test/java/clovermill/director/LedgerScenarioTest.java
+++ b/src/test/java/clovermill/director/LedgerScenarioTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LedgerSettings;
 import clovermill.ledger.LogReader;
@@ -77,15 +77,15 @@
         assertThat(used).hasSize(5);
         Entry.Used first = used.get(0xa1L);
         assertThat(first.tenant()).isEqualTo("north");
-        assertThat(first.end()).isEqualTo(Usage.End.SERVED);
+        assertThat(first.end()).isEqualTo(UsageRecord.End.SERVED);
         assertThat(first.written()).isEqualTo(11);
         assertThat(first.how()).isEqualTo(How.PARENT);
         assertThat(first.fromParent()).isEqualTo(11);
         assertThat(first.attempts()).isEqualTo(1);
-        assertThat(used.get(0xa2L).end()).isEqualTo(Usage.End.NOT_MODIFIED);
+        assertThat(used.get(0xa2L).end()).isEqualTo(UsageRecord.End.NOT_MODIFIED);
         assertThat(used.get(0xa2L).tenant()).isEqualTo("south");
         assertThat(used.get(0xa2L).written()).isZero();
-        assertThat(used.get(0xa3L).end()).isEqualTo(Usage.End.GONE);
+        assertThat(used.get(0xa3L).end()).isEqualTo(UsageRecord.End.GONE);
         Entry.Used order = used.get(0xa4L);
         assertThat(order.repeat()).isTrue();
         assertThat(order.fromOrigin()).isEqualTo(4);
@@ -101,9 +101,9 @@
                 "times 30 expect s-1 want 00000000000000#",
                 "close c1 deaf", "times 30 send s-1 00000000000000# DONE etag=t1,made=5,res=HIT | *239000",
                 "close c1 reset", "wait 50")).values();
-        assertThat(used).hasSize(30).filteredOn(each -> each.end() == Usage.End.BROKEN_OFF).isNotEmpty()
+        assertThat(used).hasSize(30).filteredOn(each -> each.end() == UsageRecord.End.BROKEN_OFF).isNotEmpty()
                 .allMatch(each -> each.written() < 239_000);
-        assertThat(used).filteredOn(each -> each.end() == Usage.End.SERVED).allMatch(each -> each.written() == 239_000);
+        assertThat(used).filteredOn(each -> each.end() == UsageRecord.End.SERVED).allMatch(each -> each.written() == 239_000);
         assertThat(used).anyMatch(each -> each.written() > 0);
     }
 
@@ -132,7 +132,7 @@
                 "send s-1 00000000000000b3 DONE etag=t1,made=5,res=HIT | hello there",
                 "expect c2 served 3"));
         assertThat(used).hasSize(5);
-        assertThat(used.get(0xb1L).end()).isEqualTo(Usage.End.REFUSED);
+        assertThat(used.get(0xb1L).end()).isEqualTo(UsageRecord.End.REFUSED);
         assertThat(used.get(0xb1L).attempts()).isZero();
     }
 }
--- a/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
+++ b/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import clovermill.config.Config;
-import clovermill.dataplane.proxy.Host;
+import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.proxy.Upstream;
 import clovermill.dataplane.server.Front;
 import clovermill.runtime.net.Clock;
@@ -67,7 +67,7 @@
         }
     }
 
-    private static Host host(Clock clock, Deadlines deadlines) throws Exception {
+    private static ProxyCore host(Clock clock, Deadlines deadlines) throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         Upstream nobody = new Upstream() {
@@ -82,7 +82,7 @@
             @Override
             public void closeIdle(String member) {}
         };
-        return new Host((atUs, event, out) -> {}, config.settings(), clock, deadlines, nobody);
+        return new ProxyCore((atUs, event, out) -> {}, config.settings(), clock, deadlines, nobody);
     }
 
     /** Otherwise the process would stay until the platform kills it, with what is open unanswered. */
--- a/src/test/java/clovermill/ledger/LedgerBench.java
+++ b/src/test/java/clovermill/ledger/LedgerBench.java
@@ -1,6 +1,6 @@
 package clovermill.ledger;
 
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.ledger.books.Books;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.How;
@@ -23,7 +23,7 @@
     private static Entry.Used used(long seq) {
         long takenMs = 1000 * HOUR + seq / 5000;
         return new Entry.Used(seq, takenMs, takenMs, takenMs * 1000, seq * 31, seq * 17, "tenant-" + seq / 7 % TENANTS,
-                (int) (seq % 3), Usage.End.SERVED, How.HIT, 1, false, 10_000, 0, 0);
+                (int) (seq % 3), UsageRecord.End.SERVED, How.HIT, 1, false, 10_000, 0, 0);
     }
 
     /** Writes so many records, all in one period that stays open, and reads them back. */
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.dataplane.proxy.Ask;
-import clovermill.dataplane.proxy.Audit;
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.UsageListener;
+import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.ledger.books.Books;
 import clovermill.ledger.books.Compactor;
 import clovermill.ledger.books.Reconciler;
@@ -88,13 +88,13 @@
         }
     }
 
-    private Ask ask(int requestClass) {
-        return new Ask(String.format("%016x", ++request), requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1_000_000,
+    private ClientRequest ask(int requestClass) {
+        return new ClientRequest(String.format("%016x", ++request), requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1_000_000,
                 false, null, null, new byte[0]);
     }
 
     private void use(Ledger ledger, int requestClass, int bytes, long takenMs) {
-        ledger.ended(new Usage(ask(requestClass), true, takenMs * 1000, monoMs * 1000, Usage.End.SERVED, 1, "s-1", null,
+        ledger.ended(new UsageRecord(ask(requestClass), true, takenMs * 1000, monoMs * 1000, UsageRecord.End.SERVED, 1, "s-1", null,
                 Note.HIT, bytes, bytes));
     }
 
@@ -305,18 +305,18 @@
     @Test
     void aTenantThatMustBeWrittenDownIsTurnedAwayWhileTheDiskIsFull() throws Exception {
         Ledger ledger = open(settings(16, List.of("b")));
-        assertThat(ledger.turnsAway(ask(1))).isEqualTo(Audit.TAKEN);
+        assertThat(ledger.turnsAway(ask(1))).isEqualTo(UsageListener.TAKEN);
         disk.room = 0;
         for (int i = 0; i < 200; i++) {
             use(ledger, 10);
             pass(5);
         }
         assertThat(ledger.turnsAway(ask(1))).isEqualTo(1);
-        assertThat(ledger.turnsAway(ask(0))).isEqualTo(Audit.TAKEN);
+        assertThat(ledger.turnsAway(ask(0))).isEqualTo(UsageListener.TAKEN);
         disk.room = Long.MAX_VALUE;
         until(() -> {
             pass(1000);
-            return ledger.turnsAway(ask(1)) == Audit.TAKEN;
+            return ledger.turnsAway(ask(1)) == UsageListener.TAKEN;
         });
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(2000);
--- a/src/test/java/clovermill/ledger/decide/AccountsTest.java
+++ b/src/test/java/clovermill/ledger/decide/AccountsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.UsageRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -19,7 +19,7 @@
     private static final long HOUR = 3_600_000;
 
     static Entry.Used used(long seq, long takenMs, String tenant, int bytes) {
-        return new Entry.Used(seq, takenMs, takenMs, takenMs * 1000, seq, seq, tenant, 0, Usage.End.SERVED, How.HIT, 1,
+        return new Entry.Used(seq, takenMs, takenMs, takenMs * 1000, seq, seq, tenant, 0, UsageRecord.End.SERVED, How.HIT, 1,
                 false, bytes, 0, 0);
     }
 
--- a/src/test/java/clovermill/ledger/decide/DecisionsTest.java
+++ b/src/test/java/clovermill/ledger/decide/DecisionsTest.java
@@ -5,7 +5,7 @@
 import static org.assertj.core.api.Assertions.within;
 
 import clovermill.config.tenants.TenantRules;
-import clovermill.dataplane.proxy.Usage;
+import clovermill.dataplane.proxy.UsageRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -221,7 +221,7 @@
     void aRetryServedElsewhereIsFoundOnce() {
         Retries retries = new Retries(30_000, 100);
         Entry.Used first = AccountsTest.used(1, 1000, "a", 10);
-        Entry.Used retry = new Entry.Used(2, 3000, 3000, 0, 2, 1, "a", 0, Usage.End.SERVED, How.HIT, 1, true, 10, 0, 0);
+        Entry.Used retry = new Entry.Used(2, 3000, 3000, 0, 2, 1, "a", 0, UsageRecord.End.SERVED, How.HIT, 1, true, 10, 0, 0);
         retries.note("n2", HOUR, retry);
         retries.note("n1", HOUR, first);
         List<Reconciliation.Doubled> found = new ArrayList<>();
