--- a/src/main/java/clovermill/dataplane/server/Front.java
+++ b/src/main/java/clovermill/dataplane/server/ClientServer.java
@@ -6,7 +6,7 @@
  * A protocol by which clients reach the director. Whatever it is, it hands its requests to the one host and
  * so goes through the same decisions and rules.
  */
-public interface Front {
+public interface ClientServer {
 
     /** Starts to listen. */
     void open() throws IOException;
--- a/src/main/java/clovermill/dataplane/server/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -16,11 +16,11 @@
     private static final long AT_ONCE_MS = 1;
 
     private final FrameConnection connection;
-    private final FrontParts shared;
+    private final ServerContext shared;
     private final StreamNumbers used = new StreamNumbers();
     private final Map<Long, ClientStream> open = new HashMap<>();
 
-    ClientStreams(FrameConnection connection, FrontParts shared) {
+    ClientStreams(FrameConnection connection, ServerContext shared) {
         this.connection = connection;
         this.shared = shared;
     }
--- a/src/main/java/clovermill/dataplane/server/FrameConnection.java
+++ b/src/main/java/clovermill/dataplane/server/FrameConnection.java
@@ -16,7 +16,7 @@
     /** A client that has just connected is about to ask. */
     private static final long ABOUT_TO_ASK_US = 100_000;
     private final Connection connection;
-    private final FrontParts shared;
+    private final ServerContext shared;
     private final FrameParser parser;
     private final ReadPause reading;
     private final FrameTimeout frameTimeout;
@@ -33,7 +33,7 @@
     private boolean cutOff;
     private boolean ended;
 
-    FrameConnection(Connection connection, FrontParts shared) {
+    FrameConnection(Connection connection, ServerContext shared) {
         this.connection = connection;
         this.shared = shared;
         this.parser = new FrameParser(shared.budget(), this::frame, this::skipped);
--- a/src/main/java/clovermill/dataplane/server/FrameFront.java
+++ b/src/main/java/clovermill/dataplane/server/FrameServer.java
@@ -19,7 +19,7 @@
 import java.util.function.BooleanSupplier;
 
 /** The front that speaks binary frames. */
-public final class FrameFront implements Front {
+public final class FrameServer implements ClientServer {
 
     /**
      * Where this front listens, how many connections it takes, and whether the director can serve. A listening
@@ -28,7 +28,7 @@
     public record Terms(InetSocketAddress address, ServerSocketChannel passed, int connections,
             BooleanSupplier able) {}
 
-    private static final System.Logger LOG = System.getLogger(FrameFront.class.getName());
+    private static final System.Logger LOG = System.getLogger(FrameServer.class.getName());
     /** Kept back from a client's wait for the way there and back, and for a busy core. */
     private static final long MARGIN_US = 20_000;
     private static final long SWEEP_US = 250_000;
@@ -39,7 +39,7 @@
     private final Clock clock;
     private final Terms terms;
     private final RequestReader reader;
-    private final FrontParts shared;
+    private final ServerContext shared;
     private final Set<FrameConnection> connections = new LinkedHashSet<>();
     private final IdleConnections idle = new IdleConnections();
     private final RecurringTask sweeping;
@@ -50,14 +50,14 @@
     private boolean leaving;
     private boolean turningAway;
 
-    public FrameFront(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, ProxyCore host,
+    public FrameServer(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, ProxyCore host,
             Settings settings, List<String> classNames, Terms terms) {
         this.loop = loop;
         this.clock = clock;
         this.terms = terms;
         this.most = terms.connections();
         this.reader = new RequestReader(MARGIN_US);
-        this.shared = new FrontParts(host, reader, budget, clock, deadlines, () -> awayMs, this::ready,
+        this.shared = new ServerContext(host, reader, budget, clock, deadlines, () -> awayMs, this::ready,
                 () -> turningAway, idle, this::forget);
         this.sweeping = new RecurringTask(deadlines, clock, SWEEP_US, () -> idle.sweep(clock.micros()));
         this.opening = new RecurringTask(deadlines, clock, LOOK_US, this::openWhenAble);
--- a/src/main/java/clovermill/dataplane/server/FrontParts.java
+++ b/src/main/java/clovermill/dataplane/server/ServerContext.java
@@ -9,6 +9,6 @@
 import java.util.function.LongSupplier;
 
 /** What all connections of the front share; {@code awayMs} is for how long a client that is turned away keeps away. */
-record FrontParts(ProxyCore host, RequestReader reader, Budget budget, Clock clock, Deadlines deadlines,
+record ServerContext(ProxyCore host, RequestReader reader, Budget budget, Clock clock, Deadlines deadlines,
         LongSupplier awayMs, BooleanSupplier ready, BooleanSupplier turningAway, IdleConnections idle,
         Consumer<FrameConnection> closed) {}
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -19,7 +19,7 @@
 import clovermill.controlplane.reload.ConfigReloader;
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.proxy.UsageListener;
-import clovermill.dataplane.server.FrameFront;
+import clovermill.dataplane.server.FrameServer;
 import clovermill.dataplane.upstream.CachePool;
 import clovermill.director.operations.GossipedOutages;
 import clovermill.director.operations.HandoverCoordinator;
@@ -64,7 +64,7 @@
     private static final long CATCH_UP_US = 1_000_000;
 
     private final DiscoveryClient channel;
-    private final FrameFront front;
+    private final FrameServer front;
     /** Null where this director never has more than one process. */
     private final HandoverCoordinator sharing;
     /** Null where operators call nowhere. */
@@ -117,8 +117,8 @@
         // What the configuration knows may be as old as the process that this one takes over from.
         BooleanSupplier caughtUp = () -> platform.passed() == null || channel.heard()
                 || clock.micros() >= settledUs + CATCH_UP_US;
-        front = new FrameFront(loop, clock, deadlines, budget, host, settings, config.classes(),
-                new FrameFront.Terms(config.listen(), platform.passed(), shares.clients(false),
+        front = new FrameServer(loop, clock, deadlines, budget, host, settings, config.classes(),
+                new FrameServer.Terms(config.listen(), platform.passed(), shares.clients(false),
                         () -> roster.known() && clock.micros() >= settledUs && caughtUp.getAsBoolean()));
         sharing = HandoverCoordinator.open(platform.shared(), shares, clock, deadlines, roster, front, pool);
         if (sharing != null) {
@@ -168,7 +168,7 @@
         channel.start();
     }
 
-    private FrameFront listen() throws IOException {
+    private FrameServer listen() throws IOException {
         listening = true;
         try {
             front.open();
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -5,7 +5,7 @@
 import clovermill.controlplane.handover.ProcessRegistry;
 import clovermill.controlplane.outage.OutageFolder;
 import clovermill.controlplane.outage.OutageMarks;
-import clovermill.dataplane.server.FrameFront;
+import clovermill.dataplane.server.FrameServer;
 import clovermill.dataplane.upstream.CachePool;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
@@ -30,13 +30,13 @@
     private final Clock clock;
     private final Deadlines deadlines;
     private final EndpointRegistry roster;
-    private final FrameFront front;
+    private final FrameServer front;
     private final CachePool pool;
     private ProcessRegistry.Others others = ProcessRegistry.Others.NONE;
 
     /** Shares by a folder; null if that is null, or, with a line in the log, if it cannot be used. */
     public static HandoverCoordinator open(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines,
-            EndpointRegistry roster, FrameFront front, CachePool pool) {
+            EndpointRegistry roster, FrameServer front, CachePool pool) {
         try {
             return folder == null ? null : new HandoverCoordinator(folder, shares, clock, deadlines, roster, front, pool);
         } catch (IOException unusable) {
@@ -46,7 +46,7 @@
         }
     }
 
-    private HandoverCoordinator(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines, EndpointRegistry roster, FrameFront front,
+    private HandoverCoordinator(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines, EndpointRegistry roster, FrameServer front,
             CachePool pool) throws IOException {
         this.outages = new OutageFolder(folder, clock::micros);
         this.presence = ProcessRegistry.ofThisProcess(folder);
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -3,14 +3,14 @@
 import clovermill.controlplane.admin.decide.AdminService;
 import clovermill.controlplane.discovery.EndpointRegistry;
 import clovermill.controlplane.outage.OutageMarks;
-import clovermill.dataplane.server.Front;
+import clovermill.dataplane.server.ClientServer;
 import clovermill.runtime.net.Clock;
 
 /**
  * What operators can have done. A call to one process counts for its whole director: what the other one was told before
  * is taken over first, and what changes is marked before the answer.
  */
-public record OperatorActions(EndpointRegistry roster, Front front, Clock clock, OutageMarks marks, Runnable catchUp)
+public record OperatorActions(EndpointRegistry roster, ClientServer front, Clock clock, OutageMarks marks, Runnable catchUp)
         implements AdminService.Director {
 
     @Override
--- a/src/main/java/clovermill/director/reload/SettingsReload.java
+++ b/src/main/java/clovermill/director/reload/SettingsReload.java
@@ -5,7 +5,7 @@
 import clovermill.controlplane.discovery.DiscoveryClient;
 import clovermill.controlplane.reload.decide.RequestClassRegistry;
 import clovermill.dataplane.proxy.ProxyCore;
-import clovermill.dataplane.server.FrameFront;
+import clovermill.dataplane.server.FrameServer;
 import clovermill.routing.api.Settings;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
@@ -20,14 +20,14 @@
     private final Clock clock;
     private final Deadlines deadlines;
     private final ProxyCore host;
-    private final FrameFront front;
+    private final FrameServer front;
     private final DiscoveryClient channel;
     private final RequestClassRegistry classes;
     private Config inForce;
     private Settings told;
     private Deadlines.Deadline settling;
 
-    public SettingsReload(Config start, Clock clock, Deadlines deadlines, ProxyCore host, FrameFront front,
+    public SettingsReload(Config start, Clock clock, Deadlines deadlines, ProxyCore host, FrameServer front,
             DiscoveryClient channel) {
         this.inForce = start;
         this.told = start.settings();
--- a/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
+++ b/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
@@ -1,7 +1,7 @@
 package clovermill.director.shutdown;
 
 import clovermill.dataplane.proxy.ProxyCore;
-import clovermill.dataplane.server.Front;
+import clovermill.dataplane.server.ClientServer;
 import clovermill.director.shutdown.decide.ShutdownSequence;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
@@ -21,7 +21,7 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final Front front;
+    private final ClientServer front;
     private final ProxyCore host;
     private final LongSupplier longestUs;
     private final boolean handsOver;
@@ -31,7 +31,7 @@
     private boolean cut;
 
     /** {@code longestUs} gives the longest deadline of a request; {@code handsOver} where another process follows. */
-    public GracefulShutdown(EventLoop loop, Clock clock, Deadlines deadlines, Front front, ProxyCore host, LongSupplier longestUs,
+    public GracefulShutdown(EventLoop loop, Clock clock, Deadlines deadlines, ClientServer front, ProxyCore host, LongSupplier longestUs,
             boolean handsOver) {
         this.longestUs = longestUs;
         this.handsOver = handsOver;
--- a/src/test/java/clovermill/dataplane/server/FrameFrontTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameServerTest.java
@@ -28,7 +28,7 @@
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 
-class FrameFrontTest {
+class FrameServerTest {
 
     private static final long STEP_US = 10_000;
     private static final byte[] READY_QUESTION = {6, 0, 0, 0, 6, 1, 0, 0, 0, 0};
@@ -65,12 +65,12 @@
     private final Budget budget = new Budget(1 << 20);
     private final List<Event> events = new ArrayList<>();
 
-    private FrameFront front(EventLoop loop, ServerSocketChannel passed, BooleanSupplier able) throws Exception {
+    private FrameServer front(EventLoop loop, ServerSocketChannel passed, BooleanSupplier able) throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         ProxyCore host = new ProxyCore((atUs, event, out) -> events.add(event), config.settings(), clock, deadlines, NOBODY);
-        return new FrameFront(loop, clock, deadlines, budget, host, config.settings(), config.classes(),
-                new FrameFront.Terms(new InetSocketAddress(
+        return new FrameServer(loop, clock, deadlines, budget, host, config.settings(), config.classes(),
+                new FrameServer.Terms(new InetSocketAddress(
                         InetAddress.getLoopbackAddress(), 0), passed, 8, able));
     }
 
@@ -80,7 +80,7 @@
         EventLoop loop = new EventLoop(clock, deadlines);
         try (ServerSocketChannel passed = ServerSocketChannel.open()
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            FrameFront front = front(loop, passed, () -> {
+            FrameServer front = front(loop, passed, () -> {
                 looks++;
                 if (looks == 2) {
                     throw new IllegalStateException("a fault while it looks whether it can serve");
@@ -108,7 +108,7 @@
     /** A front with one client, on a budget without room, and a clock that stands still between the waits. */
     private final class OneClient implements AutoCloseable {
         final EventLoop loop = new EventLoop(clock, deadlines);
-        final FrameFront front = front(loop, null, () -> true);
+        final FrameServer front = front(loop, null, () -> true);
         final Socket socket;
 
         OneClient() throws Exception {
--- a/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
+++ b/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
@@ -6,7 +6,7 @@
 import clovermill.config.Config;
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.proxy.Upstream;
-import clovermill.dataplane.server.Front;
+import clovermill.dataplane.server.ClientServer;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
@@ -34,7 +34,7 @@
     };
 
     /** A front that fails the first time that connections are to end, and has one connection until it is cut off. */
-    private static final class FailingFront implements Front {
+    private static final class FailingFront implements ClientServer {
         private int partings;
         private boolean empty;
 
