--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -3,7 +3,7 @@
 import clovermill.controlplane.discovery.DiscoveryEvents.Entry;
 import clovermill.controlplane.outage.OutageRegistry;
 import clovermill.dataplane.proxy.ProxyCore;
-import clovermill.dataplane.upstream.CachePool;
+import clovermill.dataplane.upstream.UpstreamPool;
 import clovermill.routing.api.Availability;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
@@ -32,7 +32,7 @@
     /** Whether the marks of another process were read before: what changes in them later has just happened. */
     private boolean marksRead;
     private final Clock clock;
-    private final CachePool pool;
+    private final UpstreamPool pool;
     private final ProxyCore host;
     private final OutageRegistry outages;
     private final int originKind;
@@ -47,7 +47,7 @@
     };
 
     /** {@code originKind} is the kind of the origin, which is no cache; caches that are out count as draining. */
-    public EndpointRegistry(Clock clock, CachePool pool, ProxyCore host, OutageRegistry outages, int originKind) {
+    public EndpointRegistry(Clock clock, UpstreamPool pool, ProxyCore host, OutageRegistry outages, int originKind) {
         this.clock = clock;
         this.pool = pool;
         this.host = host;
--- a/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
+++ b/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
@@ -15,14 +15,14 @@
     /** From a failed dial to the next. */
     static final long PAUSE_US = 20_000;
 
-    private final CachePool pool;
+    private final UpstreamPool pool;
     private final CacheRequest request;
     private final long untilUs;
     private Deadline next;
     private Upstream.Exchange sent;
 
     /** The first dial has just failed; the last may begin at {@code untilUs} of the clock. */
-    DelayedDial(CachePool pool, CacheRequest request, long untilUs) {
+    DelayedDial(UpstreamPool pool, CacheRequest request, long untilUs) {
         this.pool = pool;
         this.request = request;
         this.untilUs = untilUs;
--- a/src/main/java/clovermill/dataplane/upstream/SpentIds.java
+++ b/src/main/java/clovermill/dataplane/upstream/RecentIds.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** Ids under which an answer may still come on a connection though nobody waits for it; no request may take one. */
-final class SpentIds {
+final class RecentIds {
 
     /** Given-up ids that are remembered, lest a late answer be taken for that of a further attempt. */
     private static final int MOST_ABANDONED = 1000;
--- a/src/main/java/clovermill/dataplane/upstream/AnswerWords.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /** What the words of the lines protocol's answers mean (the protocol page, "Directors to caches"). */
-final class AnswerWords {
+final class ResponseFields {
 
     private static final Map<String, Note> NOTES = Map.of("HIT", Note.HIT, "MISS", Note.FILLED,
             "MISS_ORIGIN", Note.ORIGIN_ASKED, "COLLAPSED", Note.JOINED, "STALE", Note.STALE,
             "UP_BUSY", Note.SOURCE_REFUSED, "UP_DOWN", Note.SOURCE_UNREACHED, "UP_MISS", Note.SOURCE_LACKS,
             "NO_FILL", Note.NO_PLACE, "ORIGIN_ERR", Note.ORIGIN_FAILED);
 
-    private AnswerWords() {}
+    private ResponseFields() {}
 
     static Result result(String word) throws ProtocolException {
         return switch (word) {
--- a/src/main/java/clovermill/dataplane/upstream/AnswerParser.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseParser.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 
 /** Reads answers of the lines protocol: {@code ID WORD FIELDS LENGTH}, the bytes, and a line end. */
-final class AnswerParser {
+final class ResponseParser {
 
     /** Where whole answers go. */
     interface Sink {
@@ -32,7 +32,7 @@
     private int filled;
     private int ends;
 
-    AnswerParser(Budget budget, Sink sink) {
+    ResponseParser(Budget budget, Sink sink) {
         this.budget = budget;
         this.sink = sink;
     }
--- a/src/main/java/clovermill/dataplane/upstream/AnswerGuard.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseWatchdog.java
@@ -7,19 +7,19 @@
  * Guards against answers that stop short while their connection stays open, and those that go on for ever bit by
  * bit: what is behind them on the same connection can never be read, so that all on it would wait in vain.
  */
-final class AnswerGuard {
+final class ResponseWatchdog {
 
     /** What goes on at the pace of an answer that is slow but whole in the end takes no longer, in dial times. */
     private static final int MOST_DIALS = 20;
 
-    private final CachePool pool;
+    private final UpstreamPool pool;
     private final Connection connection;
-    private final AnswerParser parser;
+    private final ResponseParser parser;
     private Deadline stall;
     private long heardUs;
     private boolean closed;
 
-    AnswerGuard(CachePool pool, Connection connection, AnswerParser parser) {
+    ResponseWatchdog(UpstreamPool pool, Connection connection, ResponseParser parser) {
         this.pool = pool;
         this.connection = connection;
         this.parser = parser;
--- a/src/main/java/clovermill/dataplane/upstream/CacheConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -26,19 +26,19 @@
  * connection ends. A request stays out of the socket's buffer until all before it is written, so that it can
  * still be withdrawn with proof that nothing of it was sent.
  */
-final class CacheConnection implements Connection.Handler {
+final class UpstreamConnection implements Connection.Handler {
 
-    private static final System.Logger LOG = System.getLogger(CacheConnection.class.getName());
-    private final CachePool pool;
+    private static final System.Logger LOG = System.getLogger(UpstreamConnection.class.getName());
+    private final UpstreamPool pool;
     private final Connection connection;
-    private final AnswerParser parser;
+    private final ResponseParser parser;
     private final Budget budget;
-    private final Map<String, CacheExchange> open = new HashMap<>();
-    private final ArrayDeque<CacheExchange> waiting = new ArrayDeque<>();
-    private final SpentIds spent = new SpentIds();
-    private final AnswerGuard guard;
+    private final Map<String, UpstreamExchange> open = new HashMap<>();
+    private final ArrayDeque<UpstreamExchange> waiting = new ArrayDeque<>();
+    private final RecentIds spent = new RecentIds();
+    private final ResponseWatchdog guard;
     /** What was given up with a part of it unwritten. */
-    private final List<CacheExchange> unfinished = new ArrayList<>(1);
+    private final List<UpstreamExchange> unfinished = new ArrayList<>(1);
     private Deadline dialOrIdle;
     private boolean connected;
     private boolean retired;
@@ -46,12 +46,12 @@
     /** When the first request went out since anything was heard; 0 if none did. */
     private long unheardSinceUs;
 
-    CacheConnection(CachePool pool, Connection connection, Budget budget) {
+    UpstreamConnection(UpstreamPool pool, Connection connection, Budget budget) {
         this.pool = pool;
         this.connection = connection;
         this.budget = budget;
-        this.parser = new AnswerParser(budget, this::answer);
-        this.guard = new AnswerGuard(pool, connection, parser);
+        this.parser = new ResponseParser(budget, this::answer);
+        this.guard = new ResponseWatchdog(pool, connection, parser);
         this.dialOrIdle = pool.dialDeadline(connection::close);
     }
 
@@ -77,8 +77,8 @@
         return connected && connection.queuedBytes() == 0;
     }
 
-    CacheExchange send(CacheRequest request) {
-        CacheExchange exchange = new CacheExchange(this, request);
+    UpstreamExchange send(CacheRequest request) {
+        UpstreamExchange exchange = new UpstreamExchange(this, request);
         if (connected) {
             pool.cancel(dialOrIdle);
         }
@@ -91,12 +91,12 @@
     }
 
     /** Withdraws what is queued and {@code which} names; what is half written is to go no further. */
-    void withdraw(Predicate<CacheExchange> which, Result result) {
+    void withdraw(Predicate<UpstreamExchange> which, Result result) {
         List.copyOf(waiting).stream().filter(which).forEach(exchange -> withdraw(exchange, result));
-        Stream.concat(open.values().stream(), unfinished.stream()).filter(which).forEach(CacheExchange::revoke);
+        Stream.concat(open.values().stream(), unfinished.stream()).filter(which).forEach(UpstreamExchange::revoke);
     }
 
-    private void withdraw(CacheExchange exchange, Result result) {
+    private void withdraw(UpstreamExchange exchange, Result result) {
         if (waiting.remove(exchange)) {
             open.remove(exchange.id, exchange);
             pool.cancel(exchange.beginBy);
@@ -106,7 +106,7 @@
     }
 
     /** Nobody waits for it any more on this side. */
-    void givenUp(CacheExchange exchange) {
+    void givenUp(UpstreamExchange exchange) {
         if (open.remove(exchange.id, exchange)) {
             pool.cancel(exchange.beginBy);
             waiting.remove(exchange);
@@ -144,7 +144,7 @@
 
     private void begin() {
         if (connected && connection.queuedBytes() == 0 && !waiting.isEmpty()) {
-            for (CacheExchange next = waiting.poll(); next != null; next = waiting.poll()) {
+            for (UpstreamExchange next = waiting.poll(); next != null; next = waiting.poll()) {
                 pool.cancel(next.beginBy);
                 if (next.mayBegin(pool.now())) {
                     begin(next);
@@ -157,7 +157,7 @@
         }
     }
 
-    private void begin(CacheExchange exchange) {
+    private void begin(UpstreamExchange exchange) {
         unheardSinceUs = unheardSinceUs == 0 ? pool.now() : unheardSinceUs;
         List<ByteBuffer> parts = exchange.begin(pool.now());
         for (ByteBuffer part : parts.subList(0, parts.size() - 1)) {
@@ -192,9 +192,9 @@
      */
     @Override
     public void flushing() {
-        unfinished.removeIf(CacheExchange::isWhole);
+        unfinished.removeIf(UpstreamExchange::isWhole);
         if (connection.queuedBytes() > 0
-                && Stream.concat(open.values().stream(), unfinished.stream()).anyMatch(CacheExchange::mustStop)) {
+                && Stream.concat(open.values().stream(), unfinished.stream()).anyMatch(UpstreamExchange::mustStop)) {
             connection.close(); // what is still queued here must not go out any more
             return;
         }
@@ -222,7 +222,7 @@
 
     private void answer(String id, String word, Map<String, String> fields, Body body)
             throws ProtocolException {
-        CacheExchange exchange = open.get(id);
+        UpstreamExchange exchange = open.get(id);
         if (exchange == null || !exchange.begun()) {
             // A late answer, a second copy or one under an unknown id: it costs only itself.
             spent.late(id);
@@ -231,13 +231,13 @@
         }
         Result result;
         try {
-            result = AnswerWords.result(word);
+            result = ResponseFields.result(word);
         } catch (ProtocolException malformed) {
             body.close();
             throw malformed;
         }
-        Note note = AnswerWords.note(fields.get("res"));
-        long waitedUs = AnswerWords.micros(fields.get("ttfb"));
+        Note note = ResponseFields.note(fields.get("res"));
+        long waitedUs = ResponseFields.micros(fields.get("ttfb"));
         open.remove(id);
         spent.answered(id, pool.now());
         unheardSinceUs = open.isEmpty() ? 0 : guard.heardUs();
@@ -254,7 +254,7 @@
     }
 
     /** A report that can't be read is none: the answer that brought it is as good as ever. */
-    private static void report(CacheExchange exchange, String gauges) {
+    private static void report(UpstreamExchange exchange, String gauges) {
         try {
             exchange.ending.reported(LoadReports.read(gauges, ";"));
         } catch (NumberFormatException unreadable) {
@@ -283,7 +283,7 @@
         Result unsent = connected || cause != null && !SocketErrors.isOfPeer(cause) ? Result.NOT_SENT
                 : Result.UNCONNECTED;
         while (!open.isEmpty()) {
-            CacheExchange exchange = open.remove(open.keySet().iterator().next());
+            UpstreamExchange exchange = open.remove(open.keySet().iterator().next());
             pool.cancel(exchange.beginBy);
             exchange.end(exchange.isWhole() ? Result.BROKEN : unsent, Note.NONE, 0, null);
         }
--- a/src/main/java/clovermill/dataplane/upstream/CacheExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
@@ -12,11 +12,11 @@
 import java.util.function.Predicate;
 
 /** An exchange on its connection: queued there, then sent, then ended or given up. */
-final class CacheExchange implements Upstream.Exchange {
+final class UpstreamExchange implements Upstream.Exchange {
 
     final String id;
     final Upstream.Ending ending;
-    private final CacheConnection connection;
+    private final UpstreamConnection connection;
     private final CacheRequest request;
     private boolean begun;
     private boolean whole;
@@ -24,7 +24,7 @@
     /** By when it must have begun. */
     Deadline beginBy;
 
-    CacheExchange(CacheConnection connection, CacheRequest request) {
+    UpstreamExchange(UpstreamConnection connection, CacheRequest request) {
         this.connection = connection;
         this.request = request;
         this.id = request.id();
--- a/src/main/java/clovermill/dataplane/upstream/CachePool.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
@@ -23,7 +23,7 @@
 import java.util.function.Predicate;
 
 /** The connections to all members, known by their ids, and the requests in the lines protocol. */
-public final class CachePool implements Upstream {
+public final class UpstreamPool implements Upstream {
 
     /** What bounds the pool. */
     public record Limits(int streamsPerConnection, int connections, long dialUs, long idleUs) {}
@@ -53,11 +53,11 @@
     private int dialled;
     private long probes;
 
-    public CachePool(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, Limits limits) {
+    public UpstreamPool(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, Limits limits) {
         this(loop::connect, clock, deadlines, budget, limits);
     }
 
-    CachePool(Dialer dialer, Clock clock, Deadlines deadlines, Budget budget, Limits limits) {
+    UpstreamPool(Dialer dialer, Clock clock, Deadlines deadlines, Budget budget, Limits limits) {
         this.dialer = dialer;
         this.clock = clock;
         this.deadlines = deadlines;
@@ -70,7 +70,7 @@
     public void limit(int connections) {
         bound = connections;
         for (Peer peer : List.copyOf(peers.values())) {
-            for (CacheConnection connection : List.copyOf(peer.connections)) {
+            for (UpstreamConnection connection : List.copyOf(peer.connections)) {
                 if (dialled > bound) {
                     connection.closeIfIdle();
                 }
@@ -82,7 +82,7 @@
     private static final class Peer {
         final InetSocketAddress address;
         final long startedMs;
-        final List<CacheConnection> connections = new ArrayList<>();
+        final List<UpstreamConnection> connections = new ArrayList<>();
 
         Peer(InetSocketAddress address, long startedMs) {
             this.address = address;
@@ -106,7 +106,7 @@
     public void gone(String member) {
         Peer peer = peers.remove(member);
         if (peer != null) {
-            for (CacheConnection connection : List.copyOf(peer.connections)) {
+            for (UpstreamConnection connection : List.copyOf(peer.connections)) {
                 connection.withdraw(each -> true, Result.UNCONNECTED);
                 connection.retire();
             }
@@ -139,8 +139,8 @@
                 .forEach(each -> each.end(Result.NOT_SENT));
     }
 
-    private static void withdraw(Peer peer, Predicate<CacheExchange> which, Result result) {
-        for (CacheConnection connection : List.copyOf(peer.connections)) {
+    private static void withdraw(Peer peer, Predicate<UpstreamExchange> which, Result result) {
+        for (UpstreamConnection connection : List.copyOf(peer.connections)) {
             connection.withdraw(which, result);
         }
     }
@@ -178,7 +178,7 @@
     public void closeIdle(String member) {
         Peer peer = peers.get(member);
         if (peer != null) {
-            List.copyOf(peer.connections).forEach(CacheConnection::closeIfIdle);
+            List.copyOf(peer.connections).forEach(UpstreamConnection::closeIfIdle);
         }
     }
 
@@ -193,7 +193,7 @@
     /** Sends a request, or ends it; null where this machine could not dial for the moment, which is no end. */
     Exchange trySend(CacheRequest request) {
         Peer peer = peers.get(request.member());
-        CacheConnection connection;
+        UpstreamConnection connection;
         try {
             connection = peer == null ? null : connectionFor(peer, request.id());
         } catch (IOException failure) {
@@ -226,11 +226,11 @@
      * few, a further connection comes up beside it: one answer that is spoilt costs all that share its
      * connection. Nothing waits for a dial if there is a connection already.
      */
-    private CacheConnection connectionFor(Peer peer, String id) throws IOException {
-        CacheConnection best = null;
+    private UpstreamConnection connectionFor(Peer peer, String id) throws IOException {
+        UpstreamConnection best = null;
         int inUse = 0;
         boolean dialling = false;
-        for (CacheConnection connection : peer.connections) {
+        for (UpstreamConnection connection : peer.connections) {
             if (!connection.isRetired()) {
                 inUse++;
                 dialling |= !connection.isConnected();
@@ -260,14 +260,14 @@
 
     private void dial(Peer peer) throws IOException {
         dialer.connect(peer.address, connection -> {
-            CacheConnection added = new CacheConnection(this, connection, budget);
+            UpstreamConnection added = new UpstreamConnection(this, connection, budget);
             peer.connections.add(added);
             return added;
         });
         dialled++;
     }
 
-    void closed(CacheConnection connection) {
+    void closed(UpstreamConnection connection) {
         dialled--;
         peers.values().forEach(peer -> peer.connections.remove(connection));
     }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -20,7 +20,7 @@
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.proxy.UsageListener;
 import clovermill.dataplane.server.FrameServer;
-import clovermill.dataplane.upstream.CachePool;
+import clovermill.dataplane.upstream.UpstreamPool;
 import clovermill.director.operations.GossipedOutages;
 import clovermill.director.operations.HandoverCoordinator;
 import clovermill.director.operations.OperatorActions;
@@ -94,7 +94,7 @@
         loop = startup.get("the selector", () -> new EventLoop(clock, deadlines));
         Warmup.play(settings, known);
         DescriptorShares shares = new DescriptorShares(config.sockets());
-        CachePool pool = new CachePool(loop, clock, deadlines, budget, new CachePool.Limits(
+        UpstreamPool pool = new UpstreamPool(loop, clock, deadlines, budget, new UpstreamPool.Limits(
                 config.streamsPerConnection(), shares.members(false), settings.dialTimeoutUs(),
                 (long) (IDLE_PART * config.connectionIdleUs())));
         ledger = kept == null ? null : Ledger.open(kept, new Ledger.Director(config.name(), config.classes(),
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -6,7 +6,7 @@
 import clovermill.controlplane.outage.OutageFolder;
 import clovermill.controlplane.outage.OutageMarks;
 import clovermill.dataplane.server.FrameServer;
-import clovermill.dataplane.upstream.CachePool;
+import clovermill.dataplane.upstream.UpstreamPool;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.RecurringTask;
@@ -31,12 +31,12 @@
     private final Deadlines deadlines;
     private final EndpointRegistry roster;
     private final FrameServer front;
-    private final CachePool pool;
+    private final UpstreamPool pool;
     private ProcessRegistry.Others others = ProcessRegistry.Others.NONE;
 
     /** Shares by a folder; null if that is null, or, with a line in the log, if it cannot be used. */
     public static HandoverCoordinator open(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines,
-            EndpointRegistry roster, FrameServer front, CachePool pool) {
+            EndpointRegistry roster, FrameServer front, UpstreamPool pool) {
         try {
             return folder == null ? null : new HandoverCoordinator(folder, shares, clock, deadlines, roster, front, pool);
         } catch (IOException unusable) {
@@ -47,7 +47,7 @@
     }
 
     private HandoverCoordinator(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines, EndpointRegistry roster, FrameServer front,
-            CachePool pool) throws IOException {
+            UpstreamPool pool) throws IOException {
         this.outages = new OutageFolder(folder, clock::micros);
         this.presence = ProcessRegistry.ofThisProcess(folder);
         this.shares = shares;
--- a/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
@@ -6,7 +6,7 @@
 import clovermill.config.Json;
 import clovermill.controlplane.outage.OutageRegistry;
 import clovermill.dataplane.proxy.ProxyCore;
-import clovermill.dataplane.upstream.CachePool;
+import clovermill.dataplane.upstream.UpstreamPool;
 import clovermill.routing.api.Members;
 import clovermill.routing.api.Purge;
 import clovermill.runtime.net.Budget;
@@ -46,8 +46,8 @@
 
     private void processStarts() throws Exception {
         Deadlines deadlines = new Deadlines();
-        CachePool pool = new CachePool(new EventLoop(clock, deadlines), clock, deadlines, new Budget(1000),
-                new CachePool.Limits(1, 1, 1, 1));
+        UpstreamPool pool = new UpstreamPool(new EventLoop(clock, deadlines), clock, deadlines, new Budget(1000),
+                new UpstreamPool.Limits(1, 1, 1, 1));
         ProxyCore host = new ProxyCore((atUs, event, out) -> {
             if (event instanceof Members news) {
                 news.members().forEach(member -> startsUs.add(member.startedUs()));
--- a/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
@@ -57,14 +57,14 @@
     private final List<Result> results = new ArrayList<>();
     private boolean mayBegin = true;
     private EventLoop loop;
-    private CachePool pool;
+    private UpstreamPool pool;
     private ServerSocketChannel member;
 
     @BeforeEach
     void open() throws IOException {
         loop = new EventLoop(clock, deadlines);
-        pool = new CachePool(this::connect, clock, deadlines, new Budget(1 << 20),
-                new CachePool.Limits(31, 40, DIAL_US, 30_000_000));
+        pool = new UpstreamPool(this::connect, clock, deadlines, new Budget(1 << 20),
+                new UpstreamPool.Limits(31, 40, DIAL_US, 30_000_000));
         member = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         pool.listed("m", (InetSocketAddress) member.getLocalAddress(), 0);
     }
--- a/src/test/java/clovermill/dataplane/upstream/AnswerParserTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/ResponseParserTest.java
@@ -14,14 +14,14 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-class AnswerParserTest {
+class ResponseParserTest {
 
     private static final byte[] INPUT =
             "a1 DONE etag=t,made=5 4\r\n\r\n\0x\r\na2 LACK - 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     private final Budget budget = new Budget(1000);
 
     private Splits.Parser parser(Consumer<String> told) {
-        AnswerParser parser = new AnswerParser(budget, (id, word, fields, body) -> {
+        ResponseParser parser = new ResponseParser(budget, (id, word, fields, body) -> {
             told.accept(id + " " + word + " " + new TreeMap<>(fields) + " " + body.bytes().length);
             body.close();
         });
@@ -63,7 +63,7 @@
     void stopsBeforeABodyThatFindsNoRoom() throws Exception {
         List<String> told = new ArrayList<>();
         assertThat(budget.take(999)).isTrue();
-        AnswerParser parser = new AnswerParser(budget, (id, word, fields, body) -> told.add(id));
+        ResponseParser parser = new ResponseParser(budget, (id, word, fields, body) -> told.add(id));
         ByteBuffer data = ByteBuffer.wrap(INPUT);
         parser.parse(data);
         assertThat(parser.waitsForRoom()).isTrue();
--- a/src/test/java/clovermill/dataplane/upstream/CachePoolTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What still goes out on a connection to a member whose write is stuck, or whose answers come twice or never end. */
-class CachePoolTest {
+class UpstreamPoolTest {
 
     private static final long DIAL_US = 400_000;
     /** More than the sockets of both sides hold while the member reads nothing. */
@@ -51,14 +51,14 @@
     private final StringBuilder read = new StringBuilder();
     private int searched;
     private EventLoop loop;
-    private CachePool pool;
+    private UpstreamPool pool;
     private ServerSocketChannel member;
 
     @BeforeEach
     void open() throws IOException {
         loop = new EventLoop(clock, deadlines);
-        pool = new CachePool(loop, clock, deadlines, new Budget(1 << 20),
-                new CachePool.Limits(31, 40, DIAL_US, 30_000_000));
+        pool = new UpstreamPool(loop, clock, deadlines, new Budget(1 << 20),
+                new UpstreamPool.Limits(31, 40, DIAL_US, 30_000_000));
         member = ServerSocketChannel.open();
         member.setOption(StandardSocketOptions.SO_RCVBUF, 1 << 16);
         member.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
