--- a/src/main/java/clovermill/cli/LedgerCloseCommand.java
+++ b/src/main/java/clovermill/cli/LedgerCloseCommand.java
@@ -1,7 +1,7 @@
 package clovermill.cli;
 
-import clovermill.ledger.Closer;
 import clovermill.ledger.LedgerSettings;
+import clovermill.ledger.PeriodCloser;
 import clovermill.storage.Volume;
 import java.util.Map;
 import picocli.CommandLine.Command;
@@ -14,7 +14,7 @@
     @Override
     public Integer call() throws Exception {
         LedgerSettings settings = settings();
-        long throughMs = Closer.close(folder(), settings, System.currentTimeMillis(), Volume.local());
+        long throughMs = PeriodCloser.close(folder(), settings, System.currentTimeMillis(), Volume.local());
         if (json()) {
             Output.json(out(), Map.of("through", LedgerFormat.time(throughMs)));
         } else {
--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -59,7 +59,7 @@
     private final Clock clock;
     private final Deadlines deadlines;
     private final FolderLock lock;
-    private final Stage stage;
+    private final StagingArea stage;
     private final LedgerWriter writer;
     private final TenantRules rules;
     private final Timeline timeline;
@@ -78,7 +78,7 @@
     private boolean gathering;
 
     private Ledger(LedgerSettings settings, Director director, Clock clock, Deadlines deadlines, FolderLock lock,
-            Stage stage, LedgerWriter writer, LedgerStart start, long throughMs, Map<String, Double> shares) {
+            StagingArea stage, LedgerWriter writer, LedgerStart start, long throughMs, Map<String, Double> shares) {
         this.settings = settings;
         this.director = director;
         this.clock = clock;
@@ -93,7 +93,7 @@
         this.closings = start.closings();
         this.allowances = new Allowances(settings.allowances(director.classes()), shares, settings.periodMs());
         start.open().forEach((key, totals) -> allowances.known(key.period(), key.tenant(), totals));
-        this.backlog = new Backlog(Stage.pages(), 1 + director.maxOpen() * ENTRY_BYTES * Stage.pages()
+        this.backlog = new Backlog(StagingArea.pages(), 1 + director.maxOpen() * ENTRY_BYTES * StagingArea.pages()
                 / (settings.queueKb() << 10));
         this.missed = new Missed(MOST_MISSED, settings.periodMs());
         this.refusers = Set.copyOf(settings.refuseWhenFull());
@@ -114,13 +114,13 @@
         FolderLock lock = FolderLock.take(folder.writerLock());
         try {
             Path staged = staged(settings, identity);
-            Rescue.run(folder, identity, staged, volume);
+            StagingRecovery.run(folder, identity, staged, volume);
             long epoch = folder.nextEpoch(volume);
             LedgerStart start = LedgerStart.of(folder, limited);
             long nowMs = Math.max(clock.unixMillis(), start.lastMs());
             long throughMs = start.throughMs() != Long.MIN_VALUE ? start.throughMs()
                     : Math.floorDiv(nowMs, settings.periodMs()) * settings.periodMs();
-            Stage stage = new Stage(staged, identity.folder(), epoch, settings.queueKb() << 10);
+            StagingArea stage = new StagingArea(staged, identity.folder(), epoch, settings.queueKb() << 10);
             LedgerWriter writer = new LedgerWriter(folder, volume, stage, new LogHeader(identity.folder(), instance,
                     epoch, 1, 1, nowMs, throughMs, start.closings(), settings.periodMs(), director.classes()),
                     new LedgerWriter.Terms(settings.syncMs(), settings.syncKb() << 10,
@@ -245,7 +245,7 @@
             owed.poll();
         }
         // Not before half of the pages are free: otherwise each record that fits would make a gap of its own.
-        if (owed.isEmpty() && !missed.isEmpty() && stage.used() <= Stage.pages() / 2) {
+        if (owed.isEmpty() && !missed.isEmpty() && stage.used() <= StagingArea.pages() / 2) {
             missed.take(GAPS_AT_ONCE).forEach(this::owe);
             while (!owed.isEmpty() && stage.offer(owed.peek())) {
                 owed.poll();
--- a/src/main/java/clovermill/ledger/LedgerWriter.java
+++ b/src/main/java/clovermill/ledger/LedgerWriter.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one thread that writes a ledger's log, from the pages of a {@link Stage}. Entries survive the end of the
+ * The one thread that writes a ledger's log, from the pages of a {@link StagingArea}. Entries survive the end of the
  * process as soon as they are staged, and the loss of power after the next sync, which comes after so much time or
  * so many bytes, whichever is first. A page is held until it is synced: after a fault the thread opens a new
  * segment and writes it again; the reader knows by its sequence what it has had.
@@ -28,11 +28,11 @@
 
     private final LedgerFolder folder;
     private final Volume volume;
-    private final Stage stage;
+    private final StagingArea stage;
     private final Terms terms;
     private final LogFormat format = new LogFormat();
     /** Pages that are not synced, or only up to {@code syncedAt} in the first one. */
-    private final List<Stage.Page> pages = new ArrayList<>();
+    private final List<StagingArea.Page> pages = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "ledger");
     private LogHeader header;
     private SegmentWriter segment;
@@ -51,7 +51,7 @@
     private volatile boolean closing;
 
     /** {@code header} is that of the first segment. */
-    LedgerWriter(LedgerFolder folder, Volume volume, Stage stage, LogHeader header, Terms terms) {
+    LedgerWriter(LedgerFolder folder, Volume volume, StagingArea stage, LogHeader header, Terms terms) {
         this.folder = folder;
         this.volume = volume;
         this.stage = stage;
@@ -125,7 +125,7 @@
 
     /** Takes what is handed over; waits for that, no longer than until the next sync is due. */
     private void gather() throws InterruptedException {
-        Stage.Page next = stage.take(closing ? 0 : pages.isEmpty() ? TimeUnit.MILLISECONDS.toNanos(IDLE_MS)
+        StagingArea.Page next = stage.take(closing ? 0 : pages.isEmpty() ? TimeUnit.MILLISECONDS.toNanos(IDLE_MS)
                 : syncByNs - System.nanoTime());
         if (next != null && pages.isEmpty()) {
             syncByNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(terms.syncMs());
--- a/src/main/java/clovermill/ledger/Closer.java
+++ b/src/main/java/clovermill/ledger/PeriodCloser.java
@@ -9,9 +9,9 @@
 import java.util.OptionalLong;
 
 /** Closes periods of a folder whose director does not run, or never will again. */
-public final class Closer {
+public final class PeriodCloser {
 
-    private Closer() {}
+    private PeriodCloser() {}
 
     /**
      * Writes down what a killed director left staged and closes what ended by {@code nowMs}, less the lateness that
@@ -23,7 +23,7 @@
         long periodMs = settings.periodMs();
         LedgerFolder.Identity identity = folder.identity();
         return FolderLock.holding(folder.writerLock(), () -> {
-            Rescue.run(folder, identity, Ledger.staged(settings, identity), volume);
+            StagingRecovery.run(folder, identity, Ledger.staged(settings, identity), volume);
             LedgerStart start = LedgerStart.of(folder, false);
             if (start.throughMs() == Long.MIN_VALUE) {
                 throw new IOException(folder.path() + " holds no segment yet");
@@ -33,7 +33,7 @@
                 return start.throughMs();
             }
             long epoch = folder.nextEpoch(volume);
-            Stage stage = new Stage(null, identity.folder(), epoch, 0);
+            StagingArea stage = new StagingArea(null, identity.folder(), epoch, 0);
             stage.offer(new Entry.Close(1, due.getAsLong(), start.closings() + 1, nowMs));
             stage.handOverLast();
             LedgerWriter writer = new LedgerWriter(folder, volume, stage, new LogHeader(identity.folder(),
--- a/src/main/java/clovermill/ledger/Stage.java
+++ b/src/main/java/clovermill/ledger/StagingArea.java
@@ -20,7 +20,7 @@
  * takes them over. Nothing is written back to a disk from there, so filling them waits for none. The loop owns the
  * present page, the writer a page from {@link #take} until {@link #giveBack}.
  */
-final class Stage {
+final class StagingArea {
 
     private static final String MAGIC = "CLVSTAG1";
     /** Magic, the ledger's folder, epoch. */
@@ -51,7 +51,7 @@
     private Page present;
 
     /** Makes {@code file} anew for an epoch, with so many bytes of pages; on the heap where it is null. */
-    Stage(Path file, UUID folder, long epoch, int bytes) throws IOException {
+    StagingArea(Path file, UUID folder, long epoch, int bytes) throws IOException {
         this.file = file;
         int pageBytes = Math.max(SMALLEST_PAGE, bytes / PAGES);
         ByteBuffer memory = file == null ? ByteBuffer.allocate(HEAD_BYTES + PAGES * pageBytes)
--- a/src/main/java/clovermill/ledger/Rescue.java
+++ b/src/main/java/clovermill/ledger/StagingRecovery.java
@@ -11,16 +11,16 @@
 import java.util.List;
 
 /** Takes over what a process that was killed had staged and not yet written, into a segment of its epoch. */
-final class Rescue {
+final class StagingRecovery {
 
-    private static final System.Logger LOG = System.getLogger(Rescue.class.getName());
+    private static final System.Logger LOG = System.getLogger(StagingRecovery.class.getName());
 
-    private Rescue() {}
+    private StagingRecovery() {}
 
     /** Does so, as often as it is cut short; {@code staged} may be null or not there. */
     static void run(LedgerFolder folder, LedgerFolder.Identity identity, Path staged, Volume volume)
             throws IOException {
-        Stage.Left left = Stage.left(staged);
+        StagingArea.Left left = StagingArea.left(staged);
         if (left == null) {
             return;
         }
@@ -33,7 +33,7 @@
         Files.deleteIfExists(staged);
     }
 
-    private static void write(LedgerFolder folder, Stage.Left left, List<LedgerFolder.Segment> segments,
+    private static void write(LedgerFolder folder, StagingArea.Left left, List<LedgerFolder.Segment> segments,
             Volume volume) throws IOException {
         Found found = find(folder, segments);
         if (found == null) {
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -256,7 +256,7 @@
         ledger.close();
         LedgerFolder after = new LedgerFolder(killed);
         Files.copy(folder.resolve("kept"), stage);
-        Rescue.run(after, after.identity(), stage, disk);
+        StagingRecovery.run(after, after.identity(), stage, disk);
         assertThat(sum(after).get(Totals.Sum.BYTES)).isEqualTo(20_000);
     }
 
@@ -276,11 +276,11 @@
         LedgerFolder after = new LedgerFolder(killed);
         int segments = after.segments().size();
         disk.syncFails = true;
-        assertThatThrownBy(() -> Rescue.run(after, after.identity(), stage, disk)).hasMessage("Input/output error");
+        assertThatThrownBy(() -> StagingRecovery.run(after, after.identity(), stage, disk)).hasMessage("Input/output error");
         assertThat(stage).exists();
         assertThat(after.segments()).hasSize(segments);
         disk.syncFails = false;
-        Rescue.run(after, after.identity(), stage, disk);
+        StagingRecovery.run(after, after.identity(), stage, disk);
         assertThat(stage).doesNotExist();
         assertThat(sum(after).get(Totals.Sum.BYTES)).isEqualTo(300);
     }
@@ -359,7 +359,7 @@
         LedgerFolder after = new LedgerFolder(folder.resolve("killed2"));
         for (int i = 0; i < 2; i++) {
             Files.copy(folder.resolve("kept"), stage);
-            Rescue.run(after, after.identity(), stage, disk);
+            StagingRecovery.run(after, after.identity(), stage, disk);
         }
         List<Entry> entries = new ArrayList<>();
         new LogReader(after).read(LogReader.Position.START, (header, entry) -> entries.add(entry));
