--- a/src/main/java/clovermill/cli/LedgerRebuildCommand.java
+++ b/src/main/java/clovermill/cli/LedgerRebuildCommand.java
@@ -1,6 +1,6 @@
 package clovermill.cli;
 
-import clovermill.ledger.books.Books;
+import clovermill.ledger.books.TotalsStore;
 import picocli.CommandLine.Command;
 
 /** {@code ledger rebuild}: makes the books again from the log and compares them. */
@@ -10,9 +10,9 @@
 
     @Override
     public Integer call() throws Exception {
-        Books.Rebuilt rebuilt;
+        TotalsStore.Rebuilt rebuilt;
         try (Output.Progress progress = Output.progress("rebuilding")) {
-            rebuilt = Books.rebuild(folder(), progress);
+            rebuilt = TotalsStore.rebuild(folder(), progress);
         }
         boolean same = rebuilt.after().equals(rebuilt.before());
         if (json()) {
--- a/src/main/java/clovermill/cli/LedgerShowCommand.java
+++ b/src/main/java/clovermill/cli/LedgerShowCommand.java
@@ -1,6 +1,6 @@
 package clovermill.cli;
 
-import clovermill.ledger.books.Books;
+import clovermill.ledger.books.TotalsStore;
 import clovermill.ledger.decide.Accounts;
 import clovermill.ledger.decide.Totals;
 import java.util.ArrayList;
@@ -25,10 +25,10 @@
     public Integer call() throws Exception {
         List<List<String>> rows = new ArrayList<>();
         List<Object> objects = new ArrayList<>();
-        try (Books books = Books.open(folder()); Output.Progress progress = Output.progress("reading")) {
+        try (TotalsStore books = TotalsStore.open(folder()); Output.Progress progress = Output.progress("reading")) {
             books.update(progress);
             long from = books.accounts().closings() - last;
-            for (Books.BatchInfo info : books.batches().tailMap(from, false).values()) {
+            for (TotalsStore.BatchInfo info : books.batches().tailMap(from, false).values()) {
                 Accounts.Batch batch = books.batch(info.number());
                 String state = info.acknowledged() == null ? "closed" : "exported";
                 add(batch.totals(), state, rows, objects);
--- a/src/main/java/clovermill/ledger/books/Compactor.java
+++ b/src/main/java/clovermill/ledger/books/Compactor.java
@@ -28,11 +28,11 @@
     /** {@code mostDays} and {@code mostBytes} below 0 stand for no bound. */
     public static Result run(LedgerFolder folder, long nowMs, long mostDays, long mostBytes, Volume volume,
             LongConsumer progress) throws IOException {
-        try (Books books = Books.open(folder)) {
+        try (TotalsStore books = TotalsStore.open(folder)) {
             books.update(progress);
             long deliveredMs = books.batches().values().stream().filter(each -> each.acknowledged() != null)
-                    .mapToLong(Books.BatchInfo::throughMs).max().orElse(Long.MIN_VALUE);
-            for (Books.BatchInfo batch : books.batches().values()) {
+                    .mapToLong(TotalsStore.BatchInfo::throughMs).max().orElse(Long.MIN_VALUE);
+            for (TotalsStore.BatchInfo batch : books.batches().values()) {
                 // Batches go out in their order, but one that was not acknowledged holds all behind it back.
                 deliveredMs = batch.acknowledged() == null ? Math.min(deliveredMs, batch.fromMs()) : deliveredMs;
             }
--- a/src/main/java/clovermill/ledger/books/Books.java
+++ b/src/main/java/clovermill/ledger/books/TotalsStore.java
@@ -34,7 +34,7 @@
  * acknowledged. What was read of the log and what it came to are committed together. A frozen batch is never
  * written a second time.
  */
-public final class Books implements AutoCloseable {
+public final class TotalsStore implements AutoCloseable {
 
     /** A batch without its rows; {@code acknowledged} is the digest it was delivered under, or null. */
     public record BatchInfo(long number, long epoch, long fromMs, long throughMs, long atMs, String acknowledged) {}
@@ -59,7 +59,7 @@
     private LogReader.Position position;
     private long damagedBytes;
 
-    private Books(LedgerFolder folder, Path file, FolderLock lock) throws IOException {
+    private TotalsStore(LedgerFolder folder, Path file, FolderLock lock) throws IOException {
         this.folder = folder;
         this.file = file;
         this.lock = lock;
@@ -81,11 +81,11 @@
     }
 
     /** Opens a folder's books, as they were left; throws {@link FolderLock.Held} if somebody works on them. */
-    public static Books open(LedgerFolder folder) throws IOException {
+    public static TotalsStore open(LedgerFolder folder) throws IOException {
         folder.identity();
         FolderLock lock = FolderLock.take(folder.booksLock());
         try {
-            return new Books(folder, folder.books(), lock);
+            return new TotalsStore(folder, folder.books(), lock);
         } catch (IOException | RuntimeException failure) {
             lock.close();
             throw failure;
@@ -106,7 +106,7 @@
             }
             String before = null;
             Map<Long, String> known = new HashMap<>();
-            try (Books old = new Books(folder, folder.books(), null)) {
+            try (TotalsStore old = new TotalsStore(folder, folder.books(), null)) {
                 // To the same point of the log, as far as the old ones go on; what they cannot read is not counted.
                 old.update(entries -> {});
                 before = old.digest();
@@ -115,7 +115,7 @@
                 before = null;
             }
             Rebuilt result;
-            try (Books made = new Books(folder, fresh, null)) {
+            try (TotalsStore made = new TotalsStore(folder, fresh, null)) {
                 made.update(progress);
                 known.forEach(made.acknowledged::putIfAbsent);
                 made.store.commit();
--- a/src/main/java/clovermill/ledger/export/Exporter.java
+++ b/src/main/java/clovermill/ledger/export/Exporter.java
@@ -2,7 +2,7 @@
 
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LedgerSettings;
-import clovermill.ledger.books.Books;
+import clovermill.ledger.books.TotalsStore;
 import clovermill.storage.CrashPoint;
 import clovermill.storage.Volume;
 import java.io.IOException;
@@ -51,12 +51,12 @@
     /** Brings the books up to date and delivers; the books are locked meanwhile. */
     public Result run() throws IOException, InterruptedException {
         List<Long> delivered = new ArrayList<>();
-        try (Books books = Books.open(folder)) {
+        try (TotalsStore books = TotalsStore.open(folder)) {
             books.update(read -> {});
             LedgerFolder.Identity identity = folder.identity();
-            List<Books.BatchInfo> due = books.batches().values().stream().filter(each -> each.acknowledged() == null)
+            List<TotalsStore.BatchInfo> due = books.batches().values().stream().filter(each -> each.acknowledged() == null)
                     .toList();
-            for (Books.BatchInfo batch : due) {
+            for (TotalsStore.BatchInfo batch : due) {
                 byte[] bytes = BatchText.of(identity, books.batch(batch.number()), form());
                 String reason = deliver(identity, batch, bytes);
                 if (reason != null) {
@@ -76,7 +76,7 @@
     }
 
     /** Returns null when the batch is where it belongs, else why it is not. */
-    private String deliver(LedgerFolder.Identity identity, Books.BatchInfo batch, byte[] bytes) throws IOException,
+    private String deliver(LedgerFolder.Identity identity, TotalsStore.BatchInfo batch, byte[] bytes) throws IOException,
             InterruptedException {
         if (terms.folder() != null) {
             Path target = Path.of(terms.folder());
@@ -89,7 +89,7 @@
         return terms.receiver() == null ? null : put(identity, batch, bytes);
     }
 
-    private String put(LedgerFolder.Identity identity, Books.BatchInfo batch, byte[] bytes)
+    private String put(LedgerFolder.Identity identity, TotalsStore.BatchInfo batch, byte[] bytes)
             throws InterruptedException {
         URI uri = URI.create(terms.receiver().replaceAll("/+$", "") + "/"
                 + URLEncoder.encode(identity.instance(), StandardCharsets.UTF_8) + "/"
--- a/src/test/java/clovermill/ledger/CrashPointsTest.java
+++ b/src/test/java/clovermill/ledger/CrashPointsTest.java
@@ -4,7 +4,7 @@
 
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.ledger.books.Books;
+import clovermill.ledger.books.TotalsStore;
 import clovermill.ledger.books.Verification;
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.BatchText;
@@ -113,6 +113,6 @@
         LedgerFolder at = new LedgerFolder(folder.resolve("l"));
         new Exporter(at, new LedgerSettings.Export(folder.resolve("out").toString(), null, null, null, null),
                 Volume.local(), new Random(1)).run();
-        Books.rebuild(at, read -> {});
+        TotalsStore.rebuild(at, read -> {});
     }
 }
--- a/src/test/java/clovermill/ledger/LedgerBench.java
+++ b/src/test/java/clovermill/ledger/LedgerBench.java
@@ -1,7 +1,7 @@
 package clovermill.ledger;
 
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.ledger.books.Books;
+import clovermill.ledger.books.TotalsStore;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.How;
 import clovermill.storage.SegmentWriter;
@@ -69,7 +69,7 @@
             throw new IllegalStateException(start.open().size() + " tenants were found again");
         }
         long booksNs = System.nanoTime();
-        try (Books books = Books.open(folder)) {
+        try (TotalsStore books = TotalsStore.open(folder)) {
             books.update(read -> {});
             if (books.accounts().entries() != records) {
                 throw new IllegalStateException(books.accounts().entries() + " records were found again");
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -6,9 +6,9 @@
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.UsageListener;
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.ledger.books.Books;
 import clovermill.ledger.books.Compactor;
 import clovermill.ledger.books.Reconciler;
+import clovermill.ledger.books.TotalsStore;
 import clovermill.ledger.books.Verification;
 import clovermill.ledger.decide.Accounts;
 import clovermill.ledger.decide.Entry;
@@ -236,7 +236,7 @@
         loseAPage(ledger);
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(20_000);
-        try (Books books = Books.open(ledgerFolder())) {
+        try (TotalsStore books = TotalsStore.open(ledgerFolder())) {
             books.update(read -> {});
             assertThat(books.accounts().missing()).isZero();
         }
@@ -502,12 +502,12 @@
         ledger.close();
         exporter().run();
         TreeMap<String, String> out = files(folder.resolve("out"));
-        Books.Rebuilt rebuilt = Books.rebuild(ledgerFolder(), read -> {});
+        TotalsStore.Rebuilt rebuilt = TotalsStore.rebuild(ledgerFolder(), read -> {});
         assertThat(rebuilt.after()).isEqualTo(rebuilt.before());
         int before = ledgerFolder().segments().size();
         Compactor.Result gone = Compactor.run(ledgerFolder(), monoMs, 0, -1, Volume.local(), read -> {});
         assertThat(gone.segments()).hasSizeBetween(3, before - 1);
-        Books.Rebuilt again = Books.rebuild(ledgerFolder(), read -> {});
+        TotalsStore.Rebuilt again = TotalsStore.rebuild(ledgerFolder(), read -> {});
         assertThat(again.after()).isEqualTo(rebuilt.after());
         assertThat(exporter().run().delivered()).isEmpty();
         assertThat(files(folder.resolve("out"))).isEqualTo(out);
@@ -540,7 +540,7 @@
     @Test
     void twoExportersAtOnceAreKeptApart() throws Exception {
         open().close();
-        try (Books books = Books.open(ledgerFolder())) {
+        try (TotalsStore books = TotalsStore.open(ledgerFolder())) {
             assertThat(books.batches()).isEmpty();
             assertThatThrownBy(() -> exporter().run()).isInstanceOf(FolderLock.Held.class)
                     .hasMessageContaining("books.lock is held by process");
