--- a/src/main/java/clovermill/controlplane/admin/AdminServer.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminServer.java
@@ -123,7 +123,8 @@
             if (answered) {
                 connection.close();
             } else {
-                answer(asked ? new AdminResponse(504, "the voters have not answered: GET /policy tells what became of it")
+                answer(asked
+                        ? new AdminResponse(504, "the voters have not answered: GET /policy tells what became of it")
                         : new AdminResponse(408, "the call was not whole in time"));
             }
         }
--- a/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
@@ -58,7 +58,8 @@
             case "/policy" -> wrongMethod("GET, PUT");
             case "/policy/pending" -> wrongMethod("DELETE");
             case "/ready" -> !call.method().equals("GET") ? wrongMethod("GET")
-                    : director.ready() ? new AdminResponse(200, "ready") : new AdminResponse(503, "this process cannot serve");
+                    : director.ready() ? new AdminResponse(200, "ready")
+                    : new AdminResponse(503, "this process cannot serve");
             case "/caches/disable" -> !call.method().equals("PUT") ? wrongMethod("PUT") : change(call, true);
             case "/caches/enable" -> !call.method().equals("PUT") ? wrongMethod("PUT") : change(call, false);
             default -> new AdminResponse(404, "no such call");
--- a/src/main/java/clovermill/controlplane/policystore/Leading.java
+++ b/src/main/java/clovermill/controlplane/policystore/Leading.java
@@ -47,7 +47,8 @@
     private int calls;
 
     /** {@code binding} says whether all that differs between two policies is refused where there is no lease. */
-    Leading(int self, LeaseTiming terms, RaftReplica<PolicyStateMachine> voter, PolicyVersions library, MessageTransport post,
+    Leading(int self, LeaseTiming terms, RaftReplica<PolicyStateMachine> voter, PolicyVersions library,
+            MessageTransport post,
             BiPredicate<PolicyDocument, PolicyDocument> binding, long nowUs) {
         this.self = self;
         this.terms = terms;
@@ -70,7 +71,8 @@
         }
         read();
         if (register.step().both() && !deciding) {
-            PolicyChange due = overseer.due(register, terms, binding.test(register.policy(), register.pending()), livedUs);
+            PolicyChange due =
+                    overseer.due(register, terms, binding.test(register.policy(), register.pending()), livedUs);
             if (due != null) {
                 deciding = true;
                 voter.replicate(due, result -> deciding = false);
@@ -157,10 +159,12 @@
         if (submit.digest().isEmpty()) {
             boolean there = register.step().both() && register.step().next() == submit.follows();
             if (there) {
-                voter.replicate(new PolicyChange.Abort(register.step().number(), "taken back by operators"), result -> {});
+                voter.replicate(new PolicyChange.Abort(register.step().number(), "taken back by operators"),
+                        result -> {});
             }
-            post.send(submit.from(), new PolicyMessage.Submitted(self, submit.call(), there ? Taken.BEGUN : Taken.CONFLICT,
-                    submit.follows()));
+            post.send(submit.from(),
+                    new PolicyMessage.Submitted(self, submit.call(), there ? Taken.BEGUN : Taken.CONFLICT,
+                            submit.follows()));
             return;
         }
         PolicyChange.Propose propose = new PolicyChange.Propose(submit.follows(), submit.digest());
--- a/src/main/java/clovermill/controlplane/policystore/Leases.java
+++ b/src/main/java/clovermill/controlplane/policystore/Leases.java
@@ -147,7 +147,8 @@
             if (other) {
                 library.keep(step.both() ? List.of(grant.policy(), grant.next()) : List.of(grant.policy()));
             }
-            view = new PolicyView(step, policy, next, holder.untilUs(), grant.missing(), grant.leftUs(), grant.lastReason());
+            view = new PolicyView(step, policy, next, holder.untilUs(), grant.missing(), grant.leftUs(),
+                    grant.lastReason());
             publish();
         }
         if (other) {
@@ -156,7 +157,8 @@
     }
 
     private void publish() {
-        view = new PolicyView(holder.step(), view.policy(), view.next(), holder.untilUs(), view.missing(), view.leftUs(),
+        view = new PolicyView(holder.step(), view.policy(), view.next(), holder.untilUs(), view.missing(),
+                view.leftUs(),
                 view.lastReason());
         views.accept(view);
     }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyMessageCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyMessageCodec.java
@@ -163,8 +163,10 @@
     private static PolicyMessage letter(int from, DataInputStream in) throws IOException, BadLetter {
         return switch (in.readByte()) {
             case 1 -> new PolicyMessage.Ask(from, in.readLong(), in.readLong(), in.readLong(), in.readLong(), text(in));
-            case 2 -> new PolicyMessage.Grant(from, in.readLong(), in.readLong(), new PolicyTransition(in.readLong(), in.readLong(),
-                    in.readLong()), in.readUTF(), in.readInt(), in.readUTF(), in.readInt(), numbers(in), in.readLong(),
+            case 2 -> new PolicyMessage.Grant(from, in.readLong(), in.readLong(),
+                    new PolicyTransition(in.readLong(), in.readLong(),
+                            in.readLong()),
+                    in.readUTF(), in.readInt(), in.readUTF(), in.readInt(), numbers(in), in.readLong(),
                     text(in));
             case 3 -> new PolicyMessage.Elsewhere(from, in.readLong(), in.readInt());
             case 4 -> new PolicyMessage.PartAsk(from, in.readUTF(), in.readInt());
--- a/src/main/java/clovermill/controlplane/policystore/PolicyOperationCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyOperationCodec.java
@@ -64,7 +64,8 @@
             case 3 -> new PolicyChange.Propose(in.readLong(), in.readUTF());
             case 4 -> new PolicyChange.Settle(in.readLong());
             case 5 -> new PolicyChange.Abort(in.readLong(), in.readUTF());
-            case 7 -> new PolicyStateMachine.Head(new PolicyTransition(in.readLong(), in.readLong(), in.readLong()), in.readLong(),
+            case 7 -> new PolicyStateMachine.Head(new PolicyTransition(in.readLong(), in.readLong(), in.readLong()),
+                    in.readLong(),
                     PolicyMessageCodec.text(in), in.readUTF());
             case 8 -> new PolicyStateMachine.Piece(in.readByte(), in.readUTF());
             default -> throw new IOException("an unknown entry");
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStateMachine.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStateMachine.java
@@ -91,7 +91,8 @@
             }
         }
         become(new PolicyRegister(head.step, PolicyDocument.of(texts.get(0).toString()), head.step.both()
-                ? PolicyDocument.of(texts.get(1).toString()) : null, new PolicyRegister.Ended(head.endedVersion, head.endedReason),
+                ? PolicyDocument.of(texts.get(1).toString()) : null,
+                new PolicyRegister.Ended(head.endedVersion, head.endedReason),
                 new PolicyRegister.Draft(head.draftDigest, List.copyOf(draft))));
     }
 
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
@@ -45,7 +45,8 @@
      *
      * @throws IllegalArgumentException naming the setting that cannot be used
      */
-    public PolicyStore(PolicyStoreSettings settings, PolicyStoreTask.Meaning meaning, Clock clock, Executor loop, Consumer<PolicyView> views)
+    public PolicyStore(PolicyStoreSettings settings, PolicyStoreTask.Meaning meaning, Clock clock, Executor loop,
+            Consumer<PolicyView> views)
             throws IOException {
         settings.check();
         this.self = settings.self();
@@ -55,7 +56,8 @@
         this.disk = settings.votes() ? new FileRaftStorage(Volume.local(), Path.of(settings.folder()),
                 MAGIC, PolicyOperationCodec.messages()) : null;
         this.socket = DatagramChannel.open().bind(addresses.get(self));
-        this.task = new PolicyStoreTask(new PolicyStoreTask.Place(self, settings.voters(), settings.terms()), meaning, this::send,
+        this.task = new PolicyStoreTask(new PolicyStoreTask.Place(self, settings.voters(), settings.terms()), meaning,
+                this::send,
                 disk, new SecureRandom(), view -> loop.execute(() -> views.accept(view)), clock.micros());
         this.thread = new TaskThread<>("accord", clock, task, ROOM, socket, this::received, fault -> {});
     }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
@@ -49,8 +49,10 @@
     }
 
     LeaseTiming terms() {
-        return new LeaseTiming(directors.size(), (leaseMs == null ? 10_000 : leaseMs) * 1000, (askMs == null ? 1000 : askMs)
-                * 1000, drift == null ? 0.01 : drift);
+        return new LeaseTiming(directors.size(), (leaseMs == null ? 10_000 : leaseMs) * 1000,
+                (askMs == null ? 1000 : askMs)
+                        * 1000,
+                drift == null ? 0.01 : drift);
     }
 
     List<InetSocketAddress> addresses() {
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
@@ -39,7 +39,8 @@
      * @param check why a policy cannot be kept here, or null
      * @param binding whether all that differs between two policies is refused where there is no lease
      */
-    public record Meaning(Function<PolicyDocument, String> check, BiPredicate<PolicyDocument, PolicyDocument> binding) {}
+    public record Meaning(Function<PolicyDocument, String> check,
+            BiPredicate<PolicyDocument, PolicyDocument> binding) {}
 
     private static final int MOST_WANTED = 16;
     private static final RaftConfig CONFIG = RaftReplica.config().build();
@@ -64,7 +65,8 @@
      * @param disk where a voter keeps its promises; null for who does not vote
      * @param views hears of each change of what holds here
      */
-    public PolicyStoreTask(Place place, Meaning meaning, MessageTransport post, RaftStorage disk, Random random, Consumer<PolicyView> views,
+    public PolicyStoreTask(Place place, Meaning meaning, MessageTransport post, RaftStorage disk, Random random,
+            Consumer<PolicyView> views,
             long nowUs) {
         this.place = place;
         this.meaning = meaning;
@@ -78,7 +80,8 @@
         member = disk == null ? null : new RaftMember<>(new RaftMember.Place(place.self(), place.voters(),
                 place.terms().askUs() / 2), disk,
                 new RaftReplica.Host(PolicyOperationCodec.GROUP, CONFIG, disk,
-                        agenda, random, (to, message) -> post.send(to.node(), new PolicyMessage.Raft(place.self(), to.disk(),
+                        agenda, random,
+                        (to, message) -> post.send(to.node(), new PolicyMessage.Raft(place.self(), to.disk(),
                                 message))),
                 () -> new PolicyStateMachine(this::changed), this::began, new Joins());
         turnUs = nowUs;
@@ -180,8 +183,9 @@
         if (document == null && voter() != null) {
             document = voter().machine().register().document(ask.digest());
         }
-        PolicyDocument own = document != null ? document : wanted.values().stream().map(PolicyTaskMessage.Wanted::policy)
-                .filter(each -> each != null && each.digest().equals(ask.digest())).findFirst().orElse(null);
+        PolicyDocument own =
+                document != null ? document : wanted.values().stream().map(PolicyTaskMessage.Wanted::policy)
+                        .filter(each -> each != null && each.digest().equals(ask.digest())).findFirst().orElse(null);
         if (own != null && ask.number() >= 0 && ask.number() < own.parts().size()) {
             post.send(ask.from(), new PolicyMessage.Part(place.self(), ask.digest(), ask.number(), own.parts().size(),
                     own.parts().get(ask.number())));
--- a/src/main/java/clovermill/controlplane/policystore/PolicyView.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyView.java
@@ -14,7 +14,8 @@
  * @param leftUs how long the change may still wait for them
  * @param lastReason why the last change was taken back, or null
  */
-public record PolicyView(PolicyTransition step, PolicyDocument policy, PolicyDocument next, long untilUs, Set<Integer> missing, long leftUs,
+public record PolicyView(PolicyTransition step, PolicyDocument policy, PolicyDocument next, long untilUs,
+        Set<Integer> missing, long leftUs,
         String lastReason) {
 
     /** Nothing is known yet. */
--- a/src/main/java/clovermill/controlplane/policystore/decide/Coordinator.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/Coordinator.java
@@ -61,6 +61,7 @@
         if (nowUs - knownUs < terms.outUs()) {
             return null;
         }
-        return binding ? new PolicyChange.Settle(step) : new PolicyChange.Abort(step, "not every director has confirmed it");
+        return binding ? new PolicyChange.Settle(step)
+                : new PolicyChange.Abort(step, "not every director has confirmed it");
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/PolicyRegister.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyRegister.java
@@ -8,13 +8,15 @@
  * last change ended, and the parts of a text that is still being put in. A log of changes gives the same register at
  * every voter.
  */
-public record PolicyRegister(PolicyTransition step, PolicyDocument policy, PolicyDocument pending, Ended last, Draft draft) {
+public record PolicyRegister(PolicyTransition step, PolicyDocument policy, PolicyDocument pending, Ended last,
+        Draft draft) {
 
     /** The largest text of a policy, in parts. */
     public static final int MOST_PARTS = 4096;
     private static final Draft NO_DRAFT = new Draft("", List.of());
     /** Before any change. */
-    public static final PolicyRegister FIRST = new PolicyRegister(PolicyTransition.FIRST, PolicyDocument.EMPTY, null, new Ended(PolicyTransition.NONE, null),
+    public static final PolicyRegister FIRST = new PolicyRegister(PolicyTransition.FIRST, PolicyDocument.EMPTY, null,
+            new Ended(PolicyTransition.NONE, null),
             NO_DRAFT);
 
     /** The version whose change ended last, {@link PolicyTransition#NONE} before the first, and why it was taken back, or null. */
@@ -32,7 +34,8 @@
             return new PolicyRegister(step, policy, pending, last, drafted(part));
         }
         if (change instanceof PolicyChange.Propose propose && answer(propose) == Taken.BEGUN) {
-            return new PolicyRegister(step.propose(), policy, PolicyDocument.of(String.join("", draft.parts())), last, NO_DRAFT);
+            return new PolicyRegister(step.propose(), policy, PolicyDocument.of(String.join("", draft.parts())), last,
+                    NO_DRAFT);
         }
         if (change instanceof PolicyChange.Settle settle && step.both() && settle.step() == step.number()) {
             return new PolicyRegister(step.settle(), pending, null, new Ended(step.next(), null), draft);
--- a/src/main/java/clovermill/dataplane/proxy/ClientRequest.java
+++ b/src/main/java/clovermill/dataplane/proxy/ClientRequest.java
@@ -10,7 +10,8 @@
 
     /** The same request with so many microseconds less until its client gives up. */
     public ClientRequest later(long byUs) {
-        return new ClientRequest(id, requestClass, className, object, part, group, sizeKb, waitUs - byUs, repeat, token, have,
+        return new ClientRequest(id, requestClass, className, object, part, group, sizeKb, waitUs - byUs, repeat, token,
+                have,
                 body);
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/RequestContext.java
+++ b/src/main/java/clovermill/dataplane/proxy/RequestContext.java
@@ -108,7 +108,8 @@
     /** Tells the audit of an end without bytes. */
     void audited(UsageRecord.End how) {
         if (host.audit != null) {
-            host.audit.ended(new UsageRecord(ask, true, takenUs, host.clock.micros(), how, sent, null, null, null, 0, 0));
+            host.audit
+                    .ended(new UsageRecord(ask, true, takenUs, host.clock.micros(), how, sent, null, null, null, 0, 0));
         }
     }
 
@@ -120,8 +121,10 @@
         }
         int attempts = sent;
         int size = answer.notModified() ? 0 : answer.body().bytes().length;
-        end().served(answer.with((bytes, whole) -> host.audit.ended(new UsageRecord(ask, true, takenUs, host.clock.micros(),
-                !whole ? UsageRecord.End.BROKEN_OFF : answer.notModified() ? UsageRecord.End.NOT_MODIFIED : UsageRecord.End.SERVED,
-                attempts, by.member, by.source, note, bytes, size))));
+        end().served(answer.with((bytes,
+                whole) -> host.audit.ended(new UsageRecord(ask, true, takenUs, host.clock.micros(),
+                        !whole ? UsageRecord.End.BROKEN_OFF : answer.notModified() ? UsageRecord.End.NOT_MODIFIED
+                                : UsageRecord.End.SERVED,
+                        attempts, by.member, by.source, note, bytes, size))));
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/UsageRecord.java
+++ b/src/main/java/clovermill/dataplane/proxy/UsageRecord.java
@@ -9,7 +9,8 @@
  * module saw it. {@code written} are the bytes of the body that went into the client's
  * socket, {@code size} those that there were.
  */
-public record UsageRecord(ClientRequest ask, boolean admitted, long takenUs, long endedUs, End end, int attempts, String member,
+public record UsageRecord(ClientRequest ask, boolean admitted, long takenUs, long endedUs, End end, int attempts,
+        String member,
         String source, Note note, int written, int size) {
 
     /** How a request may end. */
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -241,7 +241,8 @@
         open.remove(id);
         spent.answered(id, pool.now());
         unheardSinceUs = open.isEmpty() ? 0 : guard.heardUs();
-        UpstreamResponse answer = result != Result.OK ? null : new UpstreamResponse(body, word.equals("KEEP"), fields.get("etag"));
+        UpstreamResponse answer =
+                result != Result.OK ? null : new UpstreamResponse(body, word.equals("KEEP"), fields.get("etag"));
         if (answer == null) {
             body.close();
         }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -130,22 +130,25 @@
             marks = new GossipedOutages.ReplicatedMarks(marks, fleet);
         }
         PolicyEndpoint[] policies = {null};
-        accord = agreed == null ? null : new PolicyStore(agreed, new PolicyStoreTask.Meaning(document -> placement.check(
-                document.text()), (one, other) -> placement.binding(one.text(), other.text())), clock, loop::post,
-                view -> {
-                    if (view.step() != null) {
-                        placement.holds(view.step().both() ? List.of(view.policy().text(), view.next().text())
-                                : List.of(view.policy().text()), view.untilUs());
-                    }
-                    policies[0].holds(view);
-                });
+        accord = agreed == null ? null
+                : new PolicyStore(agreed, new PolicyStoreTask.Meaning(document -> placement.check(
+                        document.text()), (one, other) -> placement.binding(one.text(), other.text())), clock,
+                        loop::post,
+                        view -> {
+                            if (view.step() != null) {
+                                placement.holds(view.step().both() ? List.of(view.policy().text(), view.next().text())
+                                        : List.of(view.policy().text()), view.untilUs());
+                            }
+                            policies[0].holds(view);
+                        });
         policies[0] = accord == null ? null : new PolicyEndpoint(accord, clock, loop::post);
         adminAddress = platform.admin();
         admin = platform.admin() == null ? null : new AdminServer(loop, clock, deadlines, new AdminService(
                 new OperatorActions(roster, front, clock, marks, sharing == null ? () -> {} : sharing::catchUp),
                 policies[0]));
         SettingsReload retuning = new SettingsReload(config, clock, deadlines, host, front, channel);
-        departure = new GracefulShutdown(loop, clock, deadlines, front, host, retuning::longestUs, platform.passed() != null);
+        departure = new GracefulShutdown(loop, clock, deadlines, front, host, retuning::longestUs,
+                platform.passed() != null);
         reloader = new ConfigReloader(file, clock, deadlines, config, retuning::take);
     }
 
--- a/src/main/java/clovermill/director/operations/GossipedOutages.java
+++ b/src/main/java/clovermill/director/operations/GossipedOutages.java
@@ -7,7 +7,8 @@
 import java.util.function.BiConsumer;
 
 /** Applies the outages of caches that operators set at peer directors. */
-public record GossipedOutages(EndpointRegistry roster, OutageMarks marks, Clock clock) implements BiConsumer<String, Boolean> {
+public record GossipedOutages(EndpointRegistry roster, OutageMarks marks, Clock clock)
+        implements BiConsumer<String, Boolean> {
 
     /** Outage marks for the other processes of this director that are also replicated to its peers. */
     public record ReplicatedMarks(OutageMarks marks, GossipService fleet) implements OutageMarks {
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -38,7 +38,8 @@
     public static HandoverCoordinator open(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines,
             EndpointRegistry roster, FrameServer front, UpstreamPool pool) {
         try {
-            return folder == null ? null : new HandoverCoordinator(folder, shares, clock, deadlines, roster, front, pool);
+            return folder == null ? null
+                    : new HandoverCoordinator(folder, shares, clock, deadlines, roster, front, pool);
         } catch (IOException unusable) {
             LOG.log(Level.WARNING, "TMPDIR cannot be used, so the next process will not know which caches are out: {0}",
                     unusable.toString());
@@ -46,7 +47,8 @@
         }
     }
 
-    private HandoverCoordinator(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines, EndpointRegistry roster, FrameServer front,
+    private HandoverCoordinator(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines,
+            EndpointRegistry roster, FrameServer front,
             UpstreamPool pool) throws IOException {
         this.outages = new OutageFolder(folder, clock::micros);
         this.presence = ProcessRegistry.ofThisProcess(folder);
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -10,7 +10,8 @@
  * What operators can have done. A call to one process counts for its whole director: what the other one was told before
  * is taken over first, and what changes is marked before the answer.
  */
-public record OperatorActions(EndpointRegistry roster, ClientServer front, Clock clock, OutageMarks marks, Runnable catchUp)
+public record OperatorActions(EndpointRegistry roster, ClientServer front, Clock clock, OutageMarks marks,
+        Runnable catchUp)
         implements AdminService.Director {
 
     @Override
--- a/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
+++ b/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
@@ -31,7 +31,8 @@
     private boolean cut;
 
     /** {@code longestUs} gives the longest deadline of a request; {@code handsOver} where another process follows. */
-    public GracefulShutdown(EventLoop loop, Clock clock, Deadlines deadlines, ClientServer front, ProxyCore host, LongSupplier longestUs,
+    public GracefulShutdown(EventLoop loop, Clock clock, Deadlines deadlines, ClientServer front, ProxyCore host,
+            LongSupplier longestUs,
             boolean handsOver) {
         this.longestUs = longestUs;
         this.handsOver = handsOver;
--- a/src/main/java/clovermill/ledger/export/Exporter.java
+++ b/src/main/java/clovermill/ledger/export/Exporter.java
@@ -54,8 +54,9 @@
         try (TotalsStore books = TotalsStore.open(folder)) {
             books.update(read -> {});
             LedgerFolder.Identity identity = folder.identity();
-            List<TotalsStore.BatchInfo> due = books.batches().values().stream().filter(each -> each.acknowledged() == null)
-                    .toList();
+            List<TotalsStore.BatchInfo> due =
+                    books.batches().values().stream().filter(each -> each.acknowledged() == null)
+                            .toList();
             for (TotalsStore.BatchInfo batch : due) {
                 byte[] bytes = BatchText.of(identity, books.batch(batch.number()), form());
                 String reason = deliver(identity, batch, bytes);
@@ -76,7 +77,8 @@
     }
 
     /** Returns null when the batch is where it belongs, else why it is not. */
-    private String deliver(LedgerFolder.Identity identity, TotalsStore.BatchInfo batch, byte[] bytes) throws IOException,
+    private String deliver(LedgerFolder.Identity identity, TotalsStore.BatchInfo batch, byte[] bytes)
+            throws IOException,
             InterruptedException {
         if (terms.folder() != null) {
             Path target = Path.of(terms.folder());
--- a/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
@@ -80,8 +80,9 @@
         views[i] = PolicyView.NONE;
         List<Integer> voters = IntStream.range(0, plan.voters()).boxed().toList();
         Random own = new Random(world.random().nextLong());
-        world.machine(i).start(clock -> new PolicyStoreTask(new PolicyStoreTask.Place(i, voters, terms), new PolicyStoreTask.Meaning(
-                text -> i % 2 == 1 && text.text().contains(BAD) ? "it is bad" : null, (old, next) -> true),
+        world.machine(i).start(clock -> new PolicyStoreTask(new PolicyStoreTask.Place(i, voters, terms),
+                new PolicyStoreTask.Meaning(
+                        text -> i % 2 == 1 && text.text().contains(BAD) ? "it is bad" : null, (old, next) -> true),
                 (to, letter) -> world.send(i, to, new PolicyTaskMessage.Arrived(letter)), disks.get(i), own,
                 view -> views[i] = view, clock));
     }
--- a/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
+++ b/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
@@ -65,6 +65,7 @@
     void aHeadWithoutEndIsRefusedAndJunkIsNoFault() {
         assertThatThrownBy(() -> parse("GET / HTTP/1.1\r\nA: " + "a".repeat(9000)))
                 .isInstanceOf(AdminRequestParser.BadCall.class);
-        Splits.junk(CHUNKED.getBytes(StandardCharsets.US_ASCII), AdminRequestParser.BadCall.class, AdminRequestParserTest::parser);
+        Splits.junk(CHUNKED.getBytes(StandardCharsets.US_ASCII), AdminRequestParser.BadCall.class,
+                AdminRequestParserTest::parser);
     }
 }
--- a/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
@@ -61,8 +61,9 @@
     }
 
     private DiscoveryEvents commands(String... events) throws Json.Malformed {
-        DiscoveryEvents read = DiscoveryEvents.read(Json.parse("{\"cursor\":9,\"cmds\":[" + String.join(",", events) + "]}"),
-                config.zones(), config.kinds());
+        DiscoveryEvents read =
+                DiscoveryEvents.read(Json.parse("{\"cursor\":9,\"cmds\":[" + String.join(",", events) + "]}"),
+                        config.zones(), config.kinds());
         return new DiscoveryEvents(read.cursor(), read.list(), answeredUs);
     }
 
--- a/src/test/java/clovermill/controlplane/handover/ProcessRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/handover/ProcessRegistryTest.java
@@ -92,9 +92,11 @@
         assertThat(earlier.look()).isEqualTo(ProcessRegistry.Others.SUCCESSOR);
         assertThat(later.look()).isEqualTo(ProcessRegistry.Others.BESIDE);
         Files.writeString(folder.resolve("here-1"), "1700000000000 ready");
-        assertThat(later.look()).as("an earlier version, which writes no ticks").isEqualTo(ProcessRegistry.Others.BESIDE);
+        assertThat(later.look()).as("an earlier version, which writes no ticks")
+                .isEqualTo(ProcessRegistry.Others.BESIDE);
         Files.writeString(folder.resolve("here-2"), 1_700_000_000_000L + stepMs + " ready");
-        assertThat(earlier.look()).as("an earlier version that starts later").isEqualTo(ProcessRegistry.Others.SUCCESSOR);
+        assertThat(earlier.look()).as("an earlier version that starts later")
+                .isEqualTo(ProcessRegistry.Others.SUCCESSOR);
     }
 
     /** An earlier version reads the first two words alone. */
--- a/src/test/java/clovermill/controlplane/placement/PlacementTest.java
+++ b/src/test/java/clovermill/controlplane/placement/PlacementTest.java
@@ -55,7 +55,8 @@
     }
 
     private static ClientRequest ask(int group) {
-        return new ClientRequest("00000000000000a1", 1, "page", "7f3a9c21e0b4d655", 0, group, 4, 1_000_000, false, null, null,
+        return new ClientRequest("00000000000000a1", 1, "page", "7f3a9c21e0b4d655", 0, group, 4, 1_000_000, false, null,
+                null,
                 new byte[0]);
     }
 
--- a/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
@@ -62,7 +62,8 @@
                 PolicyOperationCodec.messages()));
         views[i] = PolicyView.NONE;
         world.machine(i).start(clock -> {
-            tasks[i] = new PolicyStoreTask(new PolicyStoreTask.Place(i, IntStream.range(0, VOTERS).boxed().toList(), TERMS),
+            tasks[i] = new PolicyStoreTask(
+                    new PolicyStoreTask.Place(i, IntStream.range(0, VOTERS).boxed().toList(), TERMS),
                     new PolicyStoreTask.Meaning(text -> null, (old, next) -> true), (to, letter) -> send(i, to, letter),
                     files.get(i), new Random(i), view -> views[i] = view, clock);
             return repeating(tasks[i]);
@@ -111,7 +112,8 @@
     /** Hands a policy in; returns what became of it, as far as it is known within some seconds. */
     private Taken want(int at, PolicyDocument policy, long withinSeconds) {
         Taken[] taken = {null};
-        world.machine(at).hand(new PolicyTaskMessage.Wanted(views[at].step().version(), policy, (what, version) -> taken[0] = what));
+        world.machine(at).hand(
+                new PolicyTaskMessage.Wanted(views[at].step().version(), policy, (what, version) -> taken[0] = what));
         pass(withinSeconds);
         return taken[0];
     }
--- a/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
@@ -22,10 +22,13 @@
     private final PolicyMessageCodec to = new PolicyMessageCodec(2, KEY);
 
     private static List<PolicyMessage> letters() {
-        return List.of(new PolicyMessage.Ask(1, 7, 8, -1, 3, "no such site"), new PolicyMessage.Ask(1, 7, 8, 5, -1, null),
-                new PolicyMessage.Grant(1, 7, 8, new PolicyTransition(4, 2, 4), "aa", 1, "bb", 3, new TreeSet<>(Set.of(1, 900)), 5,
+        return List.of(new PolicyMessage.Ask(1, 7, 8, -1, 3, "no such site"),
+                new PolicyMessage.Ask(1, 7, 8, 5, -1, null),
+                new PolicyMessage.Grant(1, 7, 8, new PolicyTransition(4, 2, 4), "aa", 1, "bb", 3,
+                        new TreeSet<>(Set.of(1, 900)), 5,
                         "late"),
-                new PolicyMessage.Elsewhere(1, -1, 3), new PolicyMessage.PartAsk(1, "ab", 2), new PolicyMessage.Part(1, "ab", 2, 4, "text"),
+                new PolicyMessage.Elsewhere(1, -1, 3), new PolicyMessage.PartAsk(1, "ab", 2),
+                new PolicyMessage.Part(1, "ab", 2, 4, "text"),
                 new PolicyMessage.Submit(1, 9, 2, "ab", 4), new PolicyMessage.Submitted(1, 9, Taken.CONFLICT, 4),
                 new PolicyMessage.Join(1, 77, true), new PolicyMessage.Joined(1, 77, true, false));
     }
@@ -58,7 +61,8 @@
             for (int i = 0; i < 50; i++) {
                 byte[] bad = good.clone();
                 bad[random.nextInt(bad.length)] ^= (byte) (1 << random.nextInt(8));
-                assertThatThrownBy(() -> to.read(ByteBuffer.wrap(bad))).isInstanceOf(PolicyMessageCodec.BadLetter.class);
+                assertThatThrownBy(() -> to.read(ByteBuffer.wrap(bad)))
+                        .isInstanceOf(PolicyMessageCodec.BadLetter.class);
             }
             assertThatThrownBy(() -> to.read(ByteBuffer.wrap(good, 0, good.length - 1)))
                     .isInstanceOf(PolicyMessageCodec.BadLetter.class);
--- a/src/test/java/clovermill/controlplane/policystore/decide/LeaseHolderTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/LeaseHolderTest.java
@@ -32,7 +32,8 @@
 
     @Test
     void aStepThatItRefusesIsNotTakenAndTheLeaseBeforeRunsOut() {
-        LeaseHolder holder = LeaseHolder.EMPTY.asks(1, 0).granted(1, PolicyTransition.FIRST, TERMS).refuses(BOTH).asks(2, 4_000_000);
+        LeaseHolder holder =
+                LeaseHolder.EMPTY.asks(1, 0).granted(1, PolicyTransition.FIRST, TERMS).refuses(BOTH).asks(2, 4_000_000);
         assertThat(holder.granted(2, BOTH, TERMS)).isSameAs(holder);
         assertThat(holder.holds(4_999_999)).isTrue();
         assertThat(holder.holds(5_000_000)).isFalse();
--- a/src/test/java/clovermill/controlplane/policystore/decide/StepSearch.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/StepSearch.java
@@ -33,7 +33,8 @@
     /** {@code confirms} are on their way to the leader, which has those of {@code confirmed} already. */
     private record Director(int boot, LeaseHolder holder, List<Message> inFlight, Set<Long> confirms, long confirmed) {}
 
-    private record World(PolicyRegister register, PolicyTransition before, long overseen, long knownUs, List<Director> directors,
+    private record World(PolicyRegister register, PolicyTransition before, long overseen, long knownUs,
+            List<Director> directors,
             int proposed, int aborts, int crashes, long highest) {}
 
     private final LeaseTiming terms;
@@ -122,7 +123,8 @@
         PolicyTransition step = w.register.step();
         reach(tick(w));
         if (w.proposed < changes && !step.both()) {
-            agreed(w, new PolicyChange.Propose(step.version(), POLICIES[w.proposed].digest()), w.proposed + 1, w.aborts);
+            agreed(w, new PolicyChange.Propose(step.version(), POLICIES[w.proposed].digest()), w.proposed + 1,
+                    w.aborts);
         }
         if (w.aborts < mishaps && step.both()) {
             agreed(w, new PolicyChange.Abort(step.number(), "asked for"), w.proposed, 1);
@@ -152,8 +154,10 @@
     }
 
     private void agreed(World w, PolicyChange change, int proposed, int aborts) {
-        PolicyRegister drafted = change instanceof PolicyChange.Propose propose ? w.register.after(new PolicyChange.Part(propose.digest(),
-                0, POLICIES[w.proposed].text())) : w.register;
+        PolicyRegister drafted = change instanceof PolicyChange.Propose propose
+                ? w.register.after(new PolicyChange.Part(propose.digest(),
+                        0, POLICIES[w.proposed].text()))
+                : w.register;
         PolicyRegister after = drafted.after(change);
         if (broken == Breakage.BOTH_SKIPPED && after.step().both()) {
             after = after.after(new PolicyChange.Settle(after.step().number()));
--- a/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
+++ b/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
@@ -50,12 +50,13 @@
     void aConfigurationThatCannotBeTakenDoesNotEndTheWatchOnItsFile() throws Exception {
         Path file = write("first");
         List<String> taken = new ArrayList<>();
-        ConfigReloader reloader = new ConfigReloader(file, clock, deadlines, Config.load(file.toString(), null), config -> {
-            if (config.name().equals("second-file")) {
-                throw new IllegalStateException("cannot be taken");
-            }
-            taken.add(config.name());
-        });
+        ConfigReloader reloader =
+                new ConfigReloader(file, clock, deadlines, Config.load(file.toString(), null), config -> {
+                    if (config.name().equals("second-file")) {
+                        throw new IllegalStateException("cannot be taken");
+                    }
+                    taken.add(config.name());
+                });
         reloader.watchAlways();
         write("second-file");
         assertThatThrownBy(this::look).hasMessage("cannot be taken");
--- a/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
@@ -27,7 +27,8 @@
     @Property(tries = 200)
     void aNameKeepsItsNumber(
             @ForAll @Size(max = 12) List<@Size(min = 1, max = 5) List<@IntRange(max = 7) Integer>> changes) {
-        RequestClassRegistry classes = new RequestClassRegistry(List.of("c0"), List.of(with(Effect.IDEMPOTENT, 1000, 0, 0)), 8);
+        RequestClassRegistry classes =
+                new RequestClassRegistry(List.of("c0"), List.of(with(Effect.IDEMPOTENT, 1000, 0, 0)), 8);
         List<String> numbers = new ArrayList<>(List.of("c0"));
         for (int i = 0; i < changes.size(); i++) {
             List<String> names = changes.get(i).stream().distinct().map(n -> "c" + n).toList();
@@ -50,8 +51,9 @@
 
     @Test
     void bothTheOldAndTheNewTermsBindForAWhile() {
-        RequestClassRegistry classes = new RequestClassRegistry(List.of("a", "b"), List.of(with(Effect.DEDUPLICATED, 3000, 500, 0),
-                with(Effect.IDEMPOTENT, 1000, 0, 20)), 2);
+        RequestClassRegistry classes =
+                new RequestClassRegistry(List.of("a", "b"), List.of(with(Effect.DEDUPLICATED, 3000, 500, 0),
+                        with(Effect.IDEMPOTENT, 1000, 0, 20)), 2);
         classes.change(List.of("b", "a"), List.of(with(Effect.AT_MOST_ONCE, 2000, 0, 0),
                 with(Effect.IDEMPOTENT, 1000, 900, 30)), 8);
         assertThat(classes.terms().get(0)).isEqualTo(with(Effect.DEDUPLICATED, 3000, 500, 30));
@@ -66,8 +68,9 @@
     /** The platform's kill follows it. */
     @Test
     void theLongestDeadlineIsTheShorterOfBothForAWhileAndThatOfTheNewTermsThen() {
-        RequestClassRegistry classes = new RequestClassRegistry(List.of("a", "b"), List.of(with(Effect.IDEMPOTENT, 3000, 0, 0),
-                with(Effect.IDEMPOTENT, 1000, 0, 0)), 2);
+        RequestClassRegistry classes =
+                new RequestClassRegistry(List.of("a", "b"), List.of(with(Effect.IDEMPOTENT, 3000, 0, 0),
+                        with(Effect.IDEMPOTENT, 1000, 0, 0)), 2);
         assertThat(classes.longestDeadlineUs()).isEqualTo(3000);
         classes.change(List.of("b"), List.of(with(Effect.IDEMPOTENT, 2000, 0, 0)), 2);
         assertThat(classes.longestDeadlineUs()).isEqualTo(2000);
@@ -83,7 +86,8 @@
         for (int i = 0; i < 255; i++) {
             many.add("c" + i);
         }
-        RequestClassRegistry classes = new RequestClassRegistry(List.of("c0"), List.of(with(Effect.IDEMPOTENT, 1, 0, 0)), 1);
+        RequestClassRegistry classes =
+                new RequestClassRegistry(List.of("c0"), List.of(with(Effect.IDEMPOTENT, 1, 0, 0)), 1);
         assertThat(classes.hasRoomFor(many)).isTrue();
         many.add("one more");
         assertThat(classes.hasRoomFor(many)).isFalse();
--- a/src/test/java/clovermill/dataplane/server/FrameServerTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameServerTest.java
@@ -68,7 +68,8 @@
     private FrameServer front(EventLoop loop, ServerSocketChannel passed, BooleanSupplier able) throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
-        ProxyCore host = new ProxyCore((atUs, event, out) -> events.add(event), config.settings(), clock, deadlines, NOBODY);
+        ProxyCore host =
+                new ProxyCore((atUs, event, out) -> events.add(event), config.settings(), clock, deadlines, NOBODY);
         return new FrameServer(loop, clock, deadlines, budget, host, config.settings(), config.classes(),
                 new FrameServer.Terms(new InetSocketAddress(
                         InetAddress.getLoopbackAddress(), 0), passed, 8, able));
--- a/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
@@ -86,7 +86,8 @@
     }
 
     private Upstream.Exchange send(String id, String object, String source, long timeoutUs) {
-        ClientRequest ask = new ClientRequest(id, 0, "page", object, 0, 17, 1, timeoutUs, false, null, null, new byte[0]);
+        ClientRequest ask =
+                new ClientRequest(id, 0, "page", object, 0, 17, 1, timeoutUs, false, null, null, new byte[0]);
         return pool.send(new Upstream.Order(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
                 new Upstream.Ending() {
                     @Override
--- a/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
@@ -106,7 +106,8 @@
 
     private Attempt send(String id, String object, String source, int bodyBytes, long timeoutUs) {
         Attempt attempt = new Attempt();
-        ClientRequest ask = new ClientRequest(id, 0, "page", object, 0, 17, 1, 1_000_000, false, null, null, new byte[bodyBytes]);
+        ClientRequest ask =
+                new ClientRequest(id, 0, "page", object, 0, 17, 1, 1_000_000, false, null, null, new byte[bodyBytes]);
         attempt.exchange = pool.send(new Upstream.Order(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
                 attempt);
         return attempt;
--- a/src/test/java/clovermill/director/LedgerScenarioTest.java
+++ b/src/test/java/clovermill/director/LedgerScenarioTest.java
@@ -103,7 +103,8 @@
                 "close c1 reset", "wait 50")).values();
         assertThat(used).hasSize(30).filteredOn(each -> each.end() == UsageRecord.End.BROKEN_OFF).isNotEmpty()
                 .allMatch(each -> each.written() < 239_000);
-        assertThat(used).filteredOn(each -> each.end() == UsageRecord.End.SERVED).allMatch(each -> each.written() == 239_000);
+        assertThat(used).filteredOn(each -> each.end() == UsageRecord.End.SERVED)
+                .allMatch(each -> each.written() == 239_000);
         assertThat(used).anyMatch(each -> each.written() > 0);
     }
 
--- a/src/test/java/clovermill/ledger/CrashPointsTest.java
+++ b/src/test/java/clovermill/ledger/CrashPointsTest.java
@@ -99,8 +99,10 @@
                 StandardOpenOption.APPEND)) {
             for (int i = 0; i < USES; i++) {
                 told.write(1);
-                ledger.ended(new UsageRecord(new ClientRequest(String.format("%016x", i), 0, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1,
-                        false, null, null, new byte[0]), true, nowMs[0] * 1000, nowMs[0] * 1000, UsageRecord.End.SERVED, 1,
+                ledger.ended(new UsageRecord(
+                        new ClientRequest(String.format("%016x", i), 0, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1,
+                                false, null, null, new byte[0]),
+                        true, nowMs[0] * 1000, nowMs[0] * 1000, UsageRecord.End.SERVED, 1,
                         "s-1", null, Note.HIT, 10, 10));
                 nowMs[0] += 3 * HOUR / USES;
                 deadlines.sweep(nowMs[0] * 1000);
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -89,12 +89,14 @@
     }
 
     private ClientRequest ask(int requestClass) {
-        return new ClientRequest(String.format("%016x", ++request), requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1_000_000,
+        return new ClientRequest(String.format("%016x", ++request), requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1,
+                1_000_000,
                 false, null, null, new byte[0]);
     }
 
     private void use(Ledger ledger, int requestClass, int bytes, long takenMs) {
-        ledger.ended(new UsageRecord(ask(requestClass), true, takenMs * 1000, monoMs * 1000, UsageRecord.End.SERVED, 1, "s-1", null,
+        ledger.ended(new UsageRecord(ask(requestClass), true, takenMs * 1000, monoMs * 1000, UsageRecord.End.SERVED, 1,
+                "s-1", null,
                 Note.HIT, bytes, bytes));
     }
 
@@ -276,7 +278,8 @@
         LedgerFolder after = new LedgerFolder(killed);
         int segments = after.segments().size();
         disk.syncFails = true;
-        assertThatThrownBy(() -> StagingRecovery.run(after, after.identity(), stage, disk)).hasMessage("Input/output error");
+        assertThatThrownBy(() -> StagingRecovery.run(after, after.identity(), stage, disk))
+                .hasMessage("Input/output error");
         assertThat(stage).exists();
         assertThat(after.segments()).hasSize(segments);
         disk.syncFails = false;
--- a/src/test/java/clovermill/ledger/decide/AccountsTest.java
+++ b/src/test/java/clovermill/ledger/decide/AccountsTest.java
@@ -19,7 +19,8 @@
     private static final long HOUR = 3_600_000;
 
     static Entry.Used used(long seq, long takenMs, String tenant, int bytes) {
-        return new Entry.Used(seq, takenMs, takenMs, takenMs * 1000, seq, seq, tenant, 0, UsageRecord.End.SERVED, How.HIT, 1,
+        return new Entry.Used(seq, takenMs, takenMs, takenMs * 1000, seq, seq, tenant, 0, UsageRecord.End.SERVED,
+                How.HIT, 1,
                 false, bytes, 0, 0);
     }
 
--- a/src/test/java/clovermill/ledger/decide/DecisionsTest.java
+++ b/src/test/java/clovermill/ledger/decide/DecisionsTest.java
@@ -221,7 +221,8 @@
     void aRetryServedElsewhereIsFoundOnce() {
         Retries retries = new Retries(30_000, 100);
         Entry.Used first = AccountsTest.used(1, 1000, "a", 10);
-        Entry.Used retry = new Entry.Used(2, 3000, 3000, 0, 2, 1, "a", 0, UsageRecord.End.SERVED, How.HIT, 1, true, 10, 0, 0);
+        Entry.Used retry =
+                new Entry.Used(2, 3000, 3000, 0, 2, 1, "a", 0, UsageRecord.End.SERVED, How.HIT, 1, true, 10, 0, 0);
         retries.note("n2", HOUR, retry);
         retries.note("n1", HOUR, first);
         List<Reconciliation.Doubled> found = new ArrayList<>();
