--- a/src/main/java/clovermill/controlplane/policystore/PolicyMessage.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyMessage.java
@@ -14,7 +14,8 @@
     int from();
 
     /**
-     * A process of a director asks for a lease, and confirms the step that it has, or {@link PolicyTransition#NONE}. It may say no
+     * A process of a director asks for a lease, and confirms the step that it has, or {@link PolicyTransition#NONE}.
+     * It may say no
      * to a step, with the reason; else {@code no} is null.
      */
     record Ask(int from, long boot, long question, long step, long noTo, String no) implements PolicyMessage {}
--- a/src/main/java/clovermill/controlplane/policystore/decide/PolicyRegister.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyRegister.java
@@ -19,7 +19,10 @@
             new Ended(PolicyTransition.NONE, null),
             NO_DRAFT);
 
-    /** The version whose change ended last, {@link PolicyTransition#NONE} before the first, and why it was taken back, or null. */
+    /**
+     * The version whose change ended last, {@link PolicyTransition#NONE} before the first, and why it was taken back,
+     * or null.
+     */
     public record Ended(long version, String reason) {}
 
     /** The parts of a text so far, by the digest of the whole. */
--- a/src/main/java/clovermill/controlplane/policystore/decide/package-info.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/package-info.java
@@ -5,7 +5,8 @@
  *
  * <p>{@link clovermill.controlplane.policystore.decide.PolicyRegister} is what the voters agree on, {@link
  * clovermill.controlplane.policystore.decide.Coordinator} decides at their leader when a change goes on or back, {@link
- * clovermill.controlplane.policystore.decide.LeaseHolder} decides at each director whether it may act and by what. All are
+ * clovermill.controlplane.policystore.decide.LeaseHolder} decides at each director whether it may act and by what.
+ * All are
  * immutable, so that every state can be explored.
  */
 package clovermill.controlplane.policystore.decide;
