--- a/src/main/java/clovermill/net/EventLoop.java
+++ b/src/main/java/clovermill/net/EventLoop.java
@@ -41,6 +41,7 @@
         this.clock = clock;
         this.deadlines = deadlines;
         this.selector = Selector.open();
+        SocketErrors.load();
     }
 
     /**
--- a/src/main/java/clovermill/net/SocketErrors.java
+++ b/src/main/java/clovermill/net/SocketErrors.java
@@ -34,6 +34,12 @@
 
     private SocketErrors() {}
 
+    /**
+     * Loads this class while descriptors are left: it is needed first when there are none, and where classes lie in a
+     * folder the JVM could not open its file then.
+     */
+    static void load() {}
+
     /**
      * Whether a dial that failed speaks against the peer; otherwise it is trouble of this machine that may pass, and
      * says nothing of the peer. An address that cannot be dialled at all (cause a RuntimeException) is the peer's.
