--- a/src/main/java/clovermill/cache/CacheRequest.java
+++ b/src/main/java/clovermill/cache/CacheRequest.java
@@ -9,7 +9,8 @@
 import java.util.function.Predicate;
 
 /**
- * A request for a member, before it is on a connection. {@code ask} is null for a probe, {@code source} null where a miss is
+ * A request for a member, before it is on a connection. {@code ask} is null for a probe, {@code source} null where a
+ * miss is
  * not to be filled; {@code dueUs} is when its time is over, in microseconds of the clock, and {@code encoder} gives its
  * bytes for the microseconds that are left.
  */
--- a/src/main/java/clovermill/cache/DelayedDial.java
+++ b/src/main/java/clovermill/cache/DelayedDial.java
@@ -6,7 +6,8 @@
 import clovermill.net.Deadlines.Deadline;
 
 /**
- * A request for which no connection could be dialled since this machine had no port, descriptor, memory or route for one at
+ * A request for which no connection could be dialled since this machine had no port, descriptor, memory or route for
+ * one at
  * that moment. The dial is tried again with a pause until a dial's time has passed; then the request has not been sent,
  * which speaks against no member.
  */
--- a/src/main/java/clovermill/channel/PurgeAges.java
+++ b/src/main/java/clovermill/channel/PurgeAges.java
@@ -8,7 +8,8 @@
  *
  * <p>The least delay: a stamp less the monotonic reading at which it arrived is greatest for the event that arrived
  * soonest after it was made. An event that is that much less ahead is at least so much older. Ages up to
- * {@link #LONGEST_BELIEVED_US} are told so; a longer one may as well be a step of the writer's clock, and counts as none:
+ * {@link #LONGEST_BELIEVED_US} are told so; a longer one may as well be a step of the writer's clock, and counts as
+ * none:
  * the purge was made now. An age is therefore never more than the true one unless the writer's clock is stepped back by
  * less than that. Does no I/O and reads no clock.
  */
@@ -49,7 +50,8 @@
 
     /**
      * How long ago at least each of the purges was made that the configuration brings: as long as the writer's stamps
-     * prove against later ones of the same list, each gap counted as {@link #GAP_BELIEVED_MS} at most and none backwards.
+     * prove against later ones of the same list, each gap counted as {@link #GAP_BELIEVED_MS} at most and none
+     * backwards.
      *
      * @param madeMs the writer's stamps in the order of the events, in Unix milliseconds
      * @return microseconds, 0 or more, in the same order; 0 for the last
--- a/src/main/java/clovermill/channel/StartTimes.java
+++ b/src/main/java/clovermill/channel/StartTimes.java
@@ -5,7 +5,8 @@
 
 /**
  * When members started, on the monotonic clock, for which only Unix stamps are known. A stamp is compared for equality
- * with the one told before, so that a start told again stays the same start; how long ago it was is read from it only for
+ * with the one told before, so that a start told again stays the same start; how long ago it was is read from it only
+ * for
  * what is told at this process's own start. A start that a running process sees for the first time counts as made now.
  * Does no I/O and reads no clock.
  */
--- a/src/main/java/clovermill/consensus/RaftStorage.java
+++ b/src/main/java/clovermill/consensus/RaftStorage.java
@@ -4,7 +4,8 @@
 import io.microraft.persistence.RestoredRaftState;
 
 /**
- * Where a replica keeps what it has promised. A fault is an exception: the replica must not go on, as nothing says which
+ * Where a replica keeps what it has promised. A fault is an exception: the replica must not go on, as nothing says
+ * which
  * of its promises last. It may begin anew once {@link #recover} has written all of them again.
  */
 public interface RaftStorage extends RaftStore {
--- a/src/main/java/clovermill/director/StartupRetry.java
+++ b/src/main/java/clovermill/director/StartupRetry.java
@@ -13,7 +13,8 @@
 /**
  * Tries again what the machine may refuse for a moment while the process starts: a descriptor (EMFILE, ENFILE), memory
  * of the kernel (ENOBUFS, ENOMEM) or an address (EADDRINUSE, EADDRNOTAVAIL). Java tells these apart by the text of the
- * message only, so each I/O error is tried again but those that have a type of their own and last. One bound holds for all resources of a start. Used by
+ * message only, so each I/O error is tried again but those that have a type of their own and last. One bound holds
+ * for all resources of a start. Used by
  * the thread that starts the process, before its event loop runs.
  */
 final class StartupRetry {
--- a/src/main/java/clovermill/front/HeldFrames.java
+++ b/src/main/java/clovermill/front/HeldFrames.java
@@ -16,7 +16,9 @@
  */
 final class HeldFrames {
 
-    /** One frame, as it came; both times in microseconds of the clock, the second that by which it is to be answered. */
+    /**
+     * One frame, as it came; both times in microseconds of the clock, the second that by which it is to be answered.
+     */
     record Frame(int type, long stream, byte[] payload, long arrivedMicros, long answerByMicros) {}
 
     /** What may be held: some hundreds of requests without a body, of which a usual client has 32 open at most. */
--- a/src/main/java/clovermill/net/SocketErrors.java
+++ b/src/main/java/clovermill/net/SocketErrors.java
@@ -25,7 +25,9 @@
  */
 public final class SocketErrors {
 
-    /** Texts of the errors that accept(2) passes on from the connection that waited; in another language none is known. */
+    /**
+     * Texts of the errors that accept(2) passes on from the connection that waited; in another language none is known.
+     */
     private static final Set<String> OF_ONE_CONNECTION = Set.of("Software caused connection abort",
             "Connection reset by peer", "Connection timed out", "Network is down", "Protocol error",
             "Protocol not available", "Host is down", "Machine is not on the network", "No route to host",
@@ -49,7 +51,9 @@
                 || dialFailure.getCause() instanceof RuntimeException;
     }
 
-    /** Whether a failed accept speaks of the one connection that waited first, so that the next may be accepted at once. */
+    /**
+     * Whether a failed accept speaks of the one connection that waited first, so that the next may be accepted at once.
+     */
     static boolean isOfOneConnection(IOException acceptFailure) {
         return acceptFailure.getMessage() != null && OF_ONE_CONNECTION.contains(acceptFailure.getMessage());
     }
--- a/src/main/java/clovermill/net/TransferCount.java
+++ b/src/main/java/clovermill/net/TransferCount.java
@@ -6,9 +6,11 @@
 import java.nio.channels.WritableByteChannel;
 
 /**
- * The one place that says what the count of a non-blocking read or write means. On Java 17 a call that a signal interrupts
+ * The one place that says what the count of a non-blocking read or write means. On Java 17 a call that a signal
+ * interrupts
  * (EINTR) returns -3 from a socket channel, {@code sun.nio.ch.IOStatus.INTERRUPTED}, though the channel's documentation
- * knows -1 and counts from 0 up only. Nothing has been transferred then, and the call is made again at once: who looks for
+ * knows -1 and counts from 0 up only. Nothing has been transferred then, and the call is made again at once: who
+ * looks for
  * bytes before a close must not miss them. Only -1 is the end of a stream.
  */
 final class TransferCount {
--- a/src/main/java/clovermill/outage/OutageFolder.java
+++ b/src/main/java/clovermill/outage/OutageFolder.java
@@ -19,7 +19,8 @@
 
 /**
  * Marks in a folder that the processes of one director share: an empty file {@code out-ID} for each cache that is out,
- * and {@code back-ID} with the Unix millisecond of its return for one that came back, which tells one return from another. A mark is made before a call is
+ * and {@code back-ID} with the Unix millisecond of its return for one that came back, which tells one return from
+ * another. A mark is made before a call is
  * answered, and each file stands for itself, so that two processes need no lock. The folder lies in memory, and a look
  * that finds nothing new costs one call for its attributes: both may be done on the loop.
  */
@@ -122,7 +123,9 @@
         }
     }
 
-    /** Notes a read. It is needed where the folder's time is another one than at the last read, or may be too coarse. */
+    /**
+     * Notes a read. It is needed where the folder's time is another one than at the last read, or may be too coarse.
+     */
     private boolean isToBeRead() throws IOException {
         FileTime now = Files.getLastModifiedTime(folder);
         long nowUs = monotonicUs.getAsLong();
--- a/src/main/java/clovermill/outage/Outages.java
+++ b/src/main/java/clovermill/outage/Outages.java
@@ -37,7 +37,8 @@
 
     /**
      * Notes a return as another process tells. The stamp known of the last return is no news; any other, be it earlier
-     * on a wall clock that was stepped, is a further return. A return never makes a cache older than it was known to be.
+     * on a wall clock that was stepped, is a further return. A return never makes a cache older than it was known to
+     * be.
      */
     public void returned(String id, long stampMs, long atUs) {
         Return known = back.get(id);
@@ -66,7 +67,8 @@
     }
 
     /**
-     * When a cache counts as started on the monotonic clock, in microseconds, 0 for long ago: it is restarted while it is
+     * When a cache counts as started on the monotonic clock, in microseconds, 0 for long ago: it is restarted while
+     * it is
      * out, and the list, which says {@code toldUs}, may tell that late or not at all.
      */
     public long startedUs(String id, long toldUs) {
--- a/src/main/java/clovermill/upgrade/Presence.java
+++ b/src/main/java/clovermill/upgrade/Presence.java
@@ -12,7 +12,8 @@
 /**
  * Tells the processes of one director of each other: each has a file {@code here-PID} in the folder that they share,
  * with the Unix millisecond of its start, whether it is ready, and the kernel's start ticks. Which of two started later
- * the ticks say, since a wall clock may be stepped; the millisecond is for processes of earlier versions, which read two
+ * the ticks say, since a wall clock may be stepped; the millisecond is for processes of earlier versions, which read
+ * two
  * words. What a process left behind that ended without taking its file away is found out by its number, and taken away.
  */
 public final class Presence {
--- a/src/test/java/clovermill/channel/RosterTest.java
+++ b/src/test/java/clovermill/channel/RosterTest.java
@@ -68,7 +68,8 @@
 
     private static String listed(boolean full, String state, long startedMs) {
         return "{\"cursor\":9,\"nodes\":{\"full\":" + full
-                + ",\"servers\":[{\"id\":\"s-1\",\"addr\":\"127.0.0.1:9\",\"zone\":\"edge\",\"kind\":\"std\",\"cell\":1,"
+                + ",\"servers\":[{\"id\":\"s-1\",\"addr\":\"127.0.0.1:9\",\"zone\":\"edge\""
+                + ",\"kind\":\"std\",\"cell\":1,"
                 + "\"state\":\"" + state + "\",\"weight\":6,\"started_ms\":" + startedMs + "}]}}";
     }
 
--- a/src/test/java/clovermill/net/ConnectionFaultsTest.java
+++ b/src/test/java/clovermill/net/ConnectionFaultsTest.java
@@ -110,7 +110,10 @@
         assertThat(events).containsExactly("connected");
     }
 
-    /** ETIMEDOUT and EHOSTUNREACH come as a plain IOException, a reset as a SocketException: each is a broken connection. */
+    /**
+     * ETIMEDOUT and EHOSTUNREACH come as a plain IOException, a reset as a SocketException: each is a broken
+     * connection.
+     */
     @Test
     void anErrorOfAReadOrWriteClosesTheConnectionOnce() {
         Connection read = connection(false);
--- a/src/test/java/clovermill/net/ListenerFaultsTest.java
+++ b/src/test/java/clovermill/net/ListenerFaultsTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A listener goes on after an accept that failed for one connection, and rests after one that the machine had no room for. */
+/**
+ * A listener goes on after an accept that failed for one connection, and rests after one that the machine had no room
+ * for.
+ */
 class ListenerFaultsTest {
 
     private long nowUs = 1_000_000;
--- a/src/test/java/clovermill/net/ManualClock.java
+++ b/src/test/java/clovermill/net/ManualClock.java
@@ -6,7 +6,9 @@
  */
 public final class ManualClock implements Clock {
 
-    /** What both parts read at first unless a test says otherwise: some moment of late 2023, with broken milliseconds. */
+    /**
+     * What both parts read at first unless a test says otherwise: some moment of late 2023, with broken milliseconds.
+     */
     public static final long START_US = 1_700_000_000_000_900L;
 
     private long monotonicUs;
@@ -32,7 +34,9 @@
         return trueMillis() + wallAheadMs;
     }
 
-    /** What the wall clock would read had it never been stepped, in milliseconds: the clock of whoever writes stamps. */
+    /**
+     * What the wall clock would read had it never been stepped, in milliseconds: the clock of whoever writes stamps.
+     */
     public long trueMillis() {
         return monotonicUs / 1000;
     }
--- a/src/test/java/clovermill/net/ScriptedSocket.java
+++ b/src/test/java/clovermill/net/ScriptedSocket.java
@@ -13,7 +13,10 @@
 import java.util.Deque;
 import java.util.Set;
 
-/** A socket channel whose calls return or throw what a test has set down, as the JDK's does for the errors of the system. */
+/**
+ * A socket channel whose calls return or throw what a test has set down, as the JDK's does for the errors of the
+ * system.
+ */
 final class ScriptedSocket extends SocketChannel {
 
     /** What {@code read} and {@code write} return on Java 17 where the system call ends with EINTR. */
--- a/src/test/java/clovermill/net/WriteQueueTest.java
+++ b/src/test/java/clovermill/net/WriteQueueTest.java
@@ -10,7 +10,10 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Whatever parts a socket takes, each byte leaves once and in order, and each piece is told of once, after its last byte. */
+/**
+ * Whatever parts a socket takes, each byte leaves once and in order, and each piece is told of once, after its last
+ * byte.
+ */
 class WriteQueueTest {
 
     @Property
