--- a/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
@@ -12,13 +12,11 @@
         /** Whether this process can serve. */
         boolean ready();
 
-        /**
-         * Gives a cache nothing more until it is put back; once more changes nothing. False if no member has that id.
-         */
-        boolean takeOut(String id);
+        /** Gives a cache nothing more until it is put back; once more changes nothing. */
+        OutageCallResult takeOut(String id);
 
-        /** Gives a cache work again, however often it was taken out. False if no member has that id. */
-        boolean putBack(String id);
+        /** Gives a cache work again, however often it was taken out. */
+        OutageCallResult putBack(String id);
     }
 
     /** What can be asked about the one policy of the fleet; answers may come later. */
@@ -77,8 +75,12 @@
         } catch (Json.Malformed malformed) {
             return new AdminResponse(400, "body: " + malformed.getMessage());
         }
-        boolean known = out ? director.takeOut(id) : director.putBack(id);
-        return !known ? new AdminResponse(404, "id: no cache is known by that id")
-                : new AdminResponse(200, out ? "nothing more goes to it" : "it may serve again");
+        return switch (out ? director.takeOut(id) : director.putBack(id)) {
+            case DONE -> new AdminResponse(200, out ? "nothing more goes to it" : "it may serve again");
+            case UNKNOWN_CACHE -> new AdminResponse(404, "id: no cache is known by that id");
+            case NOT_RECORDED -> new AdminResponse(503, out
+                    ? "nothing more goes to it for now, but the shared folder cannot be written: repeat the call"
+                    : "the shared folder cannot be written, so it stays out: repeat the call");
+        };
     }
 }
--- a/src/main/java/clovermill/controlplane/outage/OutageFolder.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageFolder.java
@@ -13,6 +13,8 @@
 import java.nio.file.attribute.FileTime;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
@@ -37,9 +39,16 @@
     /** It is read again after this long in any case: a wall clock that is stepped back may give a time out twice. */
     private static final long REREAD_US = 5_000_000;
 
+    /** A mark that is not in the folder: an outage, or a return with its stamp in Unix milliseconds. */
+    private record PendingMark(boolean out, long stampMs) {}
+
     private final Path folder;
-    /** What could not be marked, a full or read-only folder being the cause: true for out. It holds in this process. */
-    private final Map<String, Boolean> unmarked = new HashMap<>();
+    /** How long to wait after a failed write before it is tried again. */
+    private static final long RETRY_INTERVAL_US = 500_000;
+
+    /** What could not be written so far. It is in force in this process, and is written again until that succeeds. */
+    private final Map<String, PendingMark> pending = new LinkedHashMap<>();
+    private long retryAtUs;
     private final LongSupplier monotonicUs;
     /** The folder's time when it was last read, compared for equality alone, and when that was first found. */
     private FileTime changed;
@@ -57,27 +66,79 @@
 
     @Override
     public void takeOut(String id) {
-        note(id, write(mark(OUT, id), ""), true);
+        recordOrKeep(id, new PendingMark(true, 0));
     }
 
-    private void note(String id, boolean marked, boolean out) {
-        unmarked.remove(id);
-        if (!marked) {
-            unmarked.put(id, out);
+    @Override
+    public void putBack(String id, long stampMs) {
+        recordOrKeep(id, new PendingMark(false, stampMs));
+    }
+
+    @Override
+    public boolean tryPutBack(String id, long stampMs) {
+        boolean recorded = writeReturn(id, stampMs) && deleteOutage(id);
+        if (recorded) {
+            pending.remove(id);
         }
+        return recorded;
     }
 
-    /** The mark of its being out goes last. */
     @Override
-    public void putBack(String id, long stampMs) {
-        boolean marked = write(mark(BACK, id), Long.toString(stampMs));
+    public boolean isRecorded(String id) {
+        return !pending.containsKey(id);
+    }
+
+    /**
+     * Writes the marks again that could not be written, once {@link #RETRY_INTERVAL_US} after the last failure. To be
+     * called a few times a second, whether or not another process exists: a later start reads the folder, too.
+     */
+    public void retryPending() {
+        if (pending.isEmpty() || monotonicUs.getAsLong() < retryAtUs) {
+            return;
+        }
+        for (Map.Entry<String, PendingMark> mark : List.copyOf(pending.entrySet())) {
+            if (!record(mark.getKey(), mark.getValue())) {
+                return;
+            }
+            pending.remove(mark.getKey());
+            LOG.log(Level.INFO, "the outage mark of {0} is recorded in the shared folder", mark.getKey());
+        }
+    }
+
+    private void recordOrKeep(String id, PendingMark mark) {
+        pending.remove(id);
+        if (!record(id, mark)) {
+            pending.put(id, mark);
+        }
+    }
+
+    private boolean record(String id, PendingMark mark) {
+        boolean recorded;
+        if (mark.out) {
+            recorded = write(mark(OUT, id), "");
+        } else {
+            boolean stamped = writeReturn(id, mark.stampMs);
+            // A full folder still lets the mark of the outage be deleted.
+            recorded = deleteOutage(id) && stamped;
+        }
+        if (!recorded) {
+            retryAtUs = monotonicUs.getAsLong() + RETRY_INTERVAL_US;
+        }
+        return recorded;
+    }
+
+    private boolean writeReturn(String id, long stampMs) {
+        return write(mark(BACK, id), Long.toString(stampMs));
+    }
+
+    private boolean deleteOutage(String id) {
         try {
             Files.deleteIfExists(mark(OUT, id));
+            return true;
         } catch (IOException failure) {
             warn(failure);
-            marked = false;
+            return false;
         }
-        note(id, marked, false);
     }
 
     private boolean write(Path mark, String text) {
@@ -110,10 +171,12 @@
                     }
                 }
             }
-            unmarked.forEach((id, isOut) -> {
-                out.remove(id);
-                if (isOut) {
+            pending.forEach((id, mark) -> {
+                if (mark.out) {
                     out.add(id);
+                } else {
+                    out.remove(id);
+                    back.put(id, mark.stampMs);
                 }
             });
             return new Marks(out, back);
--- a/src/main/java/clovermill/director/operations/GossipedOutages.java
+++ b/src/main/java/clovermill/director/operations/GossipedOutages.java
@@ -23,6 +23,20 @@
             marks.putBack(id, stampMs);
             fleet.putOutage(id, false);
         }
+
+        @Override
+        public boolean tryPutBack(String id, long stampMs) {
+            boolean recorded = marks.tryPutBack(id, stampMs);
+            if (recorded) {
+                fleet.putOutage(id, false);
+            }
+            return recorded;
+        }
+
+        @Override
+        public boolean isRecorded(String id) {
+            return marks.isRecorded(id);
+        }
     }
 
     @Override
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -65,8 +65,9 @@
         return outages;
     }
 
-    /** Takes over which caches are out. */
+    /** Takes over which caches are out, after the marks of this process that could not be written are tried again. */
     public void catchUp() {
+        outages.retryPending();
         OutageFolder.Marks marks = outages.look();
         if (marks != null) {
             roster.outages(marks.out(), marks.back());
--- a/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
+++ b/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
@@ -95,6 +95,49 @@
         assertThat(one.look()).isEqualTo(new OutageFolder.Marks(Set.of("s-1"), Map.of("s-2", 43L)));
     }
 
+    /** A later start, of which no process runs yet, must find what a full disk kept from being written. */
+    @Test
+    void whatCouldNotBeMarkedIsWrittenOnceTheFolderCanBeWritten() throws Exception {
+        OutageFolder one = new OutageFolder(folder, clock::micros);
+        one.takeOut("s-1");
+        Path inTheWay = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
+        one.takeOut("s-2");
+        one.putBack("s-1", 42);
+        assertThat(one.isRecorded("s-2")).isFalse();
+        assertThat(one.isRecorded("s-1")).isFalse();
+        clock.passMillis(500);
+        one.retryPending();
+        assertThat(one.isRecorded("s-2")).as("the folder still fails").isFalse();
+        Files.delete(inTheWay);
+        clock.passMillis(499);
+        one.retryPending();
+        assertThat(one.isRecorded("s-2")).as("not tried again at once").isFalse();
+        clock.passMillis(1);
+        one.retryPending();
+        assertThat(one.isRecorded("s-2")).isTrue();
+        assertThat(one.isRecorded("s-1")).isTrue();
+        assertThat(new OutageFolder(folder, clock::micros).look())
+                .isEqualTo(new OutageFolder.Marks(Set.of("s-2"), Map.of("s-1", 42L)));
+    }
+
+    /** The last call counts: an outage that waits to be written must not come after the return. */
+    @Test
+    void aReturnTakesThePlaceOfAnOutageThatWaitsToBeWritten() throws Exception {
+        OutageFolder one = new OutageFolder(folder, clock::micros);
+        Path inTheWay = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
+        one.takeOut("s-1");
+        assertThat(one.tryPutBack("s-1", 42)).isFalse();
+        assertThat(one.isRecorded("s-1")).isFalse();
+        assertThat(one.look().out()).as("a return that failed changes nothing").containsExactly("s-1");
+        Files.delete(inTheWay);
+        assertThat(one.tryPutBack("s-1", 43)).isTrue();
+        clock.passMillis(1_000);
+        one.retryPending();
+        assertThat(one.isRecorded("s-1")).isTrue();
+        assertThat(new OutageFolder(folder, clock::micros).look())
+                .isEqualTo(new OutageFolder.Marks(Set.of(), Map.of("s-1", 43L)));
+    }
+
     /** A process that is killed between the two steps of a return leaves both marks: the cache stays out. */
     @Test
     void aProcessThatIsKilledHalfwayLeavesTheCacheOut() throws Exception {
--- /dev/null
+++ b/src/test/java/clovermill/director/operations/OperatorActionsTest.java
@@ -0,0 +1,103 @@
+package clovermill.director.operations;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import clovermill.config.Config;
+import clovermill.config.Json;
+import clovermill.controlplane.admin.decide.AdminRequest;
+import clovermill.controlplane.admin.decide.AdminResponse;
+import clovermill.controlplane.admin.decide.AdminService;
+import clovermill.controlplane.discovery.DiscoveryEvents;
+import clovermill.controlplane.discovery.EndpointRegistry;
+import clovermill.controlplane.outage.OutageFolder;
+import clovermill.controlplane.outage.OutageRegistry;
+import clovermill.dataplane.proxy.ProxyCore;
+import clovermill.dataplane.upstream.UpstreamPool;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.ManualClock;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Calls of operators while the folder that the processes share cannot be written. */
+class OperatorActionsTest {
+
+    private final ManualClock clock = new ManualClock();
+
+    @TempDir
+    private Path folder;
+
+    private OutageFolder marks;
+    private EndpointRegistry registry;
+    private AdminService service;
+
+    @BeforeEach
+    void aDirectorThatKnowsOneCache() throws Exception {
+        Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
+                .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
+        Deadlines deadlines = new Deadlines();
+        UpstreamPool pool = new UpstreamPool(new EventLoop(clock, deadlines), clock, deadlines, new Budget(1000),
+                new UpstreamPool.Limits(1, 1, 1, 1));
+        ProxyCore host = new ProxyCore((atUs, event, out) -> {}, config.settings(), clock, deadlines, pool);
+        registry = new EndpointRegistry(clock, pool, host, new OutageRegistry(), config.settings().originKind());
+        registry.apply(DiscoveryEvents.read(Json.parse("{\"cursor\":9,\"cmds\":[{\"cursor\":9,\"nodes\":{\"full\":true,"
+                + "\"servers\":[{\"id\":\"s-1\",\"addr\":\"127.0.0.1:9\",\"zone\":\"edge\",\"kind\":\"std\",\"cell\":1,"
+                + "\"state\":\"ready\",\"weight\":6,\"started_ms\":0}]}}]}"), config.zones(), config.kinds()));
+        marks = new OutageFolder(folder, clock::micros);
+        service = new AdminService(new OperatorActions(registry, null, clock, marks, marks::retryPending), null);
+    }
+
+    private int call(String path, String id) {
+        List<AdminResponse> answers = new ArrayList<>();
+        service.answer(new AdminRequest("PUT", path, "{\"id\":\"" + id + "\"}"), answers::add);
+        assertThat(answers).hasSize(1);
+        return answers.get(0).status();
+    }
+
+    private Path folderFails() throws Exception {
+        return Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
+    }
+
+    private List<String> outForLaterStarts() throws Exception {
+        return List.copyOf(new OutageFolder(folder, clock::micros).look().out());
+    }
+
+    /** A kill would undo what is not in the folder, so that a yes would be broken. */
+    @Test
+    void anOutageThatCannotBeRecordedIsInForceButAnsweredNo() throws Exception {
+        Path inTheWay = folderFails();
+        assertThat(call("/caches/disable", "s-1")).isEqualTo(503);
+        assertThat(registry.isOut("s-1")).isTrue();
+        assertThat(call("/caches/disable", "s-1")).as("the call is repeated").isEqualTo(503);
+        Files.delete(inTheWay);
+        clock.passMillis(500);
+        assertThat(call("/caches/disable", "s-1")).isEqualTo(200);
+        assertThat(outForLaterStarts()).containsExactly("s-1");
+    }
+
+    @Test
+    void aReturnThatCannotBeRecordedIsAnsweredNoAndChangesNothing() throws Exception {
+        assertThat(call("/caches/disable", "s-1")).isEqualTo(200);
+        Path inTheWay = folderFails();
+        assertThat(call("/caches/enable", "s-1")).isEqualTo(503);
+        assertThat(registry.isOut("s-1")).isTrue();
+        assertThat(outForLaterStarts()).containsExactly("s-1");
+        Files.delete(inTheWay);
+        assertThat(call("/caches/enable", "s-1")).isEqualTo(200);
+        assertThat(registry.isOut("s-1")).isFalse();
+        assertThat(outForLaterStarts()).isEmpty();
+    }
+
+    @Test
+    void anUnknownCacheIsAnsweredNoWhateverTheFolderDoes() throws Exception {
+        folderFails();
+        assertThat(call("/caches/disable", "s-7")).isEqualTo(404);
+        assertThat(call("/caches/enable", "s-7")).isEqualTo(404);
+    }
+}
