--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -9,8 +9,8 @@
 
 /**
  * What operators can have done. A call to one process counts for its whole director: what the other one was told before
- * is taken over first, and what changes is marked before the answer. A yes is given only for what is recorded: it has to
- * outlive this process. An outage that cannot be recorded is in force here all the same; a return is not.
+ * is taken over first, and what changes is marked before the answer. A yes is given only for what is recorded, since it
+ * has to outlive this process. An outage that cannot be recorded is in force here all the same; a return is not.
  */
 public record OperatorActions(EndpointRegistry roster, ClientServer front, Clock clock, OutageMarks marks,
         Runnable catchUp)
