--- a/src/main/java/clovermill/controlplane/discovery/DiscoveryClient.java
+++ b/src/main/java/clovermill/controlplane/discovery/DiscoveryClient.java
@@ -15,92 +15,94 @@
 import java.util.function.Consumer;
 
 /**
- * Polls the command channel without a gap: the next poll leaves as soon as an answer is read. A new
- * connection resumes from the last event.
+ * Long-polls the command channel: the next poll leaves as soon as an answer is read. A broken connection is replaced
+ * with backoff, and the first poll on it resumes after the last event that was applied.
  */
 public final class DiscoveryClient implements Connection.Handler {
 
+    private static final System.Logger LOG = System.getLogger(DiscoveryClient.class.getName());
     /**
-     * How the channel is read: the names of the settings, the time that a dial may take, and the shorter of the times
-     * in which what it tells has to bind.
+     * How long the channel may delay an answer while it has no event. It is short: events have to take effect from the
+     * moment they are made, and that a channel has gone silent shows only after this time.
      */
-    public record Terms(List<String> zones, List<String> kinds, long dialUs, long windowUs) {}
-
-    private static final System.Logger LOG = System.getLogger(DiscoveryClient.class.getName());
-    /** Short, because events count as told while the channel is cut off, and silence shows only after it. */
-    private static final long BLOCK_MS = 1000;
-    private static final long GRACE_US = 500_000;
-    /** What the channel has to tell counts as told 2 s after the end of the wait that was asked for. */
-    private static final long LONGEST_SILENCE_US = BLOCK_MS * 1000 + 2_000_000;
+    private static final long LONG_POLL_MILLIS = 1000;
+    private static final long ANSWER_GRACE_MICROS = 500_000;
+    /** By the protocol page events have to be applied 2 s after the end of the delay that a poll allows. */
+    private static final long STALE_AFTER_MICROS = LONG_POLL_MILLIS * 1000 + 2_000_000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Deadlines deadlines;
-    private final Terms terms;
-    private final Consumer<DiscoveryEvents> news;
-    private final StalenessMonitor quiet;
+    private final DiscoverySettings settings;
+    private final Consumer<DiscoveryEvents> listener;
+    private final StalenessMonitor staleness;
+    private final ReconnectBackoff backoff;
     private InetSocketAddress address;
     private Connection connection;
-    private HttpResponseParser responses;
-    private Deadlines.Deadline silence;
-    private Deadlines.Deadline redial;
+    private HttpResponseParser parser;
+    private Deadlines.Deadline timeout;
+    private Deadlines.Deadline reconnect;
     private long cursor;
-    /** When the last answer was read. */
-    private long answeredUs = DiscoveryEvents.NEVER_ANSWERED_US;
-    private final ReconnectBackoff redials;
+    private long lastAnswerMicros = DiscoveryEvents.NEVER_ANSWERED_MICROS;
 
+    /**
+     * A client that does nothing before {@link #start()}.
+     *
+     * @param cursor the number of the last event that is known
+     * @param listener gets each event by itself, on the loop
+     */
     public DiscoveryClient(EventLoop loop, Clock clock, Deadlines deadlines, InetSocketAddress address,
-            Terms terms, long cursor, Consumer<DiscoveryEvents> news) {
+            DiscoverySettings settings, long cursor, Consumer<DiscoveryEvents> listener) {
         this.loop = loop;
         this.clock = clock;
         this.deadlines = deadlines;
         this.address = address;
-        this.terms = terms;
+        this.settings = settings;
         this.cursor = cursor;
-        this.news = news;
-        this.redials = new ReconnectBackoff(terms.windowUs(), terms.dialUs());
-        this.quiet = new StalenessMonitor(LONGEST_SILENCE_US, clock.micros());
+        this.listener = listener;
+        this.backoff = new ReconnectBackoff(settings.bindWindowMicros(), settings.connectTimeoutMicros());
+        this.staleness = new StalenessMonitor(STALE_AFTER_MICROS, clock.micros());
+    }
+
+    /** Connects, and from then on replaces each connection that ends. */
+    public void start() {
+        checkStaleness();
+        connect();
     }
 
-    /** Goes on at another address, from the event after the last one that was read. */
-    public void move(InetSocketAddress to) {
-        if (to.equals(address)) {
+    /** Moves to another address and resumes there after the last event that was applied. */
+    public void reconnectTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
-        redials.reached();
+        address = newAddress;
+        backoff.reset();
         if (connection != null && connection.isOpen()) {
             connection.close();
         } else {
-            deadlines.cancel(redial);
-            dial();
+            deadlines.cancel(reconnect);
+            connect();
         }
     }
 
     /** Whether the channel has answered at least once. */
-    public boolean heard() {
-        return answeredUs != DiscoveryEvents.NEVER_ANSWERED_US;
+    public boolean hasAnswered() {
+        return lastAnswerMicros != DiscoveryEvents.NEVER_ANSWERED_MICROS;
     }
 
-    /** Dials, and from then on keeps the channel up. */
-    public void start() {
-        listen();
-        dial();
-    }
-
-    private void listen() {
-        if (quiet.tooLong(clock.micros())) {
-            LOG.log(Level.WARNING, "the command channel at {0} has told nothing for {1} ms; purges and changes of the"
-                    + " list of members may be missed", address, Long.toString(LONGEST_SILENCE_US / 1000));
+    private void checkStaleness() {
+        if (staleness.becameStale(clock.micros())) {
+            LOG.log(Level.WARNING, "discovery is stale: no answer from {0} for {1} ms; drains, purges and changes of"
+                    + " the endpoint list may be missed", address, Long.toString(STALE_AFTER_MICROS / 1000));
         }
-        deadlines.add(quiet.nextLookUs(clock.micros()), this::listen);
+        deadlines.add(staleness.nextCheckMicros(clock.micros()), this::checkStaleness);
     }
 
-    private void dial() {
-        responses = new HttpResponseParser(this::response);
+    private void connect() {
+        parser = new HttpResponseParser(this::response);
         try {
-            connection = loop.connect(address, dialled -> this);
-            silence = deadlines.add(clock.micros() + redials.dialUs(), connection::close);
+            connection = loop.connect(address, connected -> this);
+            timeout = deadlines.add(clock.micros() + backoff.connectTimeoutMicros(), connection::close);
         } catch (IOException failure) {
             closed(failure);
         }
@@ -112,72 +114,82 @@
     }
 
     private void poll() {
-        deadlines.cancel(silence);
-        silence = deadlines.add(clock.micros() + BLOCK_MS * 1000 + GRACE_US, connection::close);
+        deadlines.cancel(timeout);
+        timeout = deadlines.add(clock.micros() + LONG_POLL_MILLIS * 1000 + ANSWER_GRACE_MICROS, connection::close);
         String host = address.getHostString() + ":" + address.getPort();
-        connection.send(ByteBuffer.wrap(("GET /cmd/next?resume=" + cursor + "&block=" + BLOCK_MS
+        connection.send(ByteBuffer.wrap(("GET /cmd/next?resume=" + cursor + "&block=" + LONG_POLL_MILLIS
                 + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII)));
     }
 
     @Override
     public void received(ByteBuffer data) throws IOException {
-        responses.parse(data);
+        parser.parse(data);
     }
 
     private void response(int status, String body, boolean last) throws ProtocolException {
+        DiscoveryEvents answer = parse(status, body);
+        backoff.reset();
+        long previousAnswerMicros = lastAnswerMicros;
+        lastAnswerMicros = clock.micros();
+        logRecovery(staleness.answered(lastAnswerMicros));
+        if (answer.cursor() > cursor) {
+            cursor = answer.cursor();
+            answer.events().forEach(event -> deliver(event, previousAnswerMicros));
+        }
+        if (last) {
+            connection.close();
+        } else {
+            poll();
+        }
+    }
+
+    private DiscoveryEvents parse(int status, String body) throws ProtocolException {
         if (status != 200) {
             throw new ProtocolException("status " + status);
         }
-        DiscoveryEvents commands;
         try {
-            commands = DiscoveryEvents.read(Json.parse(body), terms.zones(), terms.kinds()).after(cursor);
+            return DiscoveryEventParser.parse(Json.parse(body), settings.zones(), settings.kinds()).after(cursor);
         } catch (Json.Malformed malformed) {
             throw new ProtocolException(malformed.getMessage());
         }
-        redials.reached();
-        long answeredBeforeUs = answeredUs;
-        answeredUs = clock.micros();
-        long quietUs = quiet.heard(answeredUs);
-        if (quietUs > 0) {
-            LOG.log(Level.INFO, "the command channel at {0} tells again, after {1} ms", address,
-                    Long.toString(quietUs / 1000));
-        }
-        if (commands.cursor() > cursor) {
-            cursor = commands.cursor();
-            commands.list().forEach(event -> deliver(event, answeredBeforeUs));
-        }
-        if (last) {
-            connection.close();
-        } else {
-            poll();
+    }
+
+    private void logRecovery(long staleMicros) {
+        if (staleMicros > 0) {
+            LOG.log(Level.INFO, "discovery has recovered: answer from {0} after {1} ms", address,
+                    Long.toString(staleMicros / 1000));
         }
     }
 
-    /** An event that fails costs itself alone: asked for again it would fail again, and nothing behind it be heard. */
-    private void deliver(DiscoveryEvents.Command event, long answeredBeforeUs) {
+    /** An event that fails is not asked for again: it would fail again, and block the events behind it for good. */
+    private void deliver(DiscoveryEvent event, long previousAnswerMicros) {
         try {
-            news.accept(new DiscoveryEvents(event.cursor(), List.of(event), answeredBeforeUs));
+            listener.accept(new DiscoveryEvents(event.cursor(), List.of(event), previousAnswerMicros));
         } catch (RuntimeException fault) {
-            LOG.log(Level.ERROR, "event " + event.cursor() + " of the command channel has failed", fault);
+            LOG.log(Level.ERROR, "discovery event " + event.cursor() + " failed", fault);
         }
     }
 
     @Override
     public void ended() {
         try {
-            responses.end();
+            parser.end();
         } catch (ProtocolException malformed) {
-            LOG.log(Level.WARNING, "the command channel: {0}", malformed.getMessage());
+            logMalformed(malformed);
         }
         connection.close();
     }
 
     @Override
     public void closed(IOException cause) {
-        deadlines.cancel(silence);
+        deadlines.cancel(timeout);
         if (cause instanceof ProtocolException) {
-            LOG.log(Level.WARNING, "the command channel: {0}", cause.getMessage());
+            logMalformed(cause);
         }
-        redial = deadlines.add(clock.micros() + redials.waitUs(), this::dial);
+        reconnect = deadlines.add(clock.micros() + backoff.nextDelayMicros(), this::connect);
+    }
+
+    private void logMalformed(IOException cause) {
+        LOG.log(Level.WARNING, "discovery answer from {0} is malformed: {1}", address, cause.getMessage());
     }
 }
--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -1,6 +1,5 @@
 package clovermill.controlplane.discovery;
 
-import clovermill.controlplane.discovery.DiscoveryEvents.Entry;
 import clovermill.controlplane.outage.OutageRegistry;
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.upstream.UpstreamPool;
@@ -13,79 +12,99 @@
 import clovermill.runtime.net.Clock;
 import java.lang.System.Logger.Level;
 import java.lang.System.Logger;
-import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
-/** Takes the events of the command channel and tells the module and the pool of connections. */
+/**
+ * The endpoints that are listed now. Applies discovery events and operators' outages to the routing module and to the
+ * pool of connections, and withdraws queued requests that must not reach an endpoint any more.
+ */
 public final class EndpointRegistry {
 
     private static final Logger LOG = System.getLogger(EndpointRegistry.class.getName());
-    private static final int MOST_KNOWN = 1000;
+    /** Cache ids that are remembered after the list has dropped them. */
+    private static final int MAX_KNOWN_CACHES = 1000;
 
-    private final Map<String, Entry> listed = new LinkedHashMap<>();
-    private final StartTimes starts;
+    private final Map<String, ListedEndpoint> listed = new LinkedHashMap<>();
+    private final StartTimes startTimes;
     private final PurgeAgeEstimator purgeAges = new PurgeAgeEstimator();
-    /** Whether the marks of another process were read before: what changes in them later has just happened. */
-    private boolean marksRead;
+    /** Whether outages were merged before: returns that are first seen later have just happened. */
+    private boolean outagesMerged;
     private final Clock clock;
     private final UpstreamPool pool;
-    private final ProxyCore host;
+    private final ProxyCore proxy;
     private final OutageRegistry outages;
     private final int originKind;
-    /** Caches that were listed at some time: one that is gone just now may still be taken out or put back. */
-    private final Map<String, Boolean> caches = new LinkedHashMap<>(64, 0.75f, true) {
+    /** Caches that were ever listed: an operator may take out or put back one that the list does not name just now. */
+    private final Map<String, Boolean> knownCaches = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MOST_KNOWN;
+            return size() > MAX_KNOWN_CACHES;
         }
     };
 
-    /** {@code originKind} is the kind of the origin, which is no cache; caches that are out count as draining. */
-    public EndpointRegistry(Clock clock, UpstreamPool pool, ProxyCore host, OutageRegistry outages, int originKind) {
+    /**
+     * A registry without endpoints.
+     *
+     * @param outages which caches operators have taken out; they count as draining
+     * @param originKind the kind of the origin, which is no cache and cannot be taken out
+     */
+    public EndpointRegistry(Clock clock, UpstreamPool pool, ProxyCore proxy, OutageRegistry outages, int originKind) {
         this.clock = clock;
         this.pool = pool;
-        this.host = host;
+        this.proxy = proxy;
         this.outages = outages;
         this.originKind = originKind;
-        this.starts = new StartTimes(clock.micros(), clock.unixMillis());
+        this.startTimes = new StartTimes(clock.micros(), clock.unixMillis());
     }
 
-    /** Whether a cache of that id was ever told of. */
-    public boolean knows(String id) {
-        return caches.containsKey(id);
+    /** Whether a cache of that id was ever listed. */
+    public boolean isKnownCache(String id) {
+        return knownCaches.containsKey(id);
     }
 
-    /** Whether a cache is out. */
+    /** Whether operators have taken a cache out. */
     public boolean isOut(String id) {
         return outages.isOut(id);
     }
 
-    /** From now on nothing more goes to that cache or is filled from it, until it is put back. */
+    /** Whether any endpoint is listed. */
+    public boolean hasEndpoints() {
+        return !listed.isEmpty();
+    }
+
+    /** Sends nothing more to a cache, and fills nothing from it, until it is put back. */
     public void takeOut(String id) {
         if (outages.takeOut(id)) {
-            changed(id);
-            drop(Set.of(id));
+            publishOutages(id);
+            withdrawFrom(Set.of(id));
         }
     }
 
     /**
-     * The cache counts as the list tells again, and as started now: it was restarted meanwhile. {@code stampMs} is what
-     * its return is marked with for others; it tells this return from others and is no time here.
+     * Ends an outage: the cache has the availability that the list gives it, and counts as started now, since it was
+     * restarted during the outage.
+     *
+     * @param stampUnixMillis identifies this return among those of the cache; it is not used as a time
      */
-    public void putBack(String id, long stampMs) {
-        if (outages.putBack(id, stampMs, clock.micros())) {
-            changed(id);
+    public void putBack(String id, long stampUnixMillis) {
+        if (outages.putBack(id, stampUnixMillis, clock.micros())) {
+            publishOutages(id);
         }
     }
 
-    /** Takes over what another process of this director was told: who is out, and with which stamps others are back. */
-    public void outages(Set<String> out, Map<String, Long> back) {
+    /**
+     * Merges the outages and returns that all processes of this director have recorded.
+     *
+     * @param out the caches that are out; all others are put back
+     * @param back the stamp of the last return of each cache, in Unix milliseconds
+     */
+    public void mergeOutages(Set<String> out, Map<String, Long> back) {
         for (String id : out) {
             takeOut(id);
         }
@@ -94,139 +113,152 @@
                 putBack(id, back.getOrDefault(id, 0L));
             }
         }
-        back.forEach((id, stampMs) -> outages.returned(id, stampMs, returnedUs(stampMs)));
-        marksRead = true;
+        back.forEach((id, stamp) -> outages.returned(id, stamp, returnedMicros(stamp)));
+        outagesMerged = true;
     }
 
-    /** A return that is found marked at the first look may be long ago; a later one was made since the look before. */
-    private long returnedUs(long stampMs) {
-        return marksRead ? clock.micros() : starts.beforeStartUs(stampMs, clock.micros());
+    /** A return found at the first merge may be long ago; one found later was made since the merge before. */
+    private long returnedMicros(long stampUnixMillis) {
+        return outagesMerged ? clock.micros() : startTimes.beforeProcessStartMicros(stampUnixMillis, clock.micros());
     }
 
-    private void changed(String id) {
-        host.tell(new Operated(List.copyOf(outages.allOut())));
-        Entry entry = listed.get(id);
-        if (entry != null) {
-            host.tell(new Members(ListScope.CHANGES, List.of(member(entry))));
+    private void publishOutages(String changedId) {
+        proxy.tell(new Operated(List.copyOf(outages.allOut())));
+        ListedEndpoint endpoint = listed.get(changedId);
+        if (endpoint != null) {
+            proxy.tell(new Members(ListScope.CHANGES, List.of(member(endpoint))));
         }
     }
 
-    /** Takes what was known at the start: one list, as remembered, and then the purges. */
-    public void start(DiscoveryEvents known) {
-        List<DiscoveryEvents.Drop> drops = new ArrayList<>();
-        known.list().forEach(this::observeStamps);
-        for (DiscoveryEvents.Command command : known.list()) {
-            if (command instanceof DiscoveryEvents.Nodes nodes) {
-                update(nodes, true);
-            } else if (command instanceof DiscoveryEvents.Unusable unusable) {
-                tell(unusable);
-            } else if (command instanceof DiscoveryEvents.Drop drop) {
-                drops.add(drop);
+    /** Applies the configuration's events at the start: one list with all endpoints, and then the purges. */
+    public void applyInitial(DiscoveryEvents known) {
+        known.events().forEach(this::observeStamps);
+        for (DiscoveryEvent event : known.events()) {
+            if (event instanceof EndpointListChanged list) {
+                updateList(list, true);
+            } else if (event instanceof UnusableEvent unusable) {
+                logUnusable(unusable);
             }
         }
-        host.tell(new Members(ListScope.REMEMBERED, listed.values().stream().map(this::member).toList()));
-        long[] agesUs = PurgeAgeEstimator.agesAtStartUs(drops.stream().map(DiscoveryEvents.Drop::whenMs).toList());
-        for (int i = 0; i < agesUs.length; i++) {
-            purge(drops.get(i), agesUs[i]);
+        proxy.tell(new Members(ListScope.REMEMBERED, listed.values().stream().map(this::member).toList()));
+        List<CopiesPurged> purges = known.events().stream().filter(CopiesPurged.class::isInstance)
+                .map(CopiesPurged.class::cast).toList();
+        long[] agesMicros = PurgeAgeEstimator.initialAgesMicros(
+                purges.stream().map(CopiesPurged::stampUnixMillis).toList());
+        for (int i = 0; i < agesMicros.length; i++) {
+            purge(purges.get(i), agesMicros[i]);
         }
     }
 
-    private void observeStamps(DiscoveryEvents.Command command) {
-        if (command instanceof DiscoveryEvents.Nodes nodes) {
-            nodes.entries().forEach(entry -> starts.observeStamp(entry.startedMs(), clock.micros()));
-        } else if (command instanceof DiscoveryEvents.Drop drop) {
-            starts.observeStamp(drop.whenMs(), clock.micros());
+    private void observeStamps(DiscoveryEvent event) {
+        if (event instanceof EndpointListChanged list) {
+            list.endpoints().forEach(endpoint -> startTimes.observeStamp(endpoint.startedUnixMillis(),
+                    clock.micros()));
+        } else if (event instanceof CopiesPurged purge) {
+            startTimes.observeStamp(purge.stampUnixMillis(), clock.micros());
         }
     }
 
-    /** Takes later events in their order. */
-    public void apply(DiscoveryEvents news) {
-        boolean first = news.answeredUs() == DiscoveryEvents.NEVER_ANSWERED_US;
+    /** Applies the events of a poll in their order. */
+    public void apply(DiscoveryEvents polled) {
+        boolean first = polled.previousAnswerMicros() == DiscoveryEvents.NEVER_ANSWERED_MICROS;
         if (first) {
-            news.list().forEach(this::observeStamps);
-        }
-        for (DiscoveryEvents.Command command : news.list()) {
-            if (command instanceof DiscoveryEvents.Nodes nodes) {
-                Set<String> unfit = update(nodes, first);
-                host.tell(new Members(nodes.full() ? ListScope.FULL : ListScope.CHANGES,
-                        nodes.entries().stream().map(this::member).toList()));
-                drop(unfit);
-            } else if (command instanceof DiscoveryEvents.Drop drop) {
-                purge(drop, purgeAges.ageUs(drop.whenMs(), clock.micros(), news.answeredUs()));
-            } else if (command instanceof DiscoveryEvents.Unusable unusable) {
-                tell(unusable);
+            polled.events().forEach(this::observeStamps);
+        }
+        for (DiscoveryEvent event : polled.events()) {
+            if (event instanceof EndpointListChanged list) {
+                applyList(list, first);
+            } else if (event instanceof CopiesPurged purge) {
+                purge(purge,
+                        purgeAges.ageMicros(purge.stampUnixMillis(), clock.micros(), polled.previousAnswerMicros()));
+            } else if (event instanceof UnusableEvent unusable) {
+                logUnusable(unusable);
             }
         }
     }
 
-    private static void tell(DiscoveryEvents.Unusable unusable) {
-        LOG.log(Level.WARNING, "event {0} of the command channel cannot be used: {1}",
-                Long.toString(unusable.cursor()), unusable.reason());
+    private static void logUnusable(UnusableEvent unusable) {
+        LOG.log(Level.WARNING, "discovery event {0} is unusable: {1}", Long.toString(unusable.cursor()),
+                unusable.reason());
     }
 
-    /** Whether there is anybody to send to. */
-    public boolean known() {
-        return !listed.isEmpty();
+    private void applyList(EndpointListChanged list, boolean first) {
+        Set<String> unavailable = updateList(list, first);
+        proxy.tell(new Members(list.full() ? ListScope.FULL : ListScope.CHANGES,
+                list.endpoints().stream().map(this::member).toList()));
+        withdrawFrom(unavailable);
     }
 
-    /** Takes over a list, {@code first} if it may tell of times before this process; returns who is to get no more. */
-    private Set<String> update(DiscoveryEvents.Nodes nodes, boolean first) {
-        Set<String> unfit = new HashSet<>();
-        if (nodes.full()) {
-            unfit.addAll(listed.keySet());
+    /**
+     * Updates the list.
+     *
+     * @param first whether endpoints may have started before this process
+     * @return the ids of endpoints that must get no more requests
+     */
+    private Set<String> updateList(EndpointListChanged list, boolean first) {
+        Set<String> unavailable = new HashSet<>();
+        if (list.full()) {
+            unavailable.addAll(listed.keySet());
             listed.clear();
         }
-        for (Entry entry : nodes.entries()) {
-            String id = entry.member().id();
+        for (ListedEndpoint endpoint : list.endpoints()) {
             if (first) {
-                starts.startedBeforeUs(id, entry.startedMs(), clock.micros());
-            }
-            if (entry.member().kind() != originKind) {
-                caches.put(id, true);
+                startTimes.initialStartedMicros(endpoint.id(), endpoint.startedUnixMillis(), clock.micros());
             }
-            if (entry.member().availability() == Availability.HEALTHY && !outages.isOut(id)) {
-                unfit.remove(id);
+            if (isAvailable(endpoint)) {
+                unavailable.remove(endpoint.id());
             } else {
-                unfit.add(id);
-            }
-            if (entry.member().availability() == Availability.GONE) {
-                listed.remove(id);
-            } else {
-                listed.put(id, entry);
-                pool.listed(id, entry.address(), entry.startedMs());
+                unavailable.add(endpoint.id());
             }
+            updateEndpoint(endpoint);
+        }
+        return unavailable;
+    }
+
+    private boolean isAvailable(ListedEndpoint endpoint) {
+        return endpoint.member().availability() == Availability.HEALTHY && !outages.isOut(endpoint.id());
+    }
+
+    private void updateEndpoint(ListedEndpoint endpoint) {
+        if (endpoint.member().kind() != originKind) {
+            knownCaches.put(endpoint.id(), true);
+        }
+        if (endpoint.member().availability() == Availability.GONE) {
+            listed.remove(endpoint.id());
+        } else {
+            listed.put(endpoint.id(), endpoint);
+            pool.listed(endpoint.id(), endpoint.address(), endpoint.startedUnixMillis());
         }
-        return unfit;
     }
 
     /**
-     * What is queued for a member that drains or is gone, or for a fill from it, is withdrawn at once: the
-     * time for that is short. The module has been told by then, so that it sends it elsewhere.
+     * Withdraws requests that are queued for endpoints that drain or are gone, or for fills from them. The module has
+     * to have the new list by then: it sends these requests elsewhere.
      */
-    private void drop(Set<String> unfit) {
-        if (!unfit.isEmpty()) {
-            pool.withdraw(unfit);
+    private void withdrawFrom(Set<String> unavailable) {
+        if (!unavailable.isEmpty()) {
+            pool.withdraw(unavailable);
         }
-        for (String id : unfit) {
+        for (String id : unavailable) {
             if (!listed.containsKey(id)) {
                 pool.gone(id);
             }
         }
     }
 
-    /** The member on the module's clock, on which 0 means that it started long ago. */
-    private Member member(Entry entry) {
-        Member known = entry.member();
-        long startedUs = outages.startedUs(known.id(),
-                starts.startedUs(known.id(), entry.startedMs(), clock.micros()));
-        return new Member(known.id(), known.zone(), known.kind(), known.cell(), known.availability(),
-                known.weight(), startedUs);
+    /** The endpoint with its start on the monotonic clock in microseconds, 0 for long ago. */
+    private Member member(ListedEndpoint endpoint) {
+        Member member = endpoint.member();
+        long startedMicros = outages.startedUs(member.id(),
+                startTimes.startedMicros(member.id(), endpoint.startedUnixMillis(), clock.micros()));
+        return new Member(member.id(), member.zone(), member.kind(), member.cell(), member.availability(),
+                member.weight(), startedMicros);
     }
 
-    /** What is queued for the object would take an older copy: the module, which knows by then, sends it anew. */
-    private void purge(DiscoveryEvents.Drop drop, long ageUs) {
-        host.tell(new Purge(drop.object(), drop.group(), ageUs));
-        pool.withdraw(ask -> drop.object() == null ? ask.group() == drop.group()
-                : Long.parseUnsignedLong(ask.object(), 16) == drop.object());
+    /** Purges, and withdraws queued requests for what is purged: they might be answered with an older copy. */
+    private void purge(CopiesPurged purge, long ageMicros) {
+        proxy.tell(new Purge(purge.object(), purge.group(), ageMicros));
+        pool.withdraw(ask -> purge.object() == null ? ask.group() == purge.group()
+                : Long.parseUnsignedLong(ask.object(), 16) == purge.object());
     }
 }
--- a/src/main/java/clovermill/controlplane/discovery/HttpResponseParser.java
+++ b/src/main/java/clovermill/controlplane/discovery/HttpResponseParser.java
@@ -8,93 +8,93 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Reads HTTP/1.1 responses one after another: a sized, a chunked or an unsized body that ends with the peer. */
+/**
+ * Reads HTTP/1.1 responses from bytes that arrive in pieces of any size (RFC 9112). A body has a length, comes in
+ * chunks, or ends with the connection. Each method throws a {@link ProtocolException} for bytes that are no response.
+ */
 final class HttpResponseParser {
 
-    /** Where whole responses go; {@code last} if the connection takes no further request. */
-    interface Sink {
+    /** Gets complete responses. */
+    interface Handler {
+        /** One response; {@code last} if the connection takes no further request. */
         void response(int status, String body, boolean last) throws ProtocolException;
     }
 
     private enum State { STATUS, HEADERS, SIZED, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, UNSIZED }
 
-    private static final int LONGEST_LINE = 8192;
-    private static final int LARGEST_BODY = 4 << 20;
+    private static final int MAX_LINE_BYTES = 8192;
+    private static final int MAX_BODY_BYTES = 4 << 20;
+    private static final int MAX_HEADERS = 100;
 
-    private final Sink sink;
+    private final Handler handler;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(1024);
     private final Map<String, String> headers = new HashMap<>();
     private State state = State.STATUS;
     private int status;
-    private boolean old;
-    private int left;
+    private boolean http10;
+    private int remainingBytes;
 
-    HttpResponseParser(Sink sink) {
-        this.sink = sink;
+    HttpResponseParser(Handler handler) {
+        this.handler = handler;
     }
 
+    /** Reads all bytes of {@code data}. */
     void parse(ByteBuffer data) throws ProtocolException {
         while (data.hasRemaining()) {
             if (state == State.SIZED || state == State.CHUNK || state == State.UNSIZED) {
-                int part = state == State.UNSIZED ? data.remaining() : Math.min(left, data.remaining());
-                bounded(body.size() + part, LARGEST_BODY);
-                byte[] bytes = new byte[part];
-                data.get(bytes);
-                body.write(bytes, 0, part);
-                left -= part;
-                if (left == 0 && state != State.UNSIZED) {
-                    if (state == State.SIZED) {
-                        finish();
-                    } else {
-                        state = State.CHUNK_END;
-                    }
-                }
+                parseBody(data);
             } else {
-                byte next = data.get();
-                if (next != '\n') {
-                    bounded(line.size() + 1, LONGEST_LINE);
-                    line.write(next);
-                } else {
-                    String text = line.toString(StandardCharsets.ISO_8859_1);
-                    line.reset();
-                    line(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
-                }
+                parseLineByte(data.get());
             }
         }
     }
 
-    /** The peer sends no more, which ends an unsized body. */
+    /** The peer has closed the connection, which ends a body without a length. */
     void end() throws ProtocolException {
         if (state == State.UNSIZED) {
             finish();
         }
     }
 
-    private void line(String text) throws ProtocolException {
+    private void parseBody(ByteBuffer data) throws ProtocolException {
+        int count = state == State.UNSIZED ? data.remaining() : Math.min(remainingBytes, data.remaining());
+        checkSize(body.size() + count, MAX_BODY_BYTES);
+        byte[] bytes = new byte[count];
+        data.get(bytes);
+        body.write(bytes, 0, count);
+        if (state == State.UNSIZED) {
+            return;
+        }
+        remainingBytes -= count;
+        if (remainingBytes > 0) {
+            return;
+        }
+        if (state == State.SIZED) {
+            finish();
+        } else {
+            state = State.CHUNK_END;
+        }
+    }
+
+    private void parseLineByte(byte next) throws ProtocolException {
+        if (next != '\n') {
+            checkSize(line.size() + 1, MAX_LINE_BYTES);
+            line.write(next);
+            return;
+        }
+        String text = line.toString(StandardCharsets.ISO_8859_1);
+        line.reset();
+        parseLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
+    }
+
+    private void parseLine(String text) throws ProtocolException {
         switch (state) {
-            case STATUS -> {
-                if (!text.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")) {
-                    throw new ProtocolException("not an HTTP response");
-                }
-                old = text.startsWith("HTTP/1.0");
-                status = Integer.parseInt(text.substring(9, 12));
-                state = State.HEADERS;
-            }
-            case HEADERS -> {
-                int cut = text.indexOf(':');
-                if (text.isEmpty()) {
-                    startBody();
-                } else if (cut < 1 || headers.size() > 100) {
-                    throw new ProtocolException("not an HTTP header");
-                } else {
-                    headers.put(text.substring(0, cut).trim().toLowerCase(Locale.ROOT),
-                            text.substring(cut + 1).trim());
-                }
-            }
+            case STATUS -> parseStatus(text);
+            case HEADERS -> parseHeader(text);
             case CHUNK_SIZE -> {
-                left = number(text.split(";", 2)[0].trim(), 16);
-                state = left > 0 ? State.CHUNK : State.TRAILERS;
+                remainingBytes = parseSize(text.split(";", 2)[0].trim(), 16);
+                state = remainingBytes > 0 ? State.CHUNK : State.TRAILERS;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
@@ -110,6 +110,26 @@
         }
     }
 
+    private void parseStatus(String text) throws ProtocolException {
+        if (!text.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")) {
+            throw new ProtocolException("not an HTTP response");
+        }
+        http10 = text.startsWith("HTTP/1.0");
+        status = Integer.parseInt(text.substring(9, 12));
+        state = State.HEADERS;
+    }
+
+    private void parseHeader(String text) throws ProtocolException {
+        int colon = text.indexOf(':');
+        if (text.isEmpty()) {
+            startBody();
+        } else if (colon < 1 || headers.size() > MAX_HEADERS) {
+            throw new ProtocolException("not an HTTP header");
+        } else {
+            headers.put(text.substring(0, colon).trim().toLowerCase(Locale.ROOT), text.substring(colon + 1).trim());
+        }
+    }
+
     private void startBody() throws ProtocolException {
         String length = headers.get("content-length");
         if ("chunked".equalsIgnoreCase(headers.get("transfer-encoding"))) {
@@ -119,41 +139,43 @@
         } else if (length == null) {
             state = State.UNSIZED;
         } else {
-            left = number(length, 10);
+            remainingBytes = parseSize(length, 10);
             state = State.SIZED;
-            if (left == 0) {
+            if (remainingBytes == 0) {
                 finish();
             }
         }
     }
 
+    /** Passes the response on, unless it is an interim one (1xx), and expects the next. */
     private void finish() throws ProtocolException {
-        String connection = headers.getOrDefault("connection", old ? "close" : "").toLowerCase(Locale.ROOT);
+        String connection = headers.getOrDefault("connection", http10 ? "close" : "").toLowerCase(Locale.ROOT);
         boolean last = state == State.UNSIZED || connection.contains("close");
         String text = body.toString(StandardCharsets.UTF_8);
         headers.clear();
         body.reset();
         state = State.STATUS;
         if (status >= 200) {
-            sink.response(status, text, last);
+            handler.response(status, text, last);
         }
     }
 
-    private static int number(String text, int radix) throws ProtocolException {
+    private static int parseSize(String text, int radix) throws ProtocolException {
+        int size;
         try {
-            int number = Integer.parseInt(text, radix);
-            bounded(number, LARGEST_BODY);
-            if (number >= 0) {
-                return number;
-            }
-        } catch (NumberFormatException e) {
-            // told below
+            size = Integer.parseInt(text, radix);
+        } catch (NumberFormatException notANumber) {
+            throw new ProtocolException("not a length in an HTTP response");
+        }
+        if (size < 0) {
+            throw new ProtocolException("not a length in an HTTP response");
         }
-        throw new ProtocolException("not a length in an HTTP response");
+        checkSize(size, MAX_BODY_BYTES);
+        return size;
     }
 
-    private static void bounded(int size, int most) throws ProtocolException {
-        if (size > most) {
+    private static void checkSize(int bytes, int maxBytes) throws ProtocolException {
+        if (bytes > maxBytes) {
             throw new ProtocolException("an HTTP response is too large");
         }
     }
--- a/src/main/java/clovermill/controlplane/discovery/PurgeAgeEstimator.java
+++ b/src/main/java/clovermill/controlplane/discovery/PurgeAgeEstimator.java
@@ -3,71 +3,68 @@
 import java.util.List;
 
 /**
- * How long ago purges were made, for which only the Unix stamps of whoever wrote them are known. The wall clock of this
- * machine is never read, since it may be stepped: the writer's stamps are set against the monotonic clock.
+ * Estimates how long ago purges were made. Only their stamps, Unix time by the writer's clock, are known; the wall
+ * clock of this machine is not used, since it may be stepped. Does no I/O and reads no clock.
  *
- * <p>The least delay: a stamp less the monotonic reading at which it arrived is greatest for the event that arrived
- * soonest after it was made. An event that is that much less ahead is at least so much older. Ages up to
- * {@link #LONGEST_BELIEVED_US} are told so; a longer one may as well be a step of the writer's clock, and counts as
- * none:
- * the purge was made now. An age is therefore never more than the true one unless the writer's clock is stepped back by
- * less than that. Does no I/O and reads no clock.
+ * <p>Method: the offset of an event is its stamp less the monotonic time of its arrival. The offset is greatest for the
+ * event that arrived with the least delay. An event whose offset is smaller by some amount is older by at least that
+ * amount. An age above {@link #MAX_AGE_MICROS} may as well be a step of the writer's clock and counts as 0. An estimate
+ * is therefore never more than the true age, unless the writer's clock is stepped back by less than that limit.
  */
 final class PurgeAgeEstimator {
 
-    /** Ages beyond this are not told from a stepped clock; a purge is usually told within 400 ms. */
-    static final long LONGEST_BELIEVED_US = 500_000;
-    /** Of the time between two neighbours in the list of the start so much is believed: a step may lie between them. */
-    static final long GAP_BELIEVED_MS = 1_000;
-    /** A wall clock that is slewed runs fast or slow by 500 parts in a million at most; twice that is allowed for. */
-    private static final long DRIFT_PART = 1_000;
+    /** The longest age that is accepted, in microseconds; purges usually arrive within 400 ms. */
+    static final long MAX_AGE_MICROS = 500_000;
+    /** The longest gap between two neighbours of the initial list that is accepted: a step may lie between them. */
+    static final long MAX_INITIAL_GAP_MILLIS = 1_000;
+    /** A slewed wall clock is off by 500 parts in a million at most; one part in this many is allowed for. */
+    private static final long DRIFT_DIVISOR = 1_000;
 
-    /** By how much the writer's clock is ahead of the monotonic one at least, as of {@link #aheadAtUs}. */
-    private long aheadUs;
-    private long aheadAtUs;
+    /** The greatest offset so far, and the monotonic time of the event that had it. */
+    private long maxOffsetMicros;
+    private long maxOffsetAtMicros;
     private boolean calibrated;
 
     /**
-     * How long ago at least a purge was made that a poll has brought just now.
+     * The least age of a purge that a poll has brought just now.
      *
-     * @param madeMs the writer's stamp, in Unix milliseconds
-     * @param nowUs the monotonic clock
-     * @param answeredUs the monotonic clock when the poll before was answered: the purge came later
+     * @param stampUnixMillis the writer's stamp
+     * @param nowMicros the monotonic clock
+     * @param previousAnswerMicros the monotonic clock when the poll before was answered: the purge was made later
      * @return microseconds, 0 or more
      */
-    long ageUs(long madeMs, long nowUs, long answeredUs) {
-        long thisAheadUs = madeMs * 1000 - nowUs;
-        long leastAheadUs = aheadUs - (nowUs - aheadAtUs) / DRIFT_PART;
-        long ageUs = calibrated ? Math.max(0, leastAheadUs - thisAheadUs) : 0;
-        boolean believed = ageUs <= LONGEST_BELIEVED_US;
-        if (!calibrated || !believed || ageUs == 0) {
+    long ageMicros(long stampUnixMillis, long nowMicros, long previousAnswerMicros) {
+        long offsetMicros = stampUnixMillis * 1000 - nowMicros;
+        long driftMicros = (nowMicros - maxOffsetAtMicros) / DRIFT_DIVISOR;
+        long ageMicros = calibrated ? Math.max(0, maxOffsetMicros - driftMicros - offsetMicros) : 0;
+        boolean accepted = ageMicros <= MAX_AGE_MICROS;
+        if (!calibrated || !accepted || ageMicros == 0) {
             calibrated = true;
-            aheadUs = thisAheadUs;
-            aheadAtUs = nowUs;
+            maxOffsetMicros = offsetMicros;
+            maxOffsetAtMicros = nowMicros;
         }
-        return believed ? Math.min(ageUs, nowUs - answeredUs) : 0;
+        return accepted ? Math.min(ageMicros, nowMicros - previousAnswerMicros) : 0;
     }
 
     /**
-     * How long ago at least each of the purges was made that the configuration brings: as long as the writer's stamps
-     * prove against later ones of the same list, each gap counted as {@link #GAP_BELIEVED_MS} at most and none
-     * backwards.
+     * The least ages of the purges in the configuration, from the stamps of later purges in the same list. A gap counts
+     * as {@link #MAX_INITIAL_GAP_MILLIS} at most, and as 0 where the stamps go back.
      *
-     * @param madeMs the writer's stamps in the order of the events, in Unix milliseconds
-     * @return microseconds, 0 or more, in the same order; 0 for the last
+     * @param stampsUnixMillis the writer's stamps in the order of the events
+     * @return microseconds, 0 or more, in the same order; 0 for the last purge
      */
-    static long[] agesAtStartUs(List<Long> madeMs) {
-        long[] passedMs = new long[madeMs.size()];
-        long latestMs = madeMs.isEmpty() ? 0 : madeMs.get(0);
-        for (int i = 1; i < passedMs.length; i++) {
-            long gapMs = Math.max(0, madeMs.get(i) - latestMs);
-            passedMs[i] = passedMs[i - 1] + Math.min(GAP_BELIEVED_MS, gapMs);
-            latestMs = Math.max(latestMs, madeMs.get(i));
+    static long[] initialAgesMicros(List<Long> stampsUnixMillis) {
+        long[] elapsedMillis = new long[stampsUnixMillis.size()];
+        long latestMillis = stampsUnixMillis.isEmpty() ? 0 : stampsUnixMillis.get(0);
+        for (int i = 1; i < elapsedMillis.length; i++) {
+            long gapMillis = Math.max(0, stampsUnixMillis.get(i) - latestMillis);
+            elapsedMillis[i] = elapsedMillis[i - 1] + Math.min(MAX_INITIAL_GAP_MILLIS, gapMillis);
+            latestMillis = Math.max(latestMillis, stampsUnixMillis.get(i));
         }
-        long[] agesUs = new long[passedMs.length];
-        for (int i = 0; i < agesUs.length; i++) {
-            agesUs[i] = (passedMs[passedMs.length - 1] - passedMs[i]) * 1000;
+        long[] agesMicros = new long[elapsedMillis.length];
+        for (int i = 0; i < agesMicros.length; i++) {
+            agesMicros[i] = (elapsedMillis[elapsedMillis.length - 1] - elapsedMillis[i]) * 1000;
         }
-        return agesUs;
+        return agesMicros;
     }
 }
--- a/src/main/java/clovermill/controlplane/discovery/ReconnectBackoff.java
+++ b/src/main/java/clovermill/controlplane/discovery/ReconnectBackoff.java
@@ -1,43 +1,48 @@
 package clovermill.controlplane.discovery;
 
 /**
- * When a broken connection to the command channel is dialled again, and how long a dial may take. What the channel has
- * to tell counts as told from the moment it is there, connected or not (the protocol page), so a channel that can be
- * reached again is to be heard within the shorter of the windows for drains and purges. Does no I/O and reads no clock.
+ * Delays between attempts to connect to the command channel, and the timeout of an attempt. An event has to take effect
+ * within a window from the moment it is made, connected or not (protocol page), so both are parts of the shorter of the
+ * windows for drains and purges. Does no I/O and reads no clock.
  */
 final class ReconnectBackoff {
 
-    private static final long FIRST_US = 50_000;
-    /** A site may have no window for drains or purges; a busy director needs so long to connect all the same. */
-    private static final long LEAST_WINDOW_US = 100_000;
-    /** Parts of the window that the longest wait and the longest dial may take; the rest is for the answer. */
-    private static final int WAIT_PART = 3;
-    private static final int DIAL_PART = 2;
+    private static final long FIRST_DELAY_MICROS = 50_000;
+    /** A site may set no window; a busy director needs this long to connect all the same. */
+    private static final long MIN_WINDOW_MICROS = 100_000;
+    /** The longest delay and the longest attempt as parts of the window; the rest is for the answer. */
+    private static final int DELAY_DIVISOR = 3;
+    private static final int CONNECT_DIVISOR = 2;
 
-    private final long windowUs;
-    private final long dialUs;
-    private long nextUs;
+    private final long windowMicros;
+    private final long connectTimeoutMicros;
+    private long nextDelayMicros;
 
-    /** {@code windowUs} is the shorter window; {@code dialUs} how long a dial may take by the settings. */
-    ReconnectBackoff(long windowUs, long dialUs) {
-        this.windowUs = Math.max(LEAST_WINDOW_US, windowUs);
-        this.dialUs = dialUs;
+    /**
+     * A backoff whose first delay is 0.
+     *
+     * @param windowMicros the shorter window
+     * @param connectTimeoutMicros how long an attempt may take by the settings
+     */
+    ReconnectBackoff(long windowMicros, long connectTimeoutMicros) {
+        this.windowMicros = Math.max(MIN_WINDOW_MICROS, windowMicros);
+        this.connectTimeoutMicros = connectTimeoutMicros;
     }
 
-    /** How long a dial may take. */
-    long dialUs() {
-        return Math.min(dialUs, windowUs / DIAL_PART);
+    /** How long an attempt to connect may take. */
+    long connectTimeoutMicros() {
+        return Math.min(connectTimeoutMicros, windowMicros / CONNECT_DIVISOR);
     }
 
-    /** The wait before the next dial: none after a connection that answered, then longer and longer. */
-    long waitUs() {
-        long waitUs = nextUs;
-        nextUs = Math.min(windowUs / WAIT_PART, Math.max(FIRST_US, 2 * nextUs));
-        return waitUs;
+    /** The delay before the next attempt; it doubles from call to call up to its limit. */
+    long nextDelayMicros() {
+        long delayMicros = nextDelayMicros;
+        nextDelayMicros = Math.min(windowMicros / DELAY_DIVISOR, Math.max(FIRST_DELAY_MICROS, 2 * delayMicros));
+        return delayMicros;
     }
 
-    /** The channel answered, or is another one from now on. */
-    void reached() {
-        nextUs = 0;
+    /** Starts over with a delay of 0: the channel answered, or its address has changed. */
+    void reset() {
+        nextDelayMicros = 0;
     }
 }
--- a/src/main/java/clovermill/controlplane/discovery/StalenessMonitor.java
+++ b/src/main/java/clovermill/controlplane/discovery/StalenessMonitor.java
@@ -1,37 +1,38 @@
 package clovermill.controlplane.discovery;
 
 /**
- * Notes how long nothing has been heard, and when that is worth a line: once when it has lasted longer than
- * {@code limitUs}, and once when it ends. Does no I/O and reads no clock.
+ * Measures how long the command channel has not answered, and reports each period without answers twice: once when it
+ * exceeds a limit, and once when it ends. Does no I/O and reads no clock; all times are of the monotonic clock.
  */
 final class StalenessMonitor {
 
-    private final long limitUs;
-    private long sinceUs;
-    private boolean told;
+    private final long limitMicros;
+    private long lastAnswerMicros;
+    private boolean reported;
 
-    StalenessMonitor(long limitUs, long nowUs) {
-        this.limitUs = limitUs;
-        this.sinceUs = nowUs;
+    StalenessMonitor(long limitMicros, long nowMicros) {
+        this.limitMicros = limitMicros;
+        this.lastAnswerMicros = nowMicros;
     }
 
-    /** When to look next: as soon as what is allowed could be over. */
-    long nextLookUs(long nowUs) {
-        return nowUs < sinceUs + limitUs ? sinceUs + limitUs : nowUs + limitUs;
+    /** When {@link #becameStale} is to be called next. */
+    long nextCheckMicros(long nowMicros) {
+        long staleAtMicros = lastAnswerMicros + limitMicros;
+        return nowMicros < staleAtMicros ? staleAtMicros : nowMicros + limitMicros;
     }
 
-    /** Whether the silence has just come to last too long. */
-    boolean tooLong(long nowUs) {
-        boolean now = !told && nowUs - sinceUs >= limitUs;
-        told |= now;
-        return now;
+    /** Whether the limit is exceeded and that was not reported yet. */
+    boolean becameStale(long nowMicros) {
+        boolean stale = !reported && nowMicros - lastAnswerMicros >= limitMicros;
+        reported |= stale;
+        return stale;
     }
 
-    /** Something was heard; returns how long nothing had been if that was told, 0 otherwise. */
-    long heard(long nowUs) {
-        long lastedUs = told ? nowUs - sinceUs : 0;
-        sinceUs = nowUs;
-        told = false;
-        return lastedUs;
+    /** Notes an answer; returns how long there had been none if that was reported as stale, else 0. */
+    long answered(long nowMicros) {
+        long staleMicros = reported ? nowMicros - lastAnswerMicros : 0;
+        lastAnswerMicros = nowMicros;
+        reported = false;
+        return staleMicros;
     }
 }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -5,7 +5,9 @@
 import clovermill.controlplane.admin.AdminServer;
 import clovermill.controlplane.admin.decide.AdminService;
 import clovermill.controlplane.discovery.DiscoveryClient;
+import clovermill.controlplane.discovery.DiscoveryEventParser;
 import clovermill.controlplane.discovery.DiscoveryEvents;
+import clovermill.controlplane.discovery.DiscoverySettings;
 import clovermill.controlplane.discovery.EndpointRegistry;
 import clovermill.controlplane.gossip.GossipService;
 import clovermill.controlplane.gossip.GossipSettings;
@@ -87,7 +89,7 @@
             PolicyStoreSettings agreed,
             Platform platform, StartupRetry startup) throws IOException, Json.Malformed {
         Settings settings = config.settings();
-        DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
+        DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
         Deadlines deadlines = new Deadlines();
         Budget budget = new Budget(Runtime.getRuntime().maxMemory() / BODIES_PART);
         this.startup = startup;
@@ -109,17 +111,17 @@
         ProxyCore host = new ProxyCore(new RequestRouter(settings, config.seed()), settings, clock, deadlines, pool,
                 placement == null ? audit : placement, placement);
         EndpointRegistry roster = new EndpointRegistry(clock, pool, host, new OutageRegistry(), settings.originKind());
-        roster.start(known);
-        channel = new DiscoveryClient(loop, clock, deadlines, config.channel(), new DiscoveryClient.Terms(
+        roster.applyInitial(known);
+        channel = new DiscoveryClient(loop, clock, deadlines, config.channel(), new DiscoverySettings(
                 config.zones(), config.kinds(), settings.dialTimeoutUs(),
                 Math.min(settings.drainGraceUs(), settings.purgeNoticeUs())), known.cursor(), roster::apply);
         long settledUs = clock.micros() + settleUs;
         // What the configuration knows may be as old as the process that this one takes over from.
-        BooleanSupplier caughtUp = () -> platform.passed() == null || channel.heard()
+        BooleanSupplier caughtUp = () -> platform.passed() == null || channel.hasAnswered()
                 || clock.micros() >= settledUs + CATCH_UP_US;
         front = new FrameServer(loop, clock, deadlines, budget, host, settings, config.classes(),
                 new FrameServer.Terms(config.listen(), platform.passed(), shares.clients(false),
-                        () -> roster.known() && clock.micros() >= settledUs && caughtUp.getAsBoolean()));
+                        () -> roster.hasEndpoints() && clock.micros() >= settledUs && caughtUp.getAsBoolean()));
         sharing = HandoverCoordinator.open(platform.shared(), shares, clock, deadlines, roster, front, pool);
         if (sharing != null) {
             sharing.start();
--- a/src/main/java/clovermill/director/Warmup.java
+++ b/src/main/java/clovermill/director/Warmup.java
@@ -1,6 +1,8 @@
 package clovermill.director;
 
+import clovermill.controlplane.discovery.DiscoveryEvent;
 import clovermill.controlplane.discovery.DiscoveryEvents;
+import clovermill.controlplane.discovery.EndpointListChanged;
 import clovermill.routing.RequestRouter;
 import clovermill.routing.api.Action;
 import clovermill.routing.api.ListScope;
@@ -32,9 +34,9 @@
     static int play(Settings settings, DiscoveryEvents known) {
         RequestRouter module = new RequestRouter(settings, 0);
         List<Member> members = new ArrayList<>();
-        for (DiscoveryEvents.Command command : known.list()) {
-            if (command instanceof DiscoveryEvents.Nodes nodes) {
-                nodes.entries().forEach(entry -> members.add(entry.member()));
+        for (DiscoveryEvent event : known.events()) {
+            if (event instanceof EndpointListChanged list) {
+                list.endpoints().forEach(endpoint -> members.add(endpoint.member()));
             }
         }
         int sent = 0;
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -70,7 +70,7 @@
         outages.retryPending();
         OutageFolder.Marks marks = outages.look();
         if (marks != null) {
-            roster.outages(marks.out(), marks.back());
+            roster.mergeOutages(marks.out(), marks.back());
         }
     }
 
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -24,7 +24,7 @@
     @Override
     public OutageCallResult takeOut(String id) {
         catchUp.run();
-        if (!roster.knows(id)) {
+        if (!roster.isKnownCache(id)) {
             return OutageCallResult.UNKNOWN_CACHE;
         }
         if (!roster.isOut(id)) {
@@ -37,7 +37,7 @@
     @Override
     public OutageCallResult putBack(String id) {
         catchUp.run();
-        if (!roster.knows(id)) {
+        if (!roster.isKnownCache(id)) {
             return OutageCallResult.UNKNOWN_CACHE;
         }
         if (roster.isOut(id)) {
--- a/src/main/java/clovermill/director/reload/SettingsReload.java
+++ b/src/main/java/clovermill/director/reload/SettingsReload.java
@@ -48,7 +48,7 @@
         if (!classes.hasRoomFor(next.classes())) {
             throw new Json.Malformed("settings.request-classes: more names than one process can tell apart");
         }
-        channel.move(next.channel());
+        channel.reconnectTo(next.channel());
         if (!next.listen().equals(inForce.listen()) || next.sockets() != inForce.sockets()
                 || !Objects.equals(next.admin(), inForce.admin())) {
             LOG.log(Level.WARNING, "listen, admin and limits change at this director's next start only");
--- a/src/test/java/clovermill/MainTest.java
+++ b/src/test/java/clovermill/MainTest.java
@@ -225,7 +225,7 @@
         try (BufferedReader lines = process.inputReader()) {
             assertThat(lines.readLine()).startsWith("WARNING SIGTERM is ignored in this process");
             assertThat(lines.readLine()).startsWith("INFO n1 serves clients on ");
-            assertThat(lines.readLine()).contains("127.0.0.1:1 has told nothing for 3000 ms");
+            assertThat(lines.readLine()).contains("discovery is stale: no answer from /127.0.0.1:1 for 3000 ms");
         } finally {
             process.destroyForcibly();
             assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
--- a/src/test/java/clovermill/controlplane/discovery/DiscoveryClientTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/DiscoveryClientTest.java
@@ -22,11 +22,11 @@
     private final Deadlines deadlines = new Deadlines();
     private final ManualClock clock = new ManualClock();
     private final List<Long> applied = new ArrayList<>();
-    private final List<Long> answeredUs = new ArrayList<>();
+    private final List<Long> previousAnswersMicros = new ArrayList<>();
 
-    private void apply(DiscoveryEvents news) {
-        answeredUs.add(news.answeredUs());
-        for (DiscoveryEvents.Command event : news.list()) {
+    private void apply(DiscoveryEvents polled) {
+        previousAnswersMicros.add(polled.previousAnswerMicros());
+        for (DiscoveryEvent event : polled.events()) {
             if (event.cursor() == 2) {
                 throw new IllegalStateException("a fault while the event is applied");
             }
@@ -34,11 +34,11 @@
         }
     }
 
-    private static String drop(int number) {
+    private static String purge(int number) {
         return "{\"cursor\":" + number + ",\"drop\":{\"family\":17,\"when\":5}}";
     }
 
-    /** Turns the loop until a whole request has come on the connection, and returns its first line. */
+    /** Turns the loop until a complete request has arrived on the connection, and returns its first line. */
     private static String request(EventLoop loop, SocketChannel peer) throws Exception {
         StringBuilder text = new StringBuilder();
         ByteBuffer buffer = ByteBuffer.allocate(1024);
@@ -50,19 +50,19 @@
         return text.toString().lines().findFirst().orElse("");
     }
 
-    /** Asked for again it would fail again: no later drain or purge would ever be heard. */
+    /** Asked for again it would fail again: no later drain or purge would ever be applied. */
     @Test
     void anEventThatFailsIsNotAskedForAgainAndThoseBehindItAreApplied() throws Exception {
         EventLoop loop = new EventLoop(clock, deadlines);
         try (ServerSocketChannel listener = ServerSocketChannel.open()
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             new DiscoveryClient(loop, clock, deadlines, (InetSocketAddress) listener.getLocalAddress(),
-                    new DiscoveryClient.Terms(List.of("edge"), List.of("std"), 400_000, 500_000), 1, this::apply)
+                    new DiscoverySettings(List.of("edge"), List.of("std"), 400_000, 500_000), 1, this::apply)
                     .start();
             try (SocketChannel peer = listener.accept()) {
                 peer.configureBlocking(false);
                 assertThat(request(loop, peer)).contains("resume=1&");
-                String body = "{\"cursor\":3,\"cmds\":[" + drop(2) + "," + drop(3) + "]}";
+                String body = "{\"cursor\":3,\"cmds\":[" + purge(2) + "," + purge(3) + "]}";
                 peer.write(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII)));
                 assertThat(request(loop, peer)).contains("resume=3&");
@@ -72,7 +72,7 @@
     }
 
     private static void answer(SocketChannel peer, int cursor) throws Exception {
-        String body = "{\"cursor\":" + cursor + ",\"cmds\":[" + drop(cursor) + "]}";
+        String body = "{\"cursor\":" + cursor + ",\"cmds\":[" + purge(cursor) + "]}";
         peer.write(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII)));
     }
@@ -86,7 +86,7 @@
         try (ServerSocketChannel listener = ServerSocketChannel.open()
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             new DiscoveryClient(loop, clock, deadlines, (InetSocketAddress) listener.getLocalAddress(),
-                    new DiscoveryClient.Terms(List.of("edge"), List.of("std"), 400_000, 500_000), 2, this::apply)
+                    new DiscoverySettings(List.of("edge"), List.of("std"), 400_000, 500_000), 2, this::apply)
                     .start();
             try (SocketChannel peer = listener.accept()) {
                 peer.configureBlocking(false);
@@ -116,6 +116,6 @@
                 assertThat(request(loop, peer)).contains("resume=5&");
             }
         }
-        assertThat(answeredUs).containsExactly(DiscoveryEvents.NEVER_ANSWERED_US, firstUs, secondUs);
+        assertThat(previousAnswersMicros).containsExactly(DiscoveryEvents.NEVER_ANSWERED_MICROS, firstUs, secondUs);
     }
 }
--- a/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the module is told of ages. Stamps are of the true time; the director's own wall clock is stepped. */
+/** Ages and start times for the module. Stamps are of the true time; the director's own wall clock is stepped. */
 class EndpointRegistryTest {
 
     private static final long HOUR_MS = 3_600_000;
@@ -34,11 +34,11 @@
     private final List<Long> startsUs = new ArrayList<>();
     private final List<Long> agesUs = new ArrayList<>();
     private Config config;
-    private EndpointRegistry roster;
+    private EndpointRegistry registry;
     private long answeredUs = clock.micros();
 
     @BeforeEach
-    void aDirectorThatKnowsNobody() throws Exception {
+    void aDirectorWithoutEndpoints() throws Exception {
         config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         processStarts();
@@ -49,22 +49,22 @@
         UpstreamPool pool = new UpstreamPool(new EventLoop(clock, deadlines), clock, deadlines, new Budget(1000),
                 new UpstreamPool.Limits(1, 1, 1, 1));
         ProxyCore host = new ProxyCore((atUs, event, out) -> {
-            if (event instanceof Members news) {
-                news.members().forEach(member -> startsUs.add(member.startedUs()));
+            if (event instanceof Members list) {
+                list.members().forEach(member -> startsUs.add(member.startedUs()));
             } else if (event instanceof Purge purge) {
                 agesUs.add(purge.ageUs());
             }
         }, config.settings(), clock, deadlines, pool);
-        roster = new EndpointRegistry(clock, pool, host, new OutageRegistry(), config.settings().originKind());
+        registry = new EndpointRegistry(clock, pool, host, new OutageRegistry(), config.settings().originKind());
         startsUs.clear();
         agesUs.clear();
     }
 
     private DiscoveryEvents commands(String... events) throws Json.Malformed {
         DiscoveryEvents read =
-                DiscoveryEvents.read(Json.parse("{\"cursor\":9,\"cmds\":[" + String.join(",", events) + "]}"),
+                DiscoveryEventParser.parse(Json.parse("{\"cursor\":9,\"cmds\":[" + String.join(",", events) + "]}"),
                         config.zones(), config.kinds());
-        return new DiscoveryEvents(read.cursor(), read.list(), answeredUs);
+        return new DiscoveryEvents(read.cursor(), read.events(), answeredUs);
     }
 
     private static String listed(boolean full, String state, long startedMs) {
@@ -74,13 +74,13 @@
                 + "\"state\":\"" + state + "\",\"weight\":6,\"started_ms\":" + startedMs + "}]}}";
     }
 
-    private static String drop(long madeMs) {
+    private static String purge(long madeMs) {
         return "{\"cursor\":9,\"drop\":{\"family\":17,\"when\":" + madeMs + "}}";
     }
 
     /** The event of a poll; the poll after it is answered at once, with nothing. */
     private void poll(String event) throws Exception {
-        roster.apply(commands(event));
+        registry.apply(commands(event));
         answeredUs = clock.micros();
     }
 
@@ -89,11 +89,11 @@
         return startsUs.get(startsUs.size() - 1);
     }
 
-    /** A purge that is told so many milliseconds after it was made; returns how old the module is told it is. */
+    /** Polls a purge with a delay after it was made; returns the age that reaches the module, in microseconds. */
     private long pollPurge(long delayMs) throws Exception {
         long madeMs = clock.trueMillis();
         clock.passMillis(delayMs);
-        poll(drop(madeMs));
+        poll(purge(madeMs));
         return agesUs.get(agesUs.size() - 1);
     }
 
@@ -122,24 +122,24 @@
         clock.passMillis(700);
         assertThat(pollPurge(240)).as("after the step").isBetween(198_000L, 200_000L);
         clock.stepMillis(-stepMs);
-        assertThat(pollPurge(20)).as("after the step back, told sooner than any before").isZero();
+        assertThat(pollPurge(20)).as("after the step back, with a shorter delay than any before").isZero();
         assertThat(pollPurge(140)).isBetween(119_000L, 120_000L);
         clock.stepMillis(-stepMs);
         assertThat(pollPurge(140)).as("after a step the other way").isBetween(119_000L, 120_000L);
     }
 
-    /** What is told late, after an outage of the channel too, counts as made when it is told. */
+    /** A purge that arrives late, also after an outage of the channel, counts as made at its arrival. */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -5_000, 0, 5_000, HOUR_MS})
     void aStepOfTheWritersClockMakesNoPurgeOlderThanItIs(long stepMs) throws Exception {
         pollPurge(40);
         clock.passMillis(8_000);
-        poll(drop(clock.trueMillis() + stepMs - 20));
+        poll(purge(clock.trueMillis() + stepMs - 20));
         assertThat(agesUs.get(1)).isZero();
         clock.passMillis(1_000);
-        poll(drop(clock.trueMillis() + stepMs - 50));
+        poll(purge(clock.trueMillis() + stepMs - 50));
         assertThat(agesUs.get(2)).as("by the writer's new time").isBetween(stepMs == 0 ? 0L : 28_000L, 50_000L);
-        poll(drop(clock.trueMillis() - 3_000_000_000_000L));
+        poll(purge(clock.trueMillis() - 3_000_000_000_000L));
         assertThat(agesUs.get(3)).as("junk").isZero();
     }
 
@@ -149,7 +149,7 @@
         pollPurge(40);
         pollPurge(40);
         clock.passMillis(30);
-        poll(drop(clock.trueMillis() - 400));
+        poll(purge(clock.trueMillis() - 400));
         assertThat(agesUs.get(2)).isEqualTo(30_000);
     }
 
@@ -163,14 +163,14 @@
         assertThat(startedUs).as("after the step").isEqualTo(clock.micros());
         clock.stepMillis(-stepMs);
         clock.passMillis(1_000);
-        assertThat(pollStart(startedMs)).as("told again after a step back").isEqualTo(startedUs);
+        assertThat(pollStart(startedMs)).as("listed again after a step back").isEqualTo(startedUs);
         poll(listed(true, "ready", startedMs));
-        assertThat(startsUs.get(2)).as("in a whole list").isEqualTo(startedUs);
+        assertThat(startsUs.get(2)).as("in a full list").isEqualTo(startedUs);
         poll(listed(false, "gone", startedMs));
         clock.stepMillis(-stepMs);
         clock.passMillis(60_000);
         poll(listed(true, "ready", startedMs));
-        assertThat(startsUs.get(4)).as("told gone and back: no other start").isEqualTo(startedUs);
+        assertThat(startsUs.get(4)).as("listed as gone and again: the same start").isEqualTo(startedUs);
         clock.passMillis(1_000);
         assertThat(pollStart(clock.trueMillis() - 100)).as("the next start").isEqualTo(clock.micros());
         assertThat(pollStart(0)).as("long ago").isZero();
@@ -183,8 +183,9 @@
         clock.stepMillis(wrongMs);
         processStarts();
         long nowMs = clock.trueMillis();
-        roster.start(commands(drop(nowMs - 60_000), drop(nowMs - 2_000), drop(nowMs - 1_200), drop(nowMs - 1_300),
-                drop(nowMs - 100)));
+        registry.applyInitial(
+                commands(purge(nowMs - 60_000), purge(nowMs - 2_000), purge(nowMs - 1_200), purge(nowMs - 1_300),
+                        purge(nowMs - 100)));
         assertThat(agesUs).containsExactly(2_800_000L, 1_800_000L, 1_000_000L, 1_000_000L, 0L);
     }
 
@@ -194,7 +195,7 @@
     void ofAGapBetweenPurgesKnownAtTheStartASecondIsBelieved(long stepMs) throws Exception {
         processStarts();
         long nowMs = clock.trueMillis();
-        roster.start(commands(drop(nowMs - stepMs), drop(nowMs)));
+        registry.applyInitial(commands(purge(nowMs - stepMs), purge(nowMs)));
         assertThat(agesUs.get(0)).isBetween(0L, 1_000_000L);
         assertThat(agesUs.get(1)).isZero();
     }
@@ -203,7 +204,7 @@
         processStarts();
         List<String> all = new ArrayList<>(List.of(events));
         all.add(listed(true, "ready", clock.trueMillis() - agoMs));
-        roster.start(commands(all.toArray(String[]::new)));
+        registry.applyInitial(commands(all.toArray(String[]::new)));
         return (clock.micros() - startsUs.get(0)) / 1000;
     }
 
@@ -213,8 +214,8 @@
         assertThat(startedBefore(60_000)).isEqualTo(50_000);
         assertThat(startedBefore(1_700_000)).isEqualTo(1_690_000);
         assertThat(startedBefore(5_000)).isZero();
-        assertThat(startedBefore(2 * HOUR_MS, drop(clock.trueMillis() - 60_000))).isEqualTo(2 * HOUR_MS - 60_000);
-        assertThat(startedBefore(60_000, drop(clock.trueMillis()))).as("no margin is needed").isEqualTo(60_000);
+        assertThat(startedBefore(2 * HOUR_MS, purge(clock.trueMillis() - 60_000))).isEqualTo(2 * HOUR_MS - 60_000);
+        assertThat(startedBefore(60_000, purge(clock.trueMillis()))).as("no margin is needed").isEqualTo(60_000);
     }
 
     @ParameterizedTest
@@ -223,19 +224,19 @@
         clock.stepMillis(wrongMs);
         for (long agoMs : new long[] {0, 3_000, 60_000}) {
             assertThat(startedBefore(agoMs)).isBetween(0L, agoMs);
-            assertThat(startedBefore(agoMs, drop(clock.trueMillis() - 1_000))).isBetween(0L, agoMs);
+            assertThat(startedBefore(agoMs, purge(clock.trueMillis() - 1_000))).isBetween(0L, agoMs);
         }
     }
 
-    /** The channel was out at the start: its first answer tells of times before, but the clock is that of the start. */
+    /** The channel was out at the start: its first answer has earlier events, but the clock is that of the start. */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, 0, HOUR_MS})
     void aStepAfterTheProcesssStartMakesNoMemberOfTheFirstAnswerOlder(long stepMs) throws Exception {
         processStarts();
         clock.passMillis(20_000);
         clock.stepMillis(stepMs);
-        answeredUs = DiscoveryEvents.NEVER_ANSWERED_US;
-        roster.apply(commands(listed(true, "ready", clock.trueMillis() - 60_000), drop(clock.trueMillis() - 500)));
+        answeredUs = DiscoveryEvents.NEVER_ANSWERED_MICROS;
+        registry.apply(commands(listed(true, "ready", clock.trueMillis() - 60_000), purge(clock.trueMillis() - 500)));
         assertThat(startsUs).containsExactly(clock.micros() - 59_500_000);
         assertThat(agesUs).containsExactly(0L);
     }
@@ -244,20 +245,20 @@
     @ValueSource(longs = {-HOUR_MS, -5_000, 5_000, HOUR_MS})
     void aReturnHereOrAtAnotherProcessIsAsOfNow(long stepMs) throws Exception {
         pollStart(0);
-        roster.outages(Set.of(), Map.of());
-        roster.takeOut("s-1");
+        registry.mergeOutages(Set.of(), Map.of());
+        registry.takeOut("s-1");
         clock.stepMillis(stepMs);
         long stampMs = clock.unixMillis();
-        roster.putBack("s-1", stampMs);
+        registry.putBack("s-1", stampMs);
         long backUs = clock.micros();
         assertThat(startsUs.get(startsUs.size() - 1)).isEqualTo(backUs);
         clock.passMillis(100);
         clock.stepMillis(-stepMs);
-        roster.outages(Set.of(), Map.of("s-1", stampMs));
+        registry.mergeOutages(Set.of(), Map.of("s-1", stampMs));
         assertThat(pollStart(0)).as("its own mark is no further return").isEqualTo(backUs);
-        roster.outages(Set.of("s-1"), Map.of("s-1", stampMs));
+        registry.mergeOutages(Set.of("s-1"), Map.of("s-1", stampMs));
         clock.passMillis(100);
-        roster.outages(Set.of(), Map.of("s-1", clock.unixMillis()));
+        registry.mergeOutages(Set.of(), Map.of("s-1", clock.unixMillis()));
         assertThat(startsUs.get(startsUs.size() - 1)).as("put back at the other process").isEqualTo(clock.micros());
     }
 
@@ -268,7 +269,7 @@
         for (long[] agoAndToldMs : new long[][] {{60_000, 50_000}, {5_000, 0}, {HOUR_MS, 0}, {-HOUR_MS, 0}}) {
             processStarts();
             pollStart(0);
-            roster.outages(Set.of(), Map.of("s-1", nowMs - agoAndToldMs[0]));
+            registry.mergeOutages(Set.of(), Map.of("s-1", nowMs - agoAndToldMs[0]));
             assertThat(pollStart(0)).isEqualTo(clock.micros() - agoAndToldMs[1] * 1000);
         }
     }
--- a/src/test/java/clovermill/controlplane/discovery/HttpResponseParserTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/HttpResponseParserTest.java
@@ -20,8 +20,8 @@
             + "0\r\nTrailer: t\r\n\r\nHTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
 
-    private Splits.Parser parser(Consumer<String> told) {
-        return new HttpResponseParser((status, body, last) -> told.accept(status + " " + body + " " + last))::parse;
+    private Splits.Parser parser(Consumer<String> received) {
+        return new HttpResponseParser((status, body, last) -> received.accept(status + " " + body + " " + last))::parse;
     }
 
     @Test
@@ -36,12 +36,12 @@
 
     @Test
     void anUnsizedBodyEndsWithThePeer() throws Exception {
-        List<String> told = new ArrayList<>();
-        HttpResponseParser responses = new HttpResponseParser((status, body, last) -> told.add(body + " " + last));
-        responses.parse(ByteBuffer.wrap("HTTP/1.0 200 OK\r\n\r\nall".getBytes(StandardCharsets.US_ASCII)));
-        assertThat(told).isEmpty();
-        responses.end();
-        assertThat(told).containsExactly("all true");
+        List<String> received = new ArrayList<>();
+        HttpResponseParser parser = new HttpResponseParser((status, body, last) -> received.add(body + " " + last));
+        parser.parse(ByteBuffer.wrap("HTTP/1.0 200 OK\r\n\r\nall".getBytes(StandardCharsets.US_ASCII)));
+        assertThat(received).isEmpty();
+        parser.end();
+        assertThat(received).containsExactly("all true");
     }
 
     @Test
@@ -49,7 +49,7 @@
         for (String bad : List.of("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", "x".repeat(9000),
                 "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n")) {
             ByteBuffer data = ByteBuffer.wrap(bad.getBytes(StandardCharsets.US_ASCII));
-            assertThatThrownBy(() -> parser(told -> {}).parse(data)).isInstanceOf(ProtocolException.class);
+            assertThatThrownBy(() -> parser(received -> {}).parse(data)).isInstanceOf(ProtocolException.class);
         }
     }
 }
--- a/src/test/java/clovermill/controlplane/discovery/ReconnectBackoffTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/ReconnectBackoffTest.java
@@ -8,17 +8,18 @@
 
 class ReconnectBackoffTest {
 
-    /** Centre-cache has 250 ms for drains, skip-depots 500 ms; a channel that is back is dialled within them. */
+    /** Centre-cache has 250 ms for drains, skip-depots 500 ms; a channel that is back is reconnected within them. */
     @Property
-    void aChannelThatIsBackIsDialledWithinTheWindow(@ForAll @LongRange(min = 100_000, max = 2_000_000) long windowUs,
-            @ForAll @LongRange(min = 0, max = 20_000_000) long backUs, @ForAll boolean silent) {
-        ReconnectBackoff redial = new ReconnectBackoff(windowUs, 400_000);
-        long dialledUs = redial.waitUs();
-        while (dialledUs < backUs) {
-            dialledUs += (silent ? redial.dialUs() : 0) + redial.waitUs();
+    void aChannelThatIsBackIsReconnectedWithinTheWindow(
+            @ForAll @LongRange(min = 100_000, max = 2_000_000) long windowMicros,
+            @ForAll @LongRange(min = 0, max = 20_000_000) long reachableMicros, @ForAll boolean silent) {
+        ReconnectBackoff backoff = new ReconnectBackoff(windowMicros, 400_000);
+        long attemptMicros = backoff.nextDelayMicros();
+        while (attemptMicros < reachableMicros) {
+            attemptMicros += (silent ? backoff.connectTimeoutMicros() : 0) + backoff.nextDelayMicros();
         }
-        assertThat(dialledUs - backUs).isLessThan(windowUs);
-        redial.reached();
-        assertThat(redial.waitUs()).isZero();
+        assertThat(attemptMicros - reachableMicros).isLessThan(windowMicros);
+        backoff.reset();
+        assertThat(backoff.nextDelayMicros()).isZero();
     }
 }
--- a/src/test/java/clovermill/director/operations/OperatorActionsTest.java
+++ b/src/test/java/clovermill/director/operations/OperatorActionsTest.java
@@ -7,7 +7,7 @@
 import clovermill.controlplane.admin.decide.AdminRequest;
 import clovermill.controlplane.admin.decide.AdminResponse;
 import clovermill.controlplane.admin.decide.AdminService;
-import clovermill.controlplane.discovery.DiscoveryEvents;
+import clovermill.controlplane.discovery.DiscoveryEventParser;
 import clovermill.controlplane.discovery.EndpointRegistry;
 import clovermill.controlplane.outage.OutageFolder;
 import clovermill.controlplane.outage.OutageRegistry;
@@ -46,9 +46,10 @@
                 new UpstreamPool.Limits(1, 1, 1, 1));
         ProxyCore host = new ProxyCore((atUs, event, out) -> {}, config.settings(), clock, deadlines, pool);
         registry = new EndpointRegistry(clock, pool, host, new OutageRegistry(), config.settings().originKind());
-        registry.apply(DiscoveryEvents.read(Json.parse("{\"cursor\":9,\"cmds\":[{\"cursor\":9,\"nodes\":{\"full\":true,"
-                + "\"servers\":[{\"id\":\"s-1\",\"addr\":\"127.0.0.1:9\",\"zone\":\"edge\",\"kind\":\"std\",\"cell\":1,"
-                + "\"state\":\"ready\",\"weight\":6,\"started_ms\":0}]}}]}"), config.zones(), config.kinds()));
+        String list = "{\"cursor\":9,\"cmds\":[{\"cursor\":9,\"nodes\":{\"full\":true,\"servers\":["
+                + "{\"id\":\"s-1\",\"addr\":\"127.0.0.1:9\",\"zone\":\"edge\",\"kind\":\"std\",\"cell\":1,"
+                + "\"state\":\"ready\",\"weight\":6,\"started_ms\":0}]}}]}";
+        registry.apply(DiscoveryEventParser.parse(Json.parse(list), config.zones(), config.kinds()));
         marks = new OutageFolder(folder, clock::micros);
         service = new AdminService(new OperatorActions(registry, null, clock, marks, marks::retryPending), null);
     }
--- a/src/test/java/clovermill/prove/capacity/StateProof.java
+++ b/src/test/java/clovermill/prove/capacity/StateProof.java
@@ -1,7 +1,7 @@
 package clovermill.prove.capacity;
 
 import clovermill.config.Json;
-import clovermill.controlplane.discovery.DiscoveryEvents;
+import clovermill.controlplane.discovery.DiscoveryEventParser;
 import clovermill.controlplane.gossip.decide.GossipMember;
 import clovermill.controlplane.policystore.decide.PolicyDocument;
 import clovermill.controlplane.policystore.decide.PolicyRegister;
@@ -240,7 +240,7 @@
             double[] took = new double[7];
             for (int i = 0; i < took.length; i++) {
                 long fromNs = System.nanoTime();
-                int read = DiscoveryEvents.read(Json.parse(text), List.of(), List.of()).list().size();
+                int read = DiscoveryEventParser.parse(Json.parse(text), List.of(), List.of()).events().size();
                 took[i] = (System.nanoTime() - fromNs) / MB;
                 hold("all purges are read", read == purges);
             }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -3,7 +3,9 @@
 import clovermill.config.Config;
 import clovermill.config.settings.SettingsFile;
 import clovermill.controlplane.discovery.DiscoveryClient;
+import clovermill.controlplane.discovery.DiscoveryEventParser;
 import clovermill.controlplane.discovery.DiscoveryEvents;
+import clovermill.controlplane.discovery.DiscoverySettings;
 import clovermill.controlplane.gossip.GossipService;
 import clovermill.controlplane.gossip.GossipSettings;
 import clovermill.controlplane.placement.Placement;
@@ -77,9 +79,9 @@
         PolicyStoreTask.Meaning meaning = new PolicyStoreTask.Meaning(document -> placement.check(document.text()),
                 (one, other) -> placement.binding(one.text(), other.text()));
         accord = new PolicyStore(agreed, meaning, clock, loop::post, view -> observer.policy(number, view));
-        DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
+        DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
         DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
-                new DiscoveryClient.Terms(config.zones(), config.kinds(), config.settings().dialTimeoutUs(),
+                new DiscoverySettings(config.zones(), config.kinds(), config.settings().dialTimeoutUs(),
                         Math.min(config.settings().drainGraceUs(), config.settings().purgeNoticeUs())),
                 known.cursor(), news -> {});
         deadlines.add(clock.micros() + (long) (stagger * STAGGER_US), () -> {
