--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -113,7 +113,7 @@
                 putBack(id, back.getOrDefault(id, 0L));
             }
         }
-        back.forEach((id, stamp) -> outages.returned(id, stamp, returnedMicros(stamp)));
+        back.forEach((id, stamp) -> outages.mergeReturn(id, stamp, returnedMicros(stamp)));
         outagesMerged = true;
     }
 
@@ -249,7 +249,7 @@
     /** The endpoint with its start on the monotonic clock in microseconds, 0 for long ago. */
     private Member member(ListedEndpoint endpoint) {
         Member member = endpoint.member();
-        long startedMicros = outages.startedUs(member.id(),
+        long startedMicros = outages.startedMicros(member.id(),
                 startTimes.startedMicros(member.id(), endpoint.startedUnixMillis(), clock.micros()));
         return new Member(member.id(), member.zone(), member.kind(), member.cell(), member.availability(),
                 member.weight(), startedMicros);
--- a/src/main/java/clovermill/controlplane/outage/OutageFolder.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageFolder.java
@@ -16,51 +16,50 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.LongSupplier;
 
 /**
- * Marks in a folder that the processes of one director share: an empty file {@code out-ID} for each cache that is out,
- * and {@code back-ID} with the Unix millisecond of its return for one that came back, which tells one return from
- * another. A mark is made before a call is
- * answered, and each file stands for itself, so that two processes need no lock. The folder lies in memory, and a look
- * that finds nothing new costs one call for its attributes: both may be done on the loop.
+ * Outages recorded in a folder that the processes of one director share.
+ *
+ * <p>A cache that is out has an empty file {@code out-ID}; one that came back has a file {@code back-ID} with the stamp
+ * of its return. A file is written before the call is answered, and depends on no other file, so that processes need no
+ * lock. The folder is in memory and a read that finds no change costs one system call, so both are done on the loop.
  */
 public final class OutageFolder implements OutageMarks {
 
-    /** What the marks tell. */
-    public record Marks(Set<String> out, Map<String, Long> back) {}
-
     private static final System.Logger LOG = System.getLogger(OutageFolder.class.getName());
-    private static final String OUT = "out-";
-    private static final String BACK = "back-";
-    /** A folder whose time is new is read again after this long: its time may be coarser than its changes. */
-    private static final long COARSE_US = 50_000;
-    /** It is read again after this long in any case: a wall clock that is stepped back may give a time out twice. */
-    private static final long REREAD_US = 5_000_000;
+    private static final String OUT_PREFIX = "out-";
+    private static final String BACK_PREFIX = "back-";
+    /** The resolution of the folder's time may be this coarse: within it a further change may not show. */
+    private static final long TIME_RESOLUTION_MICROS = 50_000;
+    /** The folder is read again after this long in any case: a wall clock that is stepped back may repeat a time. */
+    private static final long MAX_READ_INTERVAL_MICROS = 5_000_000;
+    /** How long to wait after a failed write before it is tried again. */
+    private static final long RETRY_INTERVAL_MICROS = 500_000;
 
-    /** A mark that is not in the folder: an outage, or a return with its stamp in Unix milliseconds. */
-    private record PendingMark(boolean out, long stampMs) {}
+    /** A mark that is not in the folder: an outage, or a return with its stamp. */
+    private record PendingMark(boolean out, long stampUnixMillis) {}
 
     private final Path folder;
-    /** How long to wait after a failed write before it is tried again. */
-    private static final long RETRY_INTERVAL_US = 500_000;
-
-    /** What could not be written so far. It is in force in this process, and is written again until that succeeds. */
+    private final LongSupplier monotonicMicros;
+    /** Marks that could not be written: in force in this process, and written again until that succeeds. */
     private final Map<String, PendingMark> pending = new LinkedHashMap<>();
-    private long retryAtUs;
-    private final LongSupplier monotonicUs;
-    /** The folder's time when it was last read, compared for equality alone, and when that was first found. */
-    private FileTime changed;
-    private long changeFoundUs;
-    private long readUs;
+    private long retryAtMicros;
+    /** The folder's time at the last read, compared for equality alone; null where it is to be read in any case. */
+    private FileTime folderTime;
+    private long folderTimeFoundMicros;
+    private long lastReadMicros;
 
     /**
-     * Makes the folder if need be; throws what the file system says where that fails. {@code monotonicUs} reads a clock
-     * in microseconds that is never stepped.
+     * Creates the folder unless it exists.
+     *
+     * @param monotonicMicros a clock in microseconds that is never stepped
+     * @throws IOException if the folder cannot be created
      */
-    public OutageFolder(Path folder, LongSupplier monotonicUs) throws IOException {
-        this.monotonicUs = monotonicUs;
+    public OutageFolder(Path folder, LongSupplier monotonicMicros) throws IOException {
+        this.monotonicMicros = monotonicMicros;
         this.folder = Files.createDirectories(folder);
     }
 
@@ -70,13 +69,13 @@
     }
 
     @Override
-    public void putBack(String id, long stampMs) {
-        recordOrKeep(id, new PendingMark(false, stampMs));
+    public void putBack(String id, long stampUnixMillis) {
+        recordOrKeep(id, new PendingMark(false, stampUnixMillis));
     }
 
     @Override
-    public boolean tryPutBack(String id, long stampMs) {
-        boolean recorded = writeReturn(id, stampMs) && deleteOutage(id);
+    public boolean tryPutBack(String id, long stampUnixMillis) {
+        boolean recorded = writeReturn(id, stampUnixMillis) && deleteOutage(id);
         if (recorded) {
             pending.remove(id);
         }
@@ -89,11 +88,11 @@
     }
 
     /**
-     * Writes the marks again that could not be written, once {@link #RETRY_INTERVAL_US} after the last failure. To be
+     * Writes the pending marks again, unless the last failure is less than {@link #RETRY_INTERVAL_MICROS} ago. To be
      * called a few times a second, whether or not another process exists: a later start reads the folder, too.
      */
     public void retryPending() {
-        if (pending.isEmpty() || monotonicUs.getAsLong() < retryAtUs) {
+        if (pending.isEmpty() || monotonicMicros.getAsLong() < retryAtMicros) {
             return;
         }
         for (Map.Entry<String, PendingMark> mark : List.copyOf(pending.entrySet())) {
@@ -115,102 +114,103 @@
     private boolean record(String id, PendingMark mark) {
         boolean recorded;
         if (mark.out) {
-            recorded = write(mark(OUT, id), "");
+            recorded = write(OUT_PREFIX, id, "");
         } else {
-            boolean stamped = writeReturn(id, mark.stampMs);
+            boolean stamped = writeReturn(id, mark.stampUnixMillis);
             // A full folder still lets the mark of the outage be deleted.
             recorded = deleteOutage(id) && stamped;
         }
         if (!recorded) {
-            retryAtUs = monotonicUs.getAsLong() + RETRY_INTERVAL_US;
+            retryAtMicros = monotonicMicros.getAsLong() + RETRY_INTERVAL_MICROS;
         }
         return recorded;
     }
 
-    private boolean writeReturn(String id, long stampMs) {
-        return write(mark(BACK, id), Long.toString(stampMs));
+    private boolean writeReturn(String id, long stampUnixMillis) {
+        return write(BACK_PREFIX, id, Long.toString(stampUnixMillis));
     }
 
     private boolean deleteOutage(String id) {
         try {
-            Files.deleteIfExists(mark(OUT, id));
+            Files.deleteIfExists(file(OUT_PREFIX, id));
             return true;
         } catch (IOException failure) {
-            warn(failure);
+            logWriteFailure(id, failure);
             return false;
         }
     }
 
-    private boolean write(Path mark, String text) {
-        Path whole = folder.resolve("new-" + ProcessHandle.current().pid());
+    /** Writes a file in one step: other processes see all of it or nothing. */
+    private boolean write(String prefix, String id, String text) {
+        Path temporary = folder.resolve("new-" + ProcessHandle.current().pid());
         try {
-            Files.writeString(whole, text);
-            Files.move(whole, mark, StandardCopyOption.ATOMIC_MOVE);
+            Files.writeString(temporary, text);
+            Files.move(temporary, file(prefix, id), StandardCopyOption.ATOMIC_MOVE);
             return true;
         } catch (IOException failure) {
-            warn(failure);
+            logWriteFailure(id, failure);
             return false;
         }
     }
 
-    /** What the marks tell now; null where they have not changed since the last look, or cannot be read. */
-    public Marks look() {
+    /** The recorded and the pending outages; empty where none has changed since the last read, or it failed. */
+    public Optional<OutageSnapshot> readIfChanged() {
         try {
-            if (!isToBeRead()) {
-                return null;
-            }
-            Set<String> out = new HashSet<>();
-            Map<String, Long> back = new HashMap<>();
-            try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
-                for (Path file : files) {
-                    String name = file.getFileName().toString();
-                    if (name.startsWith(OUT)) {
-                        out.add(id(name, OUT));
-                    } else if (name.startsWith(BACK)) {
-                        readBack(file, id(name, BACK), back);
-                    }
-                }
-            }
-            pending.forEach((id, mark) -> {
-                if (mark.out) {
-                    out.add(id);
-                } else {
-                    out.remove(id);
-                    back.put(id, mark.stampMs);
-                }
-            });
-            return new Marks(out, back);
+            return mayHaveChanged() ? Optional.of(read()) : Optional.empty();
         } catch (IOException | IllegalArgumentException failure) {
-            warn(failure);
-            return null;
+            LOG.log(Level.WARNING, "cannot read the shared folder of outages: {0}", failure.toString());
+            return Optional.empty();
         }
     }
 
-    /**
-     * Notes a read. It is needed where the folder's time is another one than at the last read, or may be too coarse.
-     */
-    private boolean isToBeRead() throws IOException {
-        FileTime now = Files.getLastModifiedTime(folder);
-        long nowUs = monotonicUs.getAsLong();
-        if (!now.equals(changed)) {
-            changed = now;
-            changeFoundUs = nowUs;
-        } else if (readUs - changeFoundUs > COARSE_US && nowUs - readUs < REREAD_US) {
+    private OutageSnapshot read() throws IOException {
+        Set<String> out = new HashSet<>();
+        Map<String, Long> back = new HashMap<>();
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+            for (Path file : files) {
+                String name = file.getFileName().toString();
+                if (name.startsWith(OUT_PREFIX)) {
+                    out.add(id(name, OUT_PREFIX));
+                } else if (name.startsWith(BACK_PREFIX)) {
+                    readReturn(file, id(name, BACK_PREFIX), back);
+                }
+            }
+        }
+        pending.forEach((id, mark) -> {
+            if (mark.out) {
+                out.add(id);
+            } else {
+                out.remove(id);
+                back.put(id, mark.stampUnixMillis);
+            }
+        });
+        return new OutageSnapshot(out, back);
+    }
+
+    /** Whether the folder's time has changed since the last read, or may not show a change; then notes a read. */
+    private boolean mayHaveChanged() throws IOException {
+        FileTime time = Files.getLastModifiedTime(folder);
+        long nowMicros = monotonicMicros.getAsLong();
+        if (!time.equals(folderTime)) {
+            folderTime = time;
+            folderTimeFoundMicros = nowMicros;
+        } else if (lastReadMicros - folderTimeFoundMicros > TIME_RESOLUTION_MICROS
+                && nowMicros - lastReadMicros < MAX_READ_INTERVAL_MICROS) {
             return false;
         }
-        readUs = nowUs;
+        lastReadMicros = nowMicros;
         return true;
     }
 
-    private static void readBack(Path file, String id, Map<String, Long> back) throws IOException {
+    private static void readReturn(Path file, String id, Map<String, Long> back) throws IOException {
         try {
             back.put(id, Long.parseLong(Files.readString(file)));
-        } catch (NumberFormatException | NoSuchFileException passing) {
-            // not a mark of ours, or gone meanwhile
+        } catch (NumberFormatException | NoSuchFileException notAMark) {
+            // Written by another program, or deleted since the folder was listed.
         }
     }
 
-    private Path mark(String prefix, String id) {
+    private Path file(String prefix, String id) {
         return folder.resolve(prefix + URLEncoder.encode(id, StandardCharsets.UTF_8));
     }
 
@@ -218,7 +218,8 @@
         return URLDecoder.decode(name.substring(prefix.length()), StandardCharsets.UTF_8);
     }
 
-    private static void warn(Exception failure) {
-        LOG.log(Level.WARNING, "the folder of outages: {0}", failure.toString());
+    private static void logWriteFailure(String id, IOException failure) {
+        LOG.log(Level.WARNING, "cannot record the outage mark of {0} in the shared folder: {1}", id,
+                failure.toString());
     }
 }
--- a/src/main/java/clovermill/controlplane/outage/OutageMarks.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageMarks.java
@@ -1,18 +1,18 @@
 package clovermill.controlplane.outage;
 
-/** Where outages are marked for other processes of this director. */
+/** Records outages for the other processes of this director and for its later starts. */
 public interface OutageMarks {
 
-    /** For a director of one process. */
+    /** For a director of one process: nothing is recorded, as nothing outlives the process. */
     OutageMarks NONE = new OutageMarks() {
         @Override
         public void takeOut(String id) {}
 
         @Override
-        public void putBack(String id, long stampMs) {}
+        public void putBack(String id, long stampUnixMillis) {}
 
         @Override
-        public boolean tryPutBack(String id, long stampMs) {
+        public boolean tryPutBack(String id, long stampUnixMillis) {
             return true;
         }
 
@@ -26,13 +26,19 @@
     void takeOut(String id);
 
     /**
-     * Marks a cache as back, with a Unix millisecond that tells this return from others. A mark that cannot be recorded
-     * now is tried again until it is.
+     * Marks a cache as back. A mark that cannot be recorded now is tried again until it is.
+     *
+     * @param stampUnixMillis identifies this return among those of the cache
      */
-    void putBack(String id, long stampMs);
+    void putBack(String id, long stampUnixMillis);
 
-    /** Marks a cache as back if that can be recorded now; otherwise it stays as it was, and the result is false. */
-    boolean tryPutBack(String id, long stampMs);
+    /**
+     * Marks a cache as back if that can be recorded now; otherwise it stays out.
+     *
+     * @param stampUnixMillis identifies this return among those of the cache
+     * @return whether it is recorded
+     */
+    boolean tryPutBack(String id, long stampUnixMillis);
 
     /** Whether the last mark of a cache is recorded, so that it outlives this process. */
     boolean isRecorded(String id);
--- a/src/main/java/clovermill/controlplane/outage/OutageRegistry.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageRegistry.java
@@ -6,53 +6,62 @@
 import java.util.Set;
 
 /**
- * Which caches are out by the word of operators, and since when those that came back have been back; what that means
- * the module decides. Reads no clock and does no I/O.
+ * The caches that operators have taken out, and the last returns of those that came back. Does no I/O and reads no
+ * clock.
  */
 public final class OutageRegistry {
 
-    /** Returns that are remembered: more than any director has caches, so that what is forgotten is old and warm. */
-    private static final int MOST_BACK = 1000;
+    /** Returns that are remembered, more than any director has caches: a forgotten one is of a cache long warm. */
+    private static final int MAX_RETURNS = 1000;
 
     private final Set<String> out = new HashSet<>();
-    /** The last returns, the longest ago first. */
-    private final Map<String, Return> back = new LinkedHashMap<>();
+    /** The last return of each cache, the oldest first. */
+    private final Map<String, Return> returns = new LinkedHashMap<>();
 
-    /** A return: the stamp by which processes know it, and when it was on the monotonic clock, in microseconds. */
-    private record Return(long stampMs, long atUs) {}
+    /** A return: the stamp that identifies it, and its monotonic time. */
+    private record Return(long stampUnixMillis, long returnedMicros) {}
 
     /** Takes a cache out; false if it was out before. */
     public boolean takeOut(String id) {
         return out.add(id);
     }
 
-    /** Puts a cache back at a time of the monotonic clock; false if it was not out. */
-    public boolean putBack(String id, long stampMs, long nowUs) {
+    /**
+     * Puts a cache back.
+     *
+     * @param stampUnixMillis identifies this return among those of the cache
+     * @param nowMicros the monotonic clock
+     * @return false if it was not out
+     */
+    public boolean putBack(String id, long stampUnixMillis, long nowMicros) {
         if (!out.remove(id)) {
             return false;
         }
-        remember(id, new Return(stampMs, nowUs));
+        remember(id, new Return(stampUnixMillis, nowMicros));
         return true;
     }
 
     /**
-     * Notes a return as another process tells. The stamp known of the last return is no news; any other, be it earlier
-     * on a wall clock that was stepped, is a further return. A return never makes a cache older than it was known to
-     * be.
+     * Merges a return that another process has recorded. The stamp of the last known return is the same return; any
+     * other stamp, also an earlier one of a wall clock that was stepped, is a further return. A return never makes a
+     * cache older than it was known to be.
+     *
+     * @param returnedMicros when it was, on the monotonic clock
      */
-    public void returned(String id, long stampMs, long atUs) {
-        Return known = back.get(id);
-        if (known != null && known.stampMs == stampMs) {
-            return;
+    public void mergeReturn(String id, long stampUnixMillis, long returnedMicros) {
+        Return known = returns.get(id);
+        if (known == null) {
+            remember(id, new Return(stampUnixMillis, returnedMicros));
+        } else if (known.stampUnixMillis != stampUnixMillis) {
+            remember(id, new Return(stampUnixMillis, Math.max(known.returnedMicros, returnedMicros)));
         }
-        remember(id, new Return(stampMs, known == null ? atUs : Math.max(known.atUs, atUs)));
     }
 
     private void remember(String id, Return last) {
-        back.remove(id);
-        back.put(id, last);
-        if (back.size() > MOST_BACK) {
-            back.remove(back.keySet().iterator().next());
+        returns.remove(id);
+        returns.put(id, last);
+        if (returns.size() > MAX_RETURNS) {
+            returns.remove(returns.keySet().iterator().next());
         }
     }
 
@@ -61,18 +70,19 @@
         return out.contains(id);
     }
 
-    /** Those that are out. */
+    /** The ids of all caches that are out. */
     public Set<String> allOut() {
         return Set.copyOf(out);
     }
 
     /**
-     * When a cache counts as started on the monotonic clock, in microseconds, 0 for long ago: it is restarted while
-     * it is
-     * out, and the list, which says {@code toldUs}, may tell that late or not at all.
+     * When a cache counts as started on the monotonic clock, in microseconds, 0 for long ago. It is restarted while it
+     * is out, which the list may show late or not at all.
+     *
+     * @param listedStartMicros its start as the list gives it
      */
-    public long startedUs(String id, long toldUs) {
-        Return known = back.get(id);
-        return known == null ? toldUs : Math.max(toldUs, known.atUs);
+    public long startedMicros(String id, long listedStartMicros) {
+        Return known = returns.get(id);
+        return known == null ? listedStartMicros : Math.max(listedStartMicros, known.returnedMicros);
     }
 }
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -68,10 +68,7 @@
     /** Takes over which caches are out, after the marks of this process that could not be written are tried again. */
     public void catchUp() {
         outages.retryPending();
-        OutageFolder.Marks marks = outages.look();
-        if (marks != null) {
-            roster.mergeOutages(marks.out(), marks.back());
-        }
+        outages.readIfChanged().ifPresent(recorded -> roster.mergeOutages(recorded.out(), recorded.back()));
     }
 
     /** Takes over what an earlier process left, and from then on what the other one marks. */
--- a/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
+++ b/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
@@ -20,18 +20,18 @@
     @TempDir
     private Path folder;
 
-    /** A process that starts later must know at its first look what an earlier one was told. */
+    /** A process that starts later must find at its first read what an earlier one recorded. */
     @Test
-    void whatOneProcessMarksTheOtherSees() throws Exception {
+    void anOutageThatOneProcessRecordsIsReadByTheOther() throws Exception {
         OutageFolder one = new OutageFolder(folder.resolve("shared"), clock::micros);
         one.takeOut("s-1");
         one.takeOut("../s 2");
         one.putBack("s-1", 42);
         OutageFolder other = new OutageFolder(folder.resolve("shared"), clock::micros);
-        assertThat(other.look()).isEqualTo(new OutageFolder.Marks(Set.of("../s 2"), Map.of("s-1", 42L)));
+        assertThat(other.readIfChanged()).hasValue(new OutageSnapshot(Set.of("../s 2"), Map.of("s-1", 42L)));
         other.putBack("../s 2", 43);
         one.takeOut("s-1");
-        assertThat(one.look()).isEqualTo(new OutageFolder.Marks(Set.of("s-1"), Map.of("s-1", 42L, "../s 2", 43L)));
+        assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of("s-1"), Map.of("s-1", 42L, "../s 2", 43L)));
     }
 
     @Test
@@ -39,65 +39,66 @@
         OutageFolder one = new OutageFolder(folder, clock::micros);
         one.takeOut("s-1");
         Files.setLastModifiedTime(folder, FileTime.fromMillis(1_000));
-        assertThat(one.look()).isNotNull();
-        assertThat(one.look()).as("the folder's time may be coarser than what changes").isNotNull();
+        assertThat(one.readIfChanged()).isPresent();
+        assertThat(one.readIfChanged()).as("the folder's time may be coarser than what changes").isPresent();
         clock.passMillis(51);
-        assertThat(one.look()).isNotNull();
+        assertThat(one.readIfChanged()).isPresent();
         Files.setLastModifiedTime(folder, FileTime.fromMillis(1_000));
         clock.passMillis(100);
-        assertThat(one.look()).isNull();
+        assertThat(one.readIfChanged()).isEmpty();
         clock.passMillis(4_899);
-        assertThat(one.look()).isNull();
+        assertThat(one.readIfChanged()).isEmpty();
         clock.passMillis(1);
-        assertThat(one.look()).as("read again in any case").isNotNull();
+        assertThat(one.readIfChanged()).as("read again in any case").isPresent();
         clock.passMillis(100);
-        assertThat(one.look()).isNull();
+        assertThat(one.readIfChanged()).isEmpty();
         Files.writeString(folder.resolve("back-s-9"), "not a time");
         Files.writeString(folder.resolve("out-%zz"), "no name of ours");
-        assertThat(one.look()).as("junk costs a line in the log").isNull();
+        assertThat(one.readIfChanged()).as("junk costs a line in the log").isEmpty();
     }
 
     /** Files get the wall clock's times: after a step back each change looks older than the last read, for an hour. */
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -5_000, 5_000, 3_600_000})
-    void whatIsMarkedAfterAStepOfTheWallClockIsSeenAtTheNextLook(long stepMs) throws Exception {
+    void anOutageRecordedAfterAStepOfTheWallClockIsFoundAtTheNextRead(long stepMs) throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
         OutageFolder other = new OutageFolder(folder, clock::micros);
         FileTime before = Files.getLastModifiedTime(folder);
-        assertThat(one.look().out()).isEmpty();
+        assertThat(one.readIfChanged().orElseThrow().out()).isEmpty();
         clock.passMillis(100);
-        one.look();
+        one.readIfChanged();
         other.takeOut("s-1");
         Files.setLastModifiedTime(folder, FileTime.fromMillis(before.toMillis() + stepMs));
         clock.passMillis(100);
-        assertThat(one.look()).isEqualTo(new OutageFolder.Marks(Set.of("s-1"), Map.of()));
+        assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of("s-1"), Map.of()));
         clock.passMillis(100);
-        one.look();
+        one.readIfChanged();
         other.putBack("s-1", 42);
         Files.setLastModifiedTime(folder, FileTime.fromMillis(before.toMillis() + 1));
         clock.passMillis(100);
-        assertThat(one.look()).isEqualTo(new OutageFolder.Marks(Set.of(), Map.of("s-1", 42L)));
+        assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of(), Map.of("s-1", 42L)));
     }
 
-    /** A full or read-only folder: what was called for must hold in this process all the same. */
+    /** A full or read-only folder: the call is in force in this process all the same. */
     @Test
-    void whatCannotBeMarkedHoldsInThisProcess() throws Exception {
+    void anOutageThatCannotBeRecordedIsInForceInThisProcess() throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
         one.takeOut("s-1");
         Path inTheWay = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
         one.takeOut("s-2");
         one.putBack("s-1", 42);
-        assertThat(one.look().out()).containsExactly("s-2");
-        assertThat(new OutageFolder(folder, clock::micros).look().out()).as("the next one was not told").isEmpty();
+        assertThat(one.readIfChanged().orElseThrow().out()).containsExactly("s-2");
+        assertThat(new OutageFolder(folder, clock::micros).readIfChanged().orElseThrow().out())
+                .as("it is not recorded for the next process").isEmpty();
         Files.delete(inTheWay);
         one.putBack("s-2", 43);
         one.takeOut("s-1");
-        assertThat(one.look()).isEqualTo(new OutageFolder.Marks(Set.of("s-1"), Map.of("s-2", 43L)));
+        assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of("s-1"), Map.of("s-2", 43L)));
     }
 
     /** A later start, of which no process runs yet, must find what a full disk kept from being written. */
     @Test
-    void whatCouldNotBeMarkedIsWrittenOnceTheFolderCanBeWritten() throws Exception {
+    void aPendingMarkIsWrittenOnceTheFolderCanBeWritten() throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
         one.takeOut("s-1");
         Path inTheWay = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
@@ -116,8 +117,8 @@
         one.retryPending();
         assertThat(one.isRecorded("s-2")).isTrue();
         assertThat(one.isRecorded("s-1")).isTrue();
-        assertThat(new OutageFolder(folder, clock::micros).look())
-                .isEqualTo(new OutageFolder.Marks(Set.of("s-2"), Map.of("s-1", 42L)));
+        assertThat(new OutageFolder(folder, clock::micros).readIfChanged())
+                .hasValue(new OutageSnapshot(Set.of("s-2"), Map.of("s-1", 42L)));
     }
 
     /** The last call counts: an outage that waits to be written must not come after the return. */
@@ -128,14 +129,15 @@
         one.takeOut("s-1");
         assertThat(one.tryPutBack("s-1", 42)).isFalse();
         assertThat(one.isRecorded("s-1")).isFalse();
-        assertThat(one.look().out()).as("a return that failed changes nothing").containsExactly("s-1");
+        assertThat(one.readIfChanged().orElseThrow().out()).as("a return that failed changes nothing")
+                .containsExactly("s-1");
         Files.delete(inTheWay);
         assertThat(one.tryPutBack("s-1", 43)).isTrue();
         clock.passMillis(1_000);
         one.retryPending();
         assertThat(one.isRecorded("s-1")).isTrue();
-        assertThat(new OutageFolder(folder, clock::micros).look())
-                .isEqualTo(new OutageFolder.Marks(Set.of(), Map.of("s-1", 43L)));
+        assertThat(new OutageFolder(folder, clock::micros).readIfChanged())
+                .hasValue(new OutageSnapshot(Set.of(), Map.of("s-1", 43L)));
     }
 
     /** A process that is killed between the two steps of a return leaves both marks: the cache stays out. */
@@ -145,7 +147,7 @@
         one.takeOut("s-1");
         Files.writeString(folder.resolve("back-s-1"), "42");
         Files.writeString(folder.resolve("new-7"), "4");
-        assertThat(new OutageFolder(folder, clock::micros).look().out()).containsExactly("s-1");
+        assertThat(new OutageFolder(folder, clock::micros).readIfChanged().orElseThrow().out()).containsExactly("s-1");
     }
 
     @Test
@@ -156,14 +158,14 @@
         assertThat(outages.isOut("s-1")).isTrue();
         assertThat(outages.putBack("s-1", 7_000, 500)).isTrue();
         assertThat(outages.putBack("s-1", 7_100, 600)).isFalse();
-        outages.returned("s-1", 7_000, 650);
-        assertThat(outages.startedUs("s-1", 0)).as("the same return told again").isEqualTo(500);
-        assertThat(outages.startedUs("s-1", 700)).isEqualTo(700);
-        assertThat(outages.startedUs("s-2", 0)).isZero();
-        outages.returned("s-1", 6_000, 400);
-        assertThat(outages.startedUs("s-1", 0)).as("no return makes it older").isEqualTo(500);
-        outages.returned("s-1", 3_000, 800);
-        assertThat(outages.startedUs("s-1", 0)).as("a further return after the wall clock was stepped back")
+        outages.mergeReturn("s-1", 7_000, 650);
+        assertThat(outages.startedMicros("s-1", 0)).as("the same return once more").isEqualTo(500);
+        assertThat(outages.startedMicros("s-1", 700)).isEqualTo(700);
+        assertThat(outages.startedMicros("s-2", 0)).isZero();
+        outages.mergeReturn("s-1", 6_000, 400);
+        assertThat(outages.startedMicros("s-1", 0)).as("no return makes it older").isEqualTo(500);
+        outages.mergeReturn("s-1", 3_000, 800);
+        assertThat(outages.startedMicros("s-1", 0)).as("a further return after the wall clock was stepped back")
                 .isEqualTo(800);
     }
 
@@ -171,9 +173,9 @@
     @Test
     void aCacheThatIsBackAgainHasJustStartedWhateverItIsMarkedWith() {
         OutageRegistry outages = new OutageRegistry();
-        outages.returned("s-1", 7_000, 500);
+        outages.mergeReturn("s-1", 7_000, 500);
         outages.takeOut("s-1");
         assertThat(outages.putBack("s-1", 7_000, 900)).isTrue();
-        assertThat(outages.startedUs("s-1", 0)).isEqualTo(900);
+        assertThat(outages.startedMicros("s-1", 0)).isEqualTo(900);
     }
 }
--- a/src/test/java/clovermill/director/operations/OperatorActionsTest.java
+++ b/src/test/java/clovermill/director/operations/OperatorActionsTest.java
@@ -66,7 +66,7 @@
     }
 
     private List<String> outForLaterStarts() throws Exception {
-        return List.copyOf(new OutageFolder(folder, clock::micros).look().out());
+        return List.copyOf(new OutageFolder(folder, clock::micros).readIfChanged().orElseThrow().out());
     }
 
     /** A kill would undo what is not in the folder, so that a yes would be broken. */
