--- a/src/main/java/clovermill/controlplane/outage/OutageFolder.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageFolder.java
@@ -157,10 +157,14 @@
     public Optional<OutageSnapshot> readIfChanged() {
         try {
             return mayHaveChanged() ? Optional.of(read()) : Optional.empty();
-        } catch (IOException | IllegalArgumentException failure) {
-            LOG.log(Level.WARNING, "cannot read the shared folder of outages: {0}", failure.toString());
-            return Optional.empty();
+        } catch (IOException failure) {
+            // Nothing may change once it can be read again.
+            folderTime = null;
+            logReadFailure(failure);
+        } catch (IllegalArgumentException notAMark) {
+            logReadFailure(notAMark);
         }
+        return Optional.empty();
     }
 
     private OutageSnapshot read() throws IOException {
@@ -218,6 +222,10 @@
         return URLDecoder.decode(name.substring(prefix.length()), StandardCharsets.UTF_8);
     }
 
+    private static void logReadFailure(Exception failure) {
+        LOG.log(Level.WARNING, "cannot read the shared folder of outages: {0}", failure.toString());
+    }
+
     private static void logWriteFailure(String id, IOException failure) {
         LOG.log(Level.WARNING, "cannot record the outage mark of {0} in the shared folder: {1}", id,
                 failure.toString());
--- a/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
+++ b/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
@@ -121,6 +121,23 @@
                 .hasValue(new OutageSnapshot(Set.of("s-2"), Map.of("s-1", 42L)));
     }
 
+    /** A disk that fails for some looks, with the folder's time unchanged: what the other process marked counts. */
+    @Test
+    void afterAReadThatFailedTheFolderIsReadAtTheNextLook() throws Exception {
+        OutageFolder one = new OutageFolder(folder, clock::micros);
+        FileTime unchanged = FileTime.fromMillis(1_000);
+        new OutageFolder(folder, clock::micros).takeOut("s-1");
+        Path unreadable = Files.createDirectory(folder.resolve("back-s-9"));
+        Files.setLastModifiedTime(folder, unchanged);
+        for (int look = 0; look < 3; look++) {
+            assertThat(one.readIfChanged()).isEmpty();
+            clock.passMillis(100);
+        }
+        Files.delete(unreadable);
+        Files.setLastModifiedTime(folder, unchanged);
+        assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of("s-1"), Map.of()));
+    }
+
     /** The last call counts: an outage that waits to be written must not come after the return. */
     @Test
     void aReturnTakesThePlaceOfAnOutageThatWaitsToBeWritten() throws Exception {
