--- a/src/main/java/clovermill/controlplane/handover/DescriptorShares.java
+++ b/src/main/java/clovermill/controlplane/handover/DescriptorShares.java
@@ -1,29 +1,28 @@
 package clovermill.controlplane.handover;
 
 /**
- * How many connections a process may hold of what its director may: clients get half of the descriptors and members a
- * quarter, the rest is for files and the like. While another process of the same director is there each has half of
- * that. Pure.
+ * How many connections a process may hold, as parts of the director's limit on descriptors: half for clients and a
+ * quarter for endpoints, the rest for files and the like. While two processes run each may hold half of that.
  */
 public final class DescriptorShares {
 
-    private static final int CLIENTS_PART = 2;
-    private static final int MEMBERS_PART = 4;
+    private static final int CLIENTS_DIVISOR = 2;
+    private static final int ENDPOINTS_DIVISOR = 4;
 
-    private final int sockets;
+    private final int descriptorLimit;
 
-    /** {@code sockets} is the limit on descriptors of the whole director. */
-    public DescriptorShares(int sockets) {
-        this.sockets = sockets;
+    /** {@code descriptorLimit} is for all processes of the director together. */
+    public DescriptorShares(int descriptorLimit) {
+        this.descriptorLimit = descriptorLimit;
     }
 
-    /** Connections of clients. */
-    public int clients(boolean besideAnother) {
-        return sockets / CLIENTS_PART / (besideAnother ? 2 : 1);
+    /** The limit on connections from clients. */
+    public int clientConnections(boolean besideAnother) {
+        return descriptorLimit / CLIENTS_DIVISOR / (besideAnother ? 2 : 1);
     }
 
-    /** Connections to members. */
-    public int members(boolean besideAnother) {
-        return sockets / MEMBERS_PART / (besideAnother ? 2 : 1);
+    /** The limit on connections to endpoints. */
+    public int endpointConnections(boolean besideAnother) {
+        return descriptorLimit / ENDPOINTS_DIVISOR / (besideAnother ? 2 : 1);
     }
 }
--- a/src/main/java/clovermill/controlplane/handover/ProcessRegistry.java
+++ b/src/main/java/clovermill/controlplane/handover/ProcessRegistry.java
@@ -10,49 +10,42 @@
 import java.util.OptionalLong;
 
 /**
- * Tells the processes of one director of each other: each has a file {@code here-PID} in the folder that they share,
- * with the Unix millisecond of its start, whether it is ready, and the kernel's start ticks. Which of two started later
- * the ticks say, since a wall clock may be stepped; the millisecond is for processes of earlier versions, which read
- * two
- * words. What a process left behind that ended without taking its file away is found out by its number, and taken away.
+ * Finds the other process of this director in a folder that both share. Each process has a file {@code here-PID} with
+ * the Unix millisecond of its start, whether it is ready, and its start in the kernel's clock ticks. The ticks decide
+ * which process started later, since a wall clock may be stepped; the millisecond is for earlier versions, which read
+ * two words. The file of a process that ended without deleting it is deleted by the other one.
  */
 public final class ProcessRegistry {
 
-    /** Who else is there. */
-    public enum Others {
-        /** Nobody. */
-        NONE,
-        /** Another process, which started before this one or is not ready. */
-        BESIDE,
-        /** A process that started later and is ready: new connections are its own. */
-        SUCCESSOR
-    }
-
     private static final System.Logger LOG = System.getLogger(ProcessRegistry.class.getName());
-    private static final String HERE = "here-";
-    /** A folder that is full for a moment is left alone for so long. */
-    static final long MARK_PAUSE_US = 500_000;
+    private static final String FILE_PREFIX = "here-";
+    /** How long to wait after a failed write before it is tried again. */
+    static final long RETRY_INTERVAL_MICROS = 500_000;
 
     private final Path folder;
     private final long self;
-    private final long startedMs;
+    private final long startedUnixMillis;
     private final long startTicks;
     private final ProcessTable processes;
     private boolean markedReady;
-    /** When a mark that could not be written is tried again, 0 for at once. */
-    private long markAgainUs;
+    /** When a write that failed is tried again, 0 if none failed. */
+    private long retryAtMicros;
 
-    /** For this process, on Linux, from now on. */
+    /**
+     * Registers this process, on Linux.
+     *
+     * @throws IOException if the folder cannot be created or written
+     */
     public static ProcessRegistry ofThisProcess(Path folder) throws IOException {
         return new ProcessRegistry(folder, ProcessHandle.current().pid(), System.currentTimeMillis(),
                 new ProcessTable.Linux());
     }
 
-    /** Makes the folder if need be, and the file of the process {@code self}; throws where that cannot be done. */
-    ProcessRegistry(Path folder, long self, long startedMs, ProcessTable processes) throws IOException {
+    /** Creates the folder unless it exists, and the file of the process {@code self}. */
+    ProcessRegistry(Path folder, long self, long startedUnixMillis, ProcessTable processes) throws IOException {
         this.folder = Files.createDirectories(folder);
         this.self = self;
-        this.startedMs = startedMs;
+        this.startedUnixMillis = startedUnixMillis;
         this.startTicks = processes.startTicks(self)
                 .orElseThrow(() -> new IOException("process " + self + " has no start ticks"));
         this.processes = processes;
@@ -60,39 +53,40 @@
     }
 
     private void write(boolean ready) throws IOException {
-        Path whole = folder.resolve("new-here-" + self);
-        Files.writeString(whole, startedMs + (ready ? " ready " : " starts ") + startTicks);
-        Files.move(whole, folder.resolve(HERE + self), StandardCopyOption.ATOMIC_MOVE);
+        Path temporary = folder.resolve("new-here-" + self);
+        Files.writeString(temporary, startedUnixMillis + (ready ? " ready " : " starts ") + startTicks);
+        Files.move(temporary, folder.resolve(FILE_PREFIX + self), StandardCopyOption.ATOMIC_MOVE);
     }
 
     /**
-     * Marks whether this process takes connections from now on; one that leaves does not, and is nobody's successor. It
-     * is to be called again and again: a mark that cannot be written is tried again after {@link #MARK_PAUSE_US}.
+     * Publishes whether this process accepts connections; one that shuts down does not, and is no successor. To be
+     * called repeatedly: a write that failed is tried again after {@link #RETRY_INTERVAL_MICROS}.
      *
-     * @param nowUs the monotonic clock, in microseconds
+     * @param nowMicros the monotonic clock
      */
-    public void markReady(boolean ready, long nowUs) {
-        if (ready == markedReady || markAgainUs != 0 && nowUs < markAgainUs) {
+    public void markReady(boolean ready, long nowMicros) {
+        if (ready == markedReady || retryAtMicros != 0 && nowMicros < retryAtMicros) {
             return;
         }
         try {
             write(ready);
             markedReady = ready;
-            markAgainUs = 0;
+            retryAtMicros = 0;
         } catch (IOException failure) {
             warn(failure);
-            markAgainUs = nowUs + MARK_PAUSE_US;
+            retryAtMicros = nowMicros + RETRY_INTERVAL_MICROS;
         }
     }
 
-    /** Who else is there now. */
-    public Others look() {
-        Others found = Others.NONE;
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, HERE + "*")) {
+    /** Whether another process runs now; {@link OtherProcess#NONE} where the folder cannot be read. */
+    public OtherProcess findOther() {
+        OtherProcess found = OtherProcess.NONE;
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PREFIX + "*")) {
             for (Path file : files) {
                 long pid = pid(file);
                 if (pid >= 0 && pid != self && processes.exists(pid)) {
-                    found = found == Others.SUCCESSOR || succeeds(file, pid) ? Others.SUCCESSOR : Others.BESIDE;
+                    found = found == OtherProcess.SUCCESSOR || isSuccessor(file, pid) ? OtherProcess.SUCCESSOR
+                            : OtherProcess.PRESENT;
                 } else if (pid != self) {
                     Files.deleteIfExists(file);
                 }
@@ -103,7 +97,7 @@
         return found;
     }
 
-    private boolean succeeds(Path file, long pid) throws IOException {
+    private boolean isSuccessor(Path file, long pid) throws IOException {
         try {
             String[] words = Files.readString(file).split(" ");
             if (words.length < 2 || !words[1].equals("ready")) {
@@ -114,29 +108,29 @@
                     : processes.startTicks(pid);
             return ticks.isPresent() && (ticks.getAsLong() > startTicks
                     || ticks.getAsLong() == startTicks && pid > self);
-        } catch (NoSuchFileException | NumberFormatException noProcessOfThisVersion) {
+        } catch (NoSuchFileException | NumberFormatException endedOrMalformed) {
             return false;
         }
     }
 
     private static long pid(Path file) {
         try {
-            return Long.parseLong(file.getFileName().toString().substring(HERE.length()));
-        } catch (NumberFormatException notOurs) {
+            return Long.parseLong(file.getFileName().toString().substring(FILE_PREFIX.length()));
+        } catch (NumberFormatException notAProcess) {
             return -1;
         }
     }
 
-    /** This process is about to end. */
-    public void leave() {
+    /** Deletes the file of this process, which is about to end. */
+    public void deregister() {
         try {
-            Files.deleteIfExists(folder.resolve(HERE + self));
+            Files.deleteIfExists(folder.resolve(FILE_PREFIX + self));
         } catch (IOException failure) {
             warn(failure);
         }
     }
 
     private static void warn(IOException failure) {
-        LOG.log(Level.WARNING, "the folder of processes: {0}", failure.toString());
+        LOG.log(Level.WARNING, "cannot use the shared folder of processes: {0}", failure.toString());
     }
 }
--- a/src/main/java/clovermill/controlplane/handover/ProcessTable.java
+++ b/src/main/java/clovermill/controlplane/handover/ProcessTable.java
@@ -6,20 +6,20 @@
 import java.nio.file.Path;
 import java.util.OptionalLong;
 
-/** What the kernel knows of processes, by their numbers. */
+/** The kernel's table of processes. */
 interface ProcessTable {
 
-    /** Whether a process of that number exists. */
+    /** Whether a process exists. */
     boolean exists(long pid);
 
-    /** When it started, in the kernel's clock ticks since the machine's boot, which no step of a clock changes. */
+    /** When a process started, in clock ticks since boot, which no step of a clock changes; empty if it has ended. */
     OptionalLong startTicks(long pid);
 
-    /** By {@code /proc}; source: proc_pid_stat(5). */
+    /** Reads {@code /proc}; source: proc_pid_stat(5). */
     final class Linux implements ProcessTable {
 
-        /** The place of {@code starttime} among the words behind the command's name, which is the second of all. */
-        private static final int START_TIME_WORD = 22 - 3;
+        /** The index of {@code starttime}, field 22, among the fields after the command's name, which is field 2. */
+        private static final int START_TIME_INDEX = 22 - 3;
 
         @Override
         public boolean exists(long pid) {
@@ -29,7 +29,7 @@
         @Override
         public OptionalLong startTicks(long pid) {
             try {
-                // A command's name is any bytes, blanks and brackets among them.
+                // The command's name may contain any bytes, also blanks and brackets.
                 return parse(Files.readString(Path.of("/proc/" + pid + "/stat"), StandardCharsets.ISO_8859_1));
             } catch (IOException hasEnded) {
                 return OptionalLong.empty();
@@ -37,8 +37,8 @@
         }
 
         static OptionalLong parse(String stat) {
-            String[] words = stat.substring(stat.lastIndexOf(')') + 1).strip().split(" ");
-            return words.length > START_TIME_WORD ? OptionalLong.of(Long.parseLong(words[START_TIME_WORD]))
+            String[] fields = stat.substring(stat.lastIndexOf(')') + 1).strip().split(" ");
+            return fields.length > START_TIME_INDEX ? OptionalLong.of(Long.parseLong(fields[START_TIME_INDEX]))
                     : OptionalLong.empty();
         }
     }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -97,7 +97,7 @@
         Warmup.play(settings, known);
         DescriptorShares shares = new DescriptorShares(config.sockets());
         UpstreamPool pool = new UpstreamPool(loop, clock, deadlines, budget, new UpstreamPool.Limits(
-                config.streamsPerConnection(), shares.members(false), settings.dialTimeoutUs(),
+                config.streamsPerConnection(), shares.endpointConnections(false), settings.dialTimeoutUs(),
                 (long) (IDLE_PART * config.connectionIdleUs())));
         ledger = kept == null ? null : Ledger.open(kept, new Ledger.Director(config.name(), config.classes(),
                 settings.parentKind(), settings.originKind(), settings.allowed().maxOpen()), clock, deadlines,
@@ -120,7 +120,7 @@
         BooleanSupplier caughtUp = () -> platform.passed() == null || channel.hasAnswered()
                 || clock.micros() >= settledUs + CATCH_UP_US;
         front = new FrameServer(loop, clock, deadlines, budget, host, settings, config.classes(),
-                new FrameServer.Terms(config.listen(), platform.passed(), shares.clients(false),
+                new FrameServer.Terms(config.listen(), platform.passed(), shares.clientConnections(false),
                         () -> roster.hasEndpoints() && clock.micros() >= settledUs && caughtUp.getAsBoolean()));
         sharing = HandoverCoordinator.open(platform.shared(), shares, clock, deadlines, roster, front, pool);
         if (sharing != null) {
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -2,6 +2,7 @@
 
 import clovermill.controlplane.discovery.EndpointRegistry;
 import clovermill.controlplane.handover.DescriptorShares;
+import clovermill.controlplane.handover.OtherProcess;
 import clovermill.controlplane.handover.ProcessRegistry;
 import clovermill.controlplane.outage.OutageFolder;
 import clovermill.controlplane.outage.OutageMarks;
@@ -32,7 +33,7 @@
     private final EndpointRegistry roster;
     private final FrameServer front;
     private final UpstreamPool pool;
-    private ProcessRegistry.Others others = ProcessRegistry.Others.NONE;
+    private OtherProcess others = OtherProcess.NONE;
 
     /** Shares by a folder; null if that is null, or, with a line in the log, if it cannot be used. */
     public static HandoverCoordinator open(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines,
@@ -79,17 +80,17 @@
     private void look() {
         catchUp();
         presence.markReady(front.ready(), clock.micros());
-        ProcessRegistry.Others now = presence.look();
+        OtherProcess now = presence.findOther();
         if (now != others) {
             others = now;
-            boolean beside = now != ProcessRegistry.Others.NONE;
-            front.limit(shares.clients(beside));
-            pool.limit(shares.members(beside));
+            boolean beside = now != OtherProcess.NONE;
+            front.limit(shares.clientConnections(beside));
+            pool.limit(shares.endpointConnections(beside));
             // Of a successor that ends before this process is asked to leave, the connections come here again.
-            front.accepting(now != ProcessRegistry.Others.SUCCESSOR);
+            front.accepting(now != OtherProcess.SUCCESSOR);
             LOG.log(Level.INFO, switch (now) {
                 case NONE -> "this process is alone again";
-                case BESIDE -> "another process of this director is here";
+                case PRESENT -> "another process of this director is here";
                 case SUCCESSOR -> "the next process of this director is ready and takes new connections";
             });
         }
@@ -97,6 +98,6 @@
 
     /** This process ends. */
     public void close() {
-        presence.leave();
+        presence.deregister();
     }
 }
--- a/src/test/java/clovermill/controlplane/handover/ProcessRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/handover/ProcessRegistryTest.java
@@ -16,7 +16,7 @@
 
 class ProcessRegistryTest {
 
-    private static final long NOW_US = 1_700_000_000_000_000L;
+    private static final long NOW_MICROS = 1_700_000_000_000_000L;
 
     /** The start ticks of those that exist. */
     private static final class Processes implements ProcessTable {
@@ -41,25 +41,25 @@
     private Path folder;
 
     @Test
-    void processesSeeEachOtherAndWhoHasEndedIsForgotten() throws Exception {
+    void processesFindEachOtherAndOneThatHasEndedIsForgotten() throws Exception {
         Processes running = new Processes(Map.of(1L, 100L, 2L, 200L));
         Path shared = folder.resolve("shared");
         ProcessRegistry one = new ProcessRegistry(shared, 1, 100, running);
-        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.NONE);
+        assertThat(one.findOther()).isEqualTo(OtherProcess.NONE);
         ProcessRegistry two = new ProcessRegistry(shared, 2, 200, running);
-        one.markReady(true, NOW_US);
-        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.BESIDE);
-        assertThat(two.look()).as("the earlier one is no successor").isEqualTo(ProcessRegistry.Others.BESIDE);
-        two.markReady(true, NOW_US);
-        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.SUCCESSOR);
+        one.markReady(true, NOW_MICROS);
+        assertThat(one.findOther()).isEqualTo(OtherProcess.PRESENT);
+        assertThat(two.findOther()).as("the earlier one is no successor").isEqualTo(OtherProcess.PRESENT);
+        two.markReady(true, NOW_MICROS);
+        assertThat(one.findOther()).isEqualTo(OtherProcess.SUCCESSOR);
         running.ticks.remove(2L); // killed before the first was asked to leave, with its file left behind
-        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.NONE);
+        assertThat(one.findOther()).isEqualTo(OtherProcess.NONE);
         running.ticks.put(2L, 300L); // its number is given out anew
-        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.NONE);
+        assertThat(one.findOther()).isEqualTo(OtherProcess.NONE);
         ProcessRegistry three = new ProcessRegistry(shared, 2, 300, running);
-        one.leave();
-        one.leave();
-        assertThat(three.look()).isEqualTo(ProcessRegistry.Others.NONE);
+        one.deregister();
+        one.deregister();
+        assertThat(three.findOther()).isEqualTo(OtherProcess.NONE);
     }
 
     /** A file of another version, or half of one, is taken for a process that is not ready. */
@@ -67,36 +67,36 @@
     void whatCannotBeReadIsNoSuccessor() throws Exception {
         ProcessRegistry one = new ProcessRegistry(folder, 1, 100, new Processes(Map.of(1L, 100L, 2L, 100L)));
         Files.writeString(folder.resolve("here-nobody"), "900 ready");
-        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.NONE);
+        assertThat(one.findOther()).isEqualTo(OtherProcess.NONE);
         for (String text : new String[] {"", "900", "ready", "x ready", "900 READY2",
             "900 ready x", "900 READY2 900"}) {
             Files.writeString(folder.resolve("here-2"), text);
-            assertThat(one.look()).as(text).isEqualTo(ProcessRegistry.Others.BESIDE);
+            assertThat(one.findOther()).as(text).isEqualTo(OtherProcess.PRESENT);
         }
         for (String text : new String[] {"100 ready", "100 ready 100"}) {
             Files.writeString(folder.resolve("here-2"), text);
-            assertThat(one.look()).as("of two that start at once the higher number").isEqualTo(
-                    ProcessRegistry.Others.SUCCESSOR);
+            assertThat(one.findOther()).as("of two that start at once the higher number").isEqualTo(
+                    OtherProcess.SUCCESSOR);
         }
     }
 
     /** The wall clock went back an hour between the two starts, or forward. */
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -5_000, 5_000, 3_600_000})
-    void whoStartedLaterIsToldByTheKernelAndByNoWallClock(long stepMs) throws Exception {
+    void theKernelAndNoWallClockDecidesWhoStartedLater(long stepMs) throws Exception {
         Processes running = new Processes(Map.of(1L, 100L, 2L, 200L));
         ProcessRegistry earlier = new ProcessRegistry(folder, 1, 1_700_000_000_000L, running);
         ProcessRegistry later = new ProcessRegistry(folder, 2, 1_700_000_000_000L + stepMs, running);
-        earlier.markReady(true, NOW_US);
-        later.markReady(true, NOW_US);
-        assertThat(earlier.look()).isEqualTo(ProcessRegistry.Others.SUCCESSOR);
-        assertThat(later.look()).isEqualTo(ProcessRegistry.Others.BESIDE);
+        earlier.markReady(true, NOW_MICROS);
+        later.markReady(true, NOW_MICROS);
+        assertThat(earlier.findOther()).isEqualTo(OtherProcess.SUCCESSOR);
+        assertThat(later.findOther()).isEqualTo(OtherProcess.PRESENT);
         Files.writeString(folder.resolve("here-1"), "1700000000000 ready");
-        assertThat(later.look()).as("an earlier version, which writes no ticks")
-                .isEqualTo(ProcessRegistry.Others.BESIDE);
+        assertThat(later.findOther()).as("an earlier version, which writes no ticks")
+                .isEqualTo(OtherProcess.PRESENT);
         Files.writeString(folder.resolve("here-2"), 1_700_000_000_000L + stepMs + " ready");
-        assertThat(earlier.look()).as("an earlier version that starts later")
-                .isEqualTo(ProcessRegistry.Others.SUCCESSOR);
+        assertThat(earlier.findOther()).as("an earlier version that starts later")
+                .isEqualTo(OtherProcess.SUCCESSOR);
     }
 
     /** An earlier version reads the first two words alone. */
@@ -104,7 +104,7 @@
     void anEarlierVersionReadsTheMark() throws Exception {
         ProcessRegistry one = new ProcessRegistry(folder, 1, 100, new Processes(Map.of(1L, 7L)));
         assertThat(Files.readString(folder.resolve("here-1")).split(" ")).startsWith("100", "starts");
-        one.markReady(true, NOW_US);
+        one.markReady(true, NOW_MICROS);
         assertThat(Files.readString(folder.resolve("here-1")).split(" ")).containsExactly("100", "ready", "7");
     }
 
@@ -115,26 +115,26 @@
         ProcessRegistry one = new ProcessRegistry(folder, 1, 100, running);
         ProcessRegistry two = new ProcessRegistry(folder, 2, 200, running);
         Path inTheWay = Files.createDirectory(folder.resolve("new-here-2"));
-        two.markReady(true, NOW_US);
-        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.BESIDE);
+        two.markReady(true, NOW_MICROS);
+        assertThat(one.findOther()).isEqualTo(OtherProcess.PRESENT);
         Files.delete(inTheWay);
-        two.markReady(true, NOW_US + ProcessRegistry.MARK_PAUSE_US - 1);
-        assertThat(one.look()).as("within the pause").isEqualTo(ProcessRegistry.Others.BESIDE);
-        two.markReady(true, NOW_US + ProcessRegistry.MARK_PAUSE_US);
-        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.SUCCESSOR);
+        two.markReady(true, NOW_MICROS + ProcessRegistry.RETRY_INTERVAL_MICROS - 1);
+        assertThat(one.findOther()).as("within the pause").isEqualTo(OtherProcess.PRESENT);
+        two.markReady(true, NOW_MICROS + ProcessRegistry.RETRY_INTERVAL_MICROS);
+        assertThat(one.findOther()).isEqualTo(OtherProcess.SUCCESSOR);
         Files.createDirectory(folder.resolve("new-here-2"));
-        two.markReady(true, NOW_US + 2 * ProcessRegistry.MARK_PAUSE_US);
-        assertThat(one.look()).as("what is marked is not marked again").isEqualTo(ProcessRegistry.Others.SUCCESSOR);
+        two.markReady(true, NOW_MICROS + 2 * ProcessRegistry.RETRY_INTERVAL_MICROS);
+        assertThat(one.findOther()).as("what is marked is not marked again").isEqualTo(OtherProcess.SUCCESSOR);
     }
 
     @Test
-    void whoLeavesIsNobodysSuccessor() throws Exception {
+    void aProcessThatIsNoLongerReadyIsNoSuccessor() throws Exception {
         Processes running = new Processes(Map.of(1L, 100L, 2L, 200L));
         ProcessRegistry one = new ProcessRegistry(folder, 1, 100, running);
         ProcessRegistry two = new ProcessRegistry(folder, 2, 200, running);
-        two.markReady(true, NOW_US);
-        two.markReady(false, NOW_US);
-        assertThat(one.look()).isEqualTo(ProcessRegistry.Others.BESIDE);
+        two.markReady(true, NOW_MICROS);
+        two.markReady(false, NOW_MICROS);
+        assertThat(one.findOther()).isEqualTo(OtherProcess.PRESENT);
     }
 
     @Test
@@ -154,8 +154,9 @@
     @Test
     void twoProcessesKeepWithinTheLimitOfOne() {
         DescriptorShares shares = new DescriptorShares(256);
-        assertThat(2 * (shares.clients(true) + shares.members(true)) + 2 * 30).isLessThanOrEqualTo(256);
-        assertThat(shares.clients(false) + shares.members(false)).isEqualTo(192);
+        assertThat(2 * (shares.clientConnections(true) + shares.endpointConnections(true)) + 2 * 30)
+                .isLessThanOrEqualTo(256);
+        assertThat(shares.clientConnections(false) + shares.endpointConnections(false)).isEqualTo(192);
     }
 
     @Test
