--- a/src/main/java/clovermill/runtime/net/Connection.java
+++ b/src/main/java/clovermill/runtime/net/Connection.java
@@ -136,8 +136,12 @@
         return paused;
     }
 
-    /** Hands over what has come up to now, unless reading is paused. Not to be called from {@link Handler#received}. */
+    /**
+     * Hands over what has come up to now, older bytes that were left unread first, unless reading is paused. Not to be
+     * called from {@link Handler#received}.
+     */
     public void readNow() {
+        handKept();
         if (open && !connecting && !paused && !ended) {
             try {
                 read();
@@ -226,9 +230,10 @@
         }
     }
 
+    /** Reads what is there, unless older bytes are still to be handed over. */
     private void read() throws IOException {
         ByteBuffer buffer = loop.readBuffer();
-        for (int i = 0; i < reads && open && !paused && !ended; i++) {
+        for (int i = 0; i < reads && open && !paused && !ended && kept == null; i++) {
             int count = TransferCount.read(channel, buffer.clear());
             if (count == TransferCount.END_OF_STREAM) {
                 ended = true;
--- a/src/test/java/clovermill/runtime/net/ConnectionFaultsTest.java
+++ b/src/test/java/clovermill/runtime/net/ConnectionFaultsTest.java
@@ -131,4 +131,58 @@
         assertThat(events).containsExactly("done", "closed No route to host");
         assertThat(written.queuedBytes()).isZero();
     }
+
+    /** Leaves all bytes of its first call unread; takes all of each later one. */
+    private static final class LateReader implements Connection.Handler {
+        final List<Integer> receivedCounts = new ArrayList<>();
+
+        @Override
+        public void received(ByteBuffer data) {
+            receivedCounts.add(data.remaining());
+            if (receivedCounts.size() > 1) {
+                data.position(data.limit());
+            }
+        }
+
+        @Override
+        public void ended() {
+            receivedCounts.add(-1);
+        }
+
+        @Override
+        public void closed(IOException cause) {}
+    }
+
+    /** The server looks at once for the end of a client whose reading has just been resumed. */
+    @Test
+    void givenUnreadBytesWhenReadAtOnceAfterResumeThenTheOlderBytesComeFirst() throws IOException {
+        LateReader reader = new LateReader();
+        Connection connection = new Connection(loop, socket, socket.key(), false, null);
+        connection.handler(reader);
+        socket.reads.addAll(List.of(5, 3, -1));
+        connection.ready();
+        connection.resume();
+        connection.readNow();
+        assertThat(reader.receivedCounts).as("bytes handed over, in order").containsExactly(5, 5, 3);
+        loop.turn(0);
+        assertThat(reader.receivedCounts).as("the older bytes come once").containsExactly(5, 5, 3);
+        connection.readNow();
+        assertThat(reader.receivedCounts).containsExactly(5, 5, 3, -1);
+    }
+
+    /** Found readable in the turn in which another callback had it read, keep bytes and resume. */
+    @Test
+    void givenUnreadBytesWhenFoundReadableThenNothingNewerIsReadAheadOfThem() throws IOException {
+        LateReader reader = new LateReader();
+        Connection connection = new Connection(loop, socket, socket.alwaysReadableKey(), false, null);
+        connection.handler(reader);
+        socket.reads.addAll(List.of(5, 3));
+        connection.ready();
+        connection.resume();
+        connection.ready();
+        assertThat(reader.receivedCounts).containsExactly(5);
+        loop.turn(0);
+        connection.ready();
+        assertThat(reader.receivedCounts).containsExactly(5, 5, 3);
+    }
 }
--- a/src/test/java/clovermill/runtime/net/ScriptedSocket.java
+++ b/src/test/java/clovermill/runtime/net/ScriptedSocket.java
@@ -65,6 +65,15 @@
 
     /** A key of no selector, always ready for whatever is asked. */
     SelectionKey key() {
+        return key(false);
+    }
+
+    /** A key of no selector that was found readable before its interest was last changed. */
+    SelectionKey alwaysReadableKey() {
+        return key(true);
+    }
+
+    private SelectionKey key(boolean foundReadable) {
         return new SelectionKey() {
             private int interest;
 
@@ -99,7 +108,7 @@
 
             @Override
             public int readyOps() {
-                return interest;
+                return foundReadable ? interest | SelectionKey.OP_READ : interest;
             }
         };
     }
