--- a/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -29,12 +29,16 @@
 final class UpstreamConnection implements Connection.Handler {
 
     private static final System.Logger LOG = System.getLogger(UpstreamConnection.class.getName());
+    /** Requests begin together until so many bytes are queued: one gathered write. */
+    private static final int BATCH_BYTES = 1 << 16;
     private final UpstreamPool pool;
     private final Connection connection;
     private final ResponseParser parser;
     private final Budget budget;
     private final Map<String, UpstreamExchange> open = new HashMap<>();
     private final ArrayDeque<UpstreamExchange> waiting = new ArrayDeque<>();
+    /** Those begun in this flush, of which nothing has been written up to now. */
+    private final List<UpstreamExchange> batch = new ArrayList<>();
     private final RecentIds spent = new RecentIds();
     private final ResponseWatchdog guard;
     /** What was given up with a part of it unwritten. */
@@ -74,7 +78,7 @@
 
     /** Whether nothing but the end of this turn keeps back what is queued here. */
     boolean idlesUntilFlush() {
-        return connected && connection.queuedBytes() == 0;
+        return connected && connection.isWriteIdle();
     }
 
     UpstreamExchange send(CacheRequest request) {
@@ -142,30 +146,45 @@
         }
     }
 
+    /** Begins requests, as long as nothing unwritten stands ahead of them, up to one batch. */
     private void begin() {
-        if (connected && connection.queuedBytes() == 0 && !waiting.isEmpty()) {
-            for (UpstreamExchange next = waiting.poll(); next != null; next = waiting.poll()) {
-                pool.cancel(next.beginBy);
-                if (next.mayBegin(pool.now())) {
-                    begin(next);
-                } else {
-                    open.remove(next.id, next);
-                    next.end(Result.NOT_SENT, Note.NONE, 0, null);
-                }
-            }
-            settled();
+        if (!connected || connection.queuedBytes() > 0 || waiting.isEmpty()) {
+            return;
         }
+        long nowUs = pool.now();
+        // Their ends are reported, which may call off others: before any has begun.
+        while (!waiting.isEmpty() && !waiting.peek().mayBegin(nowUs)) {
+            UpstreamExchange refused = waiting.poll();
+            pool.cancel(refused.beginBy);
+            open.remove(refused.id, refused);
+            refused.end(Result.NOT_SENT, Note.NONE, 0, null);
+        }
+        while (connection.queuedBytes() < BATCH_BYTES && !waiting.isEmpty() && waiting.peek().mayBegin(nowUs)) {
+            begin(waiting.poll(), nowUs);
+        }
+        settled();
     }
 
-    private void begin(UpstreamExchange exchange) {
-        unheardSinceUs = unheardSinceUs == 0 ? pool.now() : unheardSinceUs;
-        List<ByteBuffer> parts = exchange.begin(pool.now());
-        for (ByteBuffer part : parts.subList(0, parts.size() - 1)) {
-            connection.send(part);
+    private void begin(UpstreamExchange exchange, long nowUs) {
+        batch.add(exchange);
+        List<ByteBuffer> parts = exchange.begin(nowUs);
+        for (int i = 0; i < parts.size() - 1; i++) {
+            connection.send(parts.get(i));
         }
         connection.send(parts.get(parts.size() - 1), () -> exchange.written(connection.isOpen()));
     }
 
+    /** What is left of the batch has gone out, in part at least. */
+    private void finishBatch() {
+        if (!batch.isEmpty()) {
+            unheardSinceUs = unheardSinceUs == 0 ? pool.now() : unheardSinceUs;
+            for (UpstreamExchange exchange : batch) {
+                pool.cancel(exchange.beginBy);
+            }
+            batch.clear();
+        }
+    }
+
     /** Looks after a connection that may have become idle. */
     private void settled() {
         if (closed || !open.isEmpty()) {
@@ -193,16 +212,29 @@
     @Override
     public void flushing() {
         unfinished.removeIf(UpstreamExchange::isWhole);
+        long nowUs = pool.now();
         if (connection.queuedBytes() > 0
-                && Stream.concat(open.values().stream(), unfinished.stream()).anyMatch(UpstreamExchange::mustStop)) {
+                && Stream.concat(open.values().stream(), unfinished.stream()).anyMatch(each -> each.mustStop(nowUs))) {
             connection.close(); // what is still queued here must not go out any more
             return;
         }
         begin();
     }
 
+    /** A request of which nothing has been written begins anew later, with the time that is left then. */
+    @Override
+    public void writeBlocked() {
+        for (int i = batch.size() - 1; i >= 0 && connection.retractFrom(batch.get(i).head()); i--) {
+            UpstreamExchange retracted = batch.remove(i);
+            retracted.retracted();
+            waiting.addFirst(retracted);
+        }
+        finishBatch();
+    }
+
     @Override
     public void flushed() {
+        finishBatch();
         if (!waiting.isEmpty()) {
             connection.flushSoon();
         }
@@ -281,6 +313,7 @@
         pool.closed(this);
         parser.close();
         waiting.clear();
+        batch.clear();
         Result unsent = connected || cause != null && !SocketErrors.isOfPeer(cause) ? Result.NOT_SENT
                 : Result.UNCONNECTED;
         while (!open.isEmpty()) {
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
@@ -14,11 +14,19 @@
 /** An exchange on its connection: queued there, then sent, then ended or given up. */
 final class UpstreamExchange implements Upstream.Exchange {
 
+    /**
+     * A deadline passed to a server may be 150 ms older than the moment of its write; the write follows within the turn.
+     */
+    private static final long MAX_HEAD_AGE_US = 140_000;
+
     final String id;
     final Upstream.Ending ending;
     private final UpstreamConnection connection;
     private final CacheRequest request;
     private boolean begun;
+    private long begunUs;
+    /** What tells the server the time left, while a part of it may be unwritten. */
+    private ByteBuffer head;
     private boolean whole;
     private boolean revoked;
     /** By when it must have begun. */
@@ -65,7 +73,21 @@
     /** The parts of the request, to be written from now on; they tell the member the time that is left now. */
     List<ByteBuffer> begin(long nowUs) {
         begun = true;
-        return request.encoder().apply(request.dueUs() - nowUs);
+        begunUs = nowUs;
+        List<ByteBuffer> parts = request.encoder().apply(request.dueUs() - nowUs);
+        head = parts.get(0);
+        return parts;
+    }
+
+    /** The first of the parts with which it last began. */
+    ByteBuffer head() {
+        return head;
+    }
+
+    /** Nothing of its parts was written, and they have been retracted: it is queued again. */
+    void retracted() {
+        begun = false;
+        head = null;
     }
 
     /** All of it has been written, or never will be. */
@@ -77,9 +99,10 @@
         return whole;
     }
 
-    /** A part of it waits to be written, and must not any more. */
-    boolean mustStop() {
-        return begun && !whole && (revoked || !ending.mayGoOn());
+    /** A part of it waits to be written, and must not any more: it was called off, or its deadline figure is too old. */
+    boolean mustStop(long nowUs) {
+        return begun && !whole && (revoked || !ending.mayGoOn()
+                || head.hasRemaining() && nowUs - begunUs > MAX_HEAD_AGE_US);
     }
 
     /** It may not go out any more, whoever waits for it: its member or its source drains, or its copy was purged. */
--- a/src/main/java/clovermill/runtime/net/Connection.java
+++ b/src/main/java/clovermill/runtime/net/Connection.java
@@ -32,6 +32,12 @@
         /** All that was sent has been written to the socket. */
         default void flushed() {}
 
+        /**
+         * The socket takes no more for now, and a part of what was sent is unwritten: what may still be {@link
+         * Connection#retractFrom retracted} is as yet unwritten.
+         */
+        default void writeBlocked() {}
+
         /** The connection is no more, for {@code cause}, which is null where this side closed it. */
         void closed(IOException cause);
     }
@@ -58,6 +64,8 @@
     private boolean paused;
     private boolean ended;
     private boolean dirty;
+    /** The socket took nothing, and nothing is queued any more: flushed again when it is writable. */
+    private boolean flushWhenWritable;
     private boolean closeWhenFlushed;
 
     /** {@code acceptedBy} is the listener that took it in, null for a connection that is dialled. */
@@ -109,6 +117,23 @@
         markDirty();
     }
 
+    /**
+     * Takes back {@code first}, which was sent here, and everything sent behind it, unless a byte of it has been written;
+     * {@link Handler#flushing} is called once the socket is writable. For use in {@link Handler#writeBlocked}.
+     *
+     * @return whether it was taken back
+     */
+    public boolean retractFrom(ByteBuffer first) {
+        boolean retracted = out.retractFrom(first);
+        flushWhenWritable |= retracted;
+        return retracted;
+    }
+
+    /** Whether all that was sent has been written, and the socket is not known to be full. */
+    public boolean isWriteIdle() {
+        return out.isEmpty() && !flushWhenWritable;
+    }
+
     /** Stops reading until {@link #resume}. */
     public void pause() {
         paused = true;
@@ -280,6 +305,7 @@
         try {
             handler.flushing();
             dirty = false;
+            flushWhenWritable = false;
             boolean wrote = !out.isEmpty();
             for (int turn = 0; turn < TURN_BYTES && !out.isEmpty();) {
                 ByteBuffer buffer = loop.writeBuffer().clear();
@@ -295,10 +321,12 @@
             if (out.isEmpty() && closeWhenFlushed) {
                 close();
             } else if (open) {
-                interest();
-                if (wrote && out.isEmpty()) {
+                if (!out.isEmpty()) {
+                    handler.writeBlocked();
+                } else if (wrote) {
                     handler.flushed();
                 }
+                interest();
             }
         } catch (IOException failure) {
             close(failure);
@@ -309,7 +337,7 @@
         if (open) {
             key.interestOps(connecting ? SelectionKey.OP_CONNECT
                     : (paused || ended || kept != null ? 0 : SelectionKey.OP_READ)
-                            | (out.isEmpty() ? 0 : SelectionKey.OP_WRITE));
+                            | (isWriteIdle() ? 0 : SelectionKey.OP_WRITE));
         }
     }
 }
--- a/src/main/java/clovermill/runtime/net/WriteQueue.java
+++ b/src/main/java/clovermill/runtime/net/WriteQueue.java
@@ -6,7 +6,12 @@
 /** The bytes of one connection that wait to be written, in order, and the count of those that have been. */
 final class WriteQueue {
 
-    private record Piece(ByteBuffer bytes, Runnable done) {}
+    private record Piece(ByteBuffer bytes, int length, Runnable done) {
+
+        boolean isUntouched() {
+            return bytes.remaining() == length;
+        }
+    }
 
     private final ArrayDeque<Piece> pieces = new ArrayDeque<>();
     private long queuedBytes;
@@ -14,7 +19,7 @@
 
     /** Queues bytes; {@code done} is run once, when all of them are written or never will be. */
     void add(ByteBuffer bytes, Runnable done) {
-        pieces.add(new Piece(bytes, done));
+        pieces.add(new Piece(bytes, bytes.remaining(), done));
         queuedBytes += bytes.remaining();
     }
 
@@ -60,6 +65,27 @@
         }
     }
 
+    /**
+     * Takes back {@code first} and everything queued behind it, unless a byte of it has been written; what is taken back
+     * is not reported as done.
+     *
+     * @return whether {@code first} was taken back
+     */
+    boolean retractFrom(ByteBuffer first) {
+        boolean found = false;
+        for (Piece piece : pieces) {
+            found |= piece.bytes == first && piece.isUntouched();
+        }
+        while (found) {
+            Piece last = pieces.pollLast();
+            queuedBytes -= last.length;
+            if (last.bytes == first) {
+                return true;
+            }
+        }
+        return false;
+    }
+
     /** Drops what waits: it never will be written. */
     void clear() {
         queuedBytes = 0;
--- /dev/null
+++ b/src/test/java/clovermill/dataplane/upstream/DeadlineFigureTest.java
@@ -0,0 +1,206 @@
+package clovermill.dataplane.upstream;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.UpstreamResponse;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.ManualClock;
+import clovermill.runtime.net.ScriptedSocket;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.function.Function;
+import java.util.regex.Pattern;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+
+/** The deadline passed to a server, {@code ms=}, is what the client has left at the moment of the write. */
+class DeadlineFigureTest {
+
+    private static final Pattern MS_FIELD = Pattern.compile(",ms=(\\d+)");
+    private static final int TIMEOUT_MS = 1000;
+    private static final long DIAL_US = 400_000;
+    private static final int LARGE = 100_000;
+
+    private final ManualClock clock = new ManualClock();
+    private final Deadlines deadlines = new Deadlines();
+    private final ScriptedSocket socket = new ScriptedSocket();
+    private EventLoop loop;
+    private UpstreamPool pool;
+
+    @BeforeEach
+    void open() throws IOException {
+        loop = new EventLoop(clock, deadlines);
+        pool = new UpstreamPool(this::dial, clock, deadlines, new Budget(1 << 20),
+                new UpstreamPool.Limits(1000, 1, DIAL_US, 30_000_000));
+        pool.listed("m", new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), 0);
+    }
+
+    private Connection dial(InetSocketAddress address, Function<Connection, Connection.Handler> handlers) {
+        return socket.connect(loop, handlers);
+    }
+
+    private static final class Attempt implements Upstream.Ending {
+        Upstream.Exchange exchange;
+        Result result;
+
+        @Override
+        public void ended(Result reported, Note note, long waitedUs, UpstreamResponse answer) {
+            result = reported;
+        }
+    }
+
+    private Attempt send(String id, int bodyBytes) {
+        Attempt attempt = new Attempt();
+        ClientRequest request =
+                new ClientRequest(id, 0, "page", "aa", 0, 17, 1, 1_000_000, false, null, null, new byte[bodyBytes]);
+        attempt.exchange = pool.send(
+                new Upstream.Order(request, "m", TIMEOUT_MS * 1000L, null, 0, 0, false, false, false, false), attempt);
+        return attempt;
+    }
+
+    private void connected() throws IOException {
+        socket.reportReady();
+        loop.turn(0);
+    }
+
+    private void turns(int count) throws IOException {
+        for (int i = 0; i < count; i++) {
+            if (socket.isAwaitedWritable()) {
+                socket.reportReady();
+            }
+            loop.turn(0);
+        }
+    }
+
+    /** The {@code ms=} figures written so far, in order. */
+    private List<Integer> figures() {
+        return MS_FIELD.matcher(socket.written).results().map(field -> Integer.valueOf(field.group(1))).toList();
+    }
+
+    @Nested
+    class GivenASocketThatTakesNothing {
+
+        @Test
+        void whenItTakesBytesAgainThenEachHeadHasTheTimeLeftThen() throws IOException {
+            Attempt first = send("00000000000000a1", 0);
+            Attempt second = send("00000000000000a2", 0);
+            socket.writes.add(0);
+            connected();
+            assertThat(first.exchange.begun()).as("begun, though nothing was written").isFalse();
+            assertThat(socket.isAwaitedWritable()).isTrue();
+            clock.passMillis(300);
+            turns(2);
+            assertThat(figures()).containsExactly(700, 700);
+            assertThat(first.exchange.begun() && second.exchange.begun()).isTrue();
+        }
+
+        @Test
+        void whenOneIsGivenUpThenNothingOfItIsWritten() throws IOException {
+            Attempt first = send("00000000000000a1", 0);
+            send("00000000000000a2", 0);
+            socket.writes.add(0);
+            connected();
+            assertThat(first.exchange.giveUp()).as("has begun").isFalse();
+            turns(2);
+            assertThat(socket.written.toString()).doesNotContain("00000000000000a1").contains("00000000000000a2");
+        }
+
+        @Test
+        void whenADialsTimePassesThenWhatHasNotBegunIsWithdrawn() throws IOException {
+            Attempt first = send("00000000000000a1", 0);
+            socket.writes.add(0);
+            connected();
+            clock.passMicros(DIAL_US);
+            loop.turn(0);
+            assertThat(first.result).isEqualTo(Result.UNCONNECTED);
+            turns(2);
+            assertThat(socket.written).isEmpty();
+        }
+    }
+
+    @Nested
+    class GivenALargeBodyAhead {
+
+        @Test
+        void whenItIsStuckThenTheNextHeadHasTheTimeLeftAfterIt() throws IOException {
+            send("00000000000000a1", LARGE);
+            Attempt behind = send("00000000000000a2", 0);
+            socket.writes.addAll(List.of(1000, 0));
+            connected();
+            assertThat(behind.exchange.begun()).isFalse();
+            clock.passMillis(300);
+            turns(3);
+            assertThat(figures()).containsExactly(1000, 700);
+        }
+
+        @Test
+        void whenItIsStuckBehindASmallOneOfTheSameWriteThenTheNextHeadHasTheTimeLeftAfterIt() throws IOException {
+            send("00000000000000a1", 0);
+            send("00000000000000a2", 20_000);
+            send("00000000000000a3", 20_000);
+            socket.writes.addAll(List.of(5000, 0));
+            connected();
+            clock.passMillis(300);
+            turns(3);
+            assertThat(figures()).containsExactly(1000, 1000, 700);
+        }
+    }
+
+    @Nested
+    class GivenAHeadOfWhichAPartIsWritten {
+
+        @Test
+        void whenTheRestWaitsLongerThanTheSlackThenTheConnectionIsClosed() throws IOException {
+            Attempt cut = send("00000000000000a1", 0);
+            socket.writes.addAll(List.of(10, 0));
+            connected();
+            clock.passMillis(150);
+            turns(2);
+            assertThat(cut.result).isEqualTo(Result.NOT_SENT);
+            assertThat(socket.written).hasSize(10);
+        }
+
+        @Test
+        void whenTheRestWaitsLessThanTheSlackThenItGoesOn() throws IOException {
+            Attempt cut = send("00000000000000a1", 0);
+            socket.writes.addAll(List.of(10, 0));
+            connected();
+            clock.passMillis(140);
+            turns(2);
+            assertThat(cut.result).isNull();
+            assertThat(figures()).containsExactly(1000);
+        }
+    }
+
+    @Test
+    void givenManySmallRequestsOfOneTurnThenTheyGoOutInOneWrite() throws IOException {
+        for (int i = 100; i < 200; i++) {
+            send("0000000000000" + i, 0);
+        }
+        socket.writes.addAll(List.of(1 << 16, 0));
+        connected();
+        assertThat(figures()).hasSize(100);
+        assertThat(socket.writes).as("results of writes not made").hasSize(1);
+    }
+
+    @Test
+    void givenMoreThanOneBatchInOneTurnThenTheRestFollowsInTheNext() throws IOException {
+        for (int i = 100; i < 104; i++) {
+            send("0000000000000" + i, 40_000);
+        }
+        connected();
+        assertThat(figures()).hasSize(2);
+        loop.turn(0);
+        assertThat(figures()).hasSize(4);
+    }
+}
--- a/src/test/java/clovermill/runtime/net/ScriptedSocket.java
+++ b/src/test/java/clovermill/runtime/net/ScriptedSocket.java
@@ -12,26 +12,49 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Set;
+import java.util.function.Function;
 
 /**
  * A socket channel whose calls return or throw what a test has set down, as the JDK's does for the errors of the
  * system.
  */
-final class ScriptedSocket extends SocketChannel {
+public final class ScriptedSocket extends SocketChannel {
 
     /** What {@code read} and {@code write} return on Java 17 where the system call ends with EINTR. */
     static final int INTERRUPTED = -3;
 
     /** What the calls to come return, an {@link IOException} where they fail; bytes where there is nothing left. */
-    final Deque<Object> reads = new ArrayDeque<>();
-    final Deque<Object> writes = new ArrayDeque<>();
-    final Deque<Object> connects = new ArrayDeque<>();
-    final StringBuilder written = new StringBuilder();
+    public final Deque<Object> reads = new ArrayDeque<>();
+    public final Deque<Object> writes = new ArrayDeque<>();
+    public final Deque<Object> connects = new ArrayDeque<>();
+    /** The bytes that writes have taken. */
+    public final StringBuilder written = new StringBuilder();
 
-    ScriptedSocket() {
+    private final SelectionKey key = key();
+    private Connection connection;
+
+    /** A socket on which each call succeeds until a test says otherwise. */
+    public ScriptedSocket() {
         super(SelectorProvider.provider());
     }
 
+    /** A connection of {@code loop} that is being dialled on this socket. */
+    public Connection connect(EventLoop loop, Function<Connection, Connection.Handler> handlers) {
+        connection = new Connection(loop, this, key, true, null);
+        connection.handler(handlers.apply(connection));
+        return connection;
+    }
+
+    /** Reports the connection as ready for whatever it is interested in, as a selection does. */
+    public void reportReady() {
+        connection.ready();
+    }
+
+    /** Whether the connection waits for this socket to take bytes. */
+    public boolean isAwaitedWritable() {
+        return (key.interestOps() & SelectionKey.OP_WRITE) != 0;
+    }
+
     private static Object next(Deque<Object> results, Object otherwise) throws IOException {
         Object result = results.isEmpty() ? otherwise : results.poll();
         if (result instanceof IOException failure) {
