--- a/src/main/java/clovermill/controlplane/gossip/GossipService.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipService.java
@@ -145,12 +145,12 @@
     }
 
     @Override
-    public long turnsAway(ClientRequest ask) {
-        long first = next == null ? TAKEN : next.turnsAway(ask);
+    public long retryAfterMillis(ClientRequest ask) {
+        long first = next == null ? ADMITTED : next.retryAfterMillis(ask);
         long now = clock.micros();
-        for (int i = 0; first == TAKEN && i < limits.size(); i++) {
+        for (int i = 0; first == ADMITTED && i < limits.size(); i++) {
             LimitShare share = member.share(i);
-            if (appliesTo(limits.get(i), ask) && !share.admit(now, now + ask.waitUs() + slackUs)) {
+            if (appliesTo(limits.get(i), ask) && !share.admit(now, now + ask.remainingMicros() + slackUs)) {
                 release(ask, i);
                 double perMs = limits.get(i).open() == null ? share.amount(now) / 1000 : 1.0 / MAX_RETRY_AFTER_MS;
                 return (long) Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, 1 / perMs));
@@ -176,19 +176,19 @@
     }
 
     @Override
-    public void ended(UsageRecord usage) {
+    public void requestEnded(UsageRecord usage) {
         if (usage.admitted()) {
-            release(usage.ask(), limits.size());
+            release(usage.request(), limits.size());
         }
         if (next != null) {
-            next.ended(usage);
+            next.requestEnded(usage);
         }
     }
 
     @Override
-    public void members(Members change) {
+    public void membersChanged(Members change) {
         if (next != null) {
-            next.members(change);
+            next.membersChanged(change);
         }
     }
 
--- a/src/main/java/clovermill/controlplane/placement/Placement.java
+++ b/src/main/java/clovermill/controlplane/placement/Placement.java
@@ -2,7 +2,7 @@
 
 import clovermill.config.Json;
 import clovermill.controlplane.placement.decide.PlacementRules;
-import clovermill.dataplane.proxy.Bounds;
+import clovermill.dataplane.proxy.EndpointFilter;
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.UsageListener;
 import clovermill.dataplane.proxy.UsageRecord;
@@ -21,7 +21,7 @@
  * The policy in force at this director, as far as it says where data may be: turns away at once what it binds and
  * nobody may serve, and tells of any member whether an attempt may meet it at this very moment. On the loop's thread.
  */
-public final class Placement implements UsageListener, Bounds {
+public final class Placement implements UsageListener, EndpointFilter {
 
     /** A lease is back within a moment, or not for long. */
     private static final long AFTER_MS = 200;
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public long turnsAway(ClientRequest ask) {
+    public long retryAfterMillis(ClientRequest ask) {
         if (inForce == null || allBound && !leased()) {
             return AFTER_MS;
         }
@@ -100,7 +100,7 @@
                 return rule.guarded() && !leased() ? AFTER_MS : settings.allowed().maxRetryAfterUs() / 1000;
             }
         }
-        return next == null ? TAKEN : next.turnsAway(ask);
+        return next == null ? ADMITTED : next.retryAfterMillis(ask);
     }
 
     private boolean leased() {
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public Predicate<String> bind(ClientRequest ask) {
+    public Predicate<String> allowedMembers(ClientRequest ask) {
         return id -> {
             Member member = members.get(id);
             return member != null && allows(ask, member);
@@ -137,14 +137,14 @@
     }
 
     @Override
-    public void ended(UsageRecord usage) {
+    public void requestEnded(UsageRecord usage) {
         if (next != null) {
-            next.ended(usage);
+            next.requestEnded(usage);
         }
     }
 
     @Override
-    public void members(Members news) {
+    public void membersChanged(Members news) {
         if (news.scope() == ListScope.FULL || news.scope() == ListScope.REMEMBERED) {
             members.clear();
         }
@@ -156,7 +156,7 @@
             }
         }
         if (next != null) {
-            next.members(news);
+            next.membersChanged(news);
         }
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/Attempt.java
+++ b/src/main/java/clovermill/dataplane/proxy/Attempt.java
@@ -7,7 +7,7 @@
 import clovermill.runtime.net.Deadlines;
 
 /** One attempt; it ends once, by its answer, its time-out or its being called off. */
-final class Attempt implements Upstream.Ending {
+final class Attempt implements AttemptListener {
 
     /** What nobody waits for must not go on going out for longer: it counts as begun when all of it has arrived. */
     private static final long GOES_ON_US = 50_000;
@@ -19,7 +19,7 @@
     /** From where a miss is filled; null where it is not. */
     String source;
     /** Null until it is sent. */
-    Upstream.Exchange exchange;
+    Exchange exchange;
     Deadlines.Deadline timeout;
     private final ProxyCore host;
     /** How long after the first a further attempt may be sent, or {@link Long#MAX_VALUE} where nothing binds it. */
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public boolean mayGoOn() {
+    public boolean mayContinue() {
         return unwantedForUs() < GOES_ON_US && allowed();
     }
 
@@ -71,14 +71,14 @@
     }
 
     @Override
-    public void reported(LoadReport report) {
+    public void loadReported(LoadReport report) {
         load = report;
     }
 
     @Override
     public void ended(Result told, Note note, long waitedUs, UpstreamResponse answer) {
         // A member that finds the client's copy good where the client holds none has served nothing.
-        boolean empty = answer != null && answer.notModified() && call.ask.have() == null;
+        boolean empty = answer != null && answer.notModified() && call.ask.cachedTag() == null;
         Result result = empty ? Result.ERROR : told;
         boolean serves = result == Result.OK && !ended && !call.over();
         if (answer != null && !serves) {
@@ -110,9 +110,9 @@
      * that withdraw hundreds at once must not make all members look dead.
      */
     void giveUp(Result result) {
-        boolean heldHere = exchange.heldHere();
-        boolean mayHaveRun = exchange.giveUp();
-        Result unsent = result == Result.TIMED_OUT && !heldHere ? Result.UNCONNECTED : Result.NOT_SENT;
+        boolean isQueuedLocally = exchange.isQueuedLocally();
+        boolean mayHaveRun = exchange.cancel();
+        Result unsent = result == Result.TIMED_OUT && !isQueuedLocally ? Result.UNCONNECTED : Result.NOT_SENT;
         ended(mayHaveRun ? result : unsent, Note.NONE, 0, null);
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/ClientRequest.java
+++ b/src/main/java/clovermill/dataplane/proxy/ClientRequest.java
@@ -1,17 +1,27 @@
 package clovermill.dataplane.proxy;
 
 /**
- * A client's request as any front hands it over. {@code requestClass} is the index of its class and {@code
- * className} its name; {@code token} (the idempotency key) and {@code have} (the tag of the client's copy)
- * may be null. {@code waitUs} is the time left until the client gives up.
+ * A client's request, independent of the protocol that it came by.
+ *
+ * @param id sixteen hexadecimal digits; unique among the open requests
+ * @param requestClass index of the request's class in the settings
+ * @param className name of that class
+ * @param object hash of the requested object, sixteen hexadecimal digits
+ * @param part number of the requested segment of the object
+ * @param group bucket of the client
+ * @param sizeKb expected size of the answer in kilobytes
+ * @param remainingMicros time from now until the client gives up, in microseconds
+ * @param repeat whether the client has sent this request before
+ * @param idempotencyKey key by which servers recognise a repeated write, or null
+ * @param cachedTag entity tag of the copy that the client has, or null
+ * @param body body of a write, empty otherwise
  */
 public record ClientRequest(String id, int requestClass, String className, String object, int part, int group,
-        double sizeKb, long waitUs, boolean repeat, String token, String have, byte[] body) {
+        double sizeKb, long remainingMicros, boolean repeat, String idempotencyKey, String cachedTag, byte[] body) {
 
-    /** The same request with so many microseconds less until its client gives up. */
-    public ClientRequest later(long byUs) {
-        return new ClientRequest(id, requestClass, className, object, part, group, sizeKb, waitUs - byUs, repeat, token,
-                have,
-                body);
+    /** The same request after a delay in microseconds, with that much less time until its client gives up. */
+    public ClientRequest afterDelay(long delayMicros) {
+        return new ClientRequest(id, requestClass, className, object, part, group, sizeKb,
+                remainingMicros - delayMicros, repeat, idempotencyKey, cachedTag, body);
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
+++ b/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
@@ -55,7 +55,7 @@
     /** Null where nobody keeps count. */
     final UsageListener audit;
     /** Null where nothing binds requests. */
-    private final Bounds bounds;
+    private final EndpointFilter bounds;
     private final Map<String, RequestContext> calls = new HashMap<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private boolean delivering;
@@ -68,7 +68,7 @@
 
     /** {@code audit} and {@code bounds} may be null. */
     public ProxyCore(CacheRouter router, Settings settings, Clock clock, Deadlines deadlines,
-            Upstream upstream, UsageListener audit, Bounds bounds) {
+            Upstream upstream, UsageListener audit, EndpointFilter bounds) {
         this.bounds = bounds;
         this.router = router;
         this.allowed = settings.allowed();
@@ -92,24 +92,24 @@
             notTaken(ask, UsageRecord.End.FAILED);
             return;
         }
-        long afterMs = audit == null ? UsageListener.TAKEN : audit.turnsAway(ask);
-        if (afterMs != UsageListener.TAKEN) {
+        long afterMs = audit == null ? UsageListener.ADMITTED : audit.retryAfterMillis(ask);
+        if (afterMs != UsageListener.ADMITTED) {
             asker.refused(Math.min(afterMs, allowed.maxRetryAfterUs() / 1000));
             notTaken(ask, UsageRecord.End.REFUSED);
             return;
         }
-        RequestContext call = new RequestContext(this, ask, asker, bounds == null ? null : bounds.bind(ask));
+        RequestContext call = new RequestContext(this, ask, asker, bounds == null ? null : bounds.allowedMembers(ask));
         calls.put(ask.id(), call);
         deliver(new Request(ask.id(), ask.requestClass(), 0,
                 Long.parseUnsignedLong(ask.object(), 16), ask.part(), ask.group(), ask.sizeKb(),
-                ask.waitUs(), ask.repeat(), call.allowed == null ? ANY : call.allowed));
+                ask.remainingMicros(), ask.repeat(), call.allowed == null ? ANY : call.allowed));
     }
 
     /** Tells the audit of a request that a front or the host turned away before the module saw it. */
     public void notTaken(ClientRequest ask, UsageRecord.End how) {
         if (audit != null) {
             long nowUs = clock.micros();
-            audit.ended(new UsageRecord(ask, false, nowUs, nowUs, how, 0, null, null, null, 0, 0));
+            audit.requestEnded(new UsageRecord(ask, false, nowUs, nowUs, how, 0, null, null, null, 0, 0));
         }
     }
 
@@ -152,7 +152,7 @@
     /** Passes on news that come from no request: of the members, of purges. */
     public void tell(Event event) {
         if (audit != null && event instanceof Members news) {
-            audit.members(news);
+            audit.membersChanged(news);
         }
         deliver(event);
     }
@@ -210,11 +210,11 @@
     private void perform(Action action) {
         if (action instanceof SendVia a) {
             boolean filled = !a.source().equals(a.member());
-            send(a.request(), a.member(), a.timeoutUs(), (call, left) -> new Upstream.Order(call.ask, a.member(),
+            send(a.request(), a.member(), a.timeoutUs(), (call, left) -> new AttemptOrder(call.ask, a.member(),
                     left, filled ? a.source() : null, a.rank(), a.maxAgeUs(), a.join(), a.heldOnly(),
                     a.parentKeepsNone(), a.renew()));
         } else if (action instanceof Send a) {
-            send(a.request(), a.member(), a.timeoutUs(), (call, left) -> new Upstream.Order(call.ask, a.member(),
+            send(a.request(), a.member(), a.timeoutUs(), (call, left) -> new AttemptOrder(call.ask, a.member(),
                     left, null, 0, 0, false, false, false, false));
         } else if (action instanceof Cancel a) {
             RequestContext call = calls.get(a.request());
@@ -247,7 +247,7 @@
     }
 
     private interface Ordering {
-        Upstream.Order order(RequestContext call, long timeoutUs);
+        AttemptOrder order(RequestContext call, long timeoutUs);
     }
 
     /** Sends an attempt, its time-out cut to the client's deadline; one too many or too late is not sent. */
@@ -265,7 +265,7 @@
             return;
         }
         long cut = timeoutUs == 0 ? left : Math.min(left, Math.max(0, timeoutUs));
-        Upstream.Order order = ordering.order(call, cut);
+        AttemptOrder order = ordering.order(call, cut);
         attempt.source = order.source();
         attempt.exchange = upstream.send(order, attempt);
         if (!attempt.ended()) {
--- a/src/main/java/clovermill/dataplane/proxy/RequestContext.java
+++ b/src/main/java/clovermill/dataplane/proxy/RequestContext.java
@@ -34,7 +34,7 @@
         this.asker = asker;
         this.allowed = allowed;
         this.takenUs = host.clock.micros();
-        this.deadlineUs = takenUs + ask.waitUs();
+        this.deadlineUs = takenUs + ask.remainingMicros();
         this.overdue = host.deadlines.add(deadlineUs + host.slackUs() / 2, () -> host.overdue(this));
     }
 
@@ -109,7 +109,8 @@
     void audited(UsageRecord.End how) {
         if (host.audit != null) {
             host.audit
-                    .ended(new UsageRecord(ask, true, takenUs, host.clock.micros(), how, sent, null, null, null, 0, 0));
+                    .requestEnded(new UsageRecord(ask, true, takenUs, host.clock.micros(), how, sent, null, null, null,
+                            0, 0));
         }
     }
 
@@ -121,8 +122,8 @@
         }
         int attempts = sent;
         int size = answer.notModified() ? 0 : answer.body().bytes().length;
-        end().served(answer.with((bytes,
-                whole) -> host.audit.ended(new UsageRecord(ask, true, takenUs, host.clock.micros(),
+        end().served(answer.withListener((bytes,
+                whole) -> host.audit.requestEnded(new UsageRecord(ask, true, takenUs, host.clock.micros(),
                         !whole ? UsageRecord.End.BROKEN_OFF : answer.notModified() ? UsageRecord.End.NOT_MODIFIED
                                 : UsageRecord.End.SERVED,
                         attempts, by.member, by.source, note, bytes, size))));
--- a/src/main/java/clovermill/dataplane/proxy/ResponseHandler.java
+++ b/src/main/java/clovermill/dataplane/proxy/ResponseHandler.java
@@ -1,14 +1,14 @@
 package clovermill.dataplane.proxy;
 
-/** Who asked: exactly one of these is called for each request, unless its client has gone before. */
+/** Answers one client: exactly one of these methods is called for each request, unless its client has gone before. */
 public interface ResponseHandler {
 
-    /** Served; whoever implements this owns the answer's body from now on. */
-    void served(UpstreamResponse answer);
+    /** The request was served; the handler owns the response's body from now on. */
+    void served(UpstreamResponse response);
 
-    /** Refused: a retry does no harm, and is asked for no sooner than after so many milliseconds. */
-    void refused(long afterMs);
+    /** The request was rejected without effect; it may be retried after so many milliseconds. */
+    void refused(long retryAfterMillis);
 
-    /** Failed, with no promise. */
+    /** The request failed; it may have had an effect. */
     void failed();
 }
--- a/src/main/java/clovermill/dataplane/proxy/UpstreamResponse.java
+++ b/src/main/java/clovermill/dataplane/proxy/UpstreamResponse.java
@@ -3,25 +3,30 @@
 import clovermill.runtime.net.Body;
 
 /**
- * What a member served; {@code notModified}: the client's own copy is the one, and the body is empty. Whoever
- * writes the answer tells {@code receipt} once how much of the body went out; it is null where nobody asks.
+ * A member's successful answer.
+ *
+ * @param body the body; its memory is returned when it is closed
+ * @param notModified whether the client's own copy is valid; the body is empty then
+ * @param tag entity tag of the object, or null
+ * @param writeListener called once when the answer has been written to the client, or null
  */
-public record UpstreamResponse(Body body, boolean notModified, String tag, Receipt receipt) {
+public record UpstreamResponse(Body body, boolean notModified, String tag, WriteListener writeListener) {
 
-    /** Hears how an answer was written. */
-    public interface Receipt {
+    /** Observes the writing of an answer to the client. */
+    @FunctionalInterface
+    public interface WriteListener {
 
-        /** So many bytes of the body were written; {@code whole} if the answer was written to its end. */
-        void written(int bytes, boolean whole);
+        /** The writing ended after so many bytes of the body; {@code complete} if that was the whole answer. */
+        void written(int bytes, boolean complete);
     }
 
-    /** An answer about which nobody asks. */
+    /** A response whose writing nobody observes. */
     public UpstreamResponse(Body body, boolean notModified, String tag) {
         this(body, notModified, tag, null);
     }
 
-    /** The same answer for somebody who wants to hear how it was written. */
-    UpstreamResponse with(Receipt hears) {
-        return new UpstreamResponse(body, notModified, tag, hears);
+    /** The same response with a listener. */
+    UpstreamResponse withListener(WriteListener listener) {
+        return new UpstreamResponse(body, notModified, tag, listener);
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/UsageListener.java
+++ b/src/main/java/clovermill/dataplane/proxy/UsageListener.java
@@ -3,20 +3,23 @@
 import clovermill.routing.api.Members;
 
 /**
- * Hears what became of every request, and may turn one away before the module sees it. All calls come on the
- * loop's thread and must not block. A director without one pays nothing for it.
+ * Observes the end of every request and may reject a request before it is routed: accounting, rate limits, placement.
+ * Listeners are chained by their constructors. All calls come on the loop's thread and must not block.
  */
 public interface UsageListener {
 
-    /** What {@link #turnsAway} says of a request that is to be served. */
-    long TAKEN = -1;
+    /** Result of {@link #retryAfterMillis} for a request that is admitted. */
+    long ADMITTED = -1;
 
-    /** After how many milliseconds a request is to come back, or {@link #TAKEN}; refused at once otherwise. */
-    long turnsAway(ClientRequest ask);
+    /**
+     * Admission of a request: {@link #ADMITTED}, or the delay in milliseconds after which a request that is rejected
+     * now may be retried.
+     */
+    long retryAfterMillis(ClientRequest request);
 
-    /** A request has ended in whatever way; called exactly once for each that was read. */
-    void ended(UsageRecord usage);
+    /** A request has ended; called exactly once for each request that was read, admitted or not. */
+    void requestEnded(UsageRecord usage);
 
-    /** Passes on what the list of members tells. */
-    void members(Members news);
+    /** The set of members has changed. */
+    void membersChanged(Members change);
 }
--- a/src/main/java/clovermill/dataplane/proxy/UsageRecord.java
+++ b/src/main/java/clovermill/dataplane/proxy/UsageRecord.java
@@ -3,29 +3,36 @@
 import clovermill.routing.api.Note;
 
 /**
- * What one request came to. {@code takenUs} and {@code endedUs} are times of the loop's clock; {@code member},
- * {@code source} and {@code note} tell of the attempt that served it and are null where none did, {@code source}
- * also where nothing was to be filled. {@code admitted} is false for a request that was turned away before the
- * module saw it. {@code written} are the bytes of the body that went into the client's
- * socket, {@code size} those that there were.
+ * The outcome of one request.
+ *
+ * @param request the request
+ * @param admitted whether it was routed; false if it was rejected or invalid before that
+ * @param receivedMicros when it was received, in microseconds of the monotonic clock
+ * @param endedMicros when it ended, on the same clock
+ * @param end how it ended
+ * @param attempts number of attempts, those included that were not sent
+ * @param member id of the member that served it, or null
+ * @param source id of the member from which a miss was to be filled, or null
+ * @param note what the serving member said about its answer, or null
+ * @param writtenBytes bytes of the body that were written to the client's socket
+ * @param bodyBytes bytes of the whole body
  */
-public record UsageRecord(ClientRequest ask, boolean admitted, long takenUs, long endedUs, End end, int attempts,
-        String member,
-        String source, Note note, int written, int size) {
+public record UsageRecord(ClientRequest request, boolean admitted, long receivedMicros, long endedMicros, End end,
+        int attempts, String member, String source, Note note, int writtenBytes, int bodyBytes) {
 
-    /** How a request may end. */
+    /** How a request ended. */
     public enum End {
         /** The whole body was written. */
         SERVED,
-        /** The client's own copy holds. */
+        /** The client's own copy is valid; no body. */
         NOT_MODIFIED,
-        /** Turned away: it did no harm, and may come again. */
+        /** Rejected without effect; it may be retried. */
         REFUSED,
-        /** Failed, with no promise. */
+        /** Failed; it may have had an effect. */
         FAILED,
-        /** The client stopped waiting before there was an answer. */
+        /** The client cancelled or disconnected before there was an answer. */
         GONE,
-        /** The client's connection ended before all of the answer was written. */
+        /** The client's connection ended before the whole answer was written. */
         BROKEN_OFF
     }
 }
--- a/src/main/java/clovermill/dataplane/server/ClientStream.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStream.java
@@ -35,8 +35,8 @@
         ByteBuffer bytes = ByteBuffer.wrap(body);
         connection.answer(Frames.answer(Frames.ANSWER, number, Frames.SERVED, fields, body.length), bytes, whole -> {
             answer.body().close();
-            if (answer.receipt() != null) {
-                answer.receipt().written(bytes.position(), whole);
+            if (answer.writeListener() != null) {
+                answer.writeListener().written(bytes.position(), whole);
             }
         });
     }
--- a/src/main/java/clovermill/dataplane/server/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -75,8 +75,8 @@
         byte[] body = new byte[bodyBytes];
         payload.get(body);
         try {
-            ClientRequest ask = shared.reader().read(fields, body).later(shared.clock().micros() - arrivedMicros);
-            if (ask.waitUs() <= 0) {
+            ClientRequest ask = shared.reader().read(fields, body).afterDelay(shared.clock().micros() - arrivedMicros);
+            if (ask.remainingMicros() <= 0) {
                 shared.budget().give(bodyBytes);
                 connection.refuse(stream, shared.awayMs().getAsLong());
                 shared.host().notTaken(ask, UsageRecord.End.REFUSED);
--- a/src/main/java/clovermill/dataplane/upstream/CacheRequest.java
+++ b/src/main/java/clovermill/dataplane/upstream/CacheRequest.java
@@ -1,7 +1,7 @@
 package clovermill.dataplane.upstream;
 
+import clovermill.dataplane.proxy.AttemptListener;
 import clovermill.dataplane.proxy.ClientRequest;
-import clovermill.dataplane.proxy.Upstream;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Set;
@@ -15,7 +15,7 @@
  * bytes for the microseconds that are left.
  */
 record CacheRequest(String member, String id, ClientRequest ask, String source, long dueUs,
-        LongFunction<List<ByteBuffer>> encoder, Upstream.Ending ending) {
+        LongFunction<List<ByteBuffer>> encoder, AttemptListener ending) {
 
     /** Whether a miss of it is to be filled from one of these members. */
     boolean isFilledFrom(Set<String> members) {
--- a/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
+++ b/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.upstream;
 
-import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.Exchange;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Deadlines.Deadline;
@@ -11,7 +11,7 @@
  * that moment. The dial is tried again with a pause until a dial's time has passed; then the request has not been sent,
  * which speaks against no member.
  */
-final class DelayedDial implements Upstream.Exchange {
+final class DelayedDial implements Exchange {
 
     /** From a failed dial to the next. */
     static final long PAUSE_US = 20_000;
@@ -20,7 +20,7 @@
     private final CacheRequest request;
     private final long untilUs;
     private Deadline next;
-    private Upstream.Exchange sent;
+    private Exchange sent;
 
     /** The first dial has just failed; the last may begin at {@code untilUs} of the clock. */
     DelayedDial(UpstreamPool pool, CacheRequest request, long untilUs) {
@@ -59,9 +59,9 @@
     }
 
     @Override
-    public boolean giveUp() {
+    public boolean cancel() {
         if (sent != null) {
-            return sent.giveUp();
+            return sent.cancel();
         }
         pool.cancel(next);
         pool.dialled(this);
@@ -75,7 +75,7 @@
 
     /** Until it is on a connection it is this machine that holds it back, which speaks against no member. */
     @Override
-    public boolean heldHere() {
-        return sent == null || sent.heldHere();
+    public boolean isQueuedLocally() {
+        return sent == null || sent.isQueuedLocally();
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/RequestLine.java
+++ b/src/main/java/clovermill/dataplane/upstream/RequestLine.java
@@ -1,7 +1,7 @@
 package clovermill.dataplane.upstream;
 
+import clovermill.dataplane.proxy.AttemptOrder;
 import clovermill.dataplane.proxy.ClientRequest;
-import clovermill.dataplane.proxy.Upstream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -13,8 +13,8 @@
     private RequestLine() {}
 
     /** The parts of an attempt's request, whose client has {@code leftUs} microseconds left as it is written. */
-    static List<ByteBuffer> want(Upstream.Order order, long leftUs) {
-        ClientRequest ask = order.ask();
+    static List<ByteBuffer> want(AttemptOrder order, long leftUs) {
+        ClientRequest ask = order.request();
         String head = "want " + ask.id() + " " + fields(order, leftUs) + " " + ask.body().length + "\r\n";
         return ask.body().length == 0
                 ? List.of(text(head + "\r\n"))
@@ -30,13 +30,13 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String fields(Upstream.Order order, long leftUs) {
-        ClientRequest ask = order.ask();
+    private static String fields(AttemptOrder order, long leftUs) {
+        ClientRequest ask = order.request();
         StringJoiner fields = new StringJoiner(",");
         fields.add("kind=" + ask.className()).add("obj=" + ask.object()).add("seg=" + ask.part());
         fields.add("ms=" + Math.max(1, leftUs / 1000));
-        if (ask.token() != null) {
-            fields.add("token=" + ask.token());
+        if (ask.idempotencyKey() != null) {
+            fields.add("token=" + ask.idempotencyKey());
         }
         if (order.source() != null) {
             fields.add("src=" + order.source());
@@ -44,17 +44,17 @@
         if (order.rank() > 0) {
             fields.add("keep=" + order.rank());
         }
-        if (order.maxAgeUs() > 0) {
-            fields.add("maxage=" + Math.max(1, order.maxAgeUs() / 1000));
+        if (order.maxAgeMicros() > 0) {
+            fields.add("maxage=" + Math.max(1, order.maxAgeMicros() / 1000));
         }
         StringJoiner flags = new StringJoiner("+");
         if (order.join()) {
             flags.add("join");
         }
-        if (order.heldOnly()) {
+        if (order.cachedOnly()) {
             flags.add("held");
         }
-        if (order.parentKeepsNone()) {
+        if (order.parentMustNotCache()) {
             flags.add("nocopy");
         }
         if (order.renew()) {
@@ -63,8 +63,8 @@
         if (flags.length() > 0) {
             fields.add("flags=" + flags);
         }
-        if (ask.have() != null) {
-            fields.add("have=" + ask.have());
+        if (ask.cachedTag() != null) {
+            fields.add("have=" + ask.cachedTag());
         }
         return fields.toString();
     }
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -257,7 +257,7 @@
     /** A report that can't be read is none: the answer that brought it is as good as ever. */
     private static void report(UpstreamExchange exchange, String gauges) {
         try {
-            exchange.ending.reported(LoadReports.read(gauges, ";"));
+            exchange.ending.loadReported(LoadReports.read(gauges, ";"));
         } catch (NumberFormatException unreadable) {
             LOG.log(System.Logger.Level.DEBUG, "not a load report: {0}", gauges);
         }
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
@@ -1,7 +1,8 @@
 package clovermill.dataplane.upstream;
 
+import clovermill.dataplane.proxy.AttemptListener;
 import clovermill.dataplane.proxy.ClientRequest;
-import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
@@ -12,10 +13,10 @@
 import java.util.function.Predicate;
 
 /** An exchange on its connection: queued there, then sent, then ended or given up. */
-final class UpstreamExchange implements Upstream.Exchange {
+final class UpstreamExchange implements Exchange {
 
     final String id;
-    final Upstream.Ending ending;
+    final AttemptListener ending;
     private final UpstreamConnection connection;
     private final CacheRequest request;
     private boolean begun;
@@ -32,7 +33,7 @@
     }
 
     @Override
-    public boolean heldHere() {
+    public boolean isQueuedLocally() {
         return !begun && connection.idlesUntilFlush();
     }
 
@@ -42,7 +43,7 @@
     }
 
     @Override
-    public boolean giveUp() {
+    public boolean cancel() {
         connection.givenUp(this);
         return begun;
     }
@@ -79,7 +80,7 @@
 
     /** A part of it waits to be written, and must not any more. */
     boolean mustStop() {
-        return begun && !whole && (revoked || !ending.mayGoOn());
+        return begun && !whole && (revoked || !ending.mayContinue());
     }
 
     /** It may not go out any more, whoever waits for it: its member or its source drains, or its copy was purged. */
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
@@ -1,6 +1,9 @@
 package clovermill.dataplane.upstream;
 
+import clovermill.dataplane.proxy.AttemptListener;
+import clovermill.dataplane.proxy.AttemptOrder;
 import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.Upstream;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
@@ -146,18 +149,18 @@
     }
 
     @Override
-    public Exchange send(Order order, Ending ending) {
-        ClientRequest ask = order.ask();
-        long dueUs = clock.micros() + order.timeoutUs();
+    public Exchange send(AttemptOrder order, AttemptListener ending) {
+        ClientRequest ask = order.request();
+        long dueUs = clock.micros() + order.timeoutMicros();
         return send(new CacheRequest(order.member(), ask.id(), ask, order.source(), dueUs,
                 leftUs -> RequestLine.want(order, leftUs), ending));
     }
 
     @Override
-    public void probe(String member, Ending ending) {
+    public void probe(String member, AttemptListener ending) {
         String tag = "p" + probes++;
         Deadline[] timeout = new Deadline[1];
-        Ending probed = (result, note, waited, answer) -> {
+        AttemptListener probed = (result, note, waited, answer) -> {
             deadlines.cancel(timeout[0]);
             if (answer != null) {
                 answer.body().close();
@@ -168,7 +171,7 @@
                 leftUs -> RequestLine.there(tag), probed));
         timeout[0] = deadlines.add(clock.micros() + limits.dialUs(), () -> {
             if (exchange != NONE) {
-                exchange.giveUp();
+                exchange.cancel();
                 ending.ended(Result.TIMED_OUT, Note.NONE, 0, null);
             }
         });
--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void members(Members news) {
+    public void membersChanged(Members news) {
         for (Member member : news.members()) {
             kinds.put(member.id(), member.kind());
         }
@@ -158,40 +158,40 @@
     }
 
     @Override
-    public long turnsAway(ClientRequest ask) {
+    public long retryAfterMillis(ClientRequest ask) {
         String tenant = rules.tenant(ask.requestClass(), ask.group());
         if (refusers.contains(tenant)
                 && (backlog.refuses(stage.used()) || writer.failing() || !missed.isEmpty())) {
             return settings.retryMs();
         }
         if (allowances.isEmpty()) {
-            return TAKEN;
+            return ADMITTED;
         }
         long nowMs = timeline.at(clock.micros() / 1000);
         long afterMs = allowances.turnsAway(tenant, ask.requestClass(), nowMs);
         if (afterMs == Allowances.ALLOWED) {
             allowances.taken(tenant, nowMs);
-            return TAKEN;
+            return ADMITTED;
         }
         return afterMs;
     }
 
     @Override
-    public void ended(UsageRecord usage) {
-        ClientRequest ask = usage.ask();
+    public void requestEnded(UsageRecord usage) {
+        ClientRequest ask = usage.request();
         String tenant = rules.tenant(ask.requestClass(), ask.group());
-        long takenMs = timeline.at(usage.takenUs() / 1000);
+        long takenMs = timeline.at(usage.receivedMicros() / 1000);
         if (usage.admitted()) {
-            allowances.ended(tenant, takenMs, usage.written(), timeline.at(usage.endedUs() / 1000));
+            allowances.ended(tenant, takenMs, usage.writtenBytes(), timeline.at(usage.endedMicros() / 1000));
         }
         How how = how(usage);
         // What a joined fill brought is counted with the request that began it.
-        int fromOrigin = how == How.ORIGIN ? usage.size() : 0;
+        int fromOrigin = how == How.ORIGIN ? usage.bodyBytes() : 0;
         int fromParent = how == How.PARENT || how == How.ORIGIN && passed(usage, director.parentKind())
-                ? usage.size() : 0;
-        Entry.Used used = new Entry.Used(seq + 1, takenMs, clock.unixMillis(), usage.endedUs(),
+                ? usage.bodyBytes() : 0;
+        Entry.Used used = new Entry.Used(seq + 1, takenMs, clock.unixMillis(), usage.endedMicros(),
                 HexFormat.fromHexDigitsToLong(ask.id()), tryKey(ask), tenant, ask.requestClass(), usage.end(), how,
-                usage.attempts(), ask.repeat(), usage.written(), fromParent, fromOrigin);
+                usage.attempts(), ask.repeat(), usage.writtenBytes(), fromParent, fromOrigin);
         if (missed.isEmpty() && owed.isEmpty() && stage.offer(used)) {
             seq++;
             gather();
@@ -235,7 +235,7 @@
     /** The same for all tries of one request: by its idempotency key, or by what is asked for. */
     private long tryKey(ClientRequest ask) {
         hash.reset();
-        return ask.token() != null ? hash.putString(ask.token()).getAsLong()
+        return ask.idempotencyKey() != null ? hash.putString(ask.idempotencyKey()).getAsLong()
                 : hash.putString(ask.object()).putInt(ask.part()).putInt(ask.requestClass()).getAsLong();
     }
 
--- a/src/test/java/clovermill/controlplane/placement/PlacementTest.java
+++ b/src/test/java/clovermill/controlplane/placement/PlacementTest.java
@@ -46,7 +46,7 @@
                 return nowUs / 1000;
             }
         }, config.settings(), config.zones(), config.classes(), false, null);
-        placement.members(new Members(ListScope.FULL, List.of(member("s-1", 1, 0), member("p-1", 0, 1),
+        placement.membersChanged(new Members(ListScope.FULL, List.of(member("s-1", 1, 0), member("p-1", 0, 1),
                 member("o-1", 0, 2))));
     }
 
@@ -66,74 +66,76 @@
 
     @Test
     void nothingIsServedBeforeAnythingIsKnownAndAllOfItWithoutRules() {
-        assertThat(placement.turnsAway(ask(0))).isPositive();
+        assertThat(placement.retryAfterMillis(ask(0))).isPositive();
         placement.holds(List.of("{}"), 0);
-        assertThat(placement.turnsAway(ask(0))).isEqualTo(UsageListener.TAKEN);
-        assertThat(placement.bind(ask(0)).test("s-1")).isTrue();
+        assertThat(placement.retryAfterMillis(ask(0))).isEqualTo(UsageListener.ADMITTED);
+        assertThat(placement.allowedMembers(ask(0)).test("s-1")).isTrue();
     }
 
     @Test
     void aRuleBindsTargetsAndSourcesAlikeAndOnlyItsTenant() {
         placement.holds(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.bind(ask(9));
+        Predicate<String> bound = placement.allowedMembers(ask(9));
         assertThat(bound.test("s-1")).isTrue();
         assertThat(bound.test("p-1")).isFalse();
         assertThat(bound.test("o-1")).isFalse();
         assertThat(bound.test("s-unknown")).isFalse();
-        assertThat(placement.bind(ask(10)).test("p-1")).isTrue();
+        assertThat(placement.allowedMembers(ask(10)).test("p-1")).isTrue();
     }
 
     @Test
     void inAChangeOnlyWhatBothAllowAndWhatIsBoundFollowsWhileARequestIsOpen() {
         placement.holds(List.of(policy(BOTH)), 10_000);
-        Predicate<String> bound = placement.bind(ask(0));
+        Predicate<String> bound = placement.allowedMembers(ask(0));
         assertThat(bound.test("p-1")).isTrue();
         placement.holds(List.of(policy(BOTH), policy(EDGE)), 10_000);
         assertThat(bound.test("p-1")).isFalse();
         assertThat(bound.test("s-1")).isTrue();
         placement.holds(List.of(policy(EDGE), policy(HUBS)), 10_000);
         assertThat(bound.test("s-1")).isFalse();
-        assertThat(placement.bind(ask(0)).test("o-1")).isFalse();
+        assertThat(placement.allowedMembers(ask(0)).test("o-1")).isFalse();
     }
 
     @Test
     void aLeaseThatRunsOutEndsAProtectedTenantAtThatMomentAndNoOther() {
         placement.holds(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.bind(ask(0));
+        Predicate<String> bound = placement.allowedMembers(ask(0));
         nowUs = 9_999;
         assertThat(bound.test("s-1")).isTrue();
         nowUs = 10_000;
         assertThat(bound.test("s-1")).isFalse();
-        assertThat(placement.turnsAway(ask(0))).isPositive();
-        assertThat(placement.turnsAway(ask(10))).isEqualTo(UsageListener.TAKEN);
+        assertThat(placement.retryAfterMillis(ask(0))).isPositive();
+        assertThat(placement.retryAfterMillis(ask(10))).isEqualTo(UsageListener.ADMITTED);
         placement.holds(List.of(policy(LOOSE)), 10_000);
-        assertThat(placement.bind(ask(0)).test("s-1")).isTrue();
-        assertThat(placement.bind(ask(0)).test("p-1")).isFalse();
+        assertThat(placement.allowedMembers(ask(0)).test("s-1")).isTrue();
+        assertThat(placement.allowedMembers(ask(0)).test("p-1")).isFalse();
     }
 
     @Test
     void whereNobodyMayServeItIsTurnedAwayAtOnce() {
         placement.holds(List.of(policy("{\"tenant\":\"a\",\"sites\":[]}")), 10_000);
-        assertThat(placement.turnsAway(ask(0))).isPositive();
+        assertThat(placement.retryAfterMillis(ask(0))).isPositive();
         placement.holds(List.of(policy(LOOSE)), 10_000);
-        assertThat(placement.turnsAway(ask(0))).isEqualTo(UsageListener.TAKEN);
-        placement.members(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
-                0))));
-        assertThat(placement.turnsAway(ask(0))).isPositive();
+        assertThat(placement.retryAfterMillis(ask(0))).isEqualTo(UsageListener.ADMITTED);
+        placement.membersChanged(
+                new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
+                        0))));
+        assertThat(placement.retryAfterMillis(ask(0))).isPositive();
     }
 
     @Test
     void aMemberThatIsGoneMayNotBeMet() {
         placement.holds(List.of("{}"), 10_000);
-        placement.members(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.GONE, 1, 0))));
-        assertThat(placement.bind(ask(0)).test("s-1")).isFalse();
+        placement.membersChanged(
+                new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.GONE, 1, 0))));
+        assertThat(placement.allowedMembers(ask(0)).test("s-1")).isFalse();
     }
 
     @Test
     void aCacheThatChangesItsZoneUnderTheSameIdIsJudgedByTheNewOne() {
         placement.holds(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.bind(ask(0));
-        placement.members(new Members(ListScope.CHANGES, List.of(member("s-1", 0, 0))));
+        Predicate<String> bound = placement.allowedMembers(ask(0));
+        placement.membersChanged(new Members(ListScope.CHANGES, List.of(member("s-1", 0, 0))));
         assertThat(bound.test("s-1")).isFalse();
     }
 
--- a/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -48,8 +48,8 @@
     private final Budget budget = new Budget(100);
     private final List<Event> events = new ArrayList<>();
     private final Deque<List<Action>> replies = new ArrayDeque<>();
-    private final List<Upstream.Order> orders = new ArrayList<>();
-    private final List<Upstream.Ending> endings = new ArrayList<>();
+    private final List<AttemptOrder> orders = new ArrayList<>();
+    private final List<AttemptListener> listeners = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
     private Result atOnce;
     private boolean mayHaveRun = true;
@@ -75,15 +75,15 @@
                 }
             }, deadlines, new Upstream() {
                 @Override
-                public Exchange send(Order order, Ending ending) {
+                public Exchange send(AttemptOrder order, AttemptListener listener) {
                     orders.add(order);
-                    endings.add(ending);
+                    listeners.add(listener);
                     if (atOnce != null) {
-                        ending.ended(atOnce, Note.NONE, 0, null);
+                        listener.ended(atOnce, Note.NONE, 0, null);
                     }
                     return new Exchange() {
                         @Override
-                        public boolean giveUp() {
+                        public boolean cancel() {
                             return mayHaveRun;
                         }
 
@@ -95,8 +95,8 @@
                 }
 
                 @Override
-                public void probe(String member, Ending ending) {
-                    ending.ended(Result.OK, Note.NONE, 0, null);
+                public void probe(String member, AttemptListener listener) {
+                    listener.ended(Result.OK, Note.NONE, 0, null);
                 }
 
                 @Override
@@ -148,8 +148,8 @@
     void theFirstOkEndsTheRequestAndLaterAttemptsStillHaveTheirOutcome() {
         submit(new Send(ID, "a", 0), new Send(ID, "b", 0));
         nowUs += 50;
-        endings.get(1).ended(Result.OK, Note.NONE, 0, answer());
-        endings.get(0).ended(Result.OK, Note.NONE, 0, answer());
+        listeners.get(1).ended(Result.OK, Note.NONE, 0, answer());
+        listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
         assertThat(answers).containsExactly("served");
         assertThat(events.subList(1, 3)).containsExactly(outcome(1, "b", Result.OK, 50, true),
                 outcome(0, "a", Result.OK, 50, true));
@@ -160,7 +160,7 @@
     @Test
     void aTimeOutIsCutToTheClientsDeadlineAndTheAnswerIsStillOwed() {
         submit(new Send(ID, "a", 5_000_000));
-        assertThat(orders.get(0).timeoutUs()).isEqualTo(100_000);
+        assertThat(orders.get(0).timeoutMicros()).isEqualTo(100_000);
         replies.add(List.of(new Fail(ID)));
         at(101_000);
         assertThat(events).contains(outcome(0, "a", Result.TIMED_OUT, 100_000, false));
@@ -172,7 +172,7 @@
     void notModifiedForAClientWithoutACopyIsAnError() {
         submit(new Send(ID, "a", 0));
         assertThat(budget.take(10)).isTrue();
-        endings.get(0).ended(Result.OK, Note.HIT, 0, new UpstreamResponse(new Body(new byte[10], budget), true, "t"));
+        listeners.get(0).ended(Result.OK, Note.HIT, 0, new UpstreamResponse(new Body(new byte[10], budget), true, "t"));
         assertThat(answers).isEmpty();
         assertThat(((Outcome) events.get(1)).result()).isEqualTo(Result.ERROR);
         assertThat(budget.used()).isZero();
@@ -208,13 +208,13 @@
     @Test
     void anAttemptThatIsCalledOffEndsOnce() {
         submit(new Send(ID, "a", 0), new Cancel(ID, 0), new Cancel(ID, 0));
-        endings.get(0).ended(Result.OK, Note.NONE, 0, answer());
+        listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
         assertThat(events.subList(1, events.size())).containsExactly(outcome(0, "a", Result.CANCELLED, 0, false));
         assertThat(answers).isEmpty();
         assertThat(budget.used()).isZero();
     }
 
-    /** An ending during the call that sends must reach the module after its present event, not inside it. */
+    /** An listener during the call that sends must reach the module after its present event, not inside it. */
     @Test
     void anEndingAtOnceComesAsANewEvent() {
         atOnce = Result.UNCONNECTED;
@@ -238,7 +238,7 @@
         submit(new Send(ID, "a", 0));
         replies.add(List.of(new Refuse(ID, 0)));
         host.clientGone(ID);
-        endings.get(0).ended(Result.OK, Note.NONE, 0, answer());
+        listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
         assertThat(answers).isEmpty();
         assertThat(events).last().isEqualTo(outcome(0, "a", Result.OK, 0, true));
         assertThat(budget.used()).isZero();
@@ -256,12 +256,12 @@
     @Test
     void whatNobodyWaitsForMayNotBeginAndGoesOnForAMomentOnly() {
         submit(new Send(ID, "a", 0));
-        assertThat(endings.get(0).mayBegin()).isTrue();
+        assertThat(listeners.get(0).mayBegin()).isTrue();
         host.clientGone(ID);
-        assertThat(endings.get(0).mayBegin()).isFalse();
-        assertThat(endings.get(0).mayGoOn()).isTrue();
+        assertThat(listeners.get(0).mayBegin()).isFalse();
+        assertThat(listeners.get(0).mayContinue()).isTrue();
         nowUs += 50_000;
-        assertThat(endings.get(0).mayGoOn()).isFalse();
+        assertThat(listeners.get(0).mayContinue()).isFalse();
     }
 
     /** A repeat may wait for its connection, or with a part of it written: its window counts from the first's start. */
@@ -270,22 +270,22 @@
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
         nowUs += 1000;
-        endings.get(0).ended(Result.BROKEN, Note.NONE, 0, null);
+        listeners.get(0).ended(Result.BROKEN, Note.NONE, 0, null);
         nowUs += WINDOW_US - 1001;
-        assertThat(endings.get(1).mayBegin()).isTrue();
-        assertThat(endings.get(1).mayGoOn()).isTrue();
+        assertThat(listeners.get(1).mayBegin()).isTrue();
+        assertThat(listeners.get(1).mayContinue()).isTrue();
         nowUs += 1;
-        assertThat(endings.get(1).mayBegin()).isFalse();
-        assertThat(endings.get(1).mayGoOn()).isFalse();
+        assertThat(listeners.get(1).mayBegin()).isFalse();
+        assertThat(listeners.get(1).mayContinue()).isFalse();
     }
 
     @Test
     void aRepeatOfWhatNeverRanHasNoWindow() {
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
-        endings.get(0).ended(Result.REFUSED, Note.NONE, 0, null);
+        listeners.get(0).ended(Result.REFUSED, Note.NONE, 0, null);
         nowUs += WINDOW_US;
-        assertThat(endings.get(1).mayBegin()).isTrue();
+        assertThat(listeners.get(1).mayBegin()).isTrue();
     }
 
     @Test
@@ -303,7 +303,7 @@
         host.clientLeft(ID);
         assertThat(answers).isEmpty();
         replies.add(List.of(new Send(ID, "b", 0)));
-        endings.get(0).ended(Result.ERROR, Note.NONE, 0, null);
+        listeners.get(0).ended(Result.ERROR, Note.NONE, 0, null);
         assertThat(answers).containsExactly("failed");
         assertThat(orders).hasSize(1);
     }
@@ -323,9 +323,9 @@
         submit(new Send(ID, "a", 5000));
         replies.add(List.of(new Send(ID, "b", 0)));
         at(6000);
-        assertThat(endings.get(0).mayGoOn()).isTrue();
+        assertThat(listeners.get(0).mayContinue()).isTrue();
         at(56_000);
-        assertThat(endings.get(0).mayGoOn()).isFalse();
-        assertThat(endings.get(1).mayGoOn()).isTrue();
+        assertThat(listeners.get(0).mayContinue()).isFalse();
+        assertThat(listeners.get(1).mayContinue()).isTrue();
     }
 }
--- a/src/test/java/clovermill/dataplane/server/FrameServerTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameServerTest.java
@@ -3,6 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.config.Config;
+import clovermill.dataplane.proxy.AttemptListener;
+import clovermill.dataplane.proxy.AttemptOrder;
+import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.proxy.Upstream;
 import clovermill.routing.api.ClientGone;
@@ -51,12 +54,12 @@
 
     private static final Upstream NOBODY = new Upstream() {
         @Override
-        public Exchange send(Order order, Ending ending) {
+        public Exchange send(AttemptOrder order, AttemptListener listener) {
             throw new AssertionError("nothing is sent");
         }
 
         @Override
-        public void probe(String member, Ending ending) {}
+        public void probe(String member, AttemptListener listener) {}
 
         @Override
         public void closeIdle(String member) {}
--- a/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
@@ -2,8 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import clovermill.dataplane.proxy.AttemptListener;
+import clovermill.dataplane.proxy.AttemptOrder;
 import clovermill.dataplane.proxy.ClientRequest;
-import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
@@ -85,11 +87,11 @@
         return connection;
     }
 
-    private Upstream.Exchange send(String id, String object, String source, long timeoutUs) {
+    private Exchange send(String id, String object, String source, long timeoutUs) {
         ClientRequest ask =
                 new ClientRequest(id, 0, "page", object, 0, 17, 1, timeoutUs, false, null, null, new byte[0]);
-        return pool.send(new Upstream.Order(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
-                new Upstream.Ending() {
+        return pool.send(new AttemptOrder(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
+                new AttemptListener() {
                     @Override
                     public boolean mayBegin() {
                         return mayBegin;
@@ -102,7 +104,7 @@
                 });
     }
 
-    private Upstream.Exchange send() {
+    private Exchange send() {
         return send("00000000000000a1", "aa", "p", 1_000_000);
     }
 
@@ -130,9 +132,9 @@
     @MethodSource("ofThisMachine")
     void whatThisMachineLacksForAMomentDelaysTheRequest(IOException failure) throws IOException {
         failures.addAll(List.of(failure, failure));
-        Upstream.Exchange exchange = send();
+        Exchange exchange = send();
         assertThat(results).isEmpty();
-        assertThat(exchange.heldHere()).isTrue();
+        assertThat(exchange.isQueuedLocally()).isTrue();
         pass(2 * DelayedDial.PAUSE_US);
         assertThat(connections).hasSize(1);
         for (int i = 0; i < 1000 && !exchange.begun(); i++) {
@@ -171,8 +173,8 @@
     @Test
     void whatIsGivenUpOrNoLongerWantedIsNotDialledFor() {
         failures.addAll(Collections.nCopies(2, new SocketException("No buffer space available")));
-        Upstream.Exchange exchange = send();
-        assertThat(exchange.giveUp()).isFalse();
+        Exchange exchange = send();
+        assertThat(exchange.cancel()).isFalse();
         send("00000000000000a2", "aa", "p", 1_000_000);
         mayBegin = false;
         pass(DIAL_US);
@@ -199,13 +201,13 @@
     /** A further connection that cannot be dialled costs nothing where there is one. */
     @Test
     void aFurtherConnectionThatCannotBeDialledCostsNothing() throws IOException {
-        Upstream.Exchange first = send();
+        Exchange first = send();
         for (int i = 0; i < 1000 && !first.begun(); i++) {
             loop.turn(1);
         }
         send("00000000000000a2", "aa", "p", 1_000_000);
         failures.add(new SocketException("Too many open files"));
-        Upstream.Exchange third = send("00000000000000a3", "aa", "p", 1_000_000);
+        Exchange third = send("00000000000000a3", "aa", "p", 1_000_000);
         assertThat(failures).isEmpty();
         loop.turn(1);
         assertThat(third.begun()).isTrue();
--- a/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
@@ -2,8 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import clovermill.dataplane.proxy.AttemptListener;
+import clovermill.dataplane.proxy.AttemptOrder;
 import clovermill.dataplane.proxy.ClientRequest;
-import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
@@ -75,10 +77,10 @@
     }
 
     /** One attempt; it keeps how it ended. */
-    private static final class Attempt implements Upstream.Ending {
-        Upstream.Exchange exchange;
+    private static final class Attempt implements AttemptListener {
+        Exchange exchange;
         boolean mayBegin = true;
-        boolean mayGoOn = true;
+        boolean mayContinue = true;
         Result result;
 
         @Override
@@ -87,8 +89,8 @@
         }
 
         @Override
-        public boolean mayGoOn() {
-            return mayGoOn;
+        public boolean mayContinue() {
+            return mayContinue;
         }
 
         @Override
@@ -108,7 +110,7 @@
         Attempt attempt = new Attempt();
         ClientRequest ask =
                 new ClientRequest(id, 0, "page", object, 0, 17, 1, 1_000_000, false, null, null, new byte[bodyBytes]);
-        attempt.exchange = pool.send(new Upstream.Order(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
+        attempt.exchange = pool.send(new AttemptOrder(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
                 attempt);
         return attempt;
     }
@@ -171,7 +173,7 @@
     @Test
     void whatIsHalfWrittenAndMayNotGoOnNeverArrivesWhole() throws IOException {
         Attempt half = stuck();
-        half.mayGoOn = false;
+        half.mayContinue = false;
         assertThat(reads("never")).isFalse();
         assertThat(read.length()).isLessThan(LARGE);
         assertThat(half.result).isEqualTo(Result.NOT_SENT);
@@ -180,8 +182,8 @@
     @Test
     void norDoesWhatWasGivenUpHalfWritten() throws IOException {
         Attempt half = stuck();
-        assertThat(half.exchange.giveUp()).isTrue();
-        half.mayGoOn = false;
+        assertThat(half.exchange.cancel()).isTrue();
+        half.mayContinue = false;
         assertThat(reads("never_mind")).isFalse();
         assertThat(read.length()).isLessThan(LARGE);
     }
@@ -252,7 +254,7 @@
             answer(0, "x");
             turn();
         }
-        endless.exchange.giveUp();
+        endless.exchange.cancel();
         for (int i = 0; i < 9 && behind.result == null; i++) {
             nowUs += DIAL_US / 8;
             answer(0, "x");
@@ -271,7 +273,7 @@
         for (int i = 0; i < 20; i++) {
             turn();
         }
-        large.exchange.giveUp();
+        large.exchange.cancel();
         for (int part = 0; part < 18; part++) {
             answer(0, "x".repeat(10_000));
             for (int i = 0; i < 20; i++) {
--- a/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
+++ b/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
@@ -4,6 +4,9 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import clovermill.config.Config;
+import clovermill.dataplane.proxy.AttemptListener;
+import clovermill.dataplane.proxy.AttemptOrder;
+import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.proxy.Upstream;
 import clovermill.dataplane.server.ClientServer;
@@ -72,12 +75,12 @@
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         Upstream nobody = new Upstream() {
             @Override
-            public Exchange send(Order order, Ending ending) {
+            public Exchange send(AttemptOrder order, AttemptListener listener) {
                 throw new AssertionError("nothing is sent");
             }
 
             @Override
-            public void probe(String member, Ending ending) {}
+            public void probe(String member, AttemptListener listener) {}
 
             @Override
             public void closeIdle(String member) {}
--- a/src/test/java/clovermill/ledger/CrashPointsTest.java
+++ b/src/test/java/clovermill/ledger/CrashPointsTest.java
@@ -99,7 +99,7 @@
                 StandardOpenOption.APPEND)) {
             for (int i = 0; i < USES; i++) {
                 told.write(1);
-                ledger.ended(new UsageRecord(
+                ledger.requestEnded(new UsageRecord(
                         new ClientRequest(String.format("%016x", i), 0, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1,
                                 false, null, null, new byte[0]),
                         true, nowMs[0] * 1000, nowMs[0] * 1000, UsageRecord.End.SERVED, 1,
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -95,9 +95,10 @@
     }
 
     private void use(Ledger ledger, int requestClass, int bytes, long takenMs) {
-        ledger.ended(new UsageRecord(ask(requestClass), true, takenMs * 1000, monoMs * 1000, UsageRecord.End.SERVED, 1,
-                "s-1", null,
-                Note.HIT, bytes, bytes));
+        ledger.requestEnded(
+                new UsageRecord(ask(requestClass), true, takenMs * 1000, monoMs * 1000, UsageRecord.End.SERVED, 1,
+                        "s-1", null,
+                        Note.HIT, bytes, bytes));
     }
 
     private void use(Ledger ledger, int bytes) {
@@ -297,7 +298,7 @@
         pass(5);
         long fromNs = System.nanoTime();
         for (int i = 0; i < 1000; i++) {
-            ledger.turnsAway(ask(0));
+            ledger.retryAfterMillis(ask(0));
             use(ledger, 10);
         }
         assertThat(System.nanoTime() - fromNs).isLessThan(1_000_000_000L);
@@ -308,18 +309,18 @@
     @Test
     void aTenantThatMustBeWrittenDownIsTurnedAwayWhileTheDiskIsFull() throws Exception {
         Ledger ledger = open(settings(16, List.of("b")));
-        assertThat(ledger.turnsAway(ask(1))).isEqualTo(UsageListener.TAKEN);
+        assertThat(ledger.retryAfterMillis(ask(1))).isEqualTo(UsageListener.ADMITTED);
         disk.room = 0;
         for (int i = 0; i < 200; i++) {
             use(ledger, 10);
             pass(5);
         }
-        assertThat(ledger.turnsAway(ask(1))).isEqualTo(1);
-        assertThat(ledger.turnsAway(ask(0))).isEqualTo(UsageListener.TAKEN);
+        assertThat(ledger.retryAfterMillis(ask(1))).isEqualTo(1);
+        assertThat(ledger.retryAfterMillis(ask(0))).isEqualTo(UsageListener.ADMITTED);
         disk.room = Long.MAX_VALUE;
         until(() -> {
             pass(1000);
-            return ledger.turnsAway(ask(1)) == UsageListener.TAKEN;
+            return ledger.retryAfterMillis(ask(1)) == UsageListener.ADMITTED;
         });
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(2000);
