--- a/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
@@ -1,7 +1,8 @@
 package clovermill.dataplane.upstream;
 
+import clovermill.dataplane.proxy.AttemptListener;
 import clovermill.dataplane.proxy.ClientRequest;
-import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
@@ -12,7 +13,7 @@
 import java.util.function.Predicate;
 
 /** An exchange on its connection: queued there, then sent, then ended or given up. */
-final class UpstreamExchange implements Upstream.Exchange {
+final class UpstreamExchange implements Exchange {
 
     /**
      * A deadline passed to a server may be 150 ms older than the moment of its write; the write follows within the turn.
@@ -20,7 +21,7 @@
     private static final long MAX_HEAD_AGE_US = 140_000;
 
     final String id;
-    final Upstream.Ending ending;
+    final AttemptListener ending;
     private final UpstreamConnection connection;
     private final CacheRequest request;
     private boolean begun;
@@ -40,7 +41,7 @@
     }
 
     @Override
-    public boolean heldHere() {
+    public boolean isQueuedLocally() {
         return !begun && connection.idlesUntilFlush();
     }
 
@@ -50,7 +51,7 @@
     }
 
     @Override
-    public boolean giveUp() {
+    public boolean cancel() {
         connection.givenUp(this);
         return begun;
     }
@@ -101,7 +102,7 @@
 
     /** A part of it waits to be written, and must not any more: it was called off, or its deadline figure is too old. */
     boolean mustStop(long nowUs) {
-        return begun && !whole && (revoked || !ending.mayGoOn()
+        return begun && !whole && (revoked || !ending.mayContinue()
                 || head.hasRemaining() && nowUs - begunUs > MAX_HEAD_AGE_US);
     }
 
--- a/src/test/java/clovermill/dataplane/upstream/DeadlineFigureTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DeadlineFigureTest.java
@@ -3,7 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.dataplane.proxy.ClientRequest;
-import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.AttemptListener;
+import clovermill.dataplane.proxy.AttemptOrder;
+import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
@@ -49,8 +51,8 @@
         return socket.connect(loop, handlers);
     }
 
-    private static final class Attempt implements Upstream.Ending {
-        Upstream.Exchange exchange;
+    private static final class Attempt implements AttemptListener {
+        Exchange exchange;
         Result result;
 
         @Override
@@ -64,7 +66,7 @@
         ClientRequest request =
                 new ClientRequest(id, 0, "page", "aa", 0, 17, 1, 1_000_000, false, null, null, new byte[bodyBytes]);
         attempt.exchange = pool.send(
-                new Upstream.Order(request, "m", TIMEOUT_MS * 1000L, null, 0, 0, false, false, false, false), attempt);
+                new AttemptOrder(request, "m", TIMEOUT_MS * 1000L, null, 0, 0, false, false, false, false), attempt);
         return attempt;
     }
 
@@ -110,7 +112,7 @@
             send("00000000000000a2", 0);
             socket.writes.add(0);
             connected();
-            assertThat(first.exchange.giveUp()).as("has begun").isFalse();
+            assertThat(first.exchange.cancel()).as("has begun").isFalse();
             turns(2);
             assertThat(socket.written.toString()).doesNotContain("00000000000000a1").contains("00000000000000a2");
         }
