--- a/src/main/java/clovermill/controlplane/admin/AdminServer.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminServer.java
@@ -51,7 +51,7 @@
 
     /** Takes calls from now on, until the process ends. */
     public void open(InetSocketAddress address) throws IOException {
-        listener = loop.listenFirst(address, MOST_CALLERS, this::makeRoom, Caller::new);
+        listener = loop.listenWithPriority(address, MOST_CALLERS, this::makeRoom, Caller::new);
     }
 
     /** The port that was bound. */
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -90,7 +90,7 @@
         waiting.add(exchange);
         // Guards the drain and purge rules: what could not be begun in a dial's time must not go out later.
         exchange.beginBy = pool.dialDeadline(() -> withdraw(exchange, Result.UNCONNECTED));
-        connection.flushSoon();
+        connection.requestFlush();
         return exchange;
     }
 
@@ -236,7 +236,7 @@
     public void flushed() {
         finishBatch();
         if (!waiting.isEmpty()) {
-            connection.flushSoon();
+            connection.requestFlush();
         }
     }
 
--- a/src/main/java/clovermill/runtime/net/Body.java
+++ b/src/main/java/clovermill/runtime/net/Body.java
@@ -1,18 +1,19 @@
 package clovermill.runtime.net;
 
-/** The bytes of a body together with their place in the budget; the holder closes it once. */
+/** The bytes of a body together with their reservation in the budget; its owner closes it. */
 public final class Body implements AutoCloseable {
 
     private final byte[] bytes;
     private final Budget budget;
     private boolean closed;
 
-    /** Takes over bytes for which {@code budget} has already been taken. */
+    /** Takes ownership of bytes that are already reserved in {@code budget}. */
     public Body(byte[] bytes, Budget budget) {
         this.bytes = bytes;
         this.budget = budget;
     }
 
+    /** The bytes, not copied. */
     public byte[] bytes() {
         return bytes;
     }
--- a/src/main/java/clovermill/runtime/net/Budget.java
+++ b/src/main/java/clovermill/runtime/net/Budget.java
@@ -3,42 +3,44 @@
 import java.util.ArrayDeque;
 
 /**
- * Bounds the bytes of all bodies held at once. A connection that finds no room stops reading and is called
- * when there is some again; what has been granted can always be completed, so no two wait for each other.
+ * Bounds the total size of all bodies in memory. A connection whose reservation fails stops reading and is called when
+ * bytes are released. A body is reserved in full before it is read, so that no two connections wait for each other.
  */
 public final class Budget {
 
-    private final long limit;
+    private final long limitBytes;
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
-    private long used;
+    private long usedBytes;
 
-    public Budget(long limit) {
-        this.limit = limit;
+    /** A budget of {@code limitBytes}. */
+    public Budget(long limitBytes) {
+        this.limitBytes = limitBytes;
     }
 
-    /** Takes so many bytes if there is room; a single body always finds room in an empty budget. */
+    /** Reserves bytes and returns true, or returns false if they exceed the limit; an empty budget grants any size. */
     public boolean take(int bytes) {
-        if (used > 0 && used + bytes > limit) {
+        if (usedBytes > 0 && usedBytes + bytes > limitBytes) {
             return false;
         }
-        used += bytes;
+        usedBytes += bytes;
         return true;
     }
 
-    /** Gives bytes back, and calls those that wait in the order in which they came. */
+    /** Releases bytes and calls the waiting callbacks in the order of their registration. */
     public void give(int bytes) {
-        used -= bytes;
-        for (int i = waiting.size(); i > 0 && used < limit; i--) {
+        usedBytes -= bytes;
+        for (int i = waiting.size(); i > 0 && usedBytes < limitBytes; i--) {
             waiting.poll().run();
         }
     }
 
-    /** Has {@code room} called once when bytes are given back. */
-    public void await(Runnable room) {
-        waiting.add(room);
+    /** Has {@code released} called once after bytes have been released. */
+    public void await(Runnable released) {
+        waiting.add(released);
     }
 
+    /** Bytes reserved now. */
     public long used() {
-        return used;
+        return usedBytes;
     }
 }
--- a/src/main/java/clovermill/runtime/net/Connection.java
+++ b/src/main/java/clovermill/runtime/net/Connection.java
@@ -6,178 +6,175 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * One TCP connection of the event loop. It owns its channel and what waits to be written, and gives both
- * back in {@link #close}, whoever ends it.
+ * One TCP connection of the event loop. It owns its channel and the bytes queued for writing, and releases both in
+ * {@link #close}, whoever ends it. All calls are made on the loop's thread.
  */
 public final class Connection {
 
-    /** What the owner of a connection is told. No call is made after {@link #closed}. */
+    /** Follows a connection for its owner. No call is made after {@link #closed}. */
     public interface Handler {
 
-        /** An outgoing connection has come up. */
+        /** An outgoing connection has been established. */
         default void connected() {}
 
         /**
-         * Bytes have arrived. What is left in the buffer is kept, and nothing more is read, until {@link
-         * Connection#resume}.
+         * Bytes have arrived. If the handler leaves bytes in the buffer, reading stops until {@link Connection#resume},
+         * and they are handed over again then.
          */
         void received(ByteBuffer data) throws IOException;
 
-        /** The peer sends no more; it may still read. */
+        /** The peer has ended its output; it may still read. */
         void ended();
 
-        /** What was sent is about to be written: the last moment for what may still be called off in this turn. */
+        /** Queued bytes are about to be written: the last moment to withdraw a request in this turn. */
         default void flushing() {}
 
-        /** All that was sent has been written to the socket. */
+        /** All queued bytes have been written to the socket. */
         default void flushed() {}
 
-        /**
-         * The socket takes no more for now, and a part of what was sent is unwritten: what may still be {@link
-         * Connection#retractFrom retracted} is as yet unwritten.
-         */
+        /** Queued bytes are left after a write; {@link Connection#retractFrom} may take untouched ones back. */
         default void writeBlocked() {}
 
-        /** The connection is no more, for {@code cause}, which is null where this side closed it. */
+        /** The connection is closed, for {@code cause}, which is null if this side closed it. */
         void closed(IOException cause);
     }
 
-    private static final Runnable NOTHING = () -> {};
-    /** What one connection may write in one turn: a big answer must not hold up the others. */
-    private static final int TURN_BYTES = 1 << 18;
-    /**
-     * An accepted connection is read so often in one turn: what came behind a request, an end above all, is seen before
-     * anything is sent on for it, however long both have lain there.
-     */
-    private static final int TURN_READS = 2;
+    private static final Runnable NO_CALLBACK = () -> {};
+    /** Bytes that one connection may write in one turn: a large answer must not delay the other connections. */
+    private static final int MAX_WRITE_BYTES_PER_TURN = 1 << 18;
+    /** The second read sees an end that follows a request before anything is sent for that request. */
+    private static final int ACCEPTED_READS_PER_TURN = 2;
+    private static final int DIALLED_READS_PER_TURN = 1;
 
     private final EventLoop loop;
     private final SocketChannel channel;
     private final SelectionKey key;
     private final Listener acceptedBy;
-    private final int reads;
-    private final WriteQueue out = new WriteQueue();
+    private final ConnectionInput input;
+    private final WriteQueue output = new WriteQueue();
     private Handler handler;
-    private ByteBuffer kept;
     private boolean connecting;
     private boolean open = true;
-    private boolean paused;
-    private boolean ended;
-    private boolean dirty;
-    /** The socket took nothing, and nothing is queued any more: flushed again when it is writable. */
+    private boolean flushScheduled;
+    /** The socket took nothing, and everything was retracted: flushed again when it is writable. */
     private boolean flushWhenWritable;
     private boolean closeWhenFlushed;
 
-    /** {@code acceptedBy} is the listener that took it in, null for a connection that is dialled. */
+    /** {@code acceptedBy} is the listener that accepted it, null for a dialled connection. */
     Connection(EventLoop loop, SocketChannel channel, SelectionKey key, boolean connecting, Listener acceptedBy) {
-        this.acceptedBy = acceptedBy;
-        this.reads = acceptedBy != null ? TURN_READS : 1;
         this.loop = loop;
         this.channel = channel;
         this.key = key;
         this.connecting = connecting;
+        this.acceptedBy = acceptedBy;
+        this.input = new ConnectionInput(channel,
+                acceptedBy != null ? ACCEPTED_READS_PER_TURN : DIALLED_READS_PER_TURN);
     }
 
-    void handler(Handler given) {
-        handler = given;
-        interest();
+    /** Sets the handler and begins to wait for events. */
+    void start(Handler newHandler) {
+        handler = newHandler;
+        input.setHandler(newHandler);
+        updateInterest();
     }
 
-    /** Whether it is served ahead of all others in each turn. */
-    boolean first() {
-        return acceptedBy != null && acceptedBy.first();
+    /** Whether it is served ahead of other connections in each turn. */
+    boolean hasPriority() {
+        return acceptedBy != null && acceptedBy.hasPriority();
     }
 
+    /** Whether it has not been closed. */
     public boolean isOpen() {
         return open;
     }
 
-    /** Bytes that have been sent here and are not yet written to the socket. */
+    /** Bytes that were sent here and are not yet written to the socket. */
     public long queuedBytes() {
-        return out.queuedBytes();
+        return output.queuedBytes();
     }
 
-    /** Bytes that have been written to the socket since it came up. */
+    /** Bytes written to the socket since the connection was established. */
     public long writtenBytes() {
-        return out.writtenBytes();
+        return output.writtenBytes();
     }
 
     /** Queues bytes for writing at the end of this turn. */
     public void send(ByteBuffer bytes) {
-        send(bytes, NOTHING);
+        send(bytes, NO_CALLBACK);
     }
 
-    /** As {@link #send(ByteBuffer)}; {@code done} is run once, when all is written or never will be. */
+    /** As {@link #send(ByteBuffer)}; {@code done} is run once, when all bytes are written or never will be. */
     public void send(ByteBuffer bytes, Runnable done) {
         if (!open) {
             done.run();
             return;
         }
-        out.add(bytes, done);
-        markDirty();
+        output.add(bytes, done);
+        requestFlush();
     }
 
     /**
-     * Takes back {@code first}, which was sent here, and everything sent behind it, unless a byte of it has been written;
-     * {@link Handler#flushing} is called once the socket is writable. For use in {@link Handler#writeBlocked}.
-     *
-     * @return whether it was taken back
+     * Takes back {@code first} and everything sent behind it, unless a byte of {@code first} has been written; returns
+     * whether it did. {@link Handler#flushing} is called once the socket is writable.
      */
     public boolean retractFrom(ByteBuffer first) {
-        boolean retracted = out.retractFrom(first);
+        boolean retracted = output.retractFrom(first);
         flushWhenWritable |= retracted;
         return retracted;
     }
 
-    /** Whether all that was sent has been written, and the socket is not known to be full. */
+    /** Whether everything sent has been written, and the socket is not known to be full. */
     public boolean isWriteIdle() {
-        return out.isEmpty() && !flushWhenWritable;
+        return output.isEmpty() && !flushWhenWritable;
     }
 
     /** Stops reading until {@link #resume}. */
     public void pause() {
-        paused = true;
-        interest();
+        input.pause();
+        updateInterest();
     }
 
-    /** Reads on, from what was kept first. */
+    /** Resumes reading; bytes that were left unread are handed over first, at the end of this turn. */
     public void resume() {
-        if (open && paused) {
-            paused = false;
-            if (kept != null) {
-                loop.soon(this);
+        if (open && input.isPaused()) {
+            input.resume();
+            if (input.hasUnread()) {
+                loop.scheduleDelivery(this);
             }
-            interest();
+            updateInterest();
         }
     }
 
-    /** Has {@link Handler#flushing} called at the end of this turn. */
-    public void flushSoon() {
-        markDirty();
-    }
-
     /** Whether reading has stopped until {@link #resume}. */
     public boolean isPaused() {
-        return paused;
+        return input.isPaused();
+    }
+
+    /** Has {@link Handler#flushing} called at the end of this turn. */
+    public void requestFlush() {
+        if (open && !flushScheduled) {
+            flushScheduled = true;
+            loop.scheduleFlush(this);
+        }
     }
 
     /**
-     * Hands over what has come up to now, older bytes that were left unread first, unless reading is paused. Not to be
-     * called from {@link Handler#received}.
+     * Hands over everything that has arrived so far, bytes that were left unread first, unless reading is paused. Not to
+     * be called from {@link Handler#received}.
      */
     public void readNow() {
-        handKept();
-        if (open && !connecting && !paused && !ended) {
+        deliverUnread();
+        if (open && !connecting) {
             try {
-                read();
-                interest();
+                input.read(loop.readBuffer());
+                updateInterest();
             } catch (IOException failure) {
                 close(failure);
             }
         }
     }
 
-    /** Ends this side after what has been written; the peer may still send, until {@link #close}. */
+    /** Ends this side's output; the peer may still send, until {@link #close}. */
     public void endOutput() {
         if (open) {
             try {
@@ -188,10 +185,10 @@
         }
     }
 
-    /** Closes as soon as all that was sent is written. */
+    /** Closes as soon as everything sent is written. */
     public void closeWhenFlushed() {
         closeWhenFlushed = true;
-        markDirty();
+        requestFlush();
     }
 
     /** Closes now. */
@@ -199,145 +196,100 @@
         close(null);
     }
 
-    private void markDirty() {
-        if (open && !dirty) {
-            dirty = true;
-            loop.dirty(this);
-        }
-    }
-
-    /** The one place where a connection is given back. */
     private void close(IOException cause) {
         if (!open) {
             return;
         }
         open = false;
-        EventLoop.release(channel, acceptedBy);
-        kept = null;
-        out.clear();
+        Sockets.release(channel, acceptedBy);
+        input.close();
+        output.clear();
         handler.closed(cause);
     }
 
-    /** A dial that came up at once, before the selector could tell. */
-    void up() {
+    /** Reports a dial that was finished at once. */
+    void reportConnected() {
         if (open) {
             handler.connected();
         }
     }
 
-    void ready() {
+    /** Serves the operations for which a selection found the socket ready. */
+    void serveReady() {
         if (!open) {
-            return; // closed by another's callback after the selector had found it ready
+            return; // closed by another connection's callback after the selection
         }
         try {
             if (connecting && key.isConnectable()) {
                 finishConnect();
             }
-            if (open && !paused && key.isReadable()) {
-                read();
+            if (open && key.isReadable()) {
+                input.read(loop.readBuffer());
             }
             if (open && key.isWritable()) {
-                markDirty();
-            }
-            if (open) {
-                interest();
+                requestFlush();
             }
+            updateInterest();
         } catch (IOException failure) {
             close(failure);
         }
     }
 
     private void finishConnect() throws IOException {
-        if (channel.finishConnect()) { // false where a signal has interrupted the look at it
+        if (channel.finishConnect()) { // false if a signal interrupted the call
             connecting = false;
-            markDirty();
+            requestFlush();
             handler.connected();
         }
     }
 
-    /** Reads what is there, unless older bytes are still to be handed over. */
-    private void read() throws IOException {
-        ByteBuffer buffer = loop.readBuffer();
-        for (int i = 0; i < reads && open && !paused && !ended && kept == null; i++) {
-            int count = TransferCount.read(channel, buffer.clear());
-            if (count == TransferCount.END_OF_STREAM) {
-                ended = true;
-                handler.ended();
-            } else if (count > 0) {
-                hand(buffer.flip());
-            } else {
-                return;
-            }
-        }
-    }
-
-    /** Hands over what was kept while reading was paused. */
-    void handKept() {
-        ByteBuffer data = kept;
-        if (!open || paused || data == null) {
+    /** Hands over bytes that were left unread, unless reading is paused. */
+    void deliverUnread() {
+        if (!open) {
             return;
         }
         try {
-            kept = null;
-            hand(data);
-            if (open) {
-                interest();
-            }
+            input.deliverUnread();
+            updateInterest();
         } catch (IOException failure) {
             close(failure);
         }
     }
 
-    private void hand(ByteBuffer data) throws IOException {
-        handler.received(data);
-        if (open && data.hasRemaining()) {
-            kept = ByteBuffer.allocate(data.remaining()).put(data).flip();
-            paused = true;
-        }
-    }
-
-    /** Writes what the socket takes, a bounded part of it in one turn. */
+    /** Writes what the socket accepts, up to the bound of one turn. */
     void flush() {
         if (!open || connecting) {
-            dirty = false;
+            flushScheduled = false;
             return;
         }
         try {
             handler.flushing();
-            dirty = false;
+            flushScheduled = false;
             flushWhenWritable = false;
-            boolean wrote = !out.isEmpty();
-            for (int turn = 0; turn < TURN_BYTES && !out.isEmpty();) {
-                ByteBuffer buffer = loop.writeBuffer().clear();
-                out.copyTo(buffer);
-                int filled = buffer.flip().remaining();
-                int count = TransferCount.write(channel, buffer);
-                turn += count;
-                out.written(count);
-                if (count < filled) {
-                    break;
-                }
-            }
-            if (out.isEmpty() && closeWhenFlushed) {
+            boolean hadOutput = !output.isEmpty();
+            output.writeTo(channel, loop.writeBuffer(), MAX_WRITE_BYTES_PER_TURN);
+            if (output.isEmpty() && closeWhenFlushed) {
                 close();
             } else if (open) {
-                if (!out.isEmpty()) {
+                if (!output.isEmpty()) {
                     handler.writeBlocked();
-                } else if (wrote) {
+                } else if (hadOutput) {
                     handler.flushed();
                 }
-                interest();
+                updateInterest();
             }
         } catch (IOException failure) {
             close(failure);
         }
     }
 
-    private void interest() {
-        if (open) {
-            key.interestOps(connecting ? SelectionKey.OP_CONNECT
-                    : (paused || ended || kept != null ? 0 : SelectionKey.OP_READ)
-                            | (isWriteIdle() ? 0 : SelectionKey.OP_WRITE));
+    private void updateInterest() {
+        if (open && connecting) {
+            key.interestOps(SelectionKey.OP_CONNECT);
+        } else if (open) {
+            int readInterest = input.isReadable() ? SelectionKey.OP_READ : 0;
+            int writeInterest = isWriteIdle() ? 0 : SelectionKey.OP_WRITE;
+            key.interestOps(readInterest | writeInterest);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/clovermill/runtime/net/ConnectionInput.java
@@ -0,0 +1,89 @@
+package clovermill.runtime.net;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.ReadableByteChannel;
+
+/**
+ * The reading side of a connection. Bytes that the handler leaves unread are copied and handed over again, before any
+ * newer ones, after reading has been resumed.
+ */
+final class ConnectionInput {
+
+    private final ReadableByteChannel channel;
+    private final int maxReadsPerTurn;
+    private Connection.Handler handler;
+    /** Bytes read but not consumed by the handler, null if there are none. */
+    private ByteBuffer unread;
+    private boolean paused;
+    private boolean ended;
+    private boolean closed;
+
+    ConnectionInput(ReadableByteChannel channel, int maxReadsPerTurn) {
+        this.channel = channel;
+        this.maxReadsPerTurn = maxReadsPerTurn;
+    }
+
+    void setHandler(Connection.Handler newHandler) {
+        handler = newHandler;
+    }
+
+    void pause() {
+        paused = true;
+    }
+
+    void resume() {
+        paused = false;
+    }
+
+    boolean isPaused() {
+        return paused;
+    }
+
+    boolean hasUnread() {
+        return unread != null;
+    }
+
+    /** Whether the socket may be read now. */
+    boolean isReadable() {
+        return !closed && !paused && !ended && unread == null;
+    }
+
+    /** Hands over what the socket has, a bounded number of reads, unless older bytes wait to be handed over. */
+    void read(ByteBuffer buffer) throws IOException {
+        for (int i = 0; i < maxReadsPerTurn && isReadable(); i++) {
+            int count = TransferCount.read(channel, buffer.clear());
+            if (count == TransferCount.END_OF_STREAM) {
+                ended = true;
+                handler.ended();
+            } else if (count > 0) {
+                deliver(buffer.flip());
+            } else {
+                return;
+            }
+        }
+    }
+
+    /** Hands over the bytes that were left unread, unless reading is paused. */
+    void deliverUnread() throws IOException {
+        ByteBuffer data = unread;
+        if (data != null && !paused) {
+            unread = null;
+            deliver(data);
+        }
+    }
+
+    private void deliver(ByteBuffer data) throws IOException {
+        handler.received(data);
+        if (!closed && data.hasRemaining()) {
+            unread = ByteBuffer.allocate(data.remaining()).put(data).flip();
+            paused = true;
+        }
+    }
+
+    /** Drops the unread bytes; nothing is handed over any more. */
+    void close() {
+        closed = true;
+        unread = null;
+    }
+}
--- a/src/main/java/clovermill/runtime/net/Datagrams.java
+++ b/src/main/java/clovermill/runtime/net/Datagrams.java
@@ -8,32 +8,32 @@
 import java.nio.channels.Selector;
 import java.util.function.Consumer;
 
-/** A UDP socket on the loop. It owns its channel, which {@link #close} gives back. */
+/** A UDP socket of the event loop. It owns its channel, which {@link #close} closes. */
 public final class Datagrams implements AutoCloseable {
 
-    /** What is read in one turn: a flood must not hold up those that are served. */
-    private static final int TURN_READS = 64;
+    /** Bound of one turn: a flood of datagrams must not delay the connections. */
+    private static final int MAX_READS_PER_TURN = 64;
 
     private final DatagramChannel channel;
     private final SelectionKey key;
     private final ByteBuffer buffer;
-    private final Consumer<ByteBuffer> received;
+    private final Consumer<ByteBuffer> receiver;
     private long unsent;
 
-    Datagrams(DatagramChannel channel, Selector selector, ByteBuffer buffer, Consumer<ByteBuffer> received)
+    Datagrams(DatagramChannel channel, Selector selector, ByteBuffer buffer, Consumer<ByteBuffer> receiver)
             throws IOException {
         this.channel = channel;
         this.buffer = buffer;
-        this.received = received;
+        this.receiver = receiver;
         this.key = channel.register(selector, SelectionKey.OP_READ, this);
     }
 
-    /** The port that was bound. */
+    /** The local port. */
     public int port() {
         return channel.socket().getLocalPort();
     }
 
-    /** Sends one datagram; one that cannot go out now is lost, as on any link. */
+    /** Sends one datagram; one that the socket does not take now is counted as unsent and lost. */
     public void send(ByteBuffer datagram, InetSocketAddress to) {
         try {
             unsent += channel.send(datagram, to) > 0 ? 0 : 1;
@@ -42,29 +42,29 @@
         }
     }
 
-    /** Datagrams that could not go out. */
+    /** Datagrams lost on this side since the start. */
     public long unsent() {
         return unsent;
     }
 
-    /** Hands on what has come; a datagram is the handler's only until it returns. */
+    /** Hands over received datagrams, up to the bound of one turn; the buffer is reused after each call. */
     void read() {
         try {
-            for (int i = 0; i < TURN_READS && key.isValid(); i++) {
+            for (int i = 0; i < MAX_READS_PER_TURN && key.isValid(); i++) {
                 buffer.clear();
                 if (channel.receive(buffer) == null) {
                     return;
                 }
-                received.accept(buffer.flip());
+                receiver.accept(buffer.flip());
             }
         } catch (IOException refused) {
-            // What a peer's machine sends back of an earlier datagram; nothing came.
+            // An ICMP error for an earlier datagram; nothing was received.
             unsent++;
         }
     }
 
     @Override
     public void close() {
-        EventLoop.quietly(channel);
+        Sockets.closeQuietly(channel);
     }
 }
--- a/src/main/java/clovermill/runtime/net/Deadlines.java
+++ b/src/main/java/clovermill/runtime/net/Deadlines.java
@@ -2,59 +2,60 @@
 
 import java.util.TreeSet;
 
-/** Every deadline of the process, sorted; the event loop sweeps it once a turn. */
+/** Deadlines sorted by time; the event loop runs those that are due once a turn. */
 public final class Deadlines {
 
-    /** One deadline; its owner cancels it when it no longer matters. */
+    /** One deadline, as a handle by which its owner cancels it. */
     public static final class Deadline implements Comparable<Deadline> {
-        private final long atUs;
+        private final long atMicros;
         private final long number;
         private final Runnable expired;
 
-        private Deadline(long atUs, long number, Runnable expired) {
-            this.atUs = atUs;
+        private Deadline(long atMicros, long number, Runnable expired) {
+            this.atMicros = atMicros;
             this.number = number;
             this.expired = expired;
         }
 
         @Override
         public int compareTo(Deadline other) {
-            int byTime = Long.compare(atUs, other.atUs);
+            int byTime = Long.compare(atMicros, other.atMicros);
             return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
     }
 
     private final TreeSet<Deadline> sorted = new TreeSet<>();
-    private long count;
+    private long addedCount;
 
-    /** Has {@code expired} called by the first sweep at or past {@code atUs}. */
-    public Deadline add(long atUs, Runnable expired) {
-        Deadline deadline = new Deadline(atUs, count++, expired);
+    /** Has {@code expired} called by the first sweep at or after {@code atMicros} of the monotonic clock. */
+    public Deadline add(long atMicros, Runnable expired) {
+        Deadline deadline = new Deadline(atMicros, addedCount++, expired);
         sorted.add(deadline);
         return deadline;
     }
 
-    /** Withdraws a deadline; null and those that have expired are let pass. */
+    /** Cancels a deadline; null and an expired deadline are ignored. */
     public void cancel(Deadline deadline) {
         if (deadline != null) {
             sorted.remove(deadline);
         }
     }
 
-    /** The time of the next deadline, {@link Long#MAX_VALUE} if there is none. */
-    public long nextUs() {
-        return sorted.isEmpty() ? Long.MAX_VALUE : sorted.first().atUs;
+    /** The time of the next deadline in microseconds, {@link Long#MAX_VALUE} if there is none. */
+    public long nextMicros() {
+        return sorted.isEmpty() ? Long.MAX_VALUE : sorted.first().atMicros;
     }
 
-    /** Calls those that are due, in order; one that is added meanwhile waits for the next sweep. */
-    public void sweep(long nowUs) {
-        long last = count;
-        while (!sorted.isEmpty() && sorted.first().atUs <= nowUs && sorted.first().number < last) {
+    /** Runs the deadlines that are due, in order; one added meanwhile waits for the next sweep. */
+    public void sweep(long nowMicros) {
+        long firstAddedMeanwhile = addedCount;
+        while (!sorted.isEmpty() && sorted.first().atMicros <= nowMicros
+                && sorted.first().number < firstAddedMeanwhile) {
             sorted.pollFirst().expired.run();
         }
     }
 
-    /** How many are set. */
+    /** The number of deadlines set. */
     public int size() {
         return sorted.size();
     }
--- a/src/main/java/clovermill/runtime/net/EventLoop.java
+++ b/src/main/java/clovermill/runtime/net/EventLoop.java
@@ -1,9 +1,7 @@
 package clovermill.runtime.net;
 
 import java.io.IOException;
-import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
-import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
 import java.nio.channels.DatagramChannel;
 import java.nio.channels.SelectionKey;
@@ -17,26 +15,26 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The one thread of the process: a selector, its connections and the sweep of all deadlines. */
+/** The thread that serves all connections: a selector, the connections on it and the sweep of all deadlines. */
 public final class EventLoop {
 
-    private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
-    /** A paused connection keeps at most this much that it has read. */
+    /** Bytes of one read, and so the most that a paused connection holds unread. */
     private static final int READ_BYTES = 1 << 15;
     private static final int WRITE_BYTES = 1 << 16;
-    static final int BACKLOG = 1024;
+    private static final long MICROS_PER_MILLI = 1000;
 
     private final Clock clock;
     private final Deadlines deadlines;
     private final Selector selector;
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
     private final ByteBuffer writeBuffer = ByteBuffer.allocateDirect(WRITE_BYTES);
-    private final List<SelectionKey> later = new ArrayList<>();
-    private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private List<Connection> dirty = new ArrayList<>();
-    private List<Connection> soon = new ArrayList<>();
+    private final List<SelectionKey> deferredKeys = new ArrayList<>();
+    private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
+    private List<Connection> connectionsToFlush = new ArrayList<>();
+    private List<Connection> connectionsToDeliver = new ArrayList<>();
     private boolean running = true;
 
+    /** A loop that is driven by {@link #run} or {@link #turn}. */
     public EventLoop(Clock clock, Deadlines deadlines) throws IOException {
         this.clock = clock;
         this.deadlines = deadlines;
@@ -44,114 +42,97 @@
     }
 
     /**
-     * Listens on an address; {@code most} of its connections may be open at a time. When a further one has
-     * come, {@code makeRoom} is asked to close another; until one is closed no more are taken.
+     * Listens on an address; at most {@code maxConnections} of its connections may be open at a time. When a further
+     * one arrives, {@code closeAnother} is asked to close another; until one is closed no more are accepted.
      */
-    public Listener listen(InetSocketAddress address, int most, Runnable makeRoom,
+    public Listener listen(InetSocketAddress address, int maxConnections, Runnable closeAnother,
             Function<Connection, Connection.Handler> handlers) throws IOException {
-        return listen(address, false, most, makeRoom, handlers);
+        return listen(address, false, maxConnections, closeAnother, handlers);
     }
 
-    /** As {@link #listen}; its connections are served ahead of all others in each turn, however many those are. */
-    public Listener listenFirst(InetSocketAddress address, int most, Runnable makeRoom,
+    /** As {@link #listen}; its connections are served ahead of all others in each turn. */
+    public Listener listenWithPriority(InetSocketAddress address, int maxConnections, Runnable closeAnother,
             Function<Connection, Connection.Handler> handlers) throws IOException {
-        return listen(address, true, most, makeRoom, handlers);
+        return listen(address, true, maxConnections, closeAnother, handlers);
     }
 
-    private Listener listen(InetSocketAddress address, boolean first, int most, Runnable makeRoom,
+    private Listener listen(InetSocketAddress address, boolean priority, int maxConnections, Runnable closeAnother,
             Function<Connection, Connection.Handler> handlers) throws IOException {
-        ServerSocketChannel channel = ServerSocketChannel.open();
+        ServerSocketChannel channel = Sockets.openListening(address);
         try {
-            channel.configureBlocking(false);
-            channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            channel.bind(address, BACKLOG);
-            return new Listener(this, channel, selector, true, first, most, makeRoom, handlers);
+            return new Listener(this, channel, selector, true, priority, maxConnections, closeAnother, handlers);
         } catch (IOException | RuntimeException failure) {
-            quietly(channel);
+            Sockets.closeQuietly(channel);
             throw failure;
         }
     }
 
-    /** As {@link #listen}, on a socket that listens already and belongs to somebody else. */
-    public Listener listenOn(ServerSocketChannel passed, int most, Runnable makeRoom,
+    /** As {@link #listen}, on a socket that listens already and stays open when the listener closes. */
+    public Listener listenOn(ServerSocketChannel inherited, int maxConnections, Runnable closeAnother,
             Function<Connection, Connection.Handler> handlers) throws IOException {
-        passed.configureBlocking(false);
-        return new Listener(this, passed, selector, false, false, most, makeRoom, handlers);
+        inherited.configureBlocking(false);
+        return new Listener(this, inherited, selector, false, false, maxConnections, closeAnother, handlers);
     }
 
-    /** As {@link #listenOn}, with the call that takes a connection given by a test. */
-    Listener listenOn(ServerSocketChannel passed, Listener.Acceptor acceptor, int most,
+    /** As {@link #listenOn}, with the accept call replaced by a test. */
+    Listener listenOn(ServerSocketChannel inherited, Listener.Acceptor acceptor, int maxConnections,
             Function<Connection, Connection.Handler> handlers) throws IOException {
-        passed.configureBlocking(false);
-        return new Listener(this, passed, acceptor, selector, false, false, most, () -> {}, handlers);
+        inherited.configureBlocking(false);
+        return new Listener(this, inherited, acceptor, selector, false, false, maxConnections, () -> {}, handlers);
     }
 
-    /** Takes datagrams on an address. */
-    public Datagrams datagrams(InetSocketAddress address, Consumer<ByteBuffer> received) throws IOException {
-        DatagramChannel channel = DatagramChannel.open();
+    /** Receives datagrams on an address. */
+    public Datagrams datagrams(InetSocketAddress address, Consumer<ByteBuffer> receiver) throws IOException {
+        DatagramChannel channel = Sockets.openDatagram(address);
         try {
-            channel.configureBlocking(false);
-            channel.bind(address);
-            return new Datagrams(channel, selector, readBuffer, received);
+            return new Datagrams(channel, selector, readBuffer, receiver);
         } catch (IOException | RuntimeException failure) {
-            quietly(channel);
+            Sockets.closeQuietly(channel);
             throw failure;
         }
     }
 
-    /** Dials; the handler hears of the result. A dial that fails at once throws. */
+    /**
+     * Dials; the handler is called with the result.
+     *
+     * @throws IOException if the dial fails at once
+     */
     public Connection connect(InetSocketAddress address, Function<Connection, Connection.Handler> handlers)
             throws IOException {
-        SocketChannel channel = SocketChannel.open();
-        boolean up;
-        try {
-            channel.configureBlocking(false);
-            up = channel.connect(address);
-        } catch (IOException | RuntimeException failure) {
-            quietly(channel);
-            throw failure instanceof IOException ? (IOException) failure : new IOException(failure);
-        }
-        Connection connection = adopt(channel, SelectionKey.OP_CONNECT, !up, handlers, null);
-        if (up) {
-            post(() -> guarded(connection, connection::up));
+        SocketChannel channel = Sockets.openDialling(address);
+        boolean connected = channel.isConnected();
+        Connection connection = register(channel, SelectionKey.OP_CONNECT, !connected, handlers, null);
+        if (connected) {
+            post(() -> Callbacks.runGuarded(connection, connection::reportConnected));
         }
         return connection;
     }
 
-    /** Serves a connection that a listener has accepted, which is told when it has closed. */
-    void adopt(SocketChannel channel, Listener listener, Function<Connection, Connection.Handler> handlers)
+    /** Serves a connection that {@code listener} has accepted; the listener is called when it has closed. */
+    void registerAccepted(SocketChannel channel, Listener listener, Function<Connection, Connection.Handler> handlers)
             throws IOException {
-        adopt(channel, SelectionKey.OP_READ, false, handlers, listener);
+        register(channel, SelectionKey.OP_READ, false, handlers, listener);
     }
 
-    private Connection adopt(SocketChannel channel, int interest, boolean connecting,
+    private Connection register(SocketChannel channel, int interest, boolean connecting,
             Function<Connection, Connection.Handler> handlers, Listener acceptedBy) throws IOException {
         try {
             channel.configureBlocking(false);
-            setNoDelay(channel);
+            Sockets.setNoDelay(channel);
             SelectionKey key = channel.register(selector, interest);
             Connection connection = new Connection(this, channel, key, connecting, acceptedBy);
             key.attach(connection);
-            connection.handler(handlers.apply(connection));
+            connection.start(handlers.apply(connection));
             return connection;
         } catch (IOException | RuntimeException failure) {
-            release(channel, acceptedBy); // else each such peer would take a place for ever
+            Sockets.release(channel, acceptedBy); // otherwise it would count against the limit for ever
             throw failure;
         }
     }
 
-    /** A connection that has been reset already, or cannot have the option, is served without: at worst later. */
-    private static void setNoDelay(SocketChannel channel) {
-        try {
-            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        } catch (IOException failure) {
-            LOG.log(Level.DEBUG, "a connection goes without TCP_NODELAY: {0}", failure.getMessage());
-        }
-    }
-
-    /** Runs {@code task} on the loop's thread; the only call that other threads may make. */
+    /** Runs {@code task} on the loop's thread; the only method that other threads may call. */
     public void post(Runnable task) {
-        posted.add(task);
+        postedTasks.add(task);
         selector.wakeup();
     }
 
@@ -160,7 +141,7 @@
         running = false;
     }
 
-    /** Serves until stopped. */
+    /** Runs turns until {@link #stop}, then closes the selector. */
     public void run() throws IOException {
         while (running) {
             turn(Long.MAX_VALUE);
@@ -168,97 +149,79 @@
         selector.close();
     }
 
-    /** One turn, which waits for at most so many milliseconds. */
-    public void turn(long mostMs) throws IOException {
-        select(waitMs(mostMs));
-        later.forEach(EventLoop::serve);
-        later.clear();
+    /** Runs one turn: waits for events for at most {@code maxMillis}, then serves everything that is due. */
+    public void turn(long maxMillis) throws IOException {
+        select(waitMillis(maxMillis));
+        deferredKeys.forEach(EventLoop::serve);
+        deferredKeys.clear();
         runPosted();
-        resumeConnections();
-        guarded(() -> deadlines.sweep(clock.micros()));
+        deliverUnread();
+        Callbacks.runGuarded(() -> deadlines.sweep(clock.micros()));
         flushConnections();
     }
 
-    /** How long a turn may wait: not past the next deadline, and not at all where something is to be done already. */
-    private long waitMs(long mostMs) {
-        if (!soon.isEmpty() || !dirty.isEmpty()) {
+    /** How long a turn may wait: until the next deadline, and not at all if work is scheduled already. */
+    private long waitMillis(long maxMillis) {
+        if (!connectionsToDeliver.isEmpty() || !connectionsToFlush.isEmpty()) {
             return 0;
         }
-        long untilUs = deadlines.nextUs();
-        return untilUs == Long.MAX_VALUE ? mostMs
-                : Math.min(mostMs, Math.max(0, (untilUs - clock.micros() + 999) / 1000));
+        long nextMicros = deadlines.nextMicros();
+        return nextMicros == Long.MAX_VALUE ? maxMillis
+                : Math.min(maxMillis,
+                        Math.max(0, (nextMicros - clock.micros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI));
     }
 
-    private void select(long waitMs) throws IOException {
-        if (waitMs <= 0) {
+    private void select(long waitMillis) throws IOException {
+        if (waitMillis <= 0) {
             selector.selectNow(this::dispatch);
         } else {
-            selector.select(this::dispatch, waitMs == Long.MAX_VALUE ? 0 : waitMs);
+            selector.select(this::dispatch, waitMillis == Long.MAX_VALUE ? 0 : waitMillis);
         }
     }
 
     private void runPosted() {
-        for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
-            guarded(task);
+        for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
+            Callbacks.runGuarded(task);
         }
     }
 
-    private void resumeConnections() {
-        List<Connection> resumed = soon;
-        soon = new ArrayList<>();
+    private void deliverUnread() {
+        List<Connection> resumed = connectionsToDeliver;
+        connectionsToDeliver = new ArrayList<>();
         for (Connection connection : resumed) {
-            guarded(connection, connection::handKept);
+            Callbacks.runGuarded(connection, connection::deliverUnread);
         }
     }
 
     private void flushConnections() {
-        List<Connection> flushing = dirty;
-        dirty = new ArrayList<>();
+        List<Connection> flushing = connectionsToFlush;
+        connectionsToFlush = new ArrayList<>();
         for (Connection connection : flushing) {
-            guarded(connection, connection::flush);
+            Callbacks.runGuarded(connection, connection::flush);
         }
     }
 
-    /** Serves what comes first at once, and keeps the rest for the end of the selection. */
+    /** Serves keys with priority at once and defers the others to the end of the selection. */
     private void dispatch(SelectionKey key) {
-        boolean first = key.attachment() instanceof Listener listener && listener.first()
-                || key.attachment() instanceof Connection connection && connection.first();
-        if (first) {
+        boolean priority = key.attachment() instanceof Listener listener && listener.hasPriority()
+                || key.attachment() instanceof Connection connection && connection.hasPriority();
+        if (priority) {
             serve(key);
         } else {
-            later.add(key);
+            deferredKeys.add(key);
         }
     }
 
     private static void serve(SelectionKey key) {
         if (!key.isValid()) {
-            return; // given back by a callback that came before
+            return; // closed by an earlier callback of this turn
         }
         if (key.attachment() instanceof Listener listener) {
-            guarded(listener::accept);
+            Callbacks.runGuarded(listener::accept);
         } else if (key.attachment() instanceof Connection connection) {
-            guarded(connection, connection::ready);
+            Callbacks.runGuarded(connection, connection::serveReady);
         } else if (key.attachment() instanceof Datagrams datagrams) {
-            guarded(datagrams::read);
-        }
-    }
-
-    /** A fault in a callback costs its connection, never the process. */
-    private static void guarded(Connection connection, Runnable callback) {
-        try {
-            callback.run();
-        } catch (RuntimeException fault) {
-            LOG.log(Level.ERROR, "a connection is closed after a fault", fault);
-            guarded(connection::close);
-        }
-    }
-
-    /** A fault in a callback is one entry in the log. */
-    static void guarded(Runnable callback) {
-        try {
-            callback.run();
-        } catch (RuntimeException fault) {
-            LOG.log(Level.ERROR, "a callback failed", fault);
+            Callbacks.runGuarded(datagrams::read);
         }
     }
 
@@ -270,12 +233,14 @@
         return writeBuffer;
     }
 
-    void dirty(Connection connection) {
-        dirty.add(connection);
+    /** Has {@link Connection#flush} called at the end of this turn. */
+    void scheduleFlush(Connection connection) {
+        connectionsToFlush.add(connection);
     }
 
-    void soon(Connection connection) {
-        soon.add(connection);
+    /** Has {@link Connection#deliverUnread} called in this turn, or in the next one if it was done in this one. */
+    void scheduleDelivery(Connection connection) {
+        connectionsToDeliver.add(connection);
     }
 
     Clock clock() {
@@ -285,20 +250,4 @@
     Deadlines deadlines() {
         return deadlines;
     }
-
-    /** Closes a connection's socket; {@code acceptedBy} is null for one that was dialled. */
-    static void release(SocketChannel channel, Listener acceptedBy) {
-        quietly(channel);
-        if (acceptedBy != null) {
-            acceptedBy.connectionClosed();
-        }
-    }
-
-    static void quietly(AutoCloseable resource) {
-        try {
-            resource.close();
-        } catch (Exception e) {
-            LOG.log(Level.DEBUG, "closing failed", e);
-        }
-    }
 }
--- a/src/main/java/clovermill/runtime/net/Listener.java
+++ b/src/main/java/clovermill/runtime/net/Listener.java
@@ -8,113 +8,113 @@
 import java.nio.channels.SocketChannel;
 import java.util.function.Function;
 
-/** A listening socket of the event loop; it counts the connections accepted from it that are open. */
+/** A listening socket of the event loop; it counts and bounds the open connections accepted from it. */
 public final class Listener implements AutoCloseable {
 
-    /** The system's call that takes one connection, null where none waits. */
+    /** The accept call; it returns null if no connection is pending. */
     interface Acceptor {
         SocketChannel accept() throws IOException;
     }
 
     private static final System.Logger LOG = System.getLogger(Listener.class.getName());
-    /** What is accepted in one turn: a storm of connects must not hold up those that are served. */
-    private static final int TURN_ACCEPTS = 16;
-    /** So often in a row none is found before none is there: an interrupted call (EINTR) finds none either. */
+    /** Bound of one turn: a burst of new connections must not delay the established ones. */
+    private static final int MAX_ACCEPTS_PER_TURN = 16;
+    /** Empty accepts in a row after which none is pending: an interrupted call (EINTR) returns none as well. */
     private static final int MAX_EMPTY_ACCEPTS = 16;
-    /** After an accept that this machine had no descriptor or memory for, the listener rests this long. */
-    private static final long ACCEPT_REST_US = 50_000;
+    /** Accepting pauses this long after this machine had no descriptor or memory for a connection. */
+    private static final long ACCEPT_PAUSE_MICROS = 50_000;
 
     private final EventLoop loop;
     private final ServerSocketChannel channel;
     private final Acceptor acceptor;
     private final SelectionKey key;
     private final Function<Connection, Connection.Handler> handlers;
-    private final Runnable makeRoom;
+    private final Runnable closeAnother;
     private final boolean owned;
-    private final boolean first;
+    private final boolean priority;
     private int maxConnections;
     private int openConnections;
     private boolean accepting = true;
 
-    /** An {@code owned} channel is closed with this listener; {@code first} has its connections served first. */
-    Listener(EventLoop loop, ServerSocketChannel channel, Selector selector, boolean owned, boolean first,
-            int maxConnections, Runnable makeRoom, Function<Connection, Connection.Handler> handlers)
+    /** An {@code owned} channel is closed with this listener; with {@code priority} its connections are served first. */
+    Listener(EventLoop loop, ServerSocketChannel channel, Selector selector, boolean owned, boolean priority,
+            int maxConnections, Runnable closeAnother, Function<Connection, Connection.Handler> handlers)
             throws IOException {
-        this(loop, channel, channel::accept, selector, owned, first, maxConnections, makeRoom, handlers);
+        this(loop, channel, channel::accept, selector, owned, priority, maxConnections, closeAnother, handlers);
     }
 
     Listener(EventLoop loop, ServerSocketChannel channel, Acceptor acceptor, Selector selector, boolean owned,
-            boolean first, int maxConnections, Runnable makeRoom,
+            boolean priority, int maxConnections, Runnable closeAnother,
             Function<Connection, Connection.Handler> handlers) throws IOException {
         this.loop = loop;
         this.channel = channel;
         this.acceptor = acceptor;
         this.owned = owned;
-        this.first = first;
+        this.priority = priority;
         this.maxConnections = maxConnections;
-        this.makeRoom = makeRoom;
+        this.closeAnother = closeAnother;
         this.handlers = handlers;
         this.key = channel.register(selector, SelectionKey.OP_ACCEPT, this);
     }
 
-    /** The port that was bound. */
+    /** The local port. */
     public int port() {
         return channel.socket().getLocalPort();
     }
 
-    /** Whether this listener and its connections are served ahead of all others in each turn. */
-    boolean first() {
-        return first;
+    /** Whether this listener and its connections are served ahead of others in each turn. */
+    boolean hasPriority() {
+        return priority;
     }
 
-    /** Accepts what waits, a bounded number of connections in one turn. */
+    /** Accepts pending connections, up to the bound of one turn. */
     void accept() {
         if (!accepting) {
-            return; // found ready in the same turn in which that was said
+            return; // switched off after the selection found it ready
         }
-        for (int i = 0; i < TURN_ACCEPTS && mayAccept(); i++) {
+        for (int i = 0; i < MAX_ACCEPTS_PER_TURN && mayAccept(); i++) {
             try {
                 SocketChannel peer = acceptor.accept();
                 if (peer == null) {
                     return;
                 }
-                take(peer);
+                register(peer);
             } catch (IOException failure) {
                 if (!SocketErrors.isOfOneConnection(failure)) {
                     logFailure(failure);
                     key.interestOps(0);
-                    loop.deadlines().add(loop.clock().micros() + ACCEPT_REST_US, this::listen);
+                    loop.deadlines().add(loop.clock().micros() + ACCEPT_PAUSE_MICROS, this::awaitConnections);
                     return;
                 }
-                LOG.log(Level.DEBUG, "a connection was lost before it was accepted: {0}", failure.getMessage());
+                LOG.log(Level.DEBUG, "a pending connection failed before it was accepted: {0}", failure.getMessage());
             }
         }
     }
 
     private boolean mayAccept() {
-        boolean room = openConnections <= maxConnections;
-        if (!room) {
+        boolean belowLimit = openConnections <= maxConnections;
+        if (!belowLimit) {
             key.interestOps(0);
         }
-        return room;
+        return belowLimit;
     }
 
     /**
-     * Takes every connection that the machine has accepted up to now, each beyond the limit in the place of
-     * another: the end of the listening socket would reset them.
+     * Accepts every pending connection, closing another for each beyond the limit: the system resets pending
+     * connections when the listening socket is closed.
      */
     public void acceptAll() {
-        int lost = 0;
-        for (int empty = 0; empty < MAX_EMPTY_ACCEPTS && lost < EventLoop.BACKLOG
-                && openConnections <= maxConnections + TURN_ACCEPTS;) {
+        int failures = 0;
+        for (int emptyAccepts = 0; emptyAccepts < MAX_EMPTY_ACCEPTS && failures < Sockets.BACKLOG
+                && openConnections <= maxConnections + MAX_ACCEPTS_PER_TURN;) {
             try {
                 SocketChannel peer = acceptor.accept();
-                empty = peer == null ? empty + 1 : 0;
+                emptyAccepts = peer == null ? emptyAccepts + 1 : 0;
                 if (peer != null) {
-                    take(peer);
+                    register(peer);
                 }
             } catch (IOException failure) {
-                lost++;
+                failures++;
                 if (!SocketErrors.isOfOneConnection(failure)) {
                     logFailure(failure);
                     return;
@@ -123,22 +123,22 @@
         }
     }
 
-    /** Takes an accepted connection in; one that cannot be taken in gives its place and its descriptor back. */
-    private void take(SocketChannel peer) {
+    /** Serves an accepted connection; on failure it is closed and no longer counted. */
+    private void register(SocketChannel peer) {
         openConnections++;
         if (openConnections > maxConnections) {
             try {
-                makeRoom.run();
+                closeAnother.run();
             } catch (RuntimeException fault) {
-                EventLoop.quietly(peer);
+                Sockets.closeQuietly(peer);
                 connectionClosed();
                 throw fault;
             }
         }
         try {
-            loop.adopt(peer, this, handlers);
+            loop.registerAccepted(peer, this, handlers);
         } catch (IOException failure) {
-            LOG.log(Level.WARNING, "a connection could not be taken in: {0}", failure.getMessage());
+            LOG.log(Level.WARNING, "an accepted connection could not be registered: {0}", failure.getMessage());
         }
     }
 
@@ -146,42 +146,42 @@
         LOG.log(Level.WARNING, "accepting failed: {0}", failure.getMessage());
     }
 
-    /** Has so many connections be open from now on; for those beyond it room is asked for at once. */
+    /** Sets the limit of open connections; another is closed at once for each beyond it. */
     public void limit(int connections) {
         maxConnections = connections;
-        for (int over = openConnections - maxConnections; over > 0 && openConnections > maxConnections; over--) {
-            makeRoom.run();
+        for (int excess = openConnections - maxConnections; excess > 0 && openConnections > maxConnections; excess--) {
+            closeAnother.run();
         }
-        listen();
+        awaitConnections();
     }
 
     /** A connection that was accepted here has been closed. */
     void connectionClosed() {
         openConnections--;
-        listen();
+        awaitConnections();
     }
 
-    /** Whether connections are accepted; those that wait are left to whoever else accepts from this socket. */
-    public void accepting(boolean wanted) {
-        accepting = wanted;
-        if (wanted) {
-            listen();
+    /** Switches accepting on or off; while off, pending connections stay for other processes on the same socket. */
+    public void accepting(boolean enabled) {
+        accepting = enabled;
+        if (enabled) {
+            awaitConnections();
         } else if (key.isValid()) {
             key.interestOps(0);
         }
     }
 
-    private void listen() {
+    private void awaitConnections() {
         if (accepting && key.isValid()) {
             key.interestOps(SelectionKey.OP_ACCEPT);
         }
     }
 
-    /** Accepts no more; a socket that was passed in stays open for whoever else accepts from it. */
+    /** Accepts no more; an inherited socket stays open for other processes that accept from it. */
     @Override
     public void close() {
         if (owned) {
-            EventLoop.quietly(channel);
+            Sockets.closeQuietly(channel);
         } else {
             key.cancel();
         }
--- a/src/main/java/clovermill/runtime/net/Peers.java
+++ b/src/main/java/clovermill/runtime/net/Peers.java
@@ -14,33 +14,33 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * What directors that talk over UDP have in their settings: one another's addresses, and the key by which they sign.
- * What cannot be used is an {@link IllegalArgumentException} that names the field.
+ * Settings shared by the parts that exchange datagrams with other directors: their addresses and the key that signs the
+ * datagrams. An invalid value is an {@link IllegalArgumentException} that names the field.
  */
 public final class Peers {
 
-    private static final int LEAST_KEY = 16;
+    private static final int MIN_KEY_BYTES = 16;
 
     private Peers() {}
 
     /**
-     * The addresses of a list of {@code address:port} that stands at a place of the settings, such as {@code /fleet}.
+     * Parses a list of {@code address:port}; {@code at} is its path in the settings, such as {@code /fleet}.
      */
     public static List<InetSocketAddress> addresses(String at, List<String> directors) {
-        List<InetSocketAddress> all = new ArrayList<>();
-        for (String each : directors) {
-            int cut = each.lastIndexOf(':');
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        for (String director : directors) {
+            int colon = director.lastIndexOf(':');
             try {
-                all.add(new InetSocketAddress(InetAddress.getByName(each.substring(0, cut)),
-                        Integer.parseInt(each.substring(cut + 1))));
+                addresses.add(new InetSocketAddress(InetAddress.getByName(director.substring(0, colon)),
+                        Integer.parseInt(director.substring(colon + 1))));
             } catch (IndexOutOfBoundsException | IllegalArgumentException | UnknownHostException bad) {
-                throw new IllegalArgumentException(at + "/directors: " + each + " is no address:port");
+                throw new IllegalArgumentException(at + "/directors: " + director + " is no address:port");
             }
         }
-        return all;
+        return addresses;
     }
 
-    /** The key that a file holds: hex digits, 16 bytes at least. */
+    /** Reads a key from a file of hex digits; it has at least 16 bytes. */
     public static byte[] key(String at, String file) {
         byte[] key;
         try {
@@ -50,13 +50,13 @@
         } catch (IllegalArgumentException bad) {
             throw new IllegalArgumentException(at + "/key_file: " + file + " holds no hex digits");
         }
-        if (key.length < LEAST_KEY) {
+        if (key.length < MIN_KEY_BYTES) {
             throw new IllegalArgumentException(at + "/key_file: " + file + " holds fewer than 16 bytes");
         }
         return key;
     }
 
-    /** HMAC-SHA-256 (RFC 2104) by a key. */
+    /** An HMAC-SHA-256 (RFC 2104) with this key. */
     public static Mac mac(byte[] key) {
         try {
             Mac mac = Mac.getInstance("HmacSHA256");
--- a/src/main/java/clovermill/runtime/net/ProtocolException.java
+++ b/src/main/java/clovermill/runtime/net/ProtocolException.java
@@ -2,11 +2,12 @@
 
 import java.io.IOException;
 
-/** The other side has sent what its protocol does not allow; the connection cannot be read further. */
+/** The peer violated its protocol; the connection cannot be read further. */
 public final class ProtocolException extends IOException {
 
     private static final long serialVersionUID = 1L;
 
+    /** {@code message} names the violation. */
     public ProtocolException(String message) {
         super(message);
     }
--- a/src/main/java/clovermill/runtime/net/SocketErrors.java
+++ b/src/main/java/clovermill/runtime/net/SocketErrors.java
@@ -6,27 +6,27 @@
 import java.util.Set;
 
 /**
- * The one place that sorts the errors of accepting and dialling, by what Java 17 makes of the system's errno on Linux.
+ * Classifies errors of accept and connect by the exception that Java 17 throws for each errno on Linux.
  *
  * <table>
  * <caption>Errors of accept and connect</caption>
- * <tr><th>errno</th><th>thrown</th><th>whose</th></tr>
+ * <tr><th>errno</th><th>thrown</th><th>fault of</th></tr>
  * <tr><td>connect ECONNREFUSED, ETIMEDOUT</td><td>ConnectException</td><td>peer</td></tr>
- * <tr><td>connect EHOSTUNREACH</td><td>NoRouteToHostException</td><td>peer: nobody answers at its address</td></tr>
+ * <tr><td>connect EHOSTUNREACH</td><td>NoRouteToHostException</td><td>peer: its address is unreachable</td></tr>
  * <tr><td>connect EADDRNOTAVAIL, EADDRINUSE, EACCES</td><td>BindException</td><td>this machine</td></tr>
  * <tr><td>connect or socket ENETUNREACH, ENOBUFS, ENOMEM, ENFILE, EMFILE, EAGAIN, EPERM</td><td>SocketException</td>
  * <td>this machine</td></tr>
  * <tr><td>accept EPROTO, ENETDOWN, EHOSTUNREACH and the like</td><td>IOException with the system's text</td><td>the
- * connection that waited, as accept(2) says</td></tr>
+ * pending connection, see accept(2)</td></tr>
  * <tr><td>accept EMFILE, ENFILE, ENOBUFS, ENOMEM</td><td>IOException with the system's text</td><td>this
  * machine</td></tr>
- * <tr><td>accept ECONNABORTED, EINTR</td><td>nothing: the JDK accepts on, or finds none now</td><td></td></tr>
+ * <tr><td>accept ECONNABORTED, EINTR</td><td>nothing: the JDK accepts the next one, or none</td><td></td></tr>
  * </table>
  */
 public final class SocketErrors {
 
     /**
-     * Texts of the errors that accept(2) passes on from the connection that waited; in another language none is known.
+     * Error texts that accept(2) passes on from the pending connection; texts in another language are not recognized.
      */
     private static final Set<String> OF_ONE_CONNECTION = Set.of("Software caused connection abort",
             "Connection reset by peer", "Connection timed out", "Network is down", "Protocol error",
@@ -37,8 +37,8 @@
     private SocketErrors() {}
 
     /**
-     * Whether a dial that failed speaks against the peer; otherwise it is trouble of this machine that may pass, and
-     * says nothing of the peer. An address that cannot be dialled at all (cause a RuntimeException) is the peer's.
+     * Whether a failed dial is the peer's fault; otherwise it is a transient fault of this machine. An address that cannot
+     * be dialled at all (the cause is a RuntimeException) counts as the peer's fault.
      */
     public static boolean isOfPeer(IOException dialFailure) {
         return dialFailure instanceof ConnectException || dialFailure instanceof NoRouteToHostException
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Whether a failed accept speaks of the one connection that waited first, so that the next may be accepted at once.
+     * Whether a failed accept concerns only the first pending connection, so that the next may be accepted at once.
      */
     static boolean isOfOneConnection(IOException acceptFailure) {
         return acceptFailure.getMessage() != null && OF_ONE_CONNECTION.contains(acceptFailure.getMessage());
--- a/src/main/java/clovermill/runtime/net/Timeout.java
+++ b/src/main/java/clovermill/runtime/net/Timeout.java
@@ -1,6 +1,6 @@
 package clovermill.runtime.net;
 
-/** A deadline of one owner, who sets it again and again; one is set at a time. */
+/** A deadline that its owner may set again any number of times; at most one is set at a time. */
 public final class Timeout {
 
     private final Clock clock;
@@ -9,23 +9,23 @@
     private Deadlines.Deadline deadline;
     private boolean closed;
 
-    /** {@code expired} is run by the sweep of the deadlines, when this is no longer set. */
+    /** {@code expired} is run by the sweep of {@code deadlines}; the timeout is unset by then. */
     public Timeout(Clock clock, Deadlines deadlines, Runnable expired) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.expired = expired;
     }
 
-    /** Has it expire so long from now, in place of a time that was set before. */
-    public void setAfter(long delayUs) {
-        setAt(clock.micros() + delayUs);
+    /** Sets it to expire {@code delayMicros} from now, replacing an earlier setting. */
+    public void setAfter(long delayMicros) {
+        setAt(clock.micros() + delayMicros);
     }
 
-    /** Has it expire at that time of the clock, in place of one that was set before. */
-    public void setAt(long atUs) {
+    /** Sets it to expire at {@code atMicros} of the monotonic clock, replacing an earlier setting. */
+    public void setAt(long atMicros) {
         cancel();
         if (!closed) {
-            deadline = deadlines.add(atUs, this::expire);
+            deadline = deadlines.add(atMicros, this::expire);
         }
     }
 
@@ -34,18 +34,18 @@
         expired.run();
     }
 
-    /** Whether it is still to expire. */
+    /** Whether it is set and has not expired. */
     public boolean isSet() {
         return deadline != null;
     }
 
-    /** Withdraws what is set; nothing set is let pass. */
+    /** Cancels the current setting, if any. */
     public void cancel() {
         deadlines.cancel(deadline);
         deadline = null;
     }
 
-    /** Cancels, and lets nothing be set any more: its owner has ended. */
+    /** Cancels it and ignores later settings: its owner has ended. */
     public void close() {
         cancel();
         closed = true;
--- a/src/main/java/clovermill/runtime/net/WriteQueue.java
+++ b/src/main/java/clovermill/runtime/net/WriteQueue.java
@@ -1,9 +1,11 @@
 package clovermill.runtime.net;
 
+import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.nio.channels.WritableByteChannel;
 import java.util.ArrayDeque;
 
-/** The bytes of one connection that wait to be written, in order, and the count of those that have been. */
+/** The bytes of one connection that are queued for writing, in order, and the count of those written. */
 final class WriteQueue {
 
     private record Piece(ByteBuffer bytes, int length, Runnable done) {
@@ -17,7 +19,7 @@
     private long queuedBytes;
     private long writtenBytes;
 
-    /** Queues bytes; {@code done} is run once, when all of them are written or never will be. */
+    /** Queues bytes; {@code done} is run once, when all of them are written or the queue is cleared. */
     void add(ByteBuffer bytes, Runnable done) {
         pieces.add(new Piece(bytes, bytes.remaining(), done));
         queuedBytes += bytes.remaining();
@@ -27,37 +29,52 @@
         return pieces.isEmpty();
     }
 
-    /** Bytes that wait. */
+    /** Bytes queued and not written. */
     long queuedBytes() {
         return queuedBytes;
     }
 
-    /** Bytes that have been written since the start. */
+    /** Bytes written since the queue was made. */
     long writtenBytes() {
         return writtenBytes;
     }
 
-    /** Copies what is to be written next, as much as there is room for; it stays queued until {@link #written}. */
+    /** Writes until the channel accepts no more, the queue is empty or {@code maxBytes} are exceeded. */
+    void writeTo(WritableByteChannel channel, ByteBuffer scratch, int maxBytes) throws IOException {
+        int total = 0;
+        while (total < maxBytes && !pieces.isEmpty()) {
+            copyTo(scratch.clear());
+            int offered = scratch.flip().remaining();
+            int count = TransferCount.write(channel, scratch);
+            total += count;
+            written(count);
+            if (count < offered) {
+                return;
+            }
+        }
+    }
+
+    /** Copies the next bytes, as many as fit; they stay queued until {@link #written}. */
     void copyTo(ByteBuffer buffer) {
         for (Piece piece : pieces) {
-            int part = Math.min(buffer.remaining(), piece.bytes.remaining());
-            buffer.put(piece.bytes.slice(piece.bytes.position(), part));
+            int count = Math.min(buffer.remaining(), piece.bytes.remaining());
+            buffer.put(piece.bytes.slice(piece.bytes.position(), count));
             if (!buffer.hasRemaining()) {
                 return;
             }
         }
     }
 
-    /** The socket has taken so many bytes, 0 or more. */
+    /** Removes {@code count} bytes, which the socket has taken, and runs the callbacks of completed pieces. */
     void written(int count) {
         queuedBytes -= count;
         writtenBytes += count;
-        int left = count;
+        int remaining = count;
         while (!pieces.isEmpty()) {
             ByteBuffer bytes = pieces.peek().bytes;
-            int part = Math.min(left, bytes.remaining());
+            int part = Math.min(remaining, bytes.remaining());
             bytes.position(bytes.position() + part);
-            left -= part;
+            remaining -= part;
             if (bytes.hasRemaining()) {
                 return;
             }
@@ -66,10 +83,10 @@
     }
 
     /**
-     * Takes back {@code first} and everything queued behind it, unless a byte of it has been written; what is taken back
-     * is not reported as done.
+     * Removes {@code first} and everything queued behind it, unless a byte of {@code first} has been written. The
+     * callbacks of removed pieces are not run.
      *
-     * @return whether {@code first} was taken back
+     * @return whether {@code first} was removed
      */
     boolean retractFrom(ByteBuffer first) {
         boolean found = false;
@@ -86,11 +103,11 @@
         return false;
     }
 
-    /** Drops what waits: it never will be written. */
+    /** Drops everything queued and runs its callbacks. */
     void clear() {
         queuedBytes = 0;
         while (!pieces.isEmpty()) {
-            EventLoop.guarded(pieces.poll().done); // else a fault would keep the rest from hearing of it
+            Callbacks.runGuarded(pieces.poll().done); // a fault must not skip the other callbacks
         }
     }
 }
--- a/src/test/java/clovermill/runtime/net/ConnectionFaultsTest.java
+++ b/src/test/java/clovermill/runtime/net/ConnectionFaultsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a connection makes of the results that the system's calls may have on Linux. */
+/** How a connection handles the results that system calls have on Linux. */
 class ConnectionFaultsTest {
 
     private final List<String> events = new ArrayList<>();
@@ -25,7 +25,7 @@
 
     private Connection connection(boolean connecting) {
         Connection connection = new Connection(loop, socket, socket.key(), connecting, null);
-        connection.handler(new Connection.Handler() {
+        connection.start(new Connection.Handler() {
             @Override
             public void connected() {
                 events.add("connected");
@@ -56,34 +56,34 @@
     }
 
     @Test
-    void anInterruptedReadIsNoEndOfTheStream() {
+    void givenAnInterruptedReadThenItIsNotTheEndOfTheStream() {
         Connection connection = connection(false);
         socket.reads.addAll(List.of(ScriptedSocket.INTERRUPTED, 5, ScriptedSocket.INTERRUPTED, -1));
-        connection.ready();
+        connection.serveReady();
         assertThat(events).containsExactly("received 5");
-        connection.ready();
+        connection.serveReady();
         assertThat(events).containsExactly("received 5", "ended");
     }
 
-    /** The next selection finds it ready again. */
+    /** The next selection reports the socket as ready again. */
     @Test
-    void readsAndWritesThatAreInterruptedWithoutEndLeaveTheTurnToOthers() {
+    void givenCallsThatAreAlwaysInterruptedThenTheTurnGoesOn() {
         Connection connection = connection(false);
         socket.reads.addAll(Collections.nCopies(16, ScriptedSocket.INTERRUPTED));
         socket.writes.addAll(Collections.nCopies(16, ScriptedSocket.INTERRUPTED));
         connection.send(ByteBuffer.wrap(new byte[3]));
-        connection.ready();
+        connection.serveReady();
         connection.flush();
         assertThat(events).isEmpty();
         assertThat(connection.queuedBytes()).isEqualTo(3);
         socket.reads.add(-1);
-        connection.ready();
+        connection.serveReady();
         connection.flush();
         assertThat(events).containsExactly("ended", "flushed");
     }
 
     @Test
-    void anInterruptedWriteHasWrittenNothing() {
+    void givenAnInterruptedWriteThenNothingCountsAsWritten() {
         Connection connection = connection(false);
         socket.writes.addAll(List.of(ScriptedSocket.INTERRUPTED, 2, ScriptedSocket.INTERRUPTED, 0));
         connection.send(ByteBuffer.wrap("request".getBytes(StandardCharsets.US_ASCII)));
@@ -99,14 +99,14 @@
         assertThat(events).containsExactly("flushed");
     }
 
-    /** A look at a dial that a signal interrupts says nothing of it. */
+    /** A connect call that a signal interrupts has no result yet. */
     @Test
-    void aDialThatIsNotUpYetIsNotTakenForUp() {
+    void givenAnUnfinishedDialThenItIsNotReportedAsConnected() {
         Connection connection = connection(true);
         socket.connects.addAll(List.of(false, true));
-        connection.ready();
+        connection.serveReady();
         assertThat(events).isEmpty();
-        connection.ready();
+        connection.serveReady();
         assertThat(events).containsExactly("connected");
     }
 
@@ -115,11 +115,11 @@
      * connection.
      */
     @Test
-    void anErrorOfAReadOrWriteClosesTheConnectionOnce() {
+    void givenAnErrorOfAReadOrWriteThenTheConnectionIsClosedOnce() {
         Connection read = connection(false);
         socket.reads.add(new IOException("Connection timed out"));
-        read.ready();
-        read.ready();
+        read.serveReady();
+        read.serveReady();
         assertThat(events).containsExactly("closed Connection timed out");
         assertThat(read.isOpen()).isFalse();
         events.clear();
@@ -153,14 +153,14 @@
         public void closed(IOException cause) {}
     }
 
-    /** The server looks at once for the end of a client whose reading has just been resumed. */
+    /** The server reads a last time before it ends an idle connection whose reading has just been resumed. */
     @Test
     void givenUnreadBytesWhenReadAtOnceAfterResumeThenTheOlderBytesComeFirst() throws IOException {
         LateReader reader = new LateReader();
         Connection connection = new Connection(loop, socket, socket.key(), false, null);
-        connection.handler(reader);
+        connection.start(reader);
         socket.reads.addAll(List.of(5, 3, -1));
-        connection.ready();
+        connection.serveReady();
         connection.resume();
         connection.readNow();
         assertThat(reader.receivedCounts).as("bytes handed over, in order").containsExactly(5, 5, 3);
@@ -170,19 +170,19 @@
         assertThat(reader.receivedCounts).containsExactly(5, 5, 3, -1);
     }
 
-    /** Found readable in the turn in which another callback had it read, keep bytes and resume. */
+    /** The selection found it readable before another callback read from it and resumed it. */
     @Test
     void givenUnreadBytesWhenFoundReadableThenNothingNewerIsReadAheadOfThem() throws IOException {
         LateReader reader = new LateReader();
         Connection connection = new Connection(loop, socket, socket.alwaysReadableKey(), false, null);
-        connection.handler(reader);
+        connection.start(reader);
         socket.reads.addAll(List.of(5, 3));
-        connection.ready();
+        connection.serveReady();
         connection.resume();
-        connection.ready();
+        connection.serveReady();
         assertThat(reader.receivedCounts).containsExactly(5);
         loop.turn(0);
-        connection.ready();
+        connection.serveReady();
         assertThat(reader.receivedCounts).containsExactly(5, 5, 3);
     }
 }
--- a/src/test/java/clovermill/runtime/net/EventLoopTest.java
+++ b/src/test/java/clovermill/runtime/net/EventLoopTest.java
@@ -13,29 +13,29 @@
 
 class EventLoopTest {
 
-    private final List<String> heard = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
 
     private Connection.Handler handler(Connection connection) {
-        if (heard.isEmpty()) {
-            heard.add("fault");
-            throw new IllegalStateException("a fault while a connection is taken in");
+        if (events.isEmpty()) {
+            events.add("fault");
+            throw new IllegalStateException("a fault while a connection is registered");
         }
         return new Connection.Handler() {
             @Override
             public void received(ByteBuffer data) {
                 data.position(data.limit());
-                heard.add("bytes");
-                connection.flushSoon();
+                events.add("bytes");
+                connection.requestFlush();
             }
 
             @Override
             public void flushing() {
-                heard.add("flush");
+                events.add("flush");
             }
 
             @Override
             public void ended() {
-                heard.add("end");
+                events.add("end");
             }
 
             @Override
@@ -43,9 +43,9 @@
         };
     }
 
-    /** One whose taking-in fails gives its place back: with one place only, the next one is taken. */
+    /** With a limit of one connection the next one is accepted. */
     @Test
-    void aConnectionThatCannotBeTakenInKeepsNoPlace() throws Exception {
+    void givenAConnectionThatCannotBeRegisteredThenItDoesNotCountAgainstTheLimit() throws Exception {
         EventLoop loop = new EventLoop(Clock.system(), new Deadlines());
         try (Listener listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1,
                 () -> {}, this::handler)) {
@@ -59,19 +59,19 @@
                         SocketChannel third = SocketChannel.open(address)) {
                     third.write(ByteBuffer.wrap(new byte[1]));
                     second.write(ByteBuffer.wrap(new byte[1]));
-                    for (int i = 0; i < 50 && heard.size() < 5; i++) {
+                    for (int i = 0; i < 50 && events.size() < 5; i++) {
                         loop.turn(10);
                     }
                 }
             }
-            assertThat(heard).filteredOn("bytes"::equals).hasSize(2);
+            assertThat(events).filteredOn("bytes"::equals).hasSize(2);
         }
     }
 
-    /** Whatever is sent on for a request is written at the end of the turn: by then its client's end has been seen. */
+    /** Output is written at the end of the turn; by then the end of the client that caused it has been read. */
     @Test
-    void anEndBehindARequestIsSeenBeforeAnythingIsWritten() throws Exception {
-        heard.add("no fault");
+    void givenAnEndBehindARequestThenItIsReportedBeforeAnythingIsWritten() throws Exception {
+        events.add("no fault");
         EventLoop loop = new EventLoop(Clock.system(), new Deadlines());
         try (Listener listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1,
                 () -> {}, this::handler)) {
@@ -79,33 +79,33 @@
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port()));
             client.write(ByteBuffer.wrap(new byte[1]));
             client.close();
-            for (int i = 0; i < 50 && !heard.contains("flush"); i++) {
+            for (int i = 0; i < 50 && !events.contains("flush"); i++) {
                 loop.turn(10);
             }
-            assertThat(heard).containsExactly("no fault", "bytes", "end", "flush");
+            assertThat(events).containsExactly("no fault", "bytes", "end", "flush");
         }
     }
 
-    /** A connection for which no room could be made keeps no place and no descriptor; the listener goes on. */
+    /** The new connection is closed and does not count against the limit; the listener goes on. */
     @Test
-    void aFaultWhileRoomIsMadeDoesNotEndTheListener() throws Exception {
-        heard.add("no fault");
+    void givenAFaultWhileAnotherIsClosedThenTheListenerGoesOn() throws Exception {
+        events.add("no fault");
         EventLoop loop = new EventLoop(Clock.system(), new Deadlines());
         try (Listener listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1,
                 () -> {
-                    heard.add("no room");
-                    throw new IllegalStateException("a fault while room is made");
+                    events.add("at the limit");
+                    throw new IllegalStateException("a fault while another is closed");
                 }, connection -> closing(connection))) {
             InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port());
             try (SocketChannel first = SocketChannel.open(address);
                     SocketChannel second = SocketChannel.open(address)) {
-                for (int i = 0; i < 50 && !heard.contains("no room"); i++) {
+                for (int i = 0; i < 50 && !events.contains("at the limit"); i++) {
                     loop.turn(10);
                 }
                 first.write(ByteBuffer.wrap(new byte[1]));
                 second.configureBlocking(false);
                 int read = 0;
-                for (int i = 0; i < 50 && (read >= 0 || !heard.contains("closed")); i++) {
+                for (int i = 0; i < 50 && (read >= 0 || !events.contains("closed")); i++) {
                     loop.turn(10);
                     read = Math.min(read, second.read(ByteBuffer.allocate(1)));
                 }
@@ -113,12 +113,12 @@
             }
             try (SocketChannel third = SocketChannel.open(address)) {
                 third.write(ByteBuffer.wrap(new byte[1]));
-                for (int i = 0; i < 50 && heard.stream().filter("closed"::equals).count() < 2; i++) {
+                for (int i = 0; i < 50 && events.stream().filter("closed"::equals).count() < 2; i++) {
                     loop.turn(10);
                 }
             }
         }
-        assertThat(heard).containsOnlyOnce("no room").filteredOn("closed"::equals).hasSize(2);
+        assertThat(events).containsOnlyOnce("at the limit").filteredOn("closed"::equals).hasSize(2);
     }
 
     /** Closes its connection at the first byte. */
@@ -135,28 +135,28 @@
 
             @Override
             public void closed(IOException cause) {
-                heard.add("closed");
+                events.add("closed");
             }
         };
     }
 
-    /** Else the owner would count a connection for ever that is no more, as the pool does against its limit. */
+    /** Otherwise the owner would count a closed connection against its limit for ever. */
     @Test
-    void aHandlerHearsOfTheCloseThoughWhatWasToBeWrittenFailsAtIt() throws Exception {
-        heard.add("no fault");
+    void givenAWriteCallbackThatThrowsWhenClosedThenTheHandlerIsCalledStill() throws Exception {
+        events.add("no fault");
         EventLoop loop = new EventLoop(Clock.system(), new Deadlines());
         try (Listener listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1,
                 () -> {}, connection -> closing(connection))) {
             Connection dialled = loop.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port()),
                     this::closing);
             dialled.send(ByteBuffer.wrap(new byte[1]), () -> {
-                heard.add("failed");
-                throw new IllegalStateException("a fault at the end of what was to be written");
+                events.add("failed");
+                throw new IllegalStateException("a fault in a write callback");
             });
-            dialled.send(ByteBuffer.wrap(new byte[1]), () -> heard.add("given back"));
+            dialled.send(ByteBuffer.wrap(new byte[1]), () -> events.add("released"));
             loop.post(dialled::close);
             loop.turn(0);
         }
-        assertThat(heard).containsExactly("no fault", "failed", "given back", "closed");
+        assertThat(events).containsExactly("no fault", "failed", "released", "closed");
     }
 }
--- a/src/test/java/clovermill/runtime/net/FirstServedTest.java
+++ b/src/test/java/clovermill/runtime/net/FirstServedTest.java
@@ -12,18 +12,18 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 
-/** A caller that is served first is heard before all clients of a turn, though it came last. */
+/** A connection with priority is served before all others of a turn, though its bytes arrived last. */
 class FirstServedTest {
 
     private static final int CLIENTS = 30;
-    private final List<String> heard = new ArrayList<>();
+    private final List<String> receivers = new ArrayList<>();
 
     private Function<Connection, Connection.Handler> named(String name) {
         return connection -> new Connection.Handler() {
             @Override
             public void received(ByteBuffer data) {
                 data.position(data.limit());
-                heard.add(name);
+                receivers.add(name);
             }
 
             @Override
@@ -35,11 +35,11 @@
     }
 
     @Test
-    void whoIsServedFirstIsHeardFirstInEachTurn() throws Exception {
+    void givenAListenerWithPriorityThenItsConnectionIsServedFirstInEachTurn() throws Exception {
         EventLoop loop = new EventLoop(Clock.system(), new Deadlines());
         InetSocketAddress anywhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         try (Listener usual = loop.listen(anywhere, 100, () -> {}, named("client"));
-                Listener first = loop.listenFirst(anywhere, 100, () -> {}, named("first"))) {
+                Listener first = loop.listenWithPriority(anywhere, 100, () -> {}, named("first"))) {
             List<SocketChannel> all = new ArrayList<>();
             for (int i = 0; i <= CLIENTS; i++) {
                 all.add(SocketChannel.open(new InetSocketAddress(InetAddress.getLoopbackAddress(),
@@ -49,14 +49,14 @@
                 loop.turn(10);
             }
             for (int round = 1; round <= 3; round++) {
-                heard.clear();
+                receivers.clear();
                 for (SocketChannel each : all) {
                     each.write(ByteBuffer.wrap(new byte[] {1}));
                 }
-                for (int i = 0; i < 100 && heard.size() <= CLIENTS; i++) {
+                for (int i = 0; i < 100 && receivers.size() <= CLIENTS; i++) {
                     loop.turn(10);
                 }
-                assertThat(heard).as("round %d", round).hasSize(CLIENTS + 1).startsWith("first");
+                assertThat(receivers).as("round %d", round).hasSize(CLIENTS + 1).startsWith("first");
             }
             for (SocketChannel each : all) {
                 each.close();
--- a/src/test/java/clovermill/runtime/net/RecurringTaskTest.java
+++ b/src/test/java/clovermill/runtime/net/RecurringTaskTest.java
@@ -7,58 +7,47 @@
 
 class RecurringTaskTest {
 
-    private static final long INTERVAL_US = 100;
+    private static final long INTERVAL_MICROS = 100;
 
-    private long nowUs = 1_000;
     private int runs;
     private final Deadlines deadlines = new Deadlines();
-    private final Clock clock = new Clock() {
-        @Override
-        public long micros() {
-            return nowUs;
-        }
+    private final ManualClock clock = new ManualClock(1_000);
 
-        @Override
-        public long unixMillis() {
-            return nowUs / 1000;
-        }
-    };
-
-    private void after(long us) {
-        nowUs += us;
-        deadlines.sweep(nowUs);
+    private void passMicros(long micros) {
+        clock.passMicros(micros);
+        deadlines.sweep(clock.micros());
     }
 
     @Test
-    void runsAtOnceAndAfterEachInterval() {
-        RecurringTask.start(deadlines, clock, INTERVAL_US, () -> runs++);
+    void givenAnIntervalWhenStartedThenRunsAtOnceAndAfterEachInterval() {
+        RecurringTask.start(deadlines, clock, INTERVAL_MICROS, () -> runs++);
         assertThat(runs).isEqualTo(1);
-        after(INTERVAL_US - 1);
+        passMicros(INTERVAL_MICROS - 1);
         assertThat(runs).isEqualTo(1);
-        after(1);
+        passMicros(1);
         assertThat(runs).isEqualTo(2);
-        after(3 * INTERVAL_US);
+        passMicros(3 * INTERVAL_MICROS);
         assertThat(runs).as("runs that were missed are not made up for").isEqualTo(3);
         assertThat(deadlines.size()).isEqualTo(1);
     }
 
     @Test
-    void aRunThatThrowsDoesNotEndTheSeries() {
-        RecurringTask.start(deadlines, clock, INTERVAL_US, () -> {
+    void givenARunThatThrowsThenTheRecurrenceGoesOn() {
+        RecurringTask.start(deadlines, clock, INTERVAL_MICROS, () -> {
             runs++;
             if (runs == 2) {
                 throw new IllegalStateException("once");
             }
         });
-        assertThatThrownBy(() -> after(INTERVAL_US)).hasMessage("once");
-        after(INTERVAL_US);
+        assertThatThrownBy(() -> passMicros(INTERVAL_MICROS)).hasMessage("once");
+        passMicros(INTERVAL_MICROS);
         assertThat(runs).isEqualTo(3);
     }
 
     @Test
-    void aTaskThatStopsItselfDoesNotRunAgain() {
+    void givenATaskThatStopsItselfThenItDoesNotRunAgain() {
         RecurringTask[] task = {null};
-        task[0] = new RecurringTask(deadlines, clock, INTERVAL_US, () -> {
+        task[0] = new RecurringTask(deadlines, clock, INTERVAL_MICROS, () -> {
             runs++;
             if (runs == 2) {
                 task[0].stop();
@@ -66,7 +55,7 @@
         });
         assertThat(deadlines.size()).as("nothing runs before its start").isZero();
         task[0].start();
-        after(INTERVAL_US);
+        passMicros(INTERVAL_MICROS);
         assertThat(runs).isEqualTo(2);
         assertThat(deadlines.size()).isZero();
     }
--- a/src/test/java/clovermill/runtime/net/ScriptedSocket.java
+++ b/src/test/java/clovermill/runtime/net/ScriptedSocket.java
@@ -23,7 +23,7 @@
     /** What {@code read} and {@code write} return on Java 17 where the system call ends with EINTR. */
     static final int INTERRUPTED = -3;
 
-    /** What the calls to come return, an {@link IOException} where they fail; bytes where there is nothing left. */
+    /** The results of the next calls, an {@link IOException} for a failure; every further read finds nothing. */
     public final Deque<Object> reads = new ArrayDeque<>();
     public final Deque<Object> writes = new ArrayDeque<>();
     public final Deque<Object> connects = new ArrayDeque<>();
@@ -41,13 +41,13 @@
     /** A connection of {@code loop} that is being dialled on this socket. */
     public Connection connect(EventLoop loop, Function<Connection, Connection.Handler> handlers) {
         connection = new Connection(loop, this, key, true, null);
-        connection.handler(handlers.apply(connection));
+        connection.start(handlers.apply(connection));
         return connection;
     }
 
     /** Reports the connection as ready for whatever it is interested in, as a selection does. */
     public void reportReady() {
-        connection.ready();
+        connection.serveReady();
     }
 
     /** Whether the connection waits for this socket to take bytes. */
--- a/src/test/java/clovermill/runtime/net/WriteQueueTest.java
+++ b/src/test/java/clovermill/runtime/net/WriteQueueTest.java
@@ -11,13 +11,13 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Whatever parts a socket takes, each byte leaves once and in order, and each piece is told of once, after its last
- * byte.
+ * Whatever parts a socket accepts, each byte leaves once and in order, and the callback of each piece runs once, after
+ * its last byte.
  */
 class WriteQueueTest {
 
     @Property
-    void shortWritesNeitherLoseNorRepeatABytes(@ForAll @Size(max = 12) List<@IntRange(max = 40) Integer> sizes,
+    void shortWritesNeitherLoseNorRepeatBytes(@ForAll @Size(max = 12) List<@IntRange(max = 40) Integer> sizes,
             @ForAll @Size(min = 1, max = 20) List<@IntRange(max = 16) Integer> taken) {
         WriteQueue queue = new WriteQueue();
         List<Integer> done = new ArrayList<>();
@@ -50,4 +50,24 @@
         assertThat(queue.isEmpty()).isTrue();
         assertThat(done).isEqualTo(expectedDone);
     }
+
+    /** Pieces of 4 bytes; those from {@code first} on are removed unless a byte of it has been written. */
+    @Property
+    void onlyUntouchedPiecesAreRetracted(@ForAll @IntRange(max = 20) int written,
+            @ForAll @IntRange(max = 4) int first) {
+        WriteQueue queue = new WriteQueue();
+        List<ByteBuffer> pieces = new ArrayList<>();
+        List<Integer> done = new ArrayList<>();
+        for (int i = 0; i < 5; i++) {
+            int number = i;
+            pieces.add(ByteBuffer.allocate(4));
+            queue.add(pieces.get(i), () -> done.add(number));
+        }
+        queue.written(written);
+        boolean untouched = written <= 4 * first;
+        assertThat(queue.retractFrom(pieces.get(first))).isEqualTo(untouched);
+        assertThat(queue.queuedBytes()).isEqualTo((untouched ? 4 * first : 20) - written);
+        assertThat(queue.isEmpty()).isEqualTo(queue.queuedBytes() == 0);
+        assertThat(done).hasSize(written / 4);
+    }
 }
