--- a/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
@@ -16,7 +16,8 @@
 final class UpstreamExchange implements Exchange {
 
     /**
-     * A deadline passed to a server may be 150 ms older than the moment of its write; the write follows within the turn.
+     * A deadline passed to a server may be 150 ms older than the moment of its write; the write follows within the
+     * turn.
      */
     private static final long MAX_HEAD_AGE_US = 140_000;
 
@@ -100,7 +101,9 @@
         return whole;
     }
 
-    /** A part of it waits to be written, and must not any more: it was called off, or its deadline figure is too old. */
+    /**
+     * A part of it waits to be written, and must not any more: it was called off, or its deadline figure is too old.
+     */
     boolean mustStop(long nowUs) {
         return begun && !whole && (revoked || !ending.mayContinue()
                 || head.hasRemaining() && nowUs - begunUs > MAX_HEAD_AGE_US);
--- a/src/main/java/clovermill/runtime/net/Clock.java
+++ b/src/main/java/clovermill/runtime/net/Clock.java
@@ -16,8 +16,8 @@
 
     /**
      * The wall clock in Unix milliseconds, for time stamps only. It may be stepped at any time, forward or back, by
-     * seconds or hours: the difference of two readings is not a span, and that of a reading and a foreign stamp is not an
-     * age.
+     * seconds or hours: the difference of two readings is not a span, and that of a reading and a foreign stamp is not
+     * an age.
      */
     long unixMillis();
 
--- a/src/main/java/clovermill/runtime/net/Connection.java
+++ b/src/main/java/clovermill/runtime/net/Connection.java
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Hands over everything that has arrived so far, bytes that were left unread first, unless reading is paused. Not to
-     * be called from {@link Handler#received}.
+     * Hands over everything that has arrived so far, bytes that were left unread first, unless reading is paused. Not
+     * to be called from {@link Handler#received}.
      */
     public void readNow() {
         deliverUnread();
--- a/src/main/java/clovermill/runtime/net/Listener.java
+++ b/src/main/java/clovermill/runtime/net/Listener.java
@@ -36,7 +36,9 @@
     private int openConnections;
     private boolean accepting = true;
 
-    /** An {@code owned} channel is closed with this listener; with {@code priority} its connections are served first. */
+    /**
+     * An {@code owned} channel is closed with this listener; with {@code priority} its connections are served first.
+     */
     Listener(EventLoop loop, ServerSocketChannel channel, Selector selector, boolean owned, boolean priority,
             int maxConnections, Runnable closeAnother, Function<Connection, Connection.Handler> handlers)
             throws IOException {
--- a/src/main/java/clovermill/runtime/net/RecurringTask.java
+++ b/src/main/java/clovermill/runtime/net/RecurringTask.java
@@ -1,8 +1,8 @@
 package clovermill.runtime.net;
 
 /**
- * Runs work on the event loop at a fixed interval until it is stopped. The next run is scheduled before the work runs, so
- * that an exception does not end the recurrence.
+ * Runs work on the event loop at a fixed interval until it is stopped. The next run is scheduled before the work runs,
+ * so that an exception does not end the recurrence.
  */
 public final class RecurringTask {
 
--- a/src/main/java/clovermill/runtime/net/SocketErrors.java
+++ b/src/main/java/clovermill/runtime/net/SocketErrors.java
@@ -37,8 +37,8 @@
     private SocketErrors() {}
 
     /**
-     * Whether a failed dial is the peer's fault; otherwise it is a transient fault of this machine. An address that cannot
-     * be dialled at all (the cause is a RuntimeException) counts as the peer's fault.
+     * Whether a failed dial is the peer's fault; otherwise it is a transient fault of this machine. An address that
+     * cannot be dialled at all (the cause is a RuntimeException) counts as the peer's fault.
      */
     public static boolean isOfPeer(IOException dialFailure) {
         return dialFailure instanceof ConnectException || dialFailure instanceof NoRouteToHostException
--- a/src/main/java/clovermill/runtime/net/Sockets.java
+++ b/src/main/java/clovermill/runtime/net/Sockets.java
@@ -46,7 +46,8 @@
     /**
      * Opens a non-blocking socket and dials; the dial may be finished on return.
      *
-     * @throws IOException if the dial fails at once; its cause is a RuntimeException where no such address can be dialled
+     * @throws IOException if the dial fails at once; its cause is a RuntimeException where no such address can be
+     * dialled
      */
     static SocketChannel openDialling(InetSocketAddress address) throws IOException {
         SocketChannel channel = SocketChannel.open();
--- a/src/main/java/clovermill/runtime/net/TransferCount.java
+++ b/src/main/java/clovermill/runtime/net/TransferCount.java
@@ -8,8 +8,8 @@
 /**
  * Reads and writes that retry interrupted calls. On Java 17 a non-blocking socket call that a signal interrupts (EINTR)
  * returns -3, {@code sun.nio.ch.IOStatus.INTERRUPTED}, which the channel's documentation does not mention. Nothing has
- * been transferred then, and the call is repeated at once, so that a last read before a close misses no bytes. Only -1 is
- * the end of the stream.
+ * been transferred then, and the call is repeated at once, so that a last read before a close misses no bytes. Only -1
+ * is the end of the stream.
  */
 final class TransferCount {
 
