--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -193,7 +193,7 @@
                 listed.remove(id);
             } else {
                 listed.put(id, entry);
-                pool.listed(id, entry.address(), entry.startedMs());
+                pool.updateMember(id, entry.address(), entry.startedMs());
             }
         }
         return unfit;
@@ -209,7 +209,7 @@
         }
         for (String id : unfit) {
             if (!listed.containsKey(id)) {
-                pool.gone(id);
+                pool.removeMember(id);
             }
         }
     }
--- a/src/main/java/clovermill/dataplane/upstream/CacheRequest.java
+++ b/src/main/java/clovermill/dataplane/upstream/CacheRequest.java
@@ -9,21 +9,26 @@
 import java.util.function.Predicate;
 
 /**
- * A request for a member, before it is on a connection. {@code ask} is null for a probe, {@code source} null where a
- * miss is
- * not to be filled; {@code dueUs} is when its time is over, in microseconds of the clock, and {@code encoder} gives its
- * bytes for the microseconds that are left.
+ * A request to a member, before it is assigned to a connection.
+ *
+ * @param member id of the member
+ * @param id id of the request in the lines protocol
+ * @param clientRequest the client's request, null for a probe
+ * @param source id of the member from which a miss is filled, null if it is not filled
+ * @param deadlineMicros end of its time, in microseconds of the monotonic clock
+ * @param encoder encodes the request for a number of microseconds left
+ * @param listener follows the exchange
  */
-record CacheRequest(String member, String id, ClientRequest ask, String source, long dueUs,
-        LongFunction<List<ByteBuffer>> encoder, AttemptListener ending) {
+record CacheRequest(String member, String id, ClientRequest clientRequest, String source, long deadlineMicros,
+        LongFunction<List<ByteBuffer>> encoder, AttemptListener listener) {
 
-    /** Whether a miss of it is to be filled from one of these members. */
+    /** Whether a miss would be filled from one of {@code members}. */
     boolean isFilledFrom(Set<String> members) {
         return source != null && members.contains(source);
     }
 
-    /** Whether it asks for one of these. */
-    boolean isFor(Predicate<ClientRequest> which) {
-        return ask != null && which.test(ask);
+    /** Whether it is an attempt of a matching client request. */
+    boolean isFor(Predicate<ClientRequest> matches) {
+        return clientRequest != null && matches.test(clientRequest);
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
+++ b/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
@@ -6,56 +6,55 @@
 import clovermill.runtime.net.Deadlines.Deadline;
 
 /**
- * A request for which no connection could be dialled since this machine had no port, descriptor, memory or route for
- * one at
- * that moment. The dial is tried again with a pause until a dial's time has passed; then the request has not been sent,
- * which speaks against no member.
+ * A request that waits for a dial, because this machine lacked a port, descriptor, memory or route. The dial is retried
+ * at a fixed interval for the time of one dial; then the request ends as not sent, which does not count against the
+ * member.
  */
 final class DelayedDial implements Exchange {
 
-    /** From a failed dial to the next. */
-    static final long PAUSE_US = 20_000;
+    /** Interval between two dials. */
+    static final long RETRY_INTERVAL_MICROS = 20_000;
 
     private final UpstreamPool pool;
     private final CacheRequest request;
-    private final long untilUs;
-    private Deadline next;
+    private final long lastDialMicros;
+    private Deadline nextDial;
     private Exchange sent;
 
-    /** The first dial has just failed; the last may begin at {@code untilUs} of the clock. */
-    DelayedDial(UpstreamPool pool, CacheRequest request, long untilUs) {
+    /** Made after a failed dial; no dial begins at or after {@code lastDialMicros} of the monotonic clock. */
+    DelayedDial(UpstreamPool pool, CacheRequest request, long lastDialMicros) {
         this.pool = pool;
         this.request = request;
-        this.untilUs = untilUs;
-        pause();
+        this.lastDialMicros = lastDialMicros;
+        scheduleDial();
     }
 
     CacheRequest request() {
         return request;
     }
 
-    private void pause() {
-        pool.delays(this);
-        next = pool.deadline(PAUSE_US, this::dial);
+    private void scheduleDial() {
+        pool.addDelayed(this);
+        nextDial = pool.addTimeout(RETRY_INTERVAL_MICROS, this::dial);
     }
 
     private void dial() {
-        if (pool.now() >= Math.min(untilUs, request.dueUs()) || !request.ending().mayBegin()) {
+        if (pool.nowMicros() >= Math.min(lastDialMicros, request.deadlineMicros()) || !request.listener().mayBegin()) {
             end(Result.NOT_SENT);
             return;
         }
-        pool.dialled(this); // its end may be told in the call, and must not be told again
+        pool.removeDelayed(this); // the call may end the request, which must end only once
         sent = pool.trySend(request);
         if (sent == null) {
-            pause();
+            scheduleDial();
         }
     }
 
-    /** Ends it before it is sent. */
+    /** Ends the request before it is sent. */
     void end(Result result) {
-        pool.cancel(next);
-        pool.dialled(this);
-        request.ending().ended(result, Note.NONE, 0, null);
+        pool.cancel(nextDial);
+        pool.removeDelayed(this);
+        request.listener().ended(result, Note.NONE, 0, null);
     }
 
     @Override
@@ -63,8 +62,8 @@
         if (sent != null) {
             return sent.cancel();
         }
-        pool.cancel(next);
-        pool.dialled(this);
+        pool.cancel(nextDial);
+        pool.removeDelayed(this);
         return false;
     }
 
@@ -73,7 +72,7 @@
         return sent != null && sent.begun();
     }
 
-    /** Until it is on a connection it is this machine that holds it back, which speaks against no member. */
+    /** Before it is sent it waits for this machine, which does not count against the member. */
     @Override
     public boolean isQueuedLocally() {
         return sent == null || sent.isQueuedLocally();
--- a/src/main/java/clovermill/dataplane/upstream/RecentIds.java
+++ b/src/main/java/clovermill/dataplane/upstream/RecentIds.java
@@ -6,41 +6,41 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Ids under which an answer may still come on a connection though nobody waits for it; no request may take one. */
+/** Ids whose response may still arrive on a connection although no exchange waits for it; they must not be reused. */
 final class RecentIds {
 
-    /** Given-up ids that are remembered, lest a late answer be taken for that of a further attempt. */
-    private static final int MOST_ABANDONED = 1000;
-    /** For so long an id is not used again after its answer: a second copy comes some milliseconds late. */
-    private static final long SECOND_COPY_US = 50_000;
+    /** Bound of the cancelled ids; a late response must not be taken for that of another attempt. */
+    private static final int MAX_CANCELLED = 1000;
+    /** An answered id is not reused for this long: a member may send its response twice, some milliseconds apart. */
+    private static final long DUPLICATE_WINDOW_MICROS = 50_000;
 
-    private final Set<String> abandoned = new HashSet<>();
-    /** When each was answered, the eldest first. */
-    private final Map<String, Long> answered = new LinkedHashMap<>();
+    private final Set<String> cancelled = new HashSet<>();
+    /** Answered ids with the time of the response in microseconds, oldest first. */
+    private final Map<String, Long> answeredMicros = new LinkedHashMap<>();
 
-    void abandon(String id) {
-        abandoned.add(id);
+    void addCancelled(String id) {
+        cancelled.add(id);
     }
 
-    /** Whether no more can be remembered. */
-    boolean full() {
-        return abandoned.size() >= MOST_ABANDONED;
+    /** Whether the bound of cancelled ids is reached. */
+    boolean isFull() {
+        return cancelled.size() >= MAX_CANCELLED;
     }
 
-    /** The late answer has come. */
-    void late(String id) {
-        abandoned.remove(id);
+    /** The late response has arrived. */
+    void removeCancelled(String id) {
+        cancelled.remove(id);
     }
 
-    void answered(String id, long nowUs) {
-        answered.put(id, nowUs);
+    void addAnswered(String id, long nowMicros) {
+        answeredMicros.put(id, nowMicros);
     }
 
-    boolean contains(String id, long nowUs) {
-        for (Iterator<Long> eldest = answered.values().iterator(); eldest.hasNext()
-                && nowUs - eldest.next() >= SECOND_COPY_US;) {
-            eldest.remove();
+    boolean contains(String id, long nowMicros) {
+        for (Iterator<Long> oldest = answeredMicros.values().iterator(); oldest.hasNext()
+                && nowMicros - oldest.next() >= DUPLICATE_WINDOW_MICROS;) {
+            oldest.remove();
         }
-        return abandoned.contains(id) || answered.containsKey(id);
+        return cancelled.contains(id) || answeredMicros.containsKey(id);
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/RequestLine.java
+++ b/src/main/java/clovermill/dataplane/upstream/RequestLine.java
@@ -7,36 +7,43 @@
 import java.util.List;
 import java.util.StringJoiner;
 
-/** A request in the lines protocol. */
+/** Encodes requests of the lines protocol. */
 final class RequestLine {
 
+    private static final long MICROS_PER_MILLI = 1000;
+
     private RequestLine() {}
 
-    /** The parts of an attempt's request, whose client has {@code leftUs} microseconds left as it is written. */
-    static List<ByteBuffer> want(AttemptOrder order, long leftUs) {
-        ClientRequest ask = order.request();
-        String head = "want " + ask.id() + " " + fields(order, leftUs) + " " + ask.body().length + "\r\n";
-        return ask.body().length == 0
+    /** Encodes an attempt in parts; {@code leftMicros} is the time that its client has left. */
+    static List<ByteBuffer> want(AttemptOrder order, long leftMicros) {
+        ClientRequest request = order.request();
+        String head = "want " + request.id() + " " + fields(order, leftMicros) + " " + request.body().length + "\r\n";
+        return request.body().length == 0
                 ? List.of(text(head + "\r\n"))
-                : List.of(text(head), ByteBuffer.wrap(ask.body()), text("\r\n"));
+                : List.of(text(head), ByteBuffer.wrap(request.body()), text("\r\n"));
     }
 
-    /** A probe. */
+    /** Encodes a probe. */
     static List<ByteBuffer> there(String tag) {
         return List.of(text("there " + tag + "\r\n"));
     }
 
+    /** Encodes the cancellation of a request. */
+    static ByteBuffer neverMind(String id) {
+        return text("never_mind " + id + "\r\n");
+    }
+
     private static ByteBuffer text(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String fields(AttemptOrder order, long leftUs) {
-        ClientRequest ask = order.request();
+    private static String fields(AttemptOrder order, long leftMicros) {
+        ClientRequest request = order.request();
         StringJoiner fields = new StringJoiner(",");
-        fields.add("kind=" + ask.className()).add("obj=" + ask.object()).add("seg=" + ask.part());
-        fields.add("ms=" + Math.max(1, leftUs / 1000));
-        if (ask.idempotencyKey() != null) {
-            fields.add("token=" + ask.idempotencyKey());
+        fields.add("kind=" + request.className()).add("obj=" + request.object()).add("seg=" + request.part());
+        fields.add("ms=" + Math.max(1, leftMicros / MICROS_PER_MILLI));
+        if (request.idempotencyKey() != null) {
+            fields.add("token=" + request.idempotencyKey());
         }
         if (order.source() != null) {
             fields.add("src=" + order.source());
@@ -45,7 +52,7 @@
             fields.add("keep=" + order.rank());
         }
         if (order.maxAgeMicros() > 0) {
-            fields.add("maxage=" + Math.max(1, order.maxAgeMicros() / 1000));
+            fields.add("maxage=" + Math.max(1, order.maxAgeMicros() / MICROS_PER_MILLI));
         }
         StringJoiner flags = new StringJoiner("+");
         if (order.join()) {
@@ -63,8 +70,8 @@
         if (flags.length() > 0) {
             fields.add("flags=" + flags);
         }
-        if (ask.cachedTag() != null) {
-            fields.add("have=" + ask.cachedTag());
+        if (request.cachedTag() != null) {
+            fields.add("have=" + request.cachedTag());
         }
         return fields.toString();
     }
--- a/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
@@ -5,7 +5,7 @@
 import clovermill.runtime.net.ProtocolException;
 import java.util.Map;
 
-/** What the words of the lines protocol's answers mean (the protocol page, "Directors to caches"). */
+/** Decodes the fields of responses in the lines protocol (the protocol page, "Directors to caches"). */
 final class ResponseFields {
 
     private static final Map<String, Note> NOTES = Map.of("HIT", Note.HIT, "MISS", Note.FILLED,
@@ -15,6 +15,7 @@
 
     private ResponseFields() {}
 
+    /** Decodes the word of a response. */
     static Result result(String word) throws ProtocolException {
         return switch (word) {
             case "DONE", "KEEP", "FIT" -> Result.OK;
@@ -22,21 +23,21 @@
             case "WAIT" -> Result.REFUSED;
             case "BROKE", "UNFIT" -> Result.ERROR;
             case "PAST" -> Result.NOT_SENT;
-            default -> throw new ProtocolException("an unknown word in an answer");
+            default -> throw new ProtocolException("an unknown word in a response");
         };
     }
 
-    /** The note of an answer; {@code text} may be null. */
+    /** Decodes a note; null and unknown texts give {@link Note#NONE}. */
     static Note note(String text) {
         return text == null ? Note.NONE : NOTES.getOrDefault(text, Note.NONE);
     }
 
-    /** A time in milliseconds as microseconds; 0 where none is told. */
+    /** Converts a time in milliseconds to microseconds; null gives 0. */
     static long micros(String millis) throws ProtocolException {
         try {
             return millis == null ? 0 : (long) (Double.parseDouble(millis) * 1000);
         } catch (NumberFormatException e) {
-            throw new ProtocolException("not a time in an answer");
+            throw new ProtocolException("not a time in a response");
         }
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/ResponseParser.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseParser.java
@@ -9,19 +9,19 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads answers of the lines protocol: {@code ID WORD FIELDS LENGTH}, the bytes, and a line end. */
+/** Parses responses of the lines protocol: {@code ID WORD FIELDS LENGTH}, the body, and a line end. */
 final class ResponseParser {
 
-    /** Where whole answers go. */
+    /** Receives complete responses. */
     interface Sink {
 
-        /** Takes an answer and owns its body. */
-        void answer(String id, String word, Map<String, String> fields, Body body) throws ProtocolException;
+        /** Receives a response and owns its body. */
+        void handleResponse(String id, String word, Map<String, String> fields, Body body) throws ProtocolException;
     }
 
-    private static final int LONGEST_LINE = 4096;
-    /** The protocol's largest object; more would not fit into a client's frame. */
-    private static final int LARGEST_BODY = 240_000;
+    private static final int MAX_LINE_BYTES = 4096;
+    /** The largest object of the protocol, which fits into a client's frame. */
+    private static final int MAX_BODY_BYTES = 240_000;
 
     private final Budget budget;
     private final Sink sink;
@@ -29,20 +29,20 @@
     private String[] words;
     private int length;
     private Body body;
-    private int filled;
-    private int ends;
+    private int bodyBytesRead;
+    private int endBytesRead;
 
     ResponseParser(Budget budget, Sink sink) {
         this.budget = budget;
         this.sink = sink;
     }
 
-    /** Reads all of {@code data}, but stops before a body for which the budget has no room yet. */
+    /** Parses {@code data}; bytes are left in it only before a body that the budget does not grant yet. */
     void parse(ByteBuffer data) throws ProtocolException {
         while (data.hasRemaining() || words != null && body == null) {
             if (words == null) {
                 if (readLine(data)) {
-                    header(line.toString(StandardCharsets.UTF_8));
+                    parseHeader(line.toString(StandardCharsets.UTF_8));
                     line.reset();
                 }
             } else if (body == null) {
@@ -50,37 +50,37 @@
                     return;
                 }
                 body = new Body(new byte[length], budget);
-            } else if (filled < length) {
-                int part = Math.min(length - filled, data.remaining());
-                data.get(body.bytes(), filled, part);
-                filled += part;
+            } else if (bodyBytesRead < length) {
+                int part = Math.min(length - bodyBytesRead, data.remaining());
+                data.get(body.bytes(), bodyBytesRead, part);
+                bodyBytesRead += part;
             } else {
-                end(data.get());
+                parseEnd(data.get());
             }
         }
     }
 
-    /** True while an answer waits for room in the budget. */
-    boolean waitsForRoom() {
+    /** Whether a response waits until the budget grants its body. */
+    boolean awaitsBudget() {
         return words != null && body == null;
     }
 
-    /** Whether a part of an answer has been read. */
-    boolean midAnswer() {
+    /** Whether a response is partly read. */
+    boolean isMidResponse() {
         return words != null || line.size() > 0;
     }
 
-    /** Whether a part of the answer with that id has been read. */
-    boolean answers(String id) {
+    /** Whether the response with that id is partly read. */
+    boolean isReading(String id) {
         return words != null && words[0].equals(id);
     }
 
-    /** The bytes that the answer being read still lacks. */
-    int left() {
-        return words == null ? 0 : length - filled;
+    /** Body bytes still to be read of the current response. */
+    int remainingBytes() {
+        return words == null ? 0 : length - bodyBytesRead;
     }
 
-    /** Gives back what a broken connection leaves unfinished. */
+    /** Releases the body of a response that was not completed. */
     void close() {
         if (body != null) {
             body.close();
@@ -95,49 +95,49 @@
                 return true;
             }
             line.write(next);
-            if (line.size() > LONGEST_LINE) {
-                throw new ProtocolException("a line of an answer is too long");
+            if (line.size() > MAX_LINE_BYTES) {
+                throw new ProtocolException("a line of a response is too long");
             }
         }
         return false;
     }
 
-    private void header(String text) throws ProtocolException {
+    private void parseHeader(String text) throws ProtocolException {
         String[] parts = text.endsWith("\r") ? text.substring(0, text.length() - 1).split(" ", -1) : new String[0];
         if (parts.length != 4) {
-            throw new ProtocolException("not an answer");
+            throw new ProtocolException("not a response");
         }
         try {
             length = Integer.parseInt(parts[3]);
         } catch (NumberFormatException e) {
             length = -1;
         }
-        if (length < 0 || length > LARGEST_BODY) {
-            throw new ProtocolException("not a length in an answer");
+        if (length < 0 || length > MAX_BODY_BYTES) {
+            throw new ProtocolException("not a length in a response");
         }
         words = parts;
-        filled = 0;
-        ends = 0;
+        bodyBytesRead = 0;
+        endBytesRead = 0;
     }
 
-    private void end(byte next) throws ProtocolException {
-        if (next != (ends == 0 ? '\r' : '\n')) {
-            throw new ProtocolException("an answer does not end after its bytes");
+    private void parseEnd(byte next) throws ProtocolException {
+        if (next != (endBytesRead == 0 ? '\r' : '\n')) {
+            throw new ProtocolException("a response does not end after its body");
         }
-        ends++;
-        if (ends == 2) {
-            String[] answered = words;
-            Body whole = body;
+        endBytesRead++;
+        if (endBytesRead == 2) {
+            String[] header = words;
+            Body completeBody = body;
             words = null;
             body = null;
             Map<String, String> fields;
             try {
-                fields = fields(answered[2]);
+                fields = fields(header[2]);
             } catch (ProtocolException malformed) {
-                whole.close();
+                completeBody.close();
                 throw malformed;
             }
-            sink.answer(answered[0], answered[1], fields, whole);
+            sink.handleResponse(header[0], header[1], fields, completeBody);
         }
     }
 
@@ -145,11 +145,11 @@
         Map<String, String> fields = new HashMap<>(8);
         if (!text.equals("-")) {
             for (String pair : text.split(",", -1)) {
-                int cut = pair.indexOf('=');
-                if (cut < 1) {
-                    throw new ProtocolException("not a field of an answer");
+                int equals = pair.indexOf('=');
+                if (equals < 1) {
+                    throw new ProtocolException("not a field of a response");
                 }
-                fields.put(pair.substring(0, cut), pair.substring(cut + 1));
+                fields.put(pair.substring(0, equals), pair.substring(equals + 1));
             }
         }
         return fields;
--- a/src/main/java/clovermill/dataplane/upstream/ResponseWatchdog.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseWatchdog.java
@@ -4,19 +4,19 @@
 import clovermill.runtime.net.Deadlines.Deadline;
 
 /**
- * Guards against answers that stop short while their connection stays open, and those that go on for ever bit by
- * bit: what is behind them on the same connection can never be read, so that all on it would wait in vain.
+ * Closes a connection whose response stalls or arrives too slowly: the responses behind it on the same connection
+ * cannot be read.
  */
 final class ResponseWatchdog {
 
-    /** What goes on at the pace of an answer that is slow but whole in the end takes no longer, in dial times. */
-    private static final int MOST_DIALS = 20;
+    /** A cancelled response may take this many dial times at its current rate. */
+    private static final int MAX_DIAL_TIMES = 20;
 
     private final UpstreamPool pool;
     private final Connection connection;
     private final ResponseParser parser;
-    private Deadline stall;
-    private long heardUs;
+    private Deadline stallTimeout;
+    private long lastReceivedMicros;
     private boolean closed;
 
     ResponseWatchdog(UpstreamPool pool, Connection connection, ResponseParser parser) {
@@ -25,21 +25,22 @@
         this.parser = parser;
     }
 
-    /** Something has been read. */
-    void heard() {
-        heardUs = pool.now();
+    /** Records that bytes have been received now. */
+    void recordReceived() {
+        lastReceivedMicros = pool.nowMicros();
     }
 
-    long heardUs() {
-        return heardUs;
+    /** When bytes were last received, in microseconds of the monotonic clock. */
+    long lastReceivedMicros() {
+        return lastReceivedMicros;
     }
 
-    /** Looks after an answer that is in its middle. */
+    /** Starts the stall timeout if a response is partly read. */
     void watch() {
-        if (stall == null && parser.midAnswer() && connection.isOpen()) {
-            stall = pool.dialDeadline(() -> {
-                stall = null;
-                if (parser.midAnswer() && !parser.waitsForRoom() && pool.dialTimeHasPassed(heardUs)) {
+        if (stallTimeout == null && parser.isMidResponse() && connection.isOpen()) {
+            stallTimeout = pool.addDialTimeout(() -> {
+                stallTimeout = null;
+                if (parser.isMidResponse() && !parser.awaitsBudget() && pool.hasDialTimePassed(lastReceivedMicros)) {
                     connection.close();
                 } else {
                     watch();
@@ -48,23 +49,24 @@
         }
     }
 
-    /** Nobody waits for the answer that is being read: it may go on while it would be whole in some dials' time. */
-    void endUnlessAnswered(String id) {
-        int leftBefore = parser.left();
-        pool.dialDeadline(() -> {
-            if (closed || !parser.answers(id)) {
+    /** Closes the connection unless the cancelled response that is being read would be complete in some dial times. */
+    void closeUnlessProgressing(String id) {
+        int remainingBefore = parser.remainingBytes();
+        pool.addDialTimeout(() -> {
+            if (closed || !parser.isReading(id)) {
                 return;
             }
-            if ((leftBefore - parser.left()) * MOST_DIALS < parser.left()) {
+            if ((remainingBefore - parser.remainingBytes()) * MAX_DIAL_TIMES < parser.remainingBytes()) {
                 connection.close();
             } else {
-                endUnlessAnswered(id);
+                closeUnlessProgressing(id);
             }
         });
     }
 
+    /** Stops watching. */
     void close() {
         closed = true;
-        pool.cancel(stall);
+        pool.cancel(stallTimeout);
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -12,8 +12,6 @@
 import clovermill.runtime.net.SocketErrors;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -22,41 +20,38 @@
 import java.util.stream.Stream;
 
 /**
- * One connection to a member. It owns its exchanges and ends each of them: by its answer, or when the
- * connection ends. A request stays out of the socket's buffer until all before it is written, so that it can
- * still be withdrawn with proof that nothing of it was sent.
+ * One connection to a member. It owns its exchanges and ends each of them: by its response, or when the connection is
+ * closed.
  */
 final class UpstreamConnection implements Connection.Handler {
 
     private static final System.Logger LOG = System.getLogger(UpstreamConnection.class.getName());
-    /** Requests begin together until so many bytes are queued: one gathered write. */
-    private static final int BATCH_BYTES = 1 << 16;
+
     private final UpstreamPool pool;
     private final Connection connection;
     private final ResponseParser parser;
     private final Budget budget;
-    private final Map<String, UpstreamExchange> open = new HashMap<>();
-    private final ArrayDeque<UpstreamExchange> waiting = new ArrayDeque<>();
-    /** Those begun in this flush, of which nothing has been written up to now. */
-    private final List<UpstreamExchange> batch = new ArrayList<>();
-    private final RecentIds spent = new RecentIds();
-    private final ResponseWatchdog guard;
-    /** What was given up with a part of it unwritten. */
-    private final List<UpstreamExchange> unfinished = new ArrayList<>(1);
-    private Deadline dialOrIdle;
+    private final Map<String, UpstreamExchange> openById = new HashMap<>();
+    private final SendQueue sendQueue;
+    private final RecentIds recentIds = new RecentIds();
+    private final ResponseWatchdog watchdog;
+    /** Cancelled exchanges of which a part is written and a part is not. */
+    private final List<UpstreamExchange> partlyWritten = new ArrayList<>(1);
+    private Deadline dialOrIdleTimeout;
     private boolean connected;
     private boolean retired;
     private boolean closed;
-    /** When the first request went out since anything was heard; 0 if none did. */
-    private long unheardSinceUs;
+    /** When the first request was written after the last received byte; 0 if none was. */
+    private long unansweredSinceMicros;
 
     UpstreamConnection(UpstreamPool pool, Connection connection, Budget budget) {
         this.pool = pool;
         this.connection = connection;
         this.budget = budget;
-        this.parser = new ResponseParser(budget, this::answer);
-        this.guard = new ResponseWatchdog(pool, connection, parser);
-        this.dialOrIdle = pool.dialDeadline(connection::close);
+        this.parser = new ResponseParser(budget, this::handleResponse);
+        this.watchdog = new ResponseWatchdog(pool, connection, parser);
+        this.sendQueue = new SendQueue(pool, connection, this::endExpired);
+        this.dialOrIdleTimeout = pool.addDialTimeout(connection::close);
     }
 
     boolean isRetired() {
@@ -68,196 +63,171 @@
     }
 
     int openExchanges() {
-        return open.size();
+        return openById.size();
     }
 
-    /** Whether a request may share this connection: no other one with its id must be possible on it. */
-    boolean takes(String id, int streams) {
-        return !retired && open.size() < streams && !open.containsKey(id) && !spent.contains(id, pool.now());
+    /** Whether a request may be sent here: no response to another request with its id may still arrive. */
+    boolean accepts(String id, int maxStreams) {
+        return !retired && openById.size() < maxStreams && !openById.containsKey(id)
+                && !recentIds.contains(id, pool.nowMicros());
     }
 
-    /** Whether nothing but the end of this turn keeps back what is queued here. */
-    boolean idlesUntilFlush() {
+    /** Whether queued requests wait only for the end of this turn. */
+    boolean waitsOnlyForFlush() {
         return connected && connection.isWriteIdle();
     }
 
     UpstreamExchange send(CacheRequest request) {
         UpstreamExchange exchange = new UpstreamExchange(this, request);
         if (connected) {
-            pool.cancel(dialOrIdle);
+            pool.cancel(dialOrIdleTimeout);
         }
-        open.put(exchange.id, exchange);
-        waiting.add(exchange);
-        // Guards the drain and purge rules: what could not be begun in a dial's time must not go out later.
-        exchange.beginBy = pool.dialDeadline(() -> withdraw(exchange, Result.UNCONNECTED));
+        openById.put(exchange.id, exchange);
+        sendQueue.add(exchange);
+        // The bound within which drains and purges take effect: a request must not begin later than a dial may take.
+        exchange.beginTimeout = pool.addDialTimeout(() -> withdraw(exchange, Result.UNCONNECTED));
         connection.requestFlush();
         return exchange;
     }
 
-    /** Withdraws what is queued and {@code which} names; what is half written is to go no further. */
-    void withdraw(Predicate<UpstreamExchange> which, Result result) {
-        List.copyOf(waiting).stream().filter(which).forEach(exchange -> withdraw(exchange, result));
-        Stream.concat(open.values().stream(), unfinished.stream()).filter(which).forEach(UpstreamExchange::revoke);
+    /** Ends the matching queued exchanges with {@code result}; matching ones that are partly written must not go on. */
+    void withdraw(Predicate<UpstreamExchange> matches, Result result) {
+        sendQueue.snapshot().stream().filter(matches).forEach(exchange -> withdraw(exchange, result));
+        unwrittenCandidates().filter(matches).forEach(UpstreamExchange::revoke);
     }
 
     private void withdraw(UpstreamExchange exchange, Result result) {
-        if (waiting.remove(exchange)) {
-            open.remove(exchange.id, exchange);
-            pool.cancel(exchange.beginBy);
+        if (sendQueue.remove(exchange)) {
+            openById.remove(exchange.id, exchange);
+            pool.cancel(exchange.beginTimeout);
             exchange.end(result, Note.NONE, 0, null);
-            settled();
+            updateAfterEnd();
         }
     }
 
-    /** Nobody waits for it any more on this side. */
-    void givenUp(UpstreamExchange exchange) {
-        if (open.remove(exchange.id, exchange)) {
-            pool.cancel(exchange.beginBy);
-            waiting.remove(exchange);
-            if (exchange.begun()) {
-                if (!exchange.isWhole()) {
-                    unfinished.add(exchange);
-                }
-                spent.abandon(exchange.id);
-                connection.send(text("never_mind " + exchange.id + "\r\n"));
-                // Guards against a machine that vanished, and one that answers no more here: it resets
-                // nothing, so a connection on which nothing came while requests waited is not trusted.
-                boolean silent = unheardSinceUs > 0 && pool.dialTimeHasPassed(unheardSinceUs);
-                if (silent || spent.full()) {
-                    retire();
-                }
-                if (parser.answers(exchange.id)) {
-                    guard.endUnlessAnswered(exchange.id);
-                }
-            }
-            settled();
-        }
+    private Stream<UpstreamExchange> unwrittenCandidates() {
+        return Stream.concat(openById.values().stream(), partlyWritten.stream());
     }
 
-    /** No new requests here; closes once none is open. */
-    void retire() {
-        retired = true;
-        settled();
+    /** Ends a request whose time is over, or which is not wanted any more, before it begins. */
+    private void endExpired(UpstreamExchange exchange) {
+        pool.cancel(exchange.beginTimeout);
+        openById.remove(exchange.id, exchange);
+        exchange.end(Result.NOT_SENT, Note.NONE, 0, null);
     }
 
-    void closeIfIdle() {
-        if (open.isEmpty()) {
-            connection.close();
+    /** Cancels an exchange; its listener is not called any more. */
+    void cancel(UpstreamExchange exchange) {
+        if (openById.remove(exchange.id, exchange)) {
+            pool.cancel(exchange.beginTimeout);
+            sendQueue.remove(exchange);
+            if (exchange.begun()) {
+                cancelBegun(exchange);
+            }
+            updateAfterEnd();
         }
     }
 
-    /** Begins requests, as long as nothing unwritten stands ahead of them, up to one batch. */
-    private void begin() {
-        if (!connected || connection.queuedBytes() > 0 || waiting.isEmpty()) {
-            return;
+    private void cancelBegun(UpstreamExchange exchange) {
+        if (!exchange.isWritten()) {
+            partlyWritten.add(exchange);
         }
-        long nowUs = pool.now();
-        // Their ends are reported, which may call off others: before any has begun.
-        while (!waiting.isEmpty() && !waiting.peek().mayBegin(nowUs)) {
-            UpstreamExchange refused = waiting.poll();
-            pool.cancel(refused.beginBy);
-            open.remove(refused.id, refused);
-            refused.end(Result.NOT_SENT, Note.NONE, 0, null);
+        recentIds.addCancelled(exchange.id);
+        connection.send(RequestLine.neverMind(exchange.id));
+        // A machine that vanished or hangs resets no connection: one that was silent for a dial's time is not reused.
+        boolean silent = unansweredSinceMicros > 0 && pool.hasDialTimePassed(unansweredSinceMicros);
+        if (silent || recentIds.isFull()) {
+            retire();
         }
-        while (connection.queuedBytes() < BATCH_BYTES && !waiting.isEmpty() && waiting.peek().mayBegin(nowUs)) {
-            begin(waiting.poll(), nowUs);
+        if (parser.isReading(exchange.id)) {
+            watchdog.closeUnlessProgressing(exchange.id);
         }
-        settled();
     }
 
-    private void begin(UpstreamExchange exchange, long nowUs) {
-        batch.add(exchange);
-        List<ByteBuffer> parts = exchange.begin(nowUs);
-        for (int i = 0; i < parts.size() - 1; i++) {
-            connection.send(parts.get(i));
-        }
-        connection.send(parts.get(parts.size() - 1), () -> exchange.written(connection.isOpen()));
+    /** Accepts no new requests; closes once no exchange is open. */
+    void retire() {
+        retired = true;
+        updateAfterEnd();
     }
 
-    /** What is left of the batch has gone out, in part at least. */
-    private void finishBatch() {
-        if (!batch.isEmpty()) {
-            unheardSinceUs = unheardSinceUs == 0 ? pool.now() : unheardSinceUs;
-            for (UpstreamExchange exchange : batch) {
-                pool.cancel(exchange.beginBy);
-            }
-            batch.clear();
+    void closeIfIdle() {
+        if (openById.isEmpty()) {
+            connection.close();
         }
     }
 
-    /** Looks after a connection that may have become idle. */
-    private void settled() {
-        if (closed || !open.isEmpty()) {
+    /** Closes a retired connection, or starts the idle timeout, once no exchange is open. */
+    private void updateAfterEnd() {
+        if (closed || !openById.isEmpty()) {
             return;
         }
         if (retired) {
             connection.closeWhenFlushed();
         } else if (connected) {
-            pool.cancel(dialOrIdle);
-            dialOrIdle = pool.idleDeadline(connection::close);
+            pool.cancel(dialOrIdleTimeout);
+            dialOrIdleTimeout = pool.addIdleTimeout(connection::close);
         }
     }
 
     @Override
     public void connected() {
-        pool.cancel(dialOrIdle);
+        pool.cancel(dialOrIdleTimeout);
         connected = true;
-        settled();
+        updateAfterEnd();
     }
 
-    /**
-     * Requests begin only now: one that is called off in the turn in which it came, because another answer was read
-     * behind it, would else be written after that answer.
-     */
+    /** Requests begin only here, at the end of a turn: those cancelled by a response read in this turn never begin. */
     @Override
     public void flushing() {
-        unfinished.removeIf(UpstreamExchange::isWhole);
-        long nowUs = pool.now();
-        if (connection.queuedBytes() > 0
-                && Stream.concat(open.values().stream(), unfinished.stream()).anyMatch(each -> each.mustStop(nowUs))) {
-            connection.close(); // what is still queued here must not go out any more
+        partlyWritten.removeIf(UpstreamExchange::isWritten);
+        long nowMicros = pool.nowMicros();
+        if (connection.queuedBytes() > 0 && unwrittenCandidates().anyMatch(each -> each.mustStop(nowMicros))) {
+            connection.close(); // queued bytes cannot be withdrawn one by one
             return;
         }
-        begin();
+        if (connected && !sendQueue.isEmpty()) {
+            sendQueue.beginBatch(nowMicros);
+            updateAfterEnd();
+        }
     }
 
-    /** A request of which nothing has been written begins anew later, with the time that is left then. */
     @Override
     public void writeBlocked() {
-        for (int i = batch.size() - 1; i >= 0 && connection.retractFrom(batch.get(i).head()); i--) {
-            UpstreamExchange retracted = batch.remove(i);
-            retracted.retracted();
-            waiting.addFirst(retracted);
-        }
-        finishBatch();
+        sendQueue.retractUnwritten();
+        endBatch();
     }
 
     @Override
     public void flushed() {
-        finishBatch();
-        if (!waiting.isEmpty()) {
+        endBatch();
+        if (!sendQueue.isEmpty()) {
             connection.requestFlush();
         }
     }
 
+    private void endBatch() {
+        if (sendQueue.endBatch() && unansweredSinceMicros == 0) {
+            unansweredSinceMicros = pool.nowMicros();
+        }
+    }
+
     @Override
     public void received(ByteBuffer data) throws IOException {
-        guard.heard();
-        unheardSinceUs = 0;
+        watchdog.recordReceived();
+        unansweredSinceMicros = 0;
         parser.parse(data);
-        if (parser.waitsForRoom()) {
+        if (parser.awaitsBudget()) {
             connection.pause();
             budget.await(connection::resume);
         }
-        guard.watch();
+        watchdog.watch();
     }
 
-    private void answer(String id, String word, Map<String, String> fields, Body body)
+    private void handleResponse(String id, String word, Map<String, String> fields, Body body)
             throws ProtocolException {
-        UpstreamExchange exchange = open.get(id);
-        if (exchange == null || !exchange.begun()) {
-            // A late answer, a second copy or one under an unknown id: it costs only itself.
-            spent.late(id);
+        UpstreamExchange exchange = openById.get(id);
+        if (exchange == null || !exchange.begun()) { // late, a second copy, or of an unknown id
+            recentIds.removeCancelled(id);
             body.close();
             return;
         }
@@ -269,29 +239,33 @@
             throw malformed;
         }
         Note note = ResponseFields.note(fields.get("res"));
-        long waitedUs = ResponseFields.micros(fields.get("ttfb"));
-        open.remove(id);
-        spent.answered(id, pool.now());
-        unheardSinceUs = open.isEmpty() ? 0 : guard.heardUs();
-        UpstreamResponse answer =
-                result != Result.OK ? null : new UpstreamResponse(body, word.equals("KEEP"), fields.get("etag"));
-        if (answer == null) {
-            body.close();
-        }
-        String gauges = fields.get("gauges");
-        if (gauges != null) {
-            report(exchange, gauges);
+        long waitedMicros = ResponseFields.micros(fields.get("ttfb"));
+        openById.remove(id);
+        recentIds.addAnswered(id, pool.nowMicros());
+        unansweredSinceMicros = openById.isEmpty() ? 0 : watchdog.lastReceivedMicros();
+        reportLoad(exchange, fields.get("gauges"));
+        exchange.end(result, note, waitedMicros, response(result, word, fields, body));
+        updateAfterEnd();
+    }
+
+    /** The response for the listener, which owns the body; null, with the body closed, for any result but OK. */
+    private static UpstreamResponse response(Result result, String word, Map<String, String> fields, Body body) {
+        if (result == Result.OK) {
+            return new UpstreamResponse(body, word.equals("KEEP"), fields.get("etag"));
         }
-        exchange.end(result, note, waitedUs, answer);
-        settled();
+        body.close();
+        return null;
     }
 
-    /** A report that can't be read is none: the answer that brought it is as good as ever. */
-    private static void report(UpstreamExchange exchange, String gauges) {
+    /** Passes a load report on; an unreadable one is ignored, its response stays valid. */
+    private static void reportLoad(UpstreamExchange exchange, String gauges) {
+        if (gauges == null) {
+            return;
+        }
         try {
-            exchange.ending.loadReported(LoadReports.read(gauges, ";"));
+            exchange.listener.loadReported(LoadReports.read(gauges, ";"));
         } catch (NumberFormatException unreadable) {
-            LOG.log(System.Logger.Level.DEBUG, "not a load report: {0}", gauges);
+            LOG.log(System.Logger.Level.DEBUG, "unreadable load report: {0}", gauges);
         }
     }
 
@@ -301,29 +275,24 @@
     }
 
     /**
-     * Ends all that is open: what was not written whole has never run, the rest may have. Only a connection
-     * that was refused or did not come up in time speaks against the member: a reset may come at any time.
+     * Ends all open exchanges: a request that was not written completely was not processed, another one may have been.
+     * Only a failed or slow dial counts against the member, since a reset may come at any time.
      */
     @Override
     public void closed(IOException cause) {
         closed = true;
         retired = true;
-        pool.cancel(dialOrIdle);
-        guard.close();
-        pool.closed(this);
+        pool.cancel(dialOrIdleTimeout);
+        watchdog.close();
+        pool.connectionClosed(this);
         parser.close();
-        waiting.clear();
-        batch.clear();
-        Result unsent = connected || cause != null && !SocketErrors.isOfPeer(cause) ? Result.NOT_SENT
-                : Result.UNCONNECTED;
-        while (!open.isEmpty()) {
-            UpstreamExchange exchange = open.remove(open.keySet().iterator().next());
-            pool.cancel(exchange.beginBy);
-            exchange.end(exchange.isWhole() ? Result.BROKEN : unsent, Note.NONE, 0, null);
+        sendQueue.clear();
+        boolean dialFailed = !connected && (cause == null || SocketErrors.isOfPeer(cause));
+        Result unwritten = dialFailed ? Result.UNCONNECTED : Result.NOT_SENT;
+        while (!openById.isEmpty()) {
+            UpstreamExchange exchange = openById.remove(openById.keySet().iterator().next());
+            pool.cancel(exchange.beginTimeout);
+            exchange.end(exchange.isWritten() ? Result.BROKEN : unwritten, Note.NONE, 0, null);
         }
     }
-
-    private static ByteBuffer text(String line) {
-        return ByteBuffer.wrap(line.getBytes(StandardCharsets.UTF_8));
-    }
 }
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
@@ -12,38 +12,38 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** An exchange on its connection: queued there, then sent, then ended or given up. */
+/** An exchange on its connection: queued, then written, then ended or cancelled. */
 final class UpstreamExchange implements Exchange {
 
     /**
-     * A deadline passed to a server may be 150 ms older than the moment of its write; the write follows within the
-     * turn.
+     * Age at which an unwritten head is not sent any more. The deadline that it passes to the member may be 150 ms
+     * older than the moment of the write, which follows within the turn.
      */
-    private static final long MAX_HEAD_AGE_US = 140_000;
+    private static final long MAX_HEAD_AGE_MICROS = 140_000;
 
     final String id;
-    final AttemptListener ending;
+    final AttemptListener listener;
     private final UpstreamConnection connection;
     private final CacheRequest request;
     private boolean begun;
-    private long begunUs;
-    /** What tells the server the time left, while a part of it may be unwritten. */
+    private long begunMicros;
+    /** The first part of the request, which passes the deadline; null before it begins. */
     private ByteBuffer head;
-    private boolean whole;
+    private boolean written;
     private boolean revoked;
-    /** By when it must have begun. */
-    Deadline beginBy;
+    /** Ends it unless it begins in time. */
+    Deadline beginTimeout;
 
     UpstreamExchange(UpstreamConnection connection, CacheRequest request) {
         this.connection = connection;
         this.request = request;
         this.id = request.id();
-        this.ending = request.ending();
+        this.listener = request.listener();
     }
 
     @Override
     public boolean isQueuedLocally() {
-        return !begun && connection.idlesUntilFlush();
+        return !begun && connection.waitsOnlyForFlush();
     }
 
     @Override
@@ -53,7 +53,7 @@
 
     @Override
     public boolean cancel() {
-        connection.givenUp(this);
+        connection.cancel(this);
         return begun;
     }
 
@@ -62,59 +62,60 @@
         return request.isFilledFrom(members);
     }
 
-    /** Whether it asks for one of these. */
-    boolean isFor(Predicate<ClientRequest> which) {
-        return request.isFor(which);
+    /** Whether it is an attempt of a matching client request. */
+    boolean isFor(Predicate<ClientRequest> matches) {
+        return request.isFor(matches);
     }
 
-    /** Whether it may begin now: somebody waits for it, and has time left. */
-    boolean mayBegin(long nowUs) {
-        return nowUs < request.dueUs() && ending.mayBegin();
+    /** Whether it may begin now: its client waits for it and has time left. */
+    boolean mayBegin(long nowMicros) {
+        return nowMicros < request.deadlineMicros() && listener.mayBegin();
     }
 
-    /** The parts of the request, to be written from now on; they tell the member the time that is left now. */
-    List<ByteBuffer> begin(long nowUs) {
+    /** Begins it: returns the parts to be written, which pass the time left at {@code nowMicros} to the member. */
+    List<ByteBuffer> begin(long nowMicros) {
         begun = true;
-        begunUs = nowUs;
-        List<ByteBuffer> parts = request.encoder().apply(request.dueUs() - nowUs);
+        begunMicros = nowMicros;
+        List<ByteBuffer> parts = request.encoder().apply(request.deadlineMicros() - nowMicros);
         head = parts.get(0);
         return parts;
     }
 
-    /** The first of the parts with which it last began. */
+    /** The first of the parts returned by the last {@link #begin}. */
     ByteBuffer head() {
         return head;
     }
 
-    /** Nothing of its parts was written, and they have been retracted: it is queued again. */
+    /** No byte was written, and its parts were retracted: it is queued again. */
     void retracted() {
         begun = false;
         head = null;
     }
 
-    /** All of it has been written, or never will be. */
-    void written(boolean all) {
-        whole = all;
+    /** The write has ended; {@code complete} if all parts were written. */
+    void writeEnded(boolean complete) {
+        written = complete;
     }
 
-    boolean isWhole() {
-        return whole;
+    /** Whether all parts were written. */
+    boolean isWritten() {
+        return written;
     }
 
     /**
-     * A part of it waits to be written, and must not any more: it was called off, or its deadline figure is too old.
+     * Whether unwritten parts must not be written any more: it is not wanted, or the deadline in its head is too old.
      */
-    boolean mustStop(long nowUs) {
-        return begun && !whole && (revoked || !ending.mayContinue()
-                || head.hasRemaining() && nowUs - begunUs > MAX_HEAD_AGE_US);
+    boolean mustStop(long nowMicros) {
+        return begun && !written && (revoked || !listener.mayContinue()
+                || head.hasRemaining() && nowMicros - begunMicros > MAX_HEAD_AGE_MICROS);
     }
 
-    /** It may not go out any more, whoever waits for it: its member or its source drains, or its copy was purged. */
+    /** Forbids further writes: its member or its source drains, or its object was purged. */
     void revoke() {
         revoked = true;
     }
 
-    void end(Result result, Note note, long waitedUs, UpstreamResponse answer) {
-        ending.ended(result, note, waitedUs, answer);
+    void end(Result result, Note note, long waitedMicros, UpstreamResponse response) {
+        listener.ended(result, note, waitedMicros, response);
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
@@ -16,7 +16,6 @@
 import clovermill.runtime.net.SocketErrors;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -25,16 +24,22 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** The connections to all members, known by their ids, and the requests in the lines protocol. */
+/** Sends attempts and probes to the members, over a bounded number of connections in the lines protocol. */
 public final class UpstreamPool implements Upstream {
 
-    /** What bounds the pool. */
-    public record Limits(int streamsPerConnection, int connections, long dialUs, long idleUs) {}
+    /**
+     * The bounds of a pool.
+     *
+     * @param streamsPerConnection open exchanges on one connection
+     * @param connections open connections to all members
+     * @param dialMicros time in which a connection must be established, in microseconds
+     * @param idleMicros time after which a connection without exchanges is closed, in microseconds
+     */
+    public record Limits(int streamsPerConnection, int connections, long dialMicros, long idleMicros) {}
 
-    /** So many requests share a connection before a further one is dialled. */
-    private static final int SHARED = 2;
-    /** A single member gets this part of all connections at most. */
-    private static final int MEMBER_PART = 8;
+    /** One member gets this part of all connections at most, and two in any case. */
+    private static final int MEMBER_PART_OF_CONNECTIONS = 8;
+    private static final int MIN_CONNECTIONS_PER_MEMBER = 2;
 
     /** Dials an address, as {@link EventLoop#connect}. */
     interface Dialer {
@@ -42,20 +47,22 @@
                 throws IOException;
     }
 
-    private static final Exchange NONE = () -> false;
+    /** An exchange that had ended when it was returned. */
+    private static final Exchange ENDED = () -> false;
 
     private final Dialer dialer;
     private final Clock clock;
     private final Deadlines deadlines;
     private final Budget budget;
     private final Limits limits;
-    private final Map<String, Peer> peers = new HashMap<>();
-    /** Each holds a request, so there are no more than requests in progress. */
-    private final Set<DelayedDial> delayed = new LinkedHashSet<>();
-    private int bound;
-    private int dialled;
-    private long probes;
-
+    private final Map<String, MemberConnections> members = new HashMap<>();
+    /** Requests that wait for a dial, each of an attempt or probe in progress. */
+    private final Set<DelayedDial> delayedDials = new LinkedHashSet<>();
+    private int maxConnections;
+    private int openConnections;
+    private long probeCount;
+
+    /** A pool without members, which dials on {@code loop}. */
     public UpstreamPool(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, Limits limits) {
         this(loop::connect, clock, deadlines, budget, limits);
     }
@@ -66,122 +73,101 @@
         this.deadlines = deadlines;
         this.budget = budget;
         this.limits = limits;
-        this.bound = limits.connections();
+        this.maxConnections = limits.connections();
     }
 
-    /** Has so many connections be open from now on; idle ones beyond that are closed. */
+    /** Sets the limit of open connections; idle ones beyond it are closed. */
     public void limit(int connections) {
-        bound = connections;
-        for (Peer peer : List.copyOf(peers.values())) {
-            for (UpstreamConnection connection : List.copyOf(peer.connections)) {
-                if (dialled > bound) {
+        maxConnections = connections;
+        for (MemberConnections member : List.copyOf(members.values())) {
+            for (UpstreamConnection connection : member.snapshot()) {
+                if (openConnections > maxConnections) {
                     connection.closeIfIdle();
                 }
             }
         }
     }
 
-    /** A member's address, and the connections to it. */
-    private static final class Peer {
-        final InetSocketAddress address;
-        final long startedMs;
-        final List<UpstreamConnection> connections = new ArrayList<>();
-
-        Peer(InetSocketAddress address, long startedMs) {
-            this.address = address;
-            this.startedMs = startedMs;
-        }
-    }
-
     /**
-     * Takes over where a member listens. One that has moved or started anew gets new connections: the old
-     * ones may lead to whoever held the address before, or nowhere at all.
+     * Adds or updates a member. One that has moved or was restarted gets new connections: the old ones may lead to
+     * another member at its former address, or nowhere.
      */
-    public void listed(String member, InetSocketAddress address, long startedMs) {
-        Peer known = peers.get(member);
-        if (known == null || !known.address.equals(address) || known.startedMs != startedMs) {
-            gone(member);
-            peers.put(member, new Peer(address, startedMs));
+    public void updateMember(String member, InetSocketAddress address, long startedMillis) {
+        MemberConnections known = members.get(member);
+        if (known == null || !known.isOf(address, startedMillis)) {
+            removeMember(member);
+            members.put(member, new MemberConnections(address, startedMillis));
         }
     }
 
-    /** Forgets a member: open requests may still be answered. */
-    public void gone(String member) {
-        Peer peer = peers.remove(member);
-        if (peer != null) {
-            for (UpstreamConnection connection : List.copyOf(peer.connections)) {
-                connection.withdraw(each -> true, Result.UNCONNECTED);
-                connection.retire();
-            }
+    /** Removes a member; exchanges that have begun may still be answered. */
+    public void removeMember(String member) {
+        MemberConnections removed = members.remove(member);
+        if (removed != null) {
+            removed.retire();
         }
     }
 
     /**
-     * Withdraws all that is queued for these members, or to be filled from them, before any of it is sent. What is to
-     * be filled from them speaks against nobody.
+     * Ends everything queued for {@code drained} members, or to be filled from them, before any of it is sent. The end
+     * of a request to another member does not count against that member.
      */
-    public void withdraw(Set<String> members) {
-        for (Map.Entry<String, Peer> peer : List.copyOf(peers.entrySet())) {
-            boolean itself = members.contains(peer.getKey());
-            withdraw(peer.getValue(), each -> itself || each.isFilledFrom(members),
-                    itself ? Result.UNCONNECTED : Result.NOT_SENT);
+    public void withdraw(Set<String> drained) {
+        for (Map.Entry<String, MemberConnections> member : List.copyOf(members.entrySet())) {
+            boolean isDrained = drained.contains(member.getKey());
+            member.getValue().withdraw(each -> isDrained || each.isFilledFrom(drained),
+                    isDrained ? Result.UNCONNECTED : Result.NOT_SENT);
         }
-        withdrawDelayed(each -> members.contains(each.member()) || each.isFilledFrom(members));
+        withdrawDelayed(each -> drained.contains(each.member()) || each.isFilledFrom(drained));
     }
 
-    /** Withdraws what is queued for these objects: it would take a copy from before their purge. */
+    /** Ends everything queued for purged objects: it could be answered from a copy that is older than the purge. */
     public void withdraw(Predicate<ClientRequest> purged) {
-        for (Peer peer : List.copyOf(peers.values())) {
-            withdraw(peer, each -> each.isFor(purged), Result.NOT_SENT);
+        for (MemberConnections member : List.copyOf(members.values())) {
+            member.withdraw(each -> each.isFor(purged), Result.NOT_SENT);
         }
         withdrawDelayed(each -> each.isFor(purged));
     }
 
-    private void withdrawDelayed(Predicate<CacheRequest> which) {
-        List.copyOf(delayed).stream().filter(each -> which.test(each.request()))
+    private void withdrawDelayed(Predicate<CacheRequest> matches) {
+        List.copyOf(delayedDials).stream().filter(each -> matches.test(each.request()))
                 .forEach(each -> each.end(Result.NOT_SENT));
     }
 
-    private static void withdraw(Peer peer, Predicate<UpstreamExchange> which, Result result) {
-        for (UpstreamConnection connection : List.copyOf(peer.connections)) {
-            connection.withdraw(which, result);
-        }
-    }
-
     @Override
-    public Exchange send(AttemptOrder order, AttemptListener ending) {
-        ClientRequest ask = order.request();
-        long dueUs = clock.micros() + order.timeoutMicros();
-        return send(new CacheRequest(order.member(), ask.id(), ask, order.source(), dueUs,
-                leftUs -> RequestLine.want(order, leftUs), ending));
+    public Exchange send(AttemptOrder order, AttemptListener listener) {
+        ClientRequest request = order.request();
+        long deadlineMicros = clock.micros() + order.timeoutMicros();
+        return send(new CacheRequest(order.member(), request.id(), request, order.source(), deadlineMicros,
+                leftMicros -> RequestLine.want(order, leftMicros), listener));
     }
 
     @Override
-    public void probe(String member, AttemptListener ending) {
-        String tag = "p" + probes++;
+    public void probe(String member, AttemptListener listener) {
+        String id = "p" + probeCount++;
         Deadline[] timeout = new Deadline[1];
-        AttemptListener probed = (result, note, waited, answer) -> {
+        AttemptListener probeListener = (result, note, waitedMicros, response) -> {
             deadlines.cancel(timeout[0]);
-            if (answer != null) {
-                answer.body().close();
+            if (response != null) {
+                response.body().close();
             }
-            ending.ended(result, note, waited, null);
+            listener.ended(result, note, waitedMicros, null);
         };
-        Exchange exchange = send(new CacheRequest(member, tag, null, null, Long.MAX_VALUE,
-                leftUs -> RequestLine.there(tag), probed));
-        timeout[0] = deadlines.add(clock.micros() + limits.dialUs(), () -> {
-            if (exchange != NONE) {
+        Exchange exchange = send(new CacheRequest(member, id, null, null, Long.MAX_VALUE,
+                leftMicros -> RequestLine.there(id), probeListener));
+        timeout[0] = addDialTimeout(() -> {
+            if (exchange != ENDED) {
                 exchange.cancel();
-                ending.ended(Result.TIMED_OUT, Note.NONE, 0, null);
+                listener.ended(Result.TIMED_OUT, Note.NONE, 0, null);
             }
         });
     }
 
     @Override
     public void closeIdle(String member) {
-        Peer peer = peers.get(member);
-        if (peer != null) {
-            List.copyOf(peer.connections).forEach(UpstreamConnection::closeIfIdle);
+        MemberConnections connections = members.get(member);
+        if (connections != null) {
+            connections.closeIdle();
         }
     }
 
@@ -190,110 +176,89 @@
         if (exchange != null) {
             return exchange;
         }
-        return new DelayedDial(this, request, clock.micros() + limits.dialUs() - DelayedDial.PAUSE_US);
+        long lastDialMicros = clock.micros() + limits.dialMicros() - DelayedDial.RETRY_INTERVAL_MICROS;
+        return new DelayedDial(this, request, lastDialMicros);
     }
 
-    /** Sends a request, or ends it; null where this machine could not dial for the moment, which is no end. */
+    /** Sends a request, or ends it; returns null, and does neither, if this machine cannot dial for the moment. */
     Exchange trySend(CacheRequest request) {
-        Peer peer = peers.get(request.member());
+        MemberConnections member = members.get(request.member());
         UpstreamConnection connection;
         try {
-            connection = peer == null ? null : connectionFor(peer, request.id());
+            connection = member == null ? null : connectionFor(member, request.id());
         } catch (IOException failure) {
             if (!SocketErrors.isOfPeer(failure)) {
                 return null;
             }
-            request.ending().ended(Result.UNCONNECTED, Note.NONE, 0, null);
-            return NONE;
+            request.listener().ended(Result.UNCONNECTED, Note.NONE, 0, null);
+            return ENDED;
         }
-        if (connection == null) {
-            // No such member any more, or a limit on this side: that speaks against no member.
-            request.ending().ended(Result.NOT_SENT, Note.NONE, 0, null);
-            return NONE;
+        if (connection == null) { // an unknown member or a limit of this pool, which does not count against the member
+            request.listener().ended(Result.NOT_SENT, Note.NONE, 0, null);
+            return ENDED;
         }
         return connection.send(request);
     }
 
-    /** It waits for a further dial, during which it may be withdrawn. */
-    void delays(DelayedDial waiting) {
-        delayed.add(waiting);
+    void addDelayed(DelayedDial delayedDial) {
+        delayedDials.add(delayedDial);
     }
 
-    /** It waits for no further dial. */
-    void dialled(DelayedDial waiting) {
-        delayed.remove(waiting);
+    void removeDelayed(DelayedDial delayedDial) {
+        delayedDials.remove(delayedDial);
     }
 
-    /**
-     * The connection with the fewest requests, or null where none is to be had. While those are more than a
-     * few, a further connection comes up beside it: one answer that is spoilt costs all that share its
-     * connection. Nothing waits for a dial if there is a connection already.
-     */
-    private UpstreamConnection connectionFor(Peer peer, String id) throws IOException {
-        UpstreamConnection best = null;
-        int inUse = 0;
-        boolean dialling = false;
-        for (UpstreamConnection connection : peer.connections) {
-            if (!connection.isRetired()) {
-                inUse++;
-                dialling |= !connection.isConnected();
-                if (connection.takes(id, limits.streamsPerConnection()) && (best == null
-                        || connection.isConnected() && !best.isConnected()
-                        || connection.isConnected() == best.isConnected()
-                                && connection.openExchanges() < best.openExchanges())) {
-                    best = connection;
-                }
-            }
-        }
-        boolean few = best != null && (dialling || best.openExchanges() < SHARED);
-        int most = Math.max(2, bound / MEMBER_PART);
-        if (few || inUse >= most || dialled >= bound) {
+    /** The best connection for a request, dialled if necessary; null if none is available within the limits. */
+    private UpstreamConnection connectionFor(MemberConnections member, String id) throws IOException {
+        UpstreamConnection best = member.best(id, limits.streamsPerConnection());
+        int maxOfMember = Math.max(MIN_CONNECTIONS_PER_MEMBER, maxConnections / MEMBER_PART_OF_CONNECTIONS);
+        if (openConnections >= maxConnections || !member.wantsFurther(best, maxOfMember)) {
             return best;
         }
         try {
-            dial(peer);
+            dial(member);
         } catch (IOException failure) {
             if (best == null) {
                 throw failure;
             }
             return best;
         }
-        return best != null ? best : peer.connections.get(peer.connections.size() - 1);
+        return best != null ? best : member.newest(); // no request waits for a dial if it need not
     }
 
-    private void dial(Peer peer) throws IOException {
-        dialer.connect(peer.address, connection -> {
+    private void dial(MemberConnections member) throws IOException {
+        dialer.connect(member.address(), connection -> {
             UpstreamConnection added = new UpstreamConnection(this, connection, budget);
-            peer.connections.add(added);
+            member.add(added);
             return added;
         });
-        dialled++;
+        openConnections++;
     }
 
-    void closed(UpstreamConnection connection) {
-        dialled--;
-        peers.values().forEach(peer -> peer.connections.remove(connection));
+    void connectionClosed(UpstreamConnection connection) {
+        openConnections--;
+        members.values().forEach(member -> member.remove(connection));
     }
 
-    Deadline dialDeadline(Runnable expired) {
-        return deadlines.add(clock.micros() + limits.dialUs(), expired);
+    Deadline addDialTimeout(Runnable expired) {
+        return addTimeout(limits.dialMicros(), expired);
     }
 
-    Deadline idleDeadline(Runnable expired) {
-        return deadlines.add(clock.micros() + limits.idleUs(), expired);
+    Deadline addIdleTimeout(Runnable expired) {
+        return addTimeout(limits.idleMicros(), expired);
     }
 
-    Deadline deadline(long delayUs, Runnable expired) {
-        return deadlines.add(clock.micros() + delayUs, expired);
+    Deadline addTimeout(long delayMicros, Runnable expired) {
+        return deadlines.add(clock.micros() + delayMicros, expired);
     }
 
-    long now() {
+    long nowMicros() {
         return clock.micros();
     }
 
-    /** Whether so much time has passed as a live member takes at most to let itself be heard. */
-    boolean dialTimeHasPassed(long sinceUs) {
-        return clock.micros() - sinceUs >= limits.dialUs();
+    /** Whether the time in which a live member would have answered a dial has passed. */
+    boolean hasDialTimePassed(long sinceMicros) {
+        return clock.micros() - sinceMicros >= limits.dialMicros();
     }
 
     void cancel(Deadline deadline) {
--- a/src/test/java/clovermill/dataplane/upstream/DeadlineFigureTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DeadlineFigureTest.java
@@ -44,7 +44,7 @@
         loop = new EventLoop(clock, deadlines);
         pool = new UpstreamPool(this::dial, clock, deadlines, new Budget(1 << 20),
                 new UpstreamPool.Limits(1000, 1, DIAL_US, 30_000_000));
-        pool.listed("m", new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), 0);
+        pool.updateMember("m", new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), 0);
     }
 
     private Connection dial(InetSocketAddress address, Function<Connection, Connection.Handler> handlers) {
--- a/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
@@ -10,10 +10,10 @@
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Budget;
-import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Connection;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.ManualClock;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.ConnectException;
@@ -36,23 +36,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A dial that fails at once: what this machine lacks for a moment speaks against no member, and is tried again. */
+/** A dial that fails at once is retried if the fault is this machine's, which does not count against the member. */
 class DelayedDialTest {
 
-    private static final long DIAL_US = 400_000;
+    private static final long DIAL_MICROS = 400_000;
 
-    private long nowUs = 1_000_000;
-    private final Clock clock = new Clock() {
-        @Override
-        public long micros() {
-            return nowUs;
-        }
-
-        @Override
-        public long unixMillis() {
-            return nowUs / 1000;
-        }
-    };
+    private final ManualClock clock = new ManualClock(1_000_000);
     private final Deadlines deadlines = new Deadlines();
     private final Deque<IOException> failures = new ArrayDeque<>();
     private final List<Connection> connections = new ArrayList<>();
@@ -66,9 +55,9 @@
     void open() throws IOException {
         loop = new EventLoop(clock, deadlines);
         pool = new UpstreamPool(this::connect, clock, deadlines, new Budget(1 << 20),
-                new UpstreamPool.Limits(31, 40, DIAL_US, 30_000_000));
+                new UpstreamPool.Limits(31, 40, DIAL_MICROS, 30_000_000));
         member = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        pool.listed("m", (InetSocketAddress) member.getLocalAddress(), 0);
+        pool.updateMember("m", (InetSocketAddress) member.getLocalAddress(), 0);
     }
 
     @AfterEach
@@ -87,10 +76,10 @@
         return connection;
     }
 
-    private Exchange send(String id, String object, String source, long timeoutUs) {
-        ClientRequest ask =
-                new ClientRequest(id, 0, "page", object, 0, 17, 1, timeoutUs, false, null, null, new byte[0]);
-        return pool.send(new AttemptOrder(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
+    private Exchange send(String id, String object, String source, long timeoutMicros) {
+        ClientRequest request =
+                new ClientRequest(id, 0, "page", object, 0, 17, 1, timeoutMicros, false, null, null, new byte[0]);
+        return pool.send(new AttemptOrder(request, "m", timeoutMicros, source, 0, 0, false, false, false, false),
                 new AttemptListener() {
                     @Override
                     public boolean mayBegin() {
@@ -98,7 +87,7 @@
                     }
 
                     @Override
-                    public void ended(Result result, Note note, long waitedUs, UpstreamResponse answer) {
+                    public void ended(Result result, Note note, long waitedMicros, UpstreamResponse response) {
                         results.add(result);
                     }
                 });
@@ -108,10 +97,10 @@
         return send("00000000000000a1", "aa", "p", 1_000_000);
     }
 
-    private void pass(long us) {
-        for (long end = nowUs + us; nowUs < end;) {
-            nowUs += DelayedDial.PAUSE_US;
-            deadlines.sweep(nowUs);
+    private void passMicros(long micros) {
+        for (long end = clock.micros() + micros; clock.micros() < end;) {
+            clock.passMicros(DelayedDial.RETRY_INTERVAL_MICROS);
+            deadlines.sweep(clock.micros());
         }
     }
 
@@ -130,12 +119,12 @@
 
     @ParameterizedTest
     @MethodSource("ofThisMachine")
-    void whatThisMachineLacksForAMomentDelaysTheRequest(IOException failure) throws IOException {
+    void givenAFaultOfThisMachineThenTheDialIsRetried(IOException failure) throws IOException {
         failures.addAll(List.of(failure, failure));
         Exchange exchange = send();
         assertThat(results).isEmpty();
         assertThat(exchange.isQueuedLocally()).isTrue();
-        pass(2 * DelayedDial.PAUSE_US);
+        passMicros(2 * DelayedDial.RETRY_INTERVAL_MICROS);
         assertThat(connections).hasSize(1);
         for (int i = 0; i < 1000 && !exchange.begun(); i++) {
             loop.turn(1);
@@ -146,44 +135,44 @@
 
     @ParameterizedTest
     @MethodSource("ofThePeer")
-    void aPeerThatCannotBeDialledIsUnconnectedAtOnce(IOException failure) {
+    void givenAFaultOfThePeerThenTheRequestEndsUnconnectedAtOnce(IOException failure) {
         failures.add(failure);
         send();
         assertThat(results).containsExactly(Result.UNCONNECTED);
     }
 
     @Test
-    void troubleThatLastsEndsAsNotSentWithinTheTimeOfADial() {
+    void givenALastingFaultOfThisMachineThenTheRequestEndsAsNotSentWithinADialsTime() {
         failures.addAll(Collections.nCopies(1000, new SocketException("No buffer space available")));
         send();
-        pass(DIAL_US);
+        passMicros(DIAL_MICROS);
         assertThat(results).containsExactly(Result.NOT_SENT);
         assertThat(deadlines.size()).isZero();
     }
 
     @Test
-    void aRequestWhoseTimeIsOverIsNotDialledFor() {
+    void givenARequestWhoseTimeIsOverThenItIsNotDialledFor() {
         failures.addAll(Collections.nCopies(3, new SocketException("No buffer space available")));
         send("00000000000000a1", "aa", "p", 50_000);
-        pass(DIAL_US);
+        passMicros(DIAL_MICROS);
         assertThat(results).containsExactly(Result.NOT_SENT);
         assertThat(connections).isEmpty();
     }
 
     @Test
-    void whatIsGivenUpOrNoLongerWantedIsNotDialledFor() {
+    void givenACancelledOrUnwantedRequestThenItIsNotDialledFor() {
         failures.addAll(Collections.nCopies(2, new SocketException("No buffer space available")));
         Exchange exchange = send();
         assertThat(exchange.cancel()).isFalse();
         send("00000000000000a2", "aa", "p", 1_000_000);
         mayBegin = false;
-        pass(DIAL_US);
+        passMicros(DIAL_MICROS);
         assertThat(results).containsExactly(Result.NOT_SENT);
         assertThat(connections).isEmpty();
     }
 
     @Test
-    void aPurgeAndADrainWithdrawWhatWaitsForADial() {
+    void givenDelayedDialsThenAPurgeAndADrainWithdrawThem() {
         failures.addAll(Collections.nCopies(4, new SocketException("No buffer space available")));
         send("00000000000000a1", "aa", "p", 1_000_000);
         send("00000000000000a2", "bb", "p", 1_000_000);
@@ -198,9 +187,9 @@
         assertThat(deadlines.size()).isZero();
     }
 
-    /** A further connection that cannot be dialled costs nothing where there is one. */
+    /** The request is sent on the established connection. */
     @Test
-    void aFurtherConnectionThatCannotBeDialledCostsNothing() throws IOException {
+    void givenAnEstablishedConnectionThenAFailedFurtherDialHasNoEffect() throws IOException {
         Exchange first = send();
         for (int i = 0; i < 1000 && !first.begun(); i++) {
             loop.turn(1);
--- a/src/test/java/clovermill/dataplane/upstream/ResponseParserTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/ResponseParserTest.java
@@ -20,9 +20,9 @@
             "a1 DONE etag=t,made=5 4\r\n\r\n\0x\r\na2 LACK - 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     private final Budget budget = new Budget(1000);
 
-    private Splits.Parser parser(Consumer<String> told) {
+    private Splits.Parser parser(Consumer<String> responses) {
         ResponseParser parser = new ResponseParser(budget, (id, word, fields, body) -> {
-            told.accept(id + " " + word + " " + new TreeMap<>(fields) + " " + body.bytes().length);
+            responses.accept(id + " " + word + " " + new TreeMap<>(fields) + " " + body.bytes().length);
             body.close();
         });
         return data -> {
@@ -52,24 +52,24 @@
                 "a1 DONE - 0\n", "a1 DONE - 0\r\nxx", "a1 DONE =v 0\r\n\r\n",
                 "a1 DONE a,b 0\r\n\r\n", "x".repeat(5000))) {
             ByteBuffer data = ByteBuffer.wrap(bad.getBytes(StandardCharsets.US_ASCII));
-            assertThatThrownBy(() -> parser(told -> {}).parse(data)).as(bad)
+            assertThatThrownBy(() -> parser(responses -> {}).parse(data)).as(bad)
                     .isInstanceOf(ProtocolException.class);
         }
         assertThat(budget.used()).isZero();
     }
 
-    /** Bodies that wait for slow clients must not take the heap: the next one is not read before there is room. */
+    /** Bodies that wait for slow clients must not fill the heap: the next one is not read before there is room. */
     @Test
     void stopsBeforeABodyThatFindsNoRoom() throws Exception {
-        List<String> told = new ArrayList<>();
+        List<String> responses = new ArrayList<>();
         assertThat(budget.take(999)).isTrue();
-        ResponseParser parser = new ResponseParser(budget, (id, word, fields, body) -> told.add(id));
+        ResponseParser parser = new ResponseParser(budget, (id, word, fields, body) -> responses.add(id));
         ByteBuffer data = ByteBuffer.wrap(INPUT);
         parser.parse(data);
-        assertThat(parser.waitsForRoom()).isTrue();
-        assertThat(told).isEmpty();
+        assertThat(parser.awaitsBudget()).isTrue();
+        assertThat(responses).isEmpty();
         budget.give(999);
         parser.parse(data);
-        assertThat(told).containsExactly("a1", "a2");
+        assertThat(responses).containsExactly("a1", "a2");
     }
 }
--- a/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
@@ -10,9 +10,9 @@
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Budget;
-import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.ManualClock;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -29,25 +29,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What still goes out on a connection to a member whose write is stuck, or whose answers come twice or never end. */
+/** Connections to a member that reads nothing, or whose responses are duplicated or never end. */
 class UpstreamPoolTest {
 
-    private static final long DIAL_US = 400_000;
+    private static final long DIAL_MICROS = 400_000;
     /** More than the sockets of both sides hold while the member reads nothing. */
     private static final int LARGE = 8 << 20;
 
-    private long nowUs = 1_000_000;
-    private final Clock clock = new Clock() {
-        @Override
-        public long micros() {
-            return nowUs;
-        }
-
-        @Override
-        public long unixMillis() {
-            return nowUs / 1000;
-        }
-    };
+    private final ManualClock clock = new ManualClock(1_000_000);
     private final Deadlines deadlines = new Deadlines();
     private final List<SocketChannel> accepted = new ArrayList<>();
     private final StringBuilder read = new StringBuilder();
@@ -60,12 +49,12 @@
     void open() throws IOException {
         loop = new EventLoop(clock, deadlines);
         pool = new UpstreamPool(loop, clock, deadlines, new Budget(1 << 20),
-                new UpstreamPool.Limits(31, 40, DIAL_US, 30_000_000));
+                new UpstreamPool.Limits(31, 40, DIAL_MICROS, 30_000_000));
         member = ServerSocketChannel.open();
         member.setOption(StandardSocketOptions.SO_RCVBUF, 1 << 16);
         member.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         member.configureBlocking(false);
-        pool.listed("m", (InetSocketAddress) member.getLocalAddress(), 0);
+        pool.updateMember("m", (InetSocketAddress) member.getLocalAddress(), 0);
     }
 
     @AfterEach
@@ -76,7 +65,7 @@
         }
     }
 
-    /** One attempt; it keeps how it ended. */
+    /** One attempt, with its result. */
     private static final class Attempt implements AttemptListener {
         Exchange exchange;
         boolean mayBegin = true;
@@ -94,10 +83,10 @@
         }
 
         @Override
-        public void ended(Result told, Note note, long waitedUs, UpstreamResponse answer) {
-            result = told;
-            if (answer != null) {
-                answer.body().close();
+        public void ended(Result reported, Note note, long waitedMicros, UpstreamResponse response) {
+            result = reported;
+            if (response != null) {
+                response.body().close();
             }
         }
     }
@@ -106,12 +95,13 @@
         return send(id, object, source, bodyBytes, 1_000_000);
     }
 
-    private Attempt send(String id, String object, String source, int bodyBytes, long timeoutUs) {
+    private Attempt send(String id, String object, String source, int bodyBytes, long timeoutMicros) {
         Attempt attempt = new Attempt();
-        ClientRequest ask =
+        ClientRequest request =
                 new ClientRequest(id, 0, "page", object, 0, 17, 1, 1_000_000, false, null, null, new byte[bodyBytes]);
-        attempt.exchange = pool.send(new AttemptOrder(ask, "m", timeoutUs, source, 0, 0, false, false, false, false),
-                attempt);
+        attempt.exchange =
+                pool.send(new AttemptOrder(request, "m", timeoutMicros, source, 0, 0, false, false, false, false),
+                        attempt);
         return attempt;
     }
 
@@ -159,7 +149,7 @@
     }
 
     @Test
-    void whatNobodyWaitsForAnyMoreDoesNotBeginWhenTheWriteGoesOn() throws IOException {
+    void givenABlockedWriteWhenAQueuedRequestIsNotWantedAnyMoreThenItNeverBegins() throws IOException {
         stuck();
         Attempt queued = send("00000000000000a2", "bb", "p", 0);
         Attempt behind = send("00000000000000a3", "bb", "p", 0);
@@ -171,7 +161,7 @@
     }
 
     @Test
-    void whatIsHalfWrittenAndMayNotGoOnNeverArrivesWhole() throws IOException {
+    void givenAPartlyWrittenRequestWhenItMayNotContinueThenTheConnectionIsClosed() throws IOException {
         Attempt half = stuck();
         half.mayContinue = false;
         assertThat(reads("never")).isFalse();
@@ -180,7 +170,7 @@
     }
 
     @Test
-    void norDoesWhatWasGivenUpHalfWritten() throws IOException {
+    void givenAPartlyWrittenCancelledRequestWhenItMayNotContinueThenTheConnectionIsClosed() throws IOException {
         Attempt half = stuck();
         assertThat(half.exchange.cancel()).isTrue();
         half.mayContinue = false;
@@ -189,7 +179,7 @@
     }
 
     @Test
-    void aPurgeTakesBackWhatIsQueuedOrHalfWrittenForItsObject() throws IOException {
+    void givenABlockedWriteWhenAnObjectIsPurgedThenItsRequestsAreWithdrawn() throws IOException {
         Attempt half = stuck();
         Attempt same = send("00000000000000a2", "aa", "p", 0);
         Attempt other = send("00000000000000a3", "bb", "p", 0);
@@ -202,7 +192,7 @@
 
     /** The member is fit: only its source drains. */
     @Test
-    void whatIsToBeFilledFromWhoDrainsSpeaksAgainstNobody() throws IOException {
+    void givenABlockedWriteWhenTheSourceDrainsThenItsFillsEndAsNotSent() throws IOException {
         Attempt half = stuck();
         Attempt queued = send("00000000000000a2", "bb", "p", 0);
         Attempt elsewhere = send("00000000000000a3", "bb", "q", 0);
@@ -213,9 +203,9 @@
         assertThat(half.result).isEqualTo(Result.NOT_SENT);
     }
 
-    /** An order, or a request that asks only for what the member holds. */
+    /** An order, or a request that is not filled on a miss. */
     @Test
-    void whatIsFilledFromNobodyStaysWhenAnotherMemberDrains() throws IOException {
+    void givenRequestsWithoutASourceWhenAnotherMemberDrainsThenTheyGoOn() throws IOException {
         Attempt begun = send("00000000000000a1", "aa", null, 0);
         until(() -> !accepted.isEmpty() && begun.exchange.begun());
         Attempt queued = send("00000000000000a2", "bb", null, 0);
@@ -227,7 +217,7 @@
 
     /** A second copy of an answer, some milliseconds late, must not end a further attempt of the same request. */
     @Test
-    void aFurtherAttemptGoesOverAnotherConnectionThanTheFirst() throws IOException {
+    void givenAnAnsweredIdThenAFurtherAttemptUsesAnotherConnection() throws IOException {
         Attempt first = send("00000000000000a1", "aa", null, 0);
         until(() -> !accepted.isEmpty() && first.exchange.begun());
         answer(0, "00000000000000a1 LACK - 0\r\n\r\n");
@@ -243,9 +233,9 @@
         until(() -> further.result == Result.OK);
     }
 
-    /** Bit by bit, so that it never stands still for long. */
+    /** It arrives byte by byte, so that the stall timeout does not end it. */
     @Test
-    void anAnswerThatNeverEndsHoldsUpTheOthersNoLongerThanADial() throws IOException {
+    void givenACancelledResponseThatNeverEndsThenTheConnectionIsClosedWithinADialsTime() throws IOException {
         Attempt endless = send("00000000000000a1", "aa", null, 0);
         Attempt behind = send("00000000000000a2", "bb", null, 0);
         until(() -> !accepted.isEmpty() && endless.exchange.begun() && behind.exchange.begun());
@@ -256,16 +246,16 @@
         }
         endless.exchange.cancel();
         for (int i = 0; i < 9 && behind.result == null; i++) {
-            nowUs += DIAL_US / 8;
+            clock.passMicros(DIAL_MICROS / 8);
             answer(0, "x");
             turn();
         }
         assertThat(behind.result).isEqualTo(Result.BROKEN);
     }
 
-    /** Its client called it off, as clients do; those behind it must not pay for that. */
+    /** Cancelled by its client; the responses behind it arrive. */
     @Test
-    void aLargeAnswerThatMovesOnCostsTheOthersNothing() throws IOException {
+    void givenACancelledLargeResponseThatProgressesThenTheOthersAreAnswered() throws IOException {
         Attempt large = send("00000000000000a1", "aa", null, 0);
         Attempt behind = send("00000000000000a2", "bb", null, 0);
         until(() -> !accepted.isEmpty() && large.exchange.begun() && behind.exchange.begun());
@@ -279,7 +269,7 @@
             for (int i = 0; i < 20; i++) {
                 turn();
             }
-            nowUs += DIAL_US / 2;
+            clock.passMicros(DIAL_MICROS / 2);
         }
         answer(0, "\r\n00000000000000a2 DONE made=5 5\r\nhello\r\n");
         until(() -> behind.result != null);
@@ -288,19 +278,19 @@
 
     /** The connection comes up 300 ms after the request was queued. */
     @Test
-    void aRequestTellsTheTimeThatIsLeftWhenItIsWritten() throws IOException {
+    void givenASlowDialThenTheRequestPassesTheTimeLeftAtItsWrite() throws IOException {
         Attempt queued = send("00000000000000a1", "aa", null, 0);
-        nowUs += 300_000;
+        clock.passMicros(300_000);
         until(() -> !accepted.isEmpty() && queued.exchange.begun());
         assertThat(reads("ms=700 0")).isTrue();
     }
 
     @Test
-    void aRequestWithoutTimeLeftIsNotWritten() throws IOException {
+    void givenABlockedWriteWhenTheTimeIsOverThenTheRequestIsNotWritten() throws IOException {
         stuck();
         Attempt late = send("00000000000000a2", "bb", null, 0, 100_000);
         Attempt inTime = send("00000000000000a3", "bb", null, 0, 100_001);
-        nowUs += 100_000;
+        clock.passMicros(100_000);
         assertThat(reads("want 00000000000000a3")).isTrue();
         assertThat(late.result).isEqualTo(Result.NOT_SENT);
         assertThat(inTime.result).isNull();
