--- a/src/main/java/clovermill/runtime/task/Mailbox.java
+++ b/src/main/java/clovermill/runtime/task/Mailbox.java
@@ -1,12 +1,14 @@
 package clovermill.runtime.task;
 
 /**
- * Where messages for a task go. Nobody waits for another's mailbox: at a full one the sender drops the message, or
- * refuses what it stands for, and may count that.
+ * Accepts messages for a task. Sending never blocks: if the mailbox is full, the sender drops the message or refuses
+ * the call that it stands for.
+ *
+ * @param <M> the task's messages, immutable
  */
 @FunctionalInterface
 public interface Mailbox<M> {
 
-    /** Hands over a message; false if there is no room, or the task has ended. */
+    /** Queues a message; returns false if the mailbox is full or the task has ended. */
     boolean offer(M message);
 }
--- a/src/main/java/clovermill/runtime/task/Task.java
+++ b/src/main/java/clovermill/runtime/task/Task.java
@@ -1,19 +1,19 @@
 package clovermill.runtime.task;
 
 /**
- * A part that takes messages one after another, on one thread at a time. What it decides sits in classes without I/O;
- * it only moves messages. A fault that it throws ends it, and its owner hears of that.
+ * Handles messages one after another, on one thread at a time. It only moves messages; decisions are made by classes
+ * without I/O. An exception ends the task and is reported to its owner.
  *
  * @param <M> its messages, immutable
  */
 public interface Task<M> {
 
-    /** Takes one message. */
-    void on(M message, long nowUs);
+    /** Handles one message at {@code nowMicros} of the monotonic clock. */
+    void on(M message, long nowMicros);
 
-    /** Does what is due; returns when it is to be called again at the latest, in microseconds of the same clock. */
-    long tick(long nowUs);
+    /** Does the work that is due; returns the time by which to call it again, in microseconds of the same clock. */
+    long tick(long nowMicros);
 
-    /** The owner ends it: the last call, after every message that was taken. */
-    default void stop(long nowUs) {}
+    /** Ends the task; the last call, after every accepted message was handled. */
+    default void stop(long nowMicros) {}
 }
--- a/src/main/java/clovermill/runtime/task/TaskThread.java
+++ b/src/main/java/clovermill/runtime/task/TaskThread.java
@@ -3,6 +3,7 @@
 import clovermill.runtime.net.Clock;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
+import java.net.PortUnreachableException;
 import java.nio.ByteBuffer;
 import java.nio.channels.DatagramChannel;
 import java.nio.channels.SelectionKey;
@@ -13,15 +14,16 @@
 import java.util.function.Consumer;
 
 /**
- * The thread of one task, its bounded mailbox and, if it has one, its UDP socket. A failure of the task is one line in
- * the log, after which its owner is told on this thread; the socket is given back whatever ends it.
+ * Runs one task on a thread of its own, with a bounded mailbox and optionally a datagram socket, which it owns and
+ * closes. A failure of the task ends the thread; it is logged and reported to the task's owner on this thread.
  */
 public final class TaskThread<M> implements Mailbox<M> {
 
     private static final System.Logger LOG = System.getLogger(TaskThread.class.getName());
-    private static final int LARGEST_DATAGRAM = 1 << 16;
-    /** Datagrams and messages taken in one turn, lest a flood of either starves the ticks. */
-    private static final int TURN = 64;
+    private static final int MAX_DATAGRAM_BYTES = 1 << 16;
+    /** Bound of the datagrams, and of the messages, of one turn: a flood of either must not delay the ticks. */
+    private static final int MAX_PER_TURN = 64;
+    private static final long MICROS_PER_MILLI = 1000;
 
     private final String name;
     private final Clock clock;
@@ -29,25 +31,32 @@
     private final ArrayBlockingQueue<M> queue;
     private final Selector selector;
     private final DatagramChannel socket;
-    private final Consumer<ByteBuffer> datagrams;
-    private final Consumer<Throwable> failed;
+    private final Consumer<ByteBuffer> datagramHandler;
+    private final Consumer<Throwable> failureHandler;
     private final Thread thread;
     private volatile boolean ending;
 
     /**
-     * A thread that is yet to be started. {@code socket} may be null; what comes on it goes to {@code datagrams}, on
-     * the task's thread. {@code failed} is told if the task throws.
+     * A thread that is not started yet.
+     *
+     * @param name name of the thread, and of the task in the log
+     * @param clock gives the time that the task is called with
+     * @param task the task
+     * @param mailboxCapacity messages that may be queued
+     * @param socket datagram socket of the task, null if it has none
+     * @param datagramHandler handles received datagrams on the task's thread
+     * @param failureHandler called on the task's thread if the task throws
      */
-    public TaskThread(String name, Clock clock, Task<M> task, int room, DatagramChannel socket,
-            Consumer<ByteBuffer> datagrams, Consumer<Throwable> failed) throws IOException {
+    public TaskThread(String name, Clock clock, Task<M> task, int mailboxCapacity, DatagramChannel socket,
+            Consumer<ByteBuffer> datagramHandler, Consumer<Throwable> failureHandler) throws IOException {
         this.name = name;
         this.clock = clock;
         this.task = task;
-        this.queue = new ArrayBlockingQueue<>(room);
+        this.queue = new ArrayBlockingQueue<>(mailboxCapacity);
         this.selector = Selector.open();
         this.socket = socket;
-        this.datagrams = datagrams;
-        this.failed = failed;
+        this.datagramHandler = datagramHandler;
+        this.failureHandler = failureHandler;
         if (socket != null) {
             socket.configureBlocking(false);
             socket.register(selector, SelectionKey.OP_READ);
@@ -56,83 +65,83 @@
         thread.setDaemon(true);
     }
 
-    /** Begins. */
+    /** Starts the thread. */
     public void start() {
         thread.start();
     }
 
     @Override
     public boolean offer(M message) {
-        boolean taken = !ending && queue.offer(message);
-        if (taken && Thread.currentThread() != thread) {
+        boolean accepted = !ending && queue.offer(message);
+        if (accepted && Thread.currentThread() != thread) {
             selector.wakeup();
         }
-        return taken;
+        return accepted;
     }
 
-    /** Ends it once what its mailbox holds has been taken; returns when it has ended, or after so many milliseconds. */
-    public void stop(long mostMs) throws InterruptedException {
+    /** Ends the task after the messages in its mailbox; returns when it has ended, or after {@code maxWaitMillis}. */
+    public void stop(long maxWaitMillis) throws InterruptedException {
         ending = true;
         selector.wakeup();
-        thread.join(mostMs);
+        thread.join(maxWaitMillis);
     }
 
     private void run() {
         try {
-            ByteBuffer buffer = ByteBuffer.allocate(LARGEST_DATAGRAM);
+            ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
             while (!ending) {
-                long nextUs = task.tick(clock.micros());
-                long waitMs = (nextUs - clock.micros() + 999) / 1000;
-                if (!queue.isEmpty() || waitMs <= 0) {
+                long nextTickMicros = task.tick(clock.micros());
+                long waitMillis = (nextTickMicros - clock.micros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+                if (!queue.isEmpty() || waitMillis <= 0) {
                     selector.selectNow();
                 } else {
-                    selector.select(waitMs);
+                    selector.select(waitMillis);
                 }
                 selector.selectedKeys().clear();
-                receive(buffer);
-                take(TURN);
+                receiveDatagrams(buffer);
+                handleMessages(MAX_PER_TURN);
             }
-            take(Integer.MAX_VALUE);
+            handleMessages(Integer.MAX_VALUE);
             task.stop(clock.micros());
         } catch (IOException | RuntimeException | StackOverflowError fault) {
             LOG.log(Level.ERROR, name + " has ended after a fault", fault);
             ending = true;
-            failed.accept(fault);
+            failureHandler.accept(fault);
         } finally {
-            quietly(socket);
-            quietly(selector);
+            closeQuietly(socket);
+            closeQuietly(selector);
         }
     }
 
-    private void take(int most) {
-        Deque<M> taken = new ArrayDeque<>();
-        queue.drainTo(taken, most);
-        for (M message : taken) {
+    private void handleMessages(int maxMessages) {
+        Deque<M> messages = new ArrayDeque<>();
+        queue.drainTo(messages, maxMessages);
+        for (M message : messages) {
             task.on(message, clock.micros());
         }
     }
 
-    private void receive(ByteBuffer buffer) throws IOException {
-        for (int i = 0; socket != null && i < TURN; i++) {
+    private void receiveDatagrams(ByteBuffer buffer) throws IOException {
+        for (int i = 0; socket != null && i < MAX_PER_TURN; i++) {
             buffer.clear();
             try {
                 if (socket.receive(buffer) == null) {
                     return;
                 }
-            } catch (java.net.PortUnreachableException refused) {
-                continue; // what a peer's machine sends back of an earlier datagram
+            } catch (PortUnreachableException icmpError) {
+                continue; // reports an earlier datagram; further ones may have arrived
             }
-            datagrams.accept(buffer.flip());
+            datagramHandler.accept(buffer.flip());
         }
     }
 
-    private static void quietly(AutoCloseable resource) {
+    private static void closeQuietly(AutoCloseable resource) {
         try {
             if (resource != null) {
                 resource.close();
             }
-        } catch (Exception e) {
-            LOG.log(Level.DEBUG, "closing failed", e);
+        } catch (Exception failure) {
+            LOG.log(Level.DEBUG, "closing failed", failure);
         }
     }
 }
--- a/src/main/java/clovermill/runtime/task/package-info.java
+++ b/src/main/java/clovermill/runtime/task/package-info.java
@@ -1,6 +1,10 @@
 /**
- * Parts that own their sockets and their state and talk by messages: one thread and one bounded mailbox each. Clock,
- * randomness and links are handed in, so that the same part runs on a thread in service and on the simulated scheduler
- * of {@code clovermill.simulation.emulator.world} under test. The loop is met by {@code EventLoop.post} only.
+ * Tasks with a thread of their own, which communicate by messages. {@link clovermill.runtime.task.TaskThread} is the
+ * entry: it runs one {@link clovermill.runtime.task.Task} with its bounded {@link clovermill.runtime.task.Mailbox} and
+ * its datagram socket.
+ *
+ * <p>Clock, randomness and links are passed to a task, so that the same task runs on a thread in service and on the
+ * simulated scheduler of {@code clovermill.simulation.emulator.world} in tests. A task calls the event loop through
+ * {@code EventLoop.post} only.
  */
 package clovermill.runtime.task;
--- a/src/test/java/clovermill/runtime/net/BudgetTest.java
+++ b/src/test/java/clovermill/runtime/net/BudgetTest.java
@@ -11,7 +11,7 @@
     private final Budget budget = new Budget(100);
 
     @Test
-    void refusesWhatExceedsItAndCallsThoseThatWait() {
+    void givenAFullBudgetThenItRefusesAndCallsTheWaitingOnesAfterARelease() {
         List<String> called = new ArrayList<>();
         assertThat(budget.take(80)).isTrue();
         assertThat(budget.take(30)).isFalse();
@@ -24,9 +24,9 @@
         assertThat(called).containsExactly("first", "second");
     }
 
-    /** A body larger than the whole budget must still get through, alone. */
+    /** A body larger than the budget is still served, alone. */
     @Test
-    void aSingleBodyAlwaysFindsRoom() {
+    void givenAnEmptyBudgetThenABodyOfAnySizeIsGranted() {
         assertThat(budget.take(500)).isTrue();
         assertThat(budget.take(1)).isFalse();
     }
--- a/src/test/java/clovermill/runtime/net/DeadlinesTest.java
+++ b/src/test/java/clovermill/runtime/net/DeadlinesTest.java
@@ -12,7 +12,7 @@
     private final List<String> expired = new ArrayList<>();
 
     @Test
-    void sweepsInOrderOfTimeAndThenOfSetting() {
+    void givenDueDeadlinesThenTheyRunInOrderOfTimeAndThenOfAddition() {
         deadlines.add(20, () -> expired.add("c"));
         deadlines.add(10, () -> expired.add("a"));
         deadlines.add(10, () -> expired.add("b"));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aCancelledDeadlineDoesNotExpireEvenDuringTheSweep() {
+    void givenADeadlineCancelledDuringTheSweepThenItDoesNotExpire() {
         Deadlines.Deadline[] second = new Deadlines.Deadline[1];
         deadlines.add(1, () -> deadlines.cancel(second[0]));
         second[0] = deadlines.add(1, () -> expired.add("cancelled"));
@@ -34,9 +34,9 @@
         assertThat(deadlines.size()).isZero();
     }
 
-    /** One that sets itself anew for a time that is past would otherwise hold up the loop for ever. */
+    /** Otherwise one that adds itself again for a past time would block the loop for ever. */
     @Test
-    void oneAddedDuringASweepWaitsForTheNext() {
+    void givenADeadlineAddedDuringASweepThenItWaitsForTheNext() {
         deadlines.add(1, () -> deadlines.add(0, () -> expired.add("next")));
         deadlines.sweep(5);
         assertThat(expired).isEmpty();
--- a/src/test/java/clovermill/runtime/net/ListenerFaultsTest.java
+++ b/src/test/java/clovermill/runtime/net/ListenerFaultsTest.java
@@ -19,26 +19,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A listener goes on after an accept that failed for one connection, and rests after one that the machine had no room
- * for.
+ * A listener accepts on after an error of one connection, and pauses when the machine is out of resources.
  */
 class ListenerFaultsTest {
 
-    private long nowUs = 1_000_000;
-    private final Clock clock = new Clock() {
-        @Override
-        public long micros() {
-            return nowUs;
-        }
-
-        @Override
-        public long unixMillis() {
-            return nowUs / 1000;
-        }
-    };
+    private final ManualClock clock = new ManualClock(1_000_000);
     private final Deque<IOException> failures = new ArrayDeque<>();
     private int interrupted;
-    private final List<Connection> taken = new ArrayList<>();
+    private final List<Connection> accepted = new ArrayList<>();
     private final List<SocketChannel> clients = new ArrayList<>();
     private EventLoop loop;
     private ServerSocketChannel channel;
@@ -53,7 +41,7 @@
 
     @AfterEach
     void close() throws IOException {
-        taken.forEach(Connection::close);
+        accepted.forEach(Connection::close);
         for (SocketChannel client : clients) {
             client.close();
         }
@@ -72,7 +60,7 @@
     }
 
     private Connection.Handler handler(Connection connection) {
-        taken.add(connection);
+        accepted.add(connection);
         return new Connection.Handler() {
             @Override
             public void received(ByteBuffer data) {
@@ -97,55 +85,55 @@
     @ValueSource(strings = {"Protocol error", "Software caused connection abort", "Network is down",
         "Protocol not available", "Host is down", "Machine is not on the network", "No route to host",
         "Operation not supported", "Network is unreachable", "Operation not permitted"})
-    void whatSpeaksOfOneConnectionHoldsUpNoOther(String text) throws IOException {
+    void givenAnErrorOfOneConnectionThenTheOthersAreAcceptedAtOnce(String text) throws IOException {
         dial(3);
         failures.addAll(List.of(new IOException(text), new IOException(text)));
         loop.turn(1000);
-        assertThat(taken).hasSize(3);
+        assertThat(accepted).hasSize(3);
     }
 
-    /** A peer that brings such errors without end must not hold up those that are served. */
+    /** Such a peer must not delay the established connections. */
     @Test
-    void soManyAreTriedInOneTurn() throws IOException {
+    void givenErrorsWithoutEndThenOneTurnTriesABoundedNumber() throws IOException {
         dial(1);
         for (int i = 0; i < 40; i++) {
             failures.add(new IOException("Protocol error"));
         }
         loop.turn(1000);
         assertThat(failures).hasSize(24);
-        assertThat(taken).isEmpty();
+        assertThat(accepted).isEmpty();
         loop.turn(1000);
         loop.turn(1000);
-        assertThat(taken).hasSize(1);
+        assertThat(accepted).hasSize(1);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"Too many open files", "Too many open files in system", "No buffer space available",
         "Cannot allocate memory", "a text in another language"})
-    void whatTheMachineHasNoRoomForWaitsAWhile(String text) throws IOException {
+    void givenAMachineOutOfResourcesThenAcceptingPauses(String text) throws IOException {
         dial(1);
         failures.add(new IOException(text));
         loop.turn(1000);
         loop.turn(0);
-        assertThat(taken).isEmpty();
-        nowUs += 50_000;
+        assertThat(accepted).isEmpty();
+        clock.passMicros(50_000);
         loop.turn(0);
         loop.turn(1000);
-        assertThat(taken).hasSize(1);
+        assertThat(accepted).hasSize(1);
     }
 
-    /** The end of the listening socket would reset what is left. */
+    /** Closing the listening socket would reset those that are left. */
     @Test
-    void allThatWaitAreTakenThoughCallsFailOrAreInterrupted() throws IOException {
+    void givenFailedAndInterruptedCallsThenAcceptAllAcceptsAllPending() throws IOException {
         dial(3);
         interrupted = 2;
         failures.add(new IOException("Protocol error"));
         listener.acceptAll();
-        assertThat(taken).hasSize(3);
+        assertThat(accepted).hasSize(3);
     }
 
     @Test
-    void aConnectionThatCannotBeTakenInHoldsUpNoOther() throws IOException {
+    void givenAConnectionThatCannotBeRegisteredThenTheOthersAreAccepted() throws IOException {
         dial(2);
         SocketChannel closed = SocketChannel.open();
         closed.close();
@@ -153,6 +141,6 @@
         ServerSocketChannel other = ServerSocketChannel.open().bind(null);
         loop.listenOn(other, () -> first.isEmpty() ? channel.accept() : first.poll(), 100, this::handler).accept();
         other.close();
-        assertThat(taken).hasSize(2);
+        assertThat(accepted).hasSize(2);
     }
 }
