--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -227,7 +227,7 @@
             listed.remove(endpoint.id());
         } else {
             listed.put(endpoint.id(), endpoint);
-            pool.listed(endpoint.id(), endpoint.address(), endpoint.startedUnixMillis());
+            pool.updateMember(endpoint.id(), endpoint.address(), endpoint.startedUnixMillis());
         }
     }
 
@@ -241,7 +241,7 @@
         }
         for (String id : unavailable) {
             if (!listed.containsKey(id)) {
-                pool.gone(id);
+                pool.removeMember(id);
             }
         }
     }
--- a/src/main/java/clovermill/dataplane/upstream/RequestLine.java
+++ b/src/main/java/clovermill/dataplane/upstream/RequestLine.java
@@ -1,42 +1,49 @@
 package clovermill.dataplane.upstream;
 
+import clovermill.dataplane.proxy.AttemptOrder;
 import clovermill.dataplane.proxy.ClientRequest;
-import clovermill.dataplane.proxy.Upstream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.StringJoiner;
 
-/** A request in the lines protocol. */
+/** Encodes requests of the lines protocol. */
 final class RequestLine {
 
+    private static final long MICROS_PER_MILLI = 1000;
+
     private RequestLine() {}
 
-    /** The parts of an attempt's request, whose client has {@code leftUs} microseconds left as it is written. */
-    static List<ByteBuffer> want(Upstream.Order order, long leftUs) {
-        ClientRequest ask = order.ask();
-        String head = "want " + ask.id() + " " + fields(order, leftUs) + " " + ask.body().length + "\r\n";
-        return ask.body().length == 0
+    /** Encodes an attempt in parts; {@code leftMicros} is the time that its client has left. */
+    static List<ByteBuffer> want(AttemptOrder order, long leftMicros) {
+        ClientRequest request = order.request();
+        String head = "want " + request.id() + " " + fields(order, leftMicros) + " " + request.body().length + "\r\n";
+        return request.body().length == 0
                 ? List.of(text(head + "\r\n"))
-                : List.of(text(head), ByteBuffer.wrap(ask.body()), text("\r\n"));
+                : List.of(text(head), ByteBuffer.wrap(request.body()), text("\r\n"));
     }
 
-    /** A probe. */
+    /** Encodes a probe. */
     static List<ByteBuffer> there(String tag) {
         return List.of(text("there " + tag + "\r\n"));
     }
 
+    /** Encodes the cancellation of a request. */
+    static ByteBuffer neverMind(String id) {
+        return text("never_mind " + id + "\r\n");
+    }
+
     private static ByteBuffer text(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String fields(Upstream.Order order, long leftUs) {
-        ClientRequest ask = order.ask();
+    private static String fields(AttemptOrder order, long leftMicros) {
+        ClientRequest request = order.request();
         StringJoiner fields = new StringJoiner(",");
-        fields.add("kind=" + ask.className()).add("obj=" + ask.object()).add("seg=" + ask.part());
-        fields.add("ms=" + Math.max(1, leftUs / 1000));
-        if (ask.token() != null) {
-            fields.add("token=" + ask.token());
+        fields.add("kind=" + request.className()).add("obj=" + request.object()).add("seg=" + request.part());
+        fields.add("ms=" + Math.max(1, leftMicros / MICROS_PER_MILLI));
+        if (request.idempotencyKey() != null) {
+            fields.add("token=" + request.idempotencyKey());
         }
         if (order.source() != null) {
             fields.add("src=" + order.source());
@@ -44,17 +51,17 @@
         if (order.rank() > 0) {
             fields.add("keep=" + order.rank());
         }
-        if (order.maxAgeUs() > 0) {
-            fields.add("maxage=" + Math.max(1, order.maxAgeUs() / 1000));
+        if (order.maxAgeMicros() > 0) {
+            fields.add("maxage=" + Math.max(1, order.maxAgeMicros() / MICROS_PER_MILLI));
         }
         StringJoiner flags = new StringJoiner("+");
         if (order.join()) {
             flags.add("join");
         }
-        if (order.heldOnly()) {
+        if (order.cachedOnly()) {
             flags.add("held");
         }
-        if (order.parentKeepsNone()) {
+        if (order.parentMustNotCache()) {
             flags.add("nocopy");
         }
         if (order.renew()) {
@@ -63,8 +70,8 @@
         if (flags.length() > 0) {
             fields.add("flags=" + flags);
         }
-        if (ask.have() != null) {
-            fields.add("have=" + ask.have());
+        if (request.cachedTag() != null) {
+            fields.add("have=" + request.cachedTag());
         }
         return fields.toString();
     }
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
@@ -1,7 +1,8 @@
 package clovermill.dataplane.upstream;
 
+import clovermill.dataplane.proxy.AttemptListener;
 import clovermill.dataplane.proxy.ClientRequest;
-import clovermill.dataplane.proxy.Upstream;
+import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
@@ -11,29 +12,38 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** An exchange on its connection: queued there, then sent, then ended or given up. */
-final class UpstreamExchange implements Upstream.Exchange {
+/** An exchange on its connection: queued, then written, then ended or cancelled. */
+final class UpstreamExchange implements Exchange {
+
+    /**
+     * Age at which an unwritten head is not sent any more. The deadline that it passes to the member may be 150 ms
+     * older than the moment of the write, which follows within the turn.
+     */
+    private static final long MAX_HEAD_AGE_MICROS = 140_000;
 
     final String id;
-    final Upstream.Ending ending;
+    final AttemptListener listener;
     private final UpstreamConnection connection;
     private final CacheRequest request;
     private boolean begun;
-    private boolean whole;
+    private long begunMicros;
+    /** The first part of the request, which passes the deadline; null before it begins. */
+    private ByteBuffer head;
+    private boolean written;
     private boolean revoked;
-    /** By when it must have begun. */
-    Deadline beginBy;
+    /** Ends it unless it begins in time. */
+    Deadline beginTimeout;
 
     UpstreamExchange(UpstreamConnection connection, CacheRequest request) {
         this.connection = connection;
         this.request = request;
         this.id = request.id();
-        this.ending = request.ending();
+        this.listener = request.listener();
     }
 
     @Override
-    public boolean heldHere() {
-        return !begun && connection.idlesUntilFlush();
+    public boolean isQueuedLocally() {
+        return !begun && connection.waitsOnlyForFlush();
     }
 
     @Override
@@ -42,8 +52,8 @@
     }
 
     @Override
-    public boolean giveUp() {
-        connection.givenUp(this);
+    public boolean cancel() {
+        connection.cancel(this);
         return begun;
     }
 
@@ -52,42 +62,60 @@
         return request.isFilledFrom(members);
     }
 
-    /** Whether it asks for one of these. */
-    boolean isFor(Predicate<ClientRequest> which) {
-        return request.isFor(which);
+    /** Whether it is an attempt of a matching client request. */
+    boolean isFor(Predicate<ClientRequest> matches) {
+        return request.isFor(matches);
     }
 
-    /** Whether it may begin now: somebody waits for it, and has time left. */
-    boolean mayBegin(long nowUs) {
-        return nowUs < request.dueUs() && ending.mayBegin();
+    /** Whether it may begin now: its client waits for it and has time left. */
+    boolean mayBegin(long nowMicros) {
+        return nowMicros < request.deadlineMicros() && listener.mayBegin();
     }
 
-    /** The parts of the request, to be written from now on; they tell the member the time that is left now. */
-    List<ByteBuffer> begin(long nowUs) {
+    /** Begins it: returns the parts to be written, which pass the time left at {@code nowMicros} to the member. */
+    List<ByteBuffer> begin(long nowMicros) {
         begun = true;
-        return request.encoder().apply(request.dueUs() - nowUs);
+        begunMicros = nowMicros;
+        List<ByteBuffer> parts = request.encoder().apply(request.deadlineMicros() - nowMicros);
+        head = parts.get(0);
+        return parts;
+    }
+
+    /** The first of the parts returned by the last {@link #begin}. */
+    ByteBuffer head() {
+        return head;
+    }
+
+    /** No byte was written, and its parts were retracted: it is queued again. */
+    void retracted() {
+        begun = false;
+        head = null;
     }
 
-    /** All of it has been written, or never will be. */
-    void written(boolean all) {
-        whole = all;
+    /** The write has ended; {@code complete} if all parts were written. */
+    void writeEnded(boolean complete) {
+        written = complete;
     }
 
-    boolean isWhole() {
-        return whole;
+    /** Whether all parts were written. */
+    boolean isWritten() {
+        return written;
     }
 
-    /** A part of it waits to be written, and must not any more. */
-    boolean mustStop() {
-        return begun && !whole && (revoked || !ending.mayGoOn());
+    /**
+     * Whether unwritten parts must not be written any more: it is not wanted, or the deadline in its head is too old.
+     */
+    boolean mustStop(long nowMicros) {
+        return begun && !written && (revoked || !listener.mayContinue()
+                || head.hasRemaining() && nowMicros - begunMicros > MAX_HEAD_AGE_MICROS);
     }
 
-    /** It may not go out any more, whoever waits for it: its member or its source drains, or its copy was purged. */
+    /** Forbids further writes: its member or its source drains, or its object was purged. */
     void revoke() {
         revoked = true;
     }
 
-    void end(Result result, Note note, long waitedUs, UpstreamResponse answer) {
-        ending.ended(result, note, waitedUs, answer);
+    void end(Result result, Note note, long waitedMicros, UpstreamResponse response) {
+        listener.ended(result, note, waitedMicros, response);
     }
 }
