--- a/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
@@ -8,75 +8,78 @@
 import clovermill.controlplane.eventlog.decide.EventLogMessage;
 import clovermill.controlplane.eventlog.decide.ReplicaFeed;
 import io.microraft.RaftConfig;
+import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Deque;
 import java.util.List;
 import java.util.Random;
 import java.util.function.Function;
 
 /**
- * A replica of the log: takes part in Raft, appends for clients while it leads, proves its log each round by a read at
- * the leader, and feeds the directors that follow it. Not thread-safe.
+ * A replica of the log: a Raft member that appends for clients while it leads, proves the freshness of its log each
+ * round by a read at the leader (ReadIndex; Ongaro, "Consensus: Bridging Theory and Practice", 6.4), and feeds the
+ * directors that follow it. Times are microseconds. Not thread-safe.
  */
-final class EventLogReplica {
-
-    /** Sends a packet to a process; one to the sender itself comes too, after this turn. */
-    interface Link {
-        void send(int to, Packet packet);
-    }
+final class EventLogReplica implements EventLogRole {
 
     /** Raft entries in one message; most hold one event, and all must fit a UDP datagram. */
-    private static final int APPEND_BATCH = 16;
-    /** Reads that wait for the leader; at one more the oldest is forgotten, and asked again in the next round. */
-    private static final int MOST_READS = 64;
+    private static final int APPEND_BATCH_ENTRIES = 16;
+    /** Reads queued for the leader; at one more the oldest is dropped, and its replica asks again next round. */
+    private static final int MAX_PENDING_READS = 64;
 
     private record Read(int from, long number) {}
 
-    private final EventLogTask.Membership place;
-    private final EventLogTask.ReplicaLimits bounds;
+    private final EventLogTask.Membership membership;
+    private final EventLogTask.ReplicaLimits limits;
     private final RaftStorage storage;
     private final RaftScheduler scheduler;
     private final RaftMember<EventLogStateMachine> member;
     private final Link link;
+    /** Packets that this replica sent to itself; handled before the turn ends. */
+    private final Deque<Packet> loopback = new ArrayDeque<>();
+    /** Null until the replica takes part in a group. */
     private ReplicaFeed feed;
-    private List<Read> waiting = new ArrayList<>();
+    private List<Read> pendingReads = new ArrayList<>();
     private boolean reading;
-    private long round;
-    private long roundBeganUs;
-    private long roundAtUs;
+    private long proofRound;
+    private long proofRoundStartUs;
+    private long nextProofRoundUs;
     private long nowUs;
 
-    EventLogReplica(EventLogTask.Membership place, EventLogTask.ReplicaLimits bounds, RaftStorage storage,
+    EventLogReplica(EventLogTask.Membership membership, EventLogTask.ReplicaLimits limits, RaftStorage storage,
             Random random, Link link, long nowUs) {
-        this.place = place;
-        this.bounds = bounds;
+        this.membership = membership;
+        this.limits = limits;
         this.storage = storage;
         this.link = link;
         this.nowUs = nowUs;
         this.scheduler = new RaftScheduler(nowUs);
-        RaftConfig config = RaftReplica.config().setAppendEntriesRequestBatchSize(APPEND_BATCH)
-                .setCommitCountToTakeSnapshot(bounds.snapshotEvery()).build();
+        RaftConfig config = RaftReplica.config().setAppendEntriesRequestBatchSize(APPEND_BATCH_ENTRIES)
+                .setCommitCountToTakeSnapshot(limits.snapshotEvery()).build();
         RaftReplica.Host host = new RaftReplica.Host(EventOperationCodec.GROUP, config, storage, scheduler, random,
-                (to, message) -> link.send(to.node(), new Packet.RaftPacket(to.disk(), message)));
-        this.member = new RaftMember<>(new RaftMember.Place(place.self(), place.replicas(), place.terms().roundUs()),
-                storage, host, () -> new EventLogStateMachine(bounds.log(), () -> random.nextLong() | 1), this::began,
-                new Joins());
+                (to, message) -> send(to.node(), new Packet.RaftPacket(to.disk(), message)));
+        RaftMember.Place place =
+                new RaftMember.Place(membership.self(), membership.replicas(), membership.timing().roundUs());
+        this.member = new RaftMember<>(place, storage, host,
+                () -> new EventLogStateMachine(limits.log(), () -> random.nextLong() | 1), this::replicaStarted,
+                new JoinOutbox());
         member.restore();
     }
 
-    private final class Joins implements RaftMember.Outbox {
+    private final class JoinOutbox implements RaftMember.Outbox {
         @Override
         public void join(int to, long disk, boolean empty) {
-            link.send(to, new Packet.JoinRequest(disk, empty));
+            send(to, new Packet.JoinRequest(disk, empty));
         }
 
         @Override
         public void joined(int to, long disk, boolean group, boolean votes) {
-            link.send(to, new Packet.JoinResponse(disk, group, votes));
+            send(to, new Packet.JoinResponse(disk, group, votes));
         }
     }
 
-    private void began(RaftReplica<EventLogStateMachine> replica) {
-        feed = new ReplicaFeed(place.terms(), bounds.feed(), replica.machine().log(), nowUs);
+    private void replicaStarted(RaftReplica<EventLogStateMachine> replica) {
+        feed = new ReplicaFeed(membership.timing(), limits.feed(), replica.machine().log(), nowUs);
         reading = false;
     }
 
@@ -93,103 +96,175 @@
         return member.replica() == null ? null : member.replica().machine().log();
     }
 
+    /** What feeds the directors, or null before this replica takes part in a group. */
     ReplicaFeed feed() {
         return feed;
     }
 
-    /** Takes a packet. */
-    void on(int from, Packet packet, long now) {
+    @Override
+    public void receive(int from, Packet packet, long now) {
+        handle(from, packet, now);
+        handleLoopback(now);
+    }
+
+    private void handleLoopback(long now) {
+        while (!loopback.isEmpty()) {
+            handle(membership.self(), loopback.removeFirst(), now);
+        }
+    }
+
+    private void handle(int from, Packet packet, long now) {
         nowUs = now;
         scheduler.run(now);
-        if (packet instanceof Packet.JoinRequest join) {
-            member.onJoin(from, join.disk(), join.empty());
-        } else if (packet instanceof Packet.JoinResponse joined) {
-            member.onJoined(from, joined.disk(), joined.group(), joined.member());
-        } else if (member.replica() != null) {
-            replicaOn(from, packet);
-        }
+        packet.dispatch(new PacketHandler(from));
         scheduler.run(now);
     }
 
-    private void replicaOn(int from, Packet packet) {
-        if (packet instanceof Packet.RaftPacket raft && raft.disk() == member.replica().self().disk()) {
-            member.replica().handle(raft.message(), nowUs);
-        } else if (packet instanceof Packet.EventLogPacket plain) {
-            plainOn(from, plain.message());
+    /** Handles one packet; all but those to join are ignored until this replica takes part in a group. */
+    private final class PacketHandler
+            implements Packet.Handler<RuntimeException>, EventLogMessage.ReplicaHandler<RuntimeException> {
+
+        private final int from;
+
+        private PacketHandler(int from) {
+            this.from = from;
+        }
+
+        @Override
+        public void joinRequest(Packet.JoinRequest request) {
+            member.onJoin(from, request.disk(), request.empty());
+        }
+
+        @Override
+        public void joinResponse(Packet.JoinResponse response) {
+            member.onJoined(from, response.disk(), response.group(), response.member());
+        }
+
+        @Override
+        public void raftPacket(Packet.RaftPacket packet) {
+            if (member.replica() != null && packet.disk() == member.replica().self().disk()) {
+                member.replica().handle(packet.message(), nowUs);
+            }
+        }
+
+        @Override
+        public void eventLogPacket(Packet.EventLogPacket packet) {
+            if (member.replica() != null && packet.message() instanceof EventLogMessage.ToReplica message) {
+                message.dispatch(this);
+            }
+        }
+
+        @Override
+        public void follow(EventLogMessage.Follow follow) {
+            sendPush(feed.receive(from, follow, nowUs));
         }
-    }
 
-    private void plainOn(int from, EventLogMessage message) {
-        if (message instanceof EventLogMessage.Follow follow) {
-            send(feed.on(from, follow, nowUs));
-        } else if (message instanceof EventLogMessage.OpenSession open) {
-            put(from, new EventLogStateMachine.OpenSession(),
+        @Override
+        public void openSession(EventLogMessage.OpenSession open) {
+            replicate(from, new EventLogStateMachine.OpenSession(),
                     session -> new EventLogMessage.SessionOpened(open.nonce(), (Long) session));
-        } else if (message instanceof EventLogMessage.Append append) {
-            put(from, new EventLogStateMachine.Append(append.session(), append.call(), append.events()),
+        }
+
+        @Override
+        public void append(EventLogMessage.Append append) {
+            replicate(from, new EventLogStateMachine.Append(append.session(), append.call(), append.events()),
                     result -> new EventLogMessage.AppendAnswer(append.session(), append.call(),
                             (EventLog.AppendResult) result));
-        } else if (message instanceof EventLogMessage.ReadIndex read && leads()) {
-            wait(new Read(from, read.number()));
-        } else if (message instanceof EventLogMessage.ReadIndexAnswer answer && answer.number() == round) {
-            feed.proven(answer.head(), roundBeganUs);
         }
+
+        @Override
+        public void readIndex(EventLogMessage.ReadIndex read) {
+            if (leads()) {
+                enqueue(new Read(from, read.number()));
+            }
+        }
+
+        @Override
+        public void readIndexAnswer(EventLogMessage.ReadIndexAnswer answer) {
+            if (answer.number() == proofRound) {
+                feed.proven(answer.head(), proofRoundStartUs);
+            }
+        }
+    }
+
+    /** A replica has no clients of its own: refuses the call. */
+    @Override
+    public void append(EventLogTaskMessage.AppendRequested append, long now) {
+        append.done().accept(null);
     }
 
-    private void put(int from, Object operation, Function<Object, EventLogMessage> answers) {
+    private void replicate(int client, Object operation, Function<Object, EventLogMessage> answer) {
         if (!leads()) {
-            plain(from, new EventLogMessage.Redirect(member.replica().leader()));
+            sendMessage(client, new EventLogMessage.Redirect(member.replica().leader()));
             return;
         }
         member.replica().replicate(operation, result -> {
-            if (result != null) { // else it is not known what becomes of it: the client sends it again
-                plain(from, answers.apply(result));
+            if (result != null) { // otherwise the outcome is unknown: the client sends the call again
+                sendMessage(client, answer.apply(result));
             }
         });
     }
 
-    private void wait(Read read) {
-        if (waiting.size() >= MOST_READS) {
-            waiting.remove(0);
+    private void enqueue(Read read) {
+        if (pendingReads.size() >= MAX_PENDING_READS) {
+            pendingReads.remove(0);
         }
-        waiting.add(read);
+        pendingReads.add(read);
         readHead();
     }
 
-    /** One read at a time; those that come meanwhile are answered by the next, which begins after they came. */
+    /** One query at a time; reads that arrive meanwhile are answered by the next, which starts after their arrival. */
     private void readHead() {
-        if (reading || waiting.isEmpty()) {
+        if (reading || pendingReads.isEmpty()) {
             return;
         }
-        List<Read> batch = waiting;
-        waiting = new ArrayList<>();
+        List<Read> batch = pendingReads;
+        pendingReads = new ArrayList<>();
         reading = true;
-        RaftReplica<EventLogStateMachine> asked = member.replica();
-        asked.query(new EventLogStateMachine.ReadHead(), head -> {
-            if (asked != member.replica()) {
+        RaftReplica<EventLogStateMachine> queried = member.replica();
+        queried.query(new EventLogStateMachine.ReadHead(), head -> {
+            if (queried != member.replica()) {
                 return;
             }
             reading = false;
             if (head != null) {
-                batch.forEach(
-                        read -> plain(read.from(), new EventLogMessage.ReadIndexAnswer(read.number(), (Long) head)));
+                batch.forEach(read -> sendMessage(read.from(),
+                        new EventLogMessage.ReadIndexAnswer(read.number(), (Long) head)));
             }
             readHead();
         });
     }
 
-    private void plain(int to, EventLogMessage message) {
-        link.send(to, new Packet.EventLogPacket(message));
+    private void sendMessage(int to, EventLogMessage message) {
+        send(to, new Packet.EventLogPacket(message));
     }
 
-    private void send(ReplicaFeed.Push push) {
+    private void sendPush(ReplicaFeed.Push push) {
         if (push != null) {
-            plain(push.director(), push.batch());
+            sendMessage(push.director(), push.batch());
+        }
+    }
+
+    private void send(int to, Packet packet) {
+        if (to == membership.self()) {
+            loopback.addLast(packet);
+        } else {
+            link.send(to, packet);
+        }
+    }
+
+    /** Throws {@link IllegalStateException} if the storage has failed: the task ends, as its state is not durable. */
+    @Override
+    public long tick(long now) {
+        long next = runDue(now);
+        while (!loopback.isEmpty()) {
+            handleLoopback(now);
+            next = runDue(now);
         }
+        return next;
     }
 
-    /** Does what is due; returns when it is to be called again. */
-    long tick(long now) {
+    private long runDue(long now) {
         nowUs = now;
         if (storage.failed()) {
             throw new IllegalStateException("the replica's file cannot be written");
@@ -198,27 +273,28 @@
         member.restartIfStuck(now);
         long next = member.join(now);
         if (member.replica() != null) {
-            if (now >= roundAtUs) {
-                round();
+            if (now >= nextProofRoundUs) {
+                startProofRound();
             }
-            feed.tick(now).forEach(this::send);
-            next = Math.min(next, Math.min(roundAtUs, feed.nextUs()));
+            feed.tick(now).forEach(this::sendPush);
+            next = Math.min(next, Math.min(nextProofRoundUs, feed.nextUs()));
         }
         return Math.min(next, scheduler.run(now));
     }
 
-    /** Asks the leader, maybe itself, for the head; a read that was not answered by now is given up. */
-    private void round() {
-        roundAtUs = nowUs + place.terms().roundUs();
+    /** Asks the leader, possibly this replica, for the head; an unanswered read of the round before is abandoned. */
+    private void startProofRound() {
+        nextProofRoundUs = nowUs + membership.timing().roundUs();
         int leader = member.replica().leader();
         if (leader >= 0) {
-            round++;
-            roundBeganUs = nowUs;
-            plain(leader, new EventLogMessage.ReadIndex(round));
+            proofRound++;
+            proofRoundStartUs = nowUs;
+            sendMessage(leader, new EventLogMessage.ReadIndex(proofRound));
         }
     }
 
-    void stop(long now) {
+    @Override
+    public void stop(long now) {
         nowUs = now;
         member.stop();
         scheduler.run(now);
--- a/src/main/java/clovermill/controlplane/eventlog/EventLogStateMachine.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogStateMachine.java
@@ -9,41 +9,70 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The log as Raft's state machine: the same operations in the same order give the same log on each replica. */
+/**
+ * The log as Raft's replicated state machine: the same operations in the same order give the same log on each replica.
+ */
 final class EventLogStateMachine implements ReplicatedStateMachine {
 
-    /** The first entry of a leader's term; the first of all gives the log its name. */
-    record NewTerm(long logId) {}
+    /** An operation that Raft's log carries, or a query. */
+    sealed interface Operation {
+        /** Applies it; returns its result. */
+        Object applyTo(EventLog log);
+    }
 
-    /** Opens a session. */
-    record OpenSession() {}
+    /** The first entry of a leader's term; that of the first term assigns the log's id. */
+    record NewTerm(long logId) implements Operation {
+        @Override
+        public Object applyTo(EventLog log) {
+            log.assignId(logId);
+            return log.head();
+        }
+    }
 
-    /** Appends events. */
-    record Append(long session, long call, List<Event> events) {}
+    /** Opens a client's session; its result is the session's number. */
+    record OpenSession() implements Operation {
+        @Override
+        public Object applyTo(EventLog log) {
+            return log.openSession();
+        }
+    }
+
+    /** Appends events; its result is an {@link EventLog.AppendResult}. */
+    record Append(long session, long call, List<Event> events) implements Operation {
+        @Override
+        public Object applyTo(EventLog log) {
+            return log.append(session, call, events);
+        }
+    }
 
-    /** Asks for the last sequence number; never in the log. */
-    record ReadHead() {}
+    /** A query for the last sequence number; never in Raft's log. */
+    record ReadHead() implements Operation {
+        @Override
+        public Object applyTo(EventLog log) {
+            return log.head();
+        }
+    }
 
     /** The first chunk of a snapshot. */
     record SnapshotHead(EventLog.LogState head) {}
 
-    /** A chunk with some entries, which holds the numbers of all. */
+    /** A chunk with some entries. */
     record SnapshotEntries(List<Entry> entries) {}
 
     /** A chunk with some sessions. */
     record SnapshotSessions(List<EventLog.Session> sessions) {}
 
-    /** Entries or sessions in a chunk: what fits a datagram, with the longest details too. */
-    private static final int CHUNK = 14;
+    /** Entries or sessions in one chunk, so that it fits a datagram with the longest details too. */
+    private static final int CHUNK_SIZE = 14;
 
     private final EventLog log;
-    private final LongSupplier names;
+    private final LongSupplier logIds;
     private boolean applied;
 
-    /** {@code names} draws the name of a new log, never 0. */
-    EventLogStateMachine(EventLog.Bounds bounds, LongSupplier names) {
+    /** {@code logIds} draws the id of a new log, a random number but never 0. */
+    EventLogStateMachine(EventLog.Bounds bounds, LongSupplier logIds) {
         this.log = new EventLog(bounds);
-        this.names = names;
+        this.logIds = logIds;
     }
 
     EventLog log() {
@@ -58,27 +87,19 @@
     @Override
     public Object runOperation(long commitIndex, Object operation) {
         applied = true;
-        if (operation instanceof NewTerm term) {
-            log.name(term.logId());
-        } else if (operation instanceof OpenSession) {
-            return log.open();
-        } else if (operation instanceof Append append) {
-            return log.append(append.session(), append.call(), append.events());
-        }
-        return log.head();
+        return ((Operation) operation).applyTo(log);
     }
 
     @Override
     public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
-        chunks.accept(new SnapshotHead(log.describe()));
-        List<Entry> entries = log.all();
-        for (int at = 0; at < entries.size(); at += CHUNK) {
-            chunks.accept(new SnapshotEntries(List.copyOf(entries.subList(at, Math.min(entries.size(), at + CHUNK)))));
-        }
-        List<EventLog.Session> sessions = log.allSessions();
-        for (int at = 0; at < sessions.size(); at += CHUNK) {
-            chunks.accept(new SnapshotSessions(List.copyOf(sessions.subList(at, Math.min(sessions.size(),
-                    at + CHUNK)))));
+        chunks.accept(new SnapshotHead(log.state()));
+        forEachChunk(log.entries(), some -> chunks.accept(new SnapshotEntries(some)));
+        forEachChunk(log.openSessions(), some -> chunks.accept(new SnapshotSessions(some)));
+    }
+
+    private static <T> void forEachChunk(List<T> all, Consumer<List<T>> chunk) {
+        for (int from = 0; from < all.size(); from += CHUNK_SIZE) {
+            chunk.accept(List.copyOf(all.subList(from, Math.min(all.size(), from + CHUNK_SIZE))));
         }
     }
 
@@ -99,6 +120,6 @@
 
     @Override
     public Object getNewTermOperation() {
-        return new NewTerm(names.getAsLong());
+        return new NewTerm(logIds.getAsLong());
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/EventLogTaskMessage.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogTaskMessage.java
@@ -5,15 +5,37 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What an {@link EventLogTask} takes. */
+/** A message to an {@link EventLogTask}. */
 public sealed interface EventLogTaskMessage {
 
-    /** A datagram has come; nobody changes the bytes. */
-    record DatagramReceived(byte[] bytes) implements EventLogTaskMessage {}
+    /** Calls the handler's method for this message. */
+    void dispatch(Handler handler, long nowUs);
+
+    /** Handles each message. */
+    interface Handler {
+        /** A datagram was received. */
+        void datagramReceived(DatagramReceived datagram, long nowUs);
+
+        /** Events are to be appended. */
+        void appendRequested(AppendRequested append, long nowUs);
+    }
+
+    /** A datagram was received; its bytes must not change afterwards. */
+    record DatagramReceived(byte[] bytes) implements EventLogTaskMessage {
+        @Override
+        public void dispatch(Handler handler, long nowUs) {
+            handler.datagramReceived(this, nowUs);
+        }
+    }
 
     /**
-     * Events of this director are to be appended as one call. {@code done} is called once, on the task's thread,
-     * with the result, or with null where too many calls wait; it must not block.
+     * Events of this director are to be appended as one call. {@code done} is called once, on the task's thread, with
+     * the result, or with null if the call was refused because too many are queued; it must not block.
      */
-    record AppendRequested(List<Event> events, Consumer<AppendResult> done) implements EventLogTaskMessage {}
+    record AppendRequested(List<Event> events, Consumer<AppendResult> done) implements EventLogTaskMessage {
+        @Override
+        public void dispatch(Handler handler, long nowUs) {
+            handler.appendRequested(this, nowUs);
+        }
+    }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/AppendClient.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/AppendClient.java
@@ -7,34 +7,35 @@
 import java.util.List;
 
 /**
- * A client of the log: one call at a time, sent again until it is answered, first in a session that the log opens. A
- * call that is sent twice is one append. Not thread-safe.
+ * A client that appends to the log: one call at a time, retried until it is answered, within a session that the log
+ * opens (Ongaro, "Consensus: Bridging Theory and Practice", 6.3). A call that is sent again appends once. Times are
+ * microseconds. Not thread-safe.
  */
 public final class AppendClient {
 
     /** A message for a replica. */
     public record Request(int replica, EventLogMessage message) {}
 
-    /** A call is over. */
+    /** The outcome of a call; {@code token} is the one given to {@link #offer}. */
     public record CallResult(long token, AppendResult result) {}
 
     private record Call(long token, List<Event> events) {}
 
-    /** Calls that wait; at one more the offer is refused. */
-    public static final int MOST_WAITING = 64;
+    /** Calls queued, the one in flight included; at one more the offer is refused. */
+    public static final int MAX_QUEUED_CALLS = 64;
     /** Bytes of the events of one call, so that its entry fits a datagram of Raft's. */
-    public static final int MOST_BYTES = 900;
-    private static final long RETRY_US = 300_000;
-    private static final long REDIRECT_US = 20_000;
+    public static final int MAX_CALL_BYTES = 900;
+    private static final long RETRY_INTERVAL_US = 300_000;
+    private static final long REDIRECT_DELAY_US = 20_000;
 
     private final List<Integer> replicas;
     private final Deque<Call> calls = new ArrayDeque<>();
     private long nonce;
     private long session;
-    private long number;
+    private long callNumber;
     private int target;
-    private boolean unanswered;
-    private long sendAtUs;
+    private boolean awaitingAnswer;
+    private long nextSendUs;
 
     /** A client without a session; {@code nonce} is a random number for this start. */
     public AppendClient(List<Integer> replicas, int self, long nonce) {
@@ -43,75 +44,75 @@
         this.nonce = nonce;
     }
 
-    /** Takes a call; false if too many wait, or its events are none or too large. */
+    /** Queues a call; false if too many are queued, or it has no events or more than {@link #MAX_CALL_BYTES}. */
     public boolean offer(long token, List<Event> events, long nowUs) {
-        boolean fits = !events.isEmpty() && events.stream().mapToInt(Event::bytes).sum() <= MOST_BYTES;
-        if (!fits || calls.size() >= MOST_WAITING) {
+        boolean fits = !events.isEmpty() && events.stream().mapToInt(Event::bytes).sum() <= MAX_CALL_BYTES;
+        if (!fits || calls.size() >= MAX_QUEUED_CALLS) {
             return false;
         }
         if (calls.isEmpty()) {
-            sendAtUs = nowUs;
-            unanswered = false;
+            nextSendUs = nowUs;
+            awaitingAnswer = false;
         }
         calls.addLast(new Call(token, List.copyOf(events)));
         return true;
     }
 
-    /** What is to be sent now, or null. */
+    /** The message to send now, or null. */
     public Request tick(long nowUs) {
-        if (calls.isEmpty() || nowUs < sendAtUs) {
+        if (calls.isEmpty() || nowUs < nextSendUs) {
             return null;
         }
-        if (unanswered) {
+        if (awaitingAnswer) {
             target = (target + 1) % replicas.size();
         }
-        unanswered = true;
-        sendAtUs = nowUs + RETRY_US;
+        awaitingAnswer = true;
+        nextSendUs = nowUs + RETRY_INTERVAL_US;
         EventLogMessage message = session == 0 ? new EventLogMessage.OpenSession(nonce)
-                : new EventLogMessage.Append(session, number, calls.getFirst().events());
+                : new EventLogMessage.Append(session, callNumber, calls.getFirst().events());
         return new Request(replicas.get(target), message);
     }
 
     /** When {@link #tick} is to be called again. */
     public long nextUs() {
-        return calls.isEmpty() ? Long.MAX_VALUE : sendAtUs;
+        return calls.isEmpty() ? Long.MAX_VALUE : nextSendUs;
     }
 
-    /** A session was opened. */
-    public void on(EventLogMessage.SessionOpened opened, long nowUs) {
+    /** The session was opened; ignored if it answers an earlier request. */
+    public void sessionOpened(EventLogMessage.SessionOpened opened, long nowUs) {
         if (opened.nonce() == nonce && session == 0) {
             session = opened.session();
-            number = 1;
-            again(nowUs);
+            callNumber = 1;
+            sendNow(nowUs);
         }
     }
 
-    /** A call was answered; gives what is over, or null. */
-    public CallResult on(EventLogMessage.AppendAnswer answered, long nowUs) {
-        if (answered.session() != session || answered.call() != number || calls.isEmpty()) {
+    /** The call in flight was answered: returns its outcome, or null if the answer is not for it. */
+    public CallResult answered(EventLogMessage.AppendAnswer answered, long nowUs) {
+        if (answered.session() != session || answered.call() != callNumber || calls.isEmpty()) {
             return null;
         }
-        number++;
+        callNumber++;
         if (answered.result().outcome() != AppendOutcome.APPENDED) {
             session = 0;
             nonce++;
         }
-        again(nowUs);
+        sendNow(nowUs);
         return new CallResult(calls.removeFirst().token(), answered.result());
     }
 
-    /** A replica does not lead. */
-    public void on(EventLogMessage.Redirect redirect, long nowUs) {
+    /** The replica that was asked does not lead: the leader that it names is asked next. */
+    public void redirected(EventLogMessage.Redirect redirect, long nowUs) {
         int leader = replicas.indexOf(redirect.leader());
         if (leader >= 0 && leader != target) {
             target = leader;
-            unanswered = false;
-            sendAtUs = Math.min(sendAtUs, nowUs + REDIRECT_US);
+            awaitingAnswer = false;
+            nextSendUs = Math.min(nextSendUs, nowUs + REDIRECT_DELAY_US);
         }
     }
 
-    private void again(long nowUs) {
-        unanswered = false;
-        sendAtUs = nowUs;
+    private void sendNow(long nowUs) {
+        awaitingAnswer = false;
+        nextSendUs = nowUs;
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/ByteTokenBucket.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/ByteTokenBucket.java
@@ -1,12 +1,14 @@
 package clovermill.controlplane.eventlog.decide;
 
 /**
- * A token bucket of bytes: so many a second, and what one second brings may be spent at once. What must be sent may be
- * taken on credit; nothing more is allowed until that is paid. Not thread-safe.
+ * A token bucket of bytes that holds one second of its rate. A message may overdraw it; nothing more is allowed until
+ * the balance is positive again. Times are microseconds. Not thread-safe.
  */
 final class ByteTokenBucket {
 
     private static final double SECOND_US = 1e6;
+    /** The part of its capacity that a new bucket holds. */
+    private static final double INITIAL_FILL = 0.25;
 
     private final long bytesPerSecond;
     private double bytes;
@@ -14,7 +16,7 @@
 
     ByteTokenBucket(long bytesPerSecond, long nowUs) {
         this.bytesPerSecond = bytesPerSecond;
-        this.bytes = bytesPerSecond / 4.0;
+        this.bytes = bytesPerSecond * INITIAL_FILL;
         this.lastUs = nowUs;
     }
 
@@ -25,7 +27,8 @@
         return bytes > 0;
     }
 
-    void spend(int sent) {
-        bytes -= sent;
+    /** Takes the bytes of a message that was sent. */
+    void spend(int messageBytes) {
+        bytes -= messageBytes;
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/Delivery.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Delivery.java
@@ -1,17 +1,17 @@
 package clovermill.controlplane.eventlog.decide;
 
-/** What a follower hands to those who act on events, in order. */
+/** A change that a follower delivers to the listener, in the order of the log. */
 public sealed interface Delivery {
 
-    /** An event takes effect. */
+    /** An event is applied. */
     record Applied(Entry entry) implements Delivery {}
 
     /**
-     * Events that are held no more, up to a sequence number, take effect as one: whatever is as old as {@code madeMs}
-     * may have been purged, and whatever other events said before is unknown.
+     * Events up to a sequence number that the log no longer retains, applied as one: any copy as old as the prefix's
+     * {@code createdAtMillis} may have been purged, and what other events stated before is unknown.
      */
-    record Truncated(TruncatedPrefix clear) implements Delivery {}
+    record Truncated(TruncatedPrefix prefix) implements Delivery {}
 
-    /** A new log began: whatever was learned from events before is unknown, and all copies may have been purged. */
+    /** Another log replaced the one followed: earlier events are void, and any copy may have been purged. */
     record LogReplaced(long logId) implements Delivery {}
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/Entry.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Entry.java
@@ -5,7 +5,7 @@
 
     private static final int VARINT_BITS = 7;
 
-    /** Bytes on the wire behind an entry of the range, or its start: the distance as a varint, then the event. */
+    /** Bytes on the wire after the sequence number {@code previous}: the difference as a varint, then the event. */
     public int bytes(long previous) {
         int size = 1;
         for (long left = (sequence - previous) >>> VARINT_BITS; left != 0; left >>>= VARINT_BITS) {
--- a/src/main/java/clovermill/controlplane/eventlog/decide/Event.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Event.java
@@ -1,16 +1,16 @@
 package clovermill.controlplane.eventlog.decide;
 
 /**
- * An ordered event of the fleet.
+ * An event that all directors apply in the same order.
  *
  * @param subject what it is about
- * @param madeMs when it was made at its origin, Unix milliseconds
- * @param detail whatever the kind needs beside, maybe empty; at most {@link #MOST_DETAIL} letters of ASCII
+ * @param createdAtMillis when it was created at its origin, Unix milliseconds
+ * @param detail further data of the kind, maybe empty; ASCII, at most {@link #MAX_DETAIL_CHARS} characters
  */
-public record Event(Subject subject, long madeMs, String detail) {
+public record Event(Subject subject, long createdAtMillis, String detail) {
 
-    /** The most letters, each a byte, of a detail. */
-    public static final int MOST_DETAIL = 64;
+    /** The maximum length of a detail; each character is a byte. */
+    public static final int MAX_DETAIL_CHARS = 64;
     /** Bytes of an event on the wire without its detail: kind, key, time, the detail's length. */
     public static final int FIXED_BYTES = 18;
 
@@ -18,14 +18,14 @@
 
     /** Checks the detail; throws {@link IllegalArgumentException} if it is too long or not ASCII. */
     public Event {
-        if (detail.length() > MOST_DETAIL || detail.chars().anyMatch(each -> each >= ASCII_END)) {
-            throw new IllegalArgumentException("a detail of over " + MOST_DETAIL + " letters, or not of ASCII");
+        if (detail.length() > MAX_DETAIL_CHARS || detail.chars().anyMatch(each -> each >= ASCII_END)) {
+            throw new IllegalArgumentException("a detail of over " + MAX_DETAIL_CHARS + " characters, or not ASCII");
         }
     }
 
     /** An event without detail. */
-    public Event(Subject subject, long madeMs) {
-        this(subject, madeMs, "");
+    public Event(Subject subject, long createdAtMillis) {
+        this(subject, createdAtMillis, "");
     }
 
     /** Bytes on the wire, by which retention and batches are bounded. */
@@ -33,8 +33,8 @@
         return FIXED_BYTES + detail.length();
     }
 
-    /** This event, made no earlier than another of its subject. */
+    /** This event, with the later of its creation time and that of another event of its subject. */
     Event notBefore(Event other) {
-        return madeMs >= other.madeMs ? this : new Event(subject, other.madeMs, detail);
+        return createdAtMillis >= other.createdAtMillis ? this : new Event(subject, other.createdAtMillis, detail);
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/EventLog.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/EventLog.java
@@ -9,10 +9,10 @@
 import java.util.TreeMap;
 
 /**
- * The log as each replica holds it: gives events their sequence numbers, keeps the latest of each subject, and no more
- * than so many bytes; the oldest are then dropped and stand in {@link #clear}. Appends are idempotent by session and
- * call number (Ongaro, "Consensus: Bridging Theory and Practice", 6.3). The same operations in the same order give the
- * same log. Not thread-safe.
+ * A replica's copy of the log: assigns sequence numbers, retains the latest event of each subject (compaction) within
+ * a bound of bytes, and drops the oldest beyond it, which {@link #truncatedPrefix} then represents. Appends are
+ * idempotent by session and call number (Ongaro, "Consensus: Bridging Theory and Practice", 6.3). The same operations
+ * in the same order give the same log. Not thread-safe.
  */
 public final class EventLog {
 
@@ -20,18 +20,18 @@
      * Bounds, the same on all replicas.
      *
      * @param retentionBytes bytes of events as on the wire; past them the oldest entries are dropped
-     * @param mostSessions sessions of clients; past them the one that was silent longest is dropped, and its calls are
-     *     refused from then on
+     * @param maxSessions sessions of clients; past them the least recently used is dropped, and its calls are refused
+     *     from then on
      */
-    public record Bounds(long retentionBytes, int mostSessions) {}
+    public record Bounds(long retentionBytes, int maxSessions) {}
 
-    /** What became of an append. */
+    /** The outcome of an append. */
     public enum AppendOutcome {
-        /** Its events have their sequence numbers, now or since an earlier time that it was sent. */
+        /** Its events have sequence numbers, assigned now or when the call was first received. */
         APPENDED,
-        /** The session is not known, or no more: nothing was appended now; whether earlier, is not known. */
+        /** The session is unknown or was dropped: nothing was appended now; whether it was earlier is unknown. */
         SESSION_EXPIRED,
-        /** A later call of the session was answered: nothing was appended now. */
+        /** A later call of the session was already answered: nothing was appended now. */
         OUTDATED
     }
 
@@ -41,17 +41,17 @@
     /** A client's latest call and the sequence number that answered it. */
     public record Session(long id, long call, long last) {}
 
-    /** All that makes a log, without its entries. */
-    public record LogState(long logId, long head, TruncatedPrefix clear, long sessionsOpened) {}
+    /** The state of a log without its entries and sessions. */
+    public record LogState(long logId, long head, TruncatedPrefix truncatedPrefix, long sessionsOpened) {}
 
     private final Bounds bounds;
     private final TreeMap<Long, Event> entries = new TreeMap<>();
     private final Map<Subject, Long> latest = new HashMap<>();
-    /** By session, the one that was silent longest first. */
+    /** By number, the least recently used first. */
     private final Map<Long, Session> sessions = new LinkedHashMap<>();
     private long logId;
     private long head;
-    private TruncatedPrefix clear = TruncatedPrefix.NONE;
+    private TruncatedPrefix truncatedPrefix = TruncatedPrefix.NONE;
     private long bytes;
     private long sessionsOpened;
 
@@ -60,67 +60,67 @@
         this.bounds = bounds;
     }
 
-    /** Which log it is, a random number; 0 before it has one. */
+    /** The log's id, a random number; 0 until one is assigned. */
     public long logId() {
         return logId;
     }
 
-    /** Names the log, if it has no name yet. */
-    public void name(long id) {
+    /** Assigns the log's id, unless it has one. */
+    public void assignId(long id) {
         logId = logId == 0 ? id : logId;
     }
 
-    /** The last sequence number that was given, 0 before any. */
+    /** The last sequence number assigned, 0 before any. */
     public long head() {
         return head;
     }
 
-    /** What was dropped. */
-    public TruncatedPrefix clear() {
-        return clear;
+    /** Represents the entries that retention dropped. */
+    public TruncatedPrefix truncatedPrefix() {
+        return truncatedPrefix;
     }
 
-    /** Bytes of the events held, as on the wire. */
+    /** Bytes of the events retained, as on the wire. */
     public long bytes() {
         return bytes;
     }
 
-    /** Entries held. */
+    /** The number of entries retained. */
     public int size() {
         return entries.size();
     }
 
-    /** Sessions held. */
-    public int sessions() {
+    /** The number of sessions retained. */
+    public int sessionCount() {
         return sessions.size();
     }
 
-    /** Opens a session for a client and gives its number. */
-    public long open() {
+    /** Opens a session for a client; returns its number. */
+    public long openSession() {
         long id = ++sessionsOpened;
         sessions.put(id, new Session(id, 0, 0));
-        if (sessions.size() > bounds.mostSessions()) {
+        if (sessions.size() > bounds.maxSessions()) {
             sessions.remove(sessions.keySet().iterator().next());
         }
         return id;
     }
 
-    /** Appends events, unless the session's call was answered before: then the answer is the same again. */
+    /** Appends events; a call that was already answered gets the same answer again and appends nothing. */
     public AppendResult append(long session, long call, List<Event> events) {
-        Session known = sessions.remove(session);
-        if (known == null) {
+        Session current = sessions.remove(session);
+        if (current == null) {
             return new AppendResult(AppendOutcome.SESSION_EXPIRED, 0);
         }
-        if (call > known.call()) {
-            events.forEach(this::add);
-            known = new Session(session, call, head);
+        if (call > current.call()) {
+            events.forEach(this::appendEvent);
+            current = new Session(session, call, head);
         }
-        sessions.put(session, known);
-        return call == known.call() ? new AppendResult(AppendOutcome.APPENDED, known.last())
+        sessions.put(session, current);
+        return call == current.call() ? new AppendResult(AppendOutcome.APPENDED, current.last())
                 : new AppendResult(AppendOutcome.OUTDATED, 0);
     }
 
-    private void add(Event event) {
+    private void appendEvent(Event event) {
         head++;
         Long earlier = latest.put(event.subject(), head);
         Event retained = event;
@@ -132,32 +132,33 @@
         entries.put(head, retained);
         bytes += retained.bytes();
         while (bytes > bounds.retentionBytes() && entries.size() > 1) {
-            drop();
+            dropOldest();
         }
     }
 
-    private void drop() {
+    private void dropOldest() {
         Map.Entry<Long, Event> oldest = entries.pollFirstEntry();
         latest.remove(oldest.getValue().subject());
         bytes -= oldest.getValue().bytes();
-        clear = new TruncatedPrefix(oldest.getKey(), Math.max(clear.madeMs(), oldest.getValue().madeMs()));
+        truncatedPrefix = new TruncatedPrefix(oldest.getKey(),
+                Math.max(truncatedPrefix.createdAtMillis(), oldest.getValue().createdAtMillis()));
     }
 
     /**
-     * What follows a position, in entries of so many bytes at most, or one entry. The range is empty at the head.
+     * The entries after a position, up to so many bytes but at least one. The range is empty at the head.
      *
      * @param from a position of at most {@link #head}
      */
-    public LogRange read(long from, int mostBytes) {
-        boolean past = from < clear.sequence();
-        long start = past ? clear.sequence() : from;
+    public LogRange read(long from, int maxBytes) {
+        boolean beforeRetained = from < truncatedPrefix.sequence();
+        long start = beforeRetained ? truncatedPrefix.sequence() : from;
         List<Entry> read = new ArrayList<>();
         int size = 0;
         long previous = from;
         for (Map.Entry<Long, Event> each : entries.tailMap(start, false).entrySet()) {
             Entry entry = new Entry(each.getKey(), each.getValue());
             size += entry.bytes(previous);
-            if (size > mostBytes && !read.isEmpty()) {
+            if (size > maxBytes && !read.isEmpty()) {
                 break;
             }
             read.add(entry);
@@ -165,51 +166,51 @@
         }
         // The latest entry is never dropped nor replaced, so all of the log is read where no more entries follow.
         long to = read.isEmpty() ? Math.max(start, from) : read.get(read.size() - 1).sequence();
-        boolean complete = !past && read.size() == to - from;
-        return new LogRange(from, to, complete ? to : head, past ? clear : null, List.copyOf(read));
+        boolean complete = !beforeRetained && read.size() == to - from;
+        return new LogRange(from, to, complete ? to : head, beforeRetained ? truncatedPrefix : null, List.copyOf(read));
     }
 
-    /** What a snapshot begins with. */
-    public LogState describe() {
-        return new LogState(logId, head, clear, sessionsOpened);
+    /** The state of the log, for a snapshot. */
+    public LogState state() {
+        return new LogState(logId, head, truncatedPrefix, sessionsOpened);
     }
 
     /** All entries in order, for a snapshot. */
-    public List<Entry> all() {
+    public List<Entry> entries() {
         return entries.entrySet().stream().map(each -> new Entry(each.getKey(), each.getValue())).toList();
     }
 
-    /** All sessions, the one that was silent longest first, for a snapshot. */
-    public List<Session> allSessions() {
+    /** All sessions, the least recently used first, for a snapshot. */
+    public List<Session> openSessions() {
         return List.copyOf(sessions.values());
     }
 
-    /** Becomes the log of a snapshot. */
-    public void restore(LogState described, List<Entry> all, List<Session> allSessions) {
+    /** Replaces the content by a snapshot's. */
+    public void restore(LogState state, List<Entry> snapshotEntries, List<Session> snapshotSessions) {
         entries.clear();
         latest.clear();
         sessions.clear();
         bytes = 0;
-        logId = described.logId();
-        head = described.head();
-        clear = described.clear();
-        sessionsOpened = described.sessionsOpened();
-        for (Entry each : all) {
+        logId = state.logId();
+        head = state.head();
+        truncatedPrefix = state.truncatedPrefix();
+        sessionsOpened = state.sessionsOpened();
+        for (Entry each : snapshotEntries) {
             entries.put(each.sequence(), each.event());
             latest.put(each.event().subject(), each.sequence());
             bytes += each.event().bytes();
         }
-        allSessions.forEach(each -> sessions.put(each.id(), each));
+        snapshotSessions.forEach(each -> sessions.put(each.id(), each));
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof EventLog log && describe().equals(log.describe()) && entries.equals(log.entries)
-                && allSessions().equals(log.allSessions());
+        return other instanceof EventLog log && state().equals(log.state()) && entries.equals(log.entries)
+                && openSessions().equals(log.openSessions());
     }
 
     @Override
     public int hashCode() {
-        return Objects.hash(describe(), entries);
+        return Objects.hash(state(), entries);
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/EventLogMessage.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/EventLogMessage.java
@@ -2,68 +2,169 @@
 
 import java.util.List;
 
-/** What directors and replicas send one another. All may be lost, come late, twice or in another order. */
+/**
+ * The messages of the event log's protocol, between directors and replicas and among replicas. Each may be lost,
+ * delayed, duplicated or reordered. Lengths of time are microseconds.
+ */
 public sealed interface EventLogMessage {
 
+    /** A message that replicas receive. */
+    sealed interface ToReplica extends EventLogMessage {
+        /** Calls the handler's method for this message. */
+        <X extends Exception> void dispatch(ReplicaHandler<X> handler) throws X;
+    }
+
+    /** A message that directors receive. */
+    sealed interface ToDirector extends EventLogMessage {
+        /** Calls the handler's method for this message. */
+        <X extends Exception> void dispatch(DirectorHandler<X> handler) throws X;
+    }
+
+    /**
+     * Handles each message that a replica receives.
+     *
+     * @param <X> the checked exception of its methods
+     */
+    interface ReplicaHandler<X extends Exception> {
+        /** A follower reports its position. */
+        void follow(Follow follow) throws X;
+
+        /** A client opens a session. */
+        void openSession(OpenSession open) throws X;
+
+        /** A client appends events. */
+        void append(Append append) throws X;
+
+        /** Another replica asks the leader for the head of the log. */
+        void readIndex(ReadIndex read) throws X;
+
+        /** The leader answers a {@link ReadIndex}. */
+        void readIndexAnswer(ReadIndexAnswer answer) throws X;
+    }
+
     /**
-     * A follower reports its position, which acknowledges all before it.
+     * Handles each message that a director receives.
      *
-     * @param boot the start of the follower's process, a random number
-     * @param question its latest question, the moment of which it remembers
-     * @param logId the log that its position is of, 0 for none
-     * @param position it has applied all up to this
-     * @param wantsAnswer whether an answer is wanted at once; else it only acknowledges
+     * @param <X> the checked exception of its methods
      */
-    record Follow(long boot, long question, long logId, long position, boolean wantsAnswer)
-            implements EventLogMessage {}
+    interface DirectorHandler<X extends Exception> {
+        /** A replica sends a range of the log. */
+        void batch(Batch batch) throws X;
+
+        /** A session was opened for this client. */
+        void sessionOpened(SessionOpened opened) throws X;
+
+        /** An append was answered. */
+        void appendAnswer(AppendAnswer answer) throws X;
+
+        /** The replica that was asked does not lead. */
+        void redirect(Redirect redirect) throws X;
+    }
 
     /**
-     * A replica answers a follower, or sends on what is new: a range of the log, maybe empty, and its proof.
+     * A follower reports its position, which acknowledges all entries up to it.
      *
-     * @param boot the follower's
-     * @param question the follower's latest that had come
-     * @param provenHead all events that were acknowledged before the proof began are up to this; -1 for no proof
+     * @param incarnation the follower's process incarnation, a random number drawn at its start
+     * @param requestId the follower's latest request; the follower remembers when it sent it
+     * @param logId the log of the position, 0 for none
+     * @param position all entries up to this sequence number have been applied
+     * @param wantsAnswer whether a {@link Batch} is wanted at once; otherwise this only acknowledges
+     */
+    record Follow(long incarnation, long requestId, long logId, long position, boolean wantsAnswer)
+            implements ToReplica {
+        @Override
+        public <X extends Exception> void dispatch(ReplicaHandler<X> handler) throws X {
+            handler.follow(this);
+        }
+    }
+
+    /**
+     * A replica answers a follower or pushes new entries: a range of the log, maybe empty, and a proof of freshness.
+     *
+     * @param incarnation the follower's process incarnation
+     * @param requestId the follower's latest request that the replica has received
+     * @param provenHead every event acknowledged before the proof began has at most this sequence number; -1: no proof
      * @param proofAgeUs how long ago the proof began, by the replica's clock
      */
-    record Batch(long boot, long question, long logId, long provenHead, long proofAgeUs, LogRange slice)
-            implements EventLogMessage {
+    record Batch(long incarnation, long requestId, long logId, long provenHead, long proofAgeUs, LogRange range)
+            implements ToDirector {
 
         /**
          * The most bytes of a batch on the wire beside its entries: headers of IP and UDP, the packet's own, the range,
-         * the proof and an order to clear.
+         * the proof and a truncated prefix.
          */
-        public static final int OVERHEAD = 28 + 41 + 83;
+        public static final int OVERHEAD_BYTES = 28 + 41 + 83;
 
         /** The most bytes on the wire, headers included. */
         public int bytes() {
-            int size = OVERHEAD;
-            long previous = slice.from();
-            for (Entry each : slice.entries()) {
+            int size = OVERHEAD_BYTES;
+            long previous = range.from();
+            for (Entry each : range.entries()) {
                 size += each.bytes(previous);
                 previous = each.sequence();
             }
             return size;
         }
+
+        @Override
+        public <X extends Exception> void dispatch(DirectorHandler<X> handler) throws X {
+            handler.batch(this);
+        }
     }
 
-    /** A client asks for a session; {@code nonce} identifies its answer. */
-    record OpenSession(long nonce) implements EventLogMessage {}
+    /** A client asks for a session; {@code nonce} identifies the answer. */
+    record OpenSession(long nonce) implements ToReplica {
+        @Override
+        public <X extends Exception> void dispatch(ReplicaHandler<X> handler) throws X {
+            handler.openSession(this);
+        }
+    }
 
-    /** The answer. */
-    record SessionOpened(long nonce, long session) implements EventLogMessage {}
+    /** The answer to {@link OpenSession}. */
+    record SessionOpened(long nonce, long session) implements ToDirector {
+        @Override
+        public <X extends Exception> void dispatch(DirectorHandler<X> handler) throws X {
+            handler.sessionOpened(this);
+        }
+    }
 
-    /** A client appends events, as the call of so many of its session. */
-    record Append(long session, long call, List<Event> events) implements EventLogMessage {}
+    /** A client appends events; {@code call} numbers the calls of its session from 1. */
+    record Append(long session, long call, List<Event> events) implements ToReplica {
+        @Override
+        public <X extends Exception> void dispatch(ReplicaHandler<X> handler) throws X {
+            handler.append(this);
+        }
+    }
 
-    /** The answer. */
-    record AppendAnswer(long session, long call, EventLog.AppendResult result) implements EventLogMessage {}
+    /** The answer to {@link Append}. */
+    record AppendAnswer(long session, long call, EventLog.AppendResult result) implements ToDirector {
+        @Override
+        public <X extends Exception> void dispatch(DirectorHandler<X> handler) throws X {
+            handler.appendAnswer(this);
+        }
+    }
 
-    /** Does not lead; {@code leader} does, as far as is known, or -1. */
-    record Redirect(int leader) implements EventLogMessage {}
+    /** The sender does not lead; {@code leader} is the leader that it knows of, or -1. */
+    record Redirect(int leader) implements ToDirector {
+        @Override
+        public <X extends Exception> void dispatch(DirectorHandler<X> handler) throws X {
+            handler.redirect(this);
+        }
+    }
 
-    /** A replica asks the leader for the head of the log at some moment after this was sent. */
-    record ReadIndex(long number) implements EventLogMessage {}
+    /** A replica asks the leader for the head of the log, read after this was sent (Raft's ReadIndex). */
+    record ReadIndex(long number) implements ToReplica {
+        @Override
+        public <X extends Exception> void dispatch(ReplicaHandler<X> handler) throws X {
+            handler.readIndex(this);
+        }
+    }
 
-    /** The answer. */
-    record ReadIndexAnswer(long number, long head) implements EventLogMessage {}
+    /** The answer to {@link ReadIndex}. */
+    record ReadIndexAnswer(long number, long head) implements ToReplica {
+        @Override
+        public <X extends Exception> void dispatch(ReplicaHandler<X> handler) throws X {
+            handler.readIndexAnswer(this);
+        }
+    }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/EventLogTiming.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/EventLogTiming.java
@@ -1,15 +1,16 @@
 package clovermill.controlplane.eventlog.decide;
 
 /**
- * Lengths of time of all who take part, in microseconds, the same everywhere.
+ * Intervals and timeouts in microseconds, the same in every process.
  *
- * @param heartbeatUs how often a follower asks the replica that it follows
- * @param silentUs a replica that has not answered for so long is left for another
- * @param batchUs how long a replica gathers events before it sends them on
- * @param roundUs how often a replica proves its log
- * @param stalenessUs a copy is proven only while all events are known that were acknowledged longer ago than this
- * @param homeUs how long a follower stays with another replica before it tries its own again
- * @param drift by what part of itself a length of time by any clock may be wrong
+ * @param heartbeatUs interval of a follower's requests to its replica
+ * @param silentUs timeout after which a follower switches to another replica
+ * @param batchUs interval in which a replica batches events for its followers
+ * @param roundUs interval of a replica's proofs of freshness
+ * @param stalenessUs bound on the age of a proof: an event acknowledged longer ago is known wherever the copy is
+ *     proven
+ * @param homeUs how long a follower stays with another replica before it tries its home replica again
+ * @param drift bound on the relative error of a span measured by any clock
  */
 public record EventLogTiming(long heartbeatUs, long silentUs, long batchUs, long roundUs, long stalenessUs, long homeUs,
         double drift) {
@@ -21,10 +22,11 @@
     /** Checks what must hold between them; throws {@link IllegalArgumentException}. */
     public EventLogTiming {
         if (silentUs < 2 * heartbeatUs) {
-            throw new IllegalArgumentException("silent: two heartbeats at least, or a lost answer ends a connection");
+            throw new IllegalArgumentException(
+                    "silentUs: two heartbeats at least, or one lost answer causes a failover");
         }
         if (stalenessUs < 3 * silentUs + roundUs + heartbeatUs) {
-            throw new IllegalArgumentException("staleness: three silent times, a round and a heartbeat at least");
+            throw new IllegalArgumentException("stalenessUs: three silentUs, a round and a heartbeat at least");
         }
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/Follower.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Follower.java
@@ -8,62 +8,63 @@
 import java.util.Random;
 
 /**
- * A director's position in the log: follows one replica, applies each range in order and once, and goes over to another
- * replica when the one followed is silent or cannot prove its log. As the position is a number of the log and not of a
- * connection, a change of replica leaves no gap and repeats nothing. Not thread-safe.
+ * A director's position in the log: follows one replica, applies each range once and in order, and fails over to
+ * another replica when the one followed times out or cannot prove its log. As the position is a sequence number of the
+ * log, not of a connection, a failover leaves no gap and repeats nothing. Times are microseconds. Not thread-safe.
  */
 public final class Follower {
 
     /** A message for a replica. */
     public record Request(int replica, Follow follow) {}
 
-    /** What happened, since the start. */
-    public record Counts(long applied, long gaps, long repeated, long failovers, long clears) {}
+    /** Counters since the start: events applied, gaps, events repeated, failovers, truncated prefixes applied. */
+    public record Counts(long applied, long gaps, long repeated, long failovers, long truncations) {}
 
-    private final EventLogTiming terms;
-    private final long boot;
-    /** The replicas in the order in which they are tried, the own one first; drawn for each director. */
-    private final List<Integer> order;
+    private final EventLogTiming timing;
+    private final long incarnation;
+    /** The replicas in the order of failover, the home replica first; drawn for each director. */
+    private final List<Integer> replicaOrder;
     private final FreshnessLease freshness;
-    private final long homeUs;
-    private int at;
-    private long question;
+    private final long returnHomeAfterUs;
+    private int replicaIndex;
+    private long requestId;
     private long logId;
     private long position;
-    private long heardUs;
+    private long lastResponseUs;
     private long followedSinceUs;
-    private long askAtUs;
-    private boolean acknowledge;
+    private long nextRequestUs;
+    private boolean acknowledgementDue;
     private long gaps;
     private long repeated;
     private long failovers;
     private long applied;
-    private long clears;
+    private long truncations;
 
     /**
      * A follower that knows nothing yet.
      *
      * @param replicas all replicas by number; the one at {@code self} modulo their count is followed first
-     * @param boot a random number for this start of the process
+     * @param incarnation a random number drawn at this start of the process
      */
-    public Follower(EventLogTiming terms, int self, List<Integer> replicas, long boot, Random random, long nowUs) {
-        this.terms = terms;
-        this.boot = boot;
-        this.freshness = new FreshnessLease(terms);
-        List<Integer> others = new ArrayList<>(replicas);
-        Integer home = others.remove(self % replicas.size());
-        Collections.shuffle(others, random);
-        others.add(0, home);
-        this.order = List.copyOf(others);
-        this.homeUs = (long) (terms.homeUs() * (0.75 + 0.5 * random.nextDouble()));
-        this.heardUs = nowUs;
+    public Follower(EventLogTiming timing, int self, List<Integer> replicas, long incarnation, Random random,
+            long nowUs) {
+        this.timing = timing;
+        this.incarnation = incarnation;
+        this.freshness = new FreshnessLease(timing);
+        List<Integer> shuffled = new ArrayList<>(replicas);
+        Integer home = shuffled.remove(self % replicas.size());
+        Collections.shuffle(shuffled, random);
+        shuffled.add(0, home);
+        this.replicaOrder = List.copyOf(shuffled);
+        this.returnHomeAfterUs = (long) (timing.homeUs() * (0.75 + 0.5 * random.nextDouble()));
+        this.lastResponseUs = nowUs;
         this.followedSinceUs = nowUs;
-        this.askAtUs = nowUs;
+        this.nextRequestUs = nowUs;
     }
 
     /** The replica that it follows. */
     public int replica() {
-        return order.get(at);
+        return replicaOrder.get(replicaIndex);
     }
 
     /** All up to this sequence number has been applied. */
@@ -71,38 +72,38 @@
         return position;
     }
 
-    /** Since when all events are known. */
+    /** The lease on the completeness of this copy. */
     public FreshnessLease freshness() {
         return freshness;
     }
 
-    /** What happened so far. */
+    /** The counters so far. */
     public Counts counts() {
-        return new Counts(applied, gaps, repeated, failovers, clears);
+        return new Counts(applied, gaps, repeated, failovers, truncations);
     }
 
     /**
-     * Takes a batch and gives what it brings, in order. Whoever sent it, it counts, as all replicas hold one log; one
-     * for another start of this director does not.
+     * Applies a batch; returns the deliveries, in order. A batch of any replica counts, as all replicas hold the same
+     * log; one for another incarnation of this director is ignored.
      */
-    public List<Delivery> on(int from, Batch batch, long nowUs) {
-        if (batch.boot() != boot || batch.logId() == 0) {
+    public List<Delivery> receive(int from, Batch batch, long nowUs) {
+        if (batch.incarnation() != incarnation || batch.logId() == 0) {
             return List.of();
         }
         List<Delivery> deliveries = new ArrayList<>();
         if (batch.logId() != logId) {
-            begin(batch.logId(), deliveries);
+            switchLog(batch.logId(), deliveries);
         }
         if (from == replica()) {
-            heardUs = nowUs;
+            lastResponseUs = nowUs;
         }
-        take(batch.slice(), deliveries);
-        freshness.answered(batch.question(), batch.provenHead(), batch.proofAgeUs(), nowUs);
+        applyRange(batch.range(), deliveries);
+        freshness.responseReceived(batch.requestId(), batch.provenHead(), batch.proofAgeUs(), nowUs);
         freshness.applied(position);
         return deliveries;
     }
 
-    private void begin(long id, List<Delivery> deliveries) {
+    private void switchLog(long id, List<Delivery> deliveries) {
         if (logId != 0) {
             deliveries.add(new Delivery.LogReplaced(id));
             freshness.reset();
@@ -111,69 +112,69 @@
         position = 0;
     }
 
-    private void take(LogRange slice, List<Delivery> deliveries) {
-        if (slice.from() > position) {
+    private void applyRange(LogRange range, List<Delivery> deliveries) {
+        if (range.from() > position) {
             gaps++;
-            acknowledge = true; // the replica sends again from the position acknowledged
+            acknowledgementDue = true; // the replica sends again from the position acknowledged
             return;
         }
-        if (slice.to() <= position) {
-            repeated += slice.entries().size();
-            acknowledge |= slice.to() > slice.from();
+        if (range.to() <= position) {
+            repeated += range.entries().size();
+            acknowledgementDue |= range.to() > range.from();
             return;
         }
-        if (slice.clear() != null && slice.clear().sequence() > position) {
-            deliveries.add(new Delivery.Truncated(slice.clear()));
-            clears++;
+        if (range.truncatedPrefix() != null && range.truncatedPrefix().sequence() > position) {
+            deliveries.add(new Delivery.Truncated(range.truncatedPrefix()));
+            truncations++;
         }
-        for (Entry entry : slice.entries()) {
+        for (Entry entry : range.entries()) {
             if (entry.sequence() > position) {
                 deliveries.add(new Delivery.Applied(entry));
                 applied++;
             }
         }
-        position = slice.to();
-        freshness.incompleteUntil(slice.completeAt());
-        acknowledge = true;
+        position = range.to();
+        freshness.incompleteUntil(range.completeAt());
+        acknowledgementDue = true;
     }
 
-    /** What is to be sent now, or null. */
+    /** The message to send now, or null. */
     public Request tick(long nowUs) {
-        choose(nowUs);
-        if (nowUs >= askAtUs) {
-            askAtUs = nowUs + terms.heartbeatUs();
+        selectReplica(nowUs);
+        if (nowUs >= nextRequestUs) {
+            nextRequestUs = nowUs + timing.heartbeatUs();
             return request(true, nowUs);
         }
-        return acknowledge ? request(false, nowUs) : null;
+        return acknowledgementDue ? request(false, nowUs) : null;
     }
 
     /** When {@link #tick} is to be called again. */
     public long nextUs(long nowUs) {
-        return acknowledge ? nowUs : Math.min(askAtUs, heardUs + terms.silentUs());
+        return acknowledgementDue ? nowUs : Math.min(nextRequestUs, lastResponseUs + timing.silentUs());
     }
 
     private Request request(boolean wantsAnswer, long nowUs) {
-        acknowledge = false;
-        freshness.asked(++question, nowUs);
-        return new Request(replica(), new Follow(boot, question, logId, position, wantsAnswer));
+        acknowledgementDue = false;
+        freshness.requestSent(++requestId, nowUs);
+        return new Request(replica(), new Follow(incarnation, requestId, logId, position, wantsAnswer));
     }
 
-    private void choose(long nowUs) {
-        boolean silent = nowUs - heardUs >= terms.silentUs();
-        boolean settled = nowUs - followedSinceUs >= terms.silentUs();
-        boolean unproven = settled && nowUs - freshness.replicaAsOfUs() > terms.stalenessUs() / 2;
+    private void selectReplica(long nowUs) {
+        boolean silent = nowUs - lastResponseUs >= timing.silentUs();
+        boolean settled = nowUs - followedSinceUs >= timing.silentUs();
+        boolean unproven = settled && nowUs - freshness.replicaAsOfUs() > timing.stalenessUs() / 2;
         if (silent || unproven) {
             failovers++;
-            follow((at + 1) % order.size(), nowUs);
-        } else if (at != 0 && nowUs - followedSinceUs >= homeUs) {
-            follow(0, nowUs);
+            switchTo((replicaIndex + 1) % replicaOrder.size(), nowUs);
+        } else if (replicaIndex != 0 && nowUs - followedSinceUs >= returnHomeAfterUs) {
+            switchTo(0, nowUs);
         }
     }
 
-    private void follow(int next, long nowUs) {
-        at = next;
-        heardUs = nowUs;
+    private void switchTo(int next, long nowUs) {
+        replicaIndex = next;
+        lastResponseUs = nowUs;
         followedSinceUs = nowUs;
-        askAtUs = nowUs;
+        nextRequestUs = nowUs;
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/FreshnessLease.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/FreshnessLease.java
@@ -5,70 +5,75 @@
 import java.util.Iterator;
 
 /**
- * Since when a director knows all events: a lease on the claim that its copy of the log is complete (Gray, Cheriton,
- * "Leases", 1989), counted from when the director asked, never from when the answer arrived. Without a lease
- * what it holds is unproven. Asked at the moment of the effect. Not thread-safe.
+ * A lease on the completeness of a director's copy of the log (Gray, Cheriton, "Leases", 1989), counted from when the
+ * director sent its request, never from when the answer arrived. Without a lease the copy is unproven. Checked at the
+ * moment of the effect. Times are microseconds of the owner's clock. Not thread-safe.
  */
 public final class FreshnessLease {
 
     /** No moment is proven. */
     public static final long NEVER = Long.MIN_VALUE / 4;
-    /** Questions and proofs remembered; older ones are forgotten, which can only prove less. */
-    private static final int MOST = 32;
+    /** Requests and proofs remembered; older ones are dropped, which can only prove less. */
+    private static final int MAX_PENDING = 32;
 
-    private record Question(long number, long askedUs) {}
+    private record PendingRequest(long number, long sentUs) {}
 
     private record Proof(long head, long asOfUs) {}
 
-    private final EventLogTiming terms;
-    private final Deque<Question> questions = new ArrayDeque<>();
-    private final Deque<Proof> waiting = new ArrayDeque<>();
+    private final EventLogTiming timing;
+    private final Deque<PendingRequest> pendingRequests = new ArrayDeque<>();
+    private final Deque<Proof> pendingProofs = new ArrayDeque<>();
     private long completeAt;
     private long asOfUs = NEVER;
     private long replicaAsOfUs = NEVER;
     private long lastUs = NEVER;
 
     /** Nothing is proven yet. */
-    public FreshnessLease(EventLogTiming terms) {
-        this.terms = terms;
+    public FreshnessLease(EventLogTiming timing) {
+        this.timing = timing;
     }
 
-    /** A question leaves; numbers grow. */
-    public void asked(long number, long nowUs) {
-        at(nowUs);
-        questions.addLast(new Question(number, nowUs));
-        if (questions.size() > MOST) {
-            questions.removeFirst();
+    /** A request was sent; its number is larger than those before. */
+    public void requestSent(long number, long nowUs) {
+        observeClock(nowUs);
+        pendingRequests.addLast(new PendingRequest(number, nowUs));
+        if (pendingRequests.size() > MAX_PENDING) {
+            pendingRequests.removeFirst();
         }
     }
 
-    /** An answer to a question proves that all events acknowledged before its proof began are up to a position. */
-    public void answered(long number, long head, long ageUs, long nowUs) {
-        at(nowUs);
-        for (Question each : questions) {
+    /**
+     * A request was answered with a proof.
+     *
+     * @param head every event acknowledged before the proof began has at most this sequence number; -1: no proof
+     * @param ageUs how long before the answer the proof began, by the replica's clock
+     */
+    public void responseReceived(long number, long head, long ageUs, long nowUs) {
+        observeClock(nowUs);
+        for (PendingRequest each : pendingRequests) {
             if (each.number == number && head >= 0 && ageUs >= 0) {
-                long provenUs = each.askedUs - (long) Math.ceil(ageUs * (1 + terms.drift()));
+                long provenUs = each.sentUs - (long) Math.ceil(ageUs * (1 + timing.drift()));
                 replicaAsOfUs = Math.max(replicaAsOfUs, provenUs);
-                waiting.removeIf(proof -> proof.head == head && proof.asOfUs <= provenUs);
-                waiting.addLast(new Proof(head, provenUs));
+                pendingProofs.removeIf(proof -> proof.head == head && proof.asOfUs <= provenUs);
+                pendingProofs.addLast(new Proof(head, provenUs));
             }
         }
-        if (waiting.size() > MOST) {
-            waiting.removeFirst(); // by the time it comes true it proves least
+        if (pendingProofs.size() > MAX_PENDING) {
+            pendingProofs.removeFirst(); // the oldest proves least
         }
     }
 
-    /** A range with holes was applied; what replaced the missing entries is up to a position. */
+    /** A compacted range was applied; the events that replaced the missing ones lie up to a position. */
     public void incompleteUntil(long position) {
         completeAt = Math.max(completeAt, position);
     }
 
-    /** All up to a position has been applied. */
+    /** All entries up to a position have been applied. */
     public void applied(long position) {
         if (position < completeAt) {
             return;
         }
-        for (Iterator<Proof> each = waiting.iterator(); each.hasNext();) {
+        for (Iterator<Proof> each = pendingProofs.iterator(); each.hasNext();) {
             Proof proof = each.next();
             if (proof.head <= position) {
                 asOfUs = Math.max(asOfUs, proof.asOfUs);
@@ -77,38 +82,38 @@
         }
     }
 
-    /** Another log began, or the clock ran back: nothing is proven. */
+    /** Another log is followed, or the clock ran back: nothing is proven. */
     public void reset() {
-        questions.clear();
-        waiting.clear();
+        pendingRequests.clear();
+        pendingProofs.clear();
         completeAt = 0;
         asOfUs = NEVER;
         replicaAsOfUs = NEVER;
     }
 
-    private void at(long nowUs) {
+    private void observeClock(long nowUs) {
         if (nowUs < lastUs) {
             reset();
         }
         lastUs = nowUs;
     }
 
-    /** Until when what is held is proven, by the owner's clock; in the past if it is not. */
+    /** Until when the copy is proven, by the owner's clock; a past moment if it is not. */
     public long provenUntilUs() {
-        return asOfUs == NEVER ? NEVER : asOfUs + (long) (terms.stalenessUs() * (1 - terms.drift()));
+        return asOfUs == NEVER ? NEVER : asOfUs + (long) (timing.stalenessUs() * (1 - timing.drift()));
     }
 
-    /** Whether what is held is proven at a moment. */
+    /** Whether the copy is proven at a moment. */
     public boolean proven(long nowUs) {
         return nowUs >= lastUs && nowUs < provenUntilUs();
     }
 
-    /** All events that were acknowledged before this moment are known here. */
+    /** All events acknowledged before this moment have been applied here. */
     public long asOfUs() {
         return asOfUs;
     }
 
-    /** As of when the replicas that answer have proven their own logs, whether or not all of it is here. */
+    /** As of when the replicas that answer have proven their own logs, applied here or not. */
     long replicaAsOfUs() {
         return replicaAsOfUs;
     }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/Subject.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Subject.java
@@ -1,10 +1,10 @@
 package clovermill.controlplane.eventlog.decide;
 
 /**
- * What an event is about; a later event of a subject replaces the earlier.
+ * The subject of an event; a later event of the same subject replaces an earlier one (compaction).
  *
  * @param kind the kind of the event
- * @param key an object's number, a group's, or whatever names the subject within its kind
+ * @param key the number of an object or group, or another identifier within the kind
  */
 public record Subject(Kind kind, long key) {
 
@@ -12,9 +12,9 @@
     public enum Kind {
         /** Copies of one object are purged. */
         OBJECT_PURGE,
-        /** Copies of a whole group are purged. */
+        /** All copies of a group are purged. */
         GROUP_PURGE,
-        /** Anything else that all directors need in order; its meaning is in the detail. */
+        /** Any other event that all directors apply in order; the detail defines it. */
         FLEET_EVENT
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/TruncatedPrefix.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/TruncatedPrefix.java
@@ -1,12 +1,12 @@
 package clovermill.controlplane.eventlog.decide;
 
 /**
- * Stands for all events up to a sequence number that the log holds no more.
+ * Represents all events up to a sequence number that the log no longer retains.
  *
- * @param sequence the last of them, 0 for none
- * @param madeMs the latest time of any, Unix milliseconds: whatever is as old as that may have been purged
+ * @param sequence the last sequence number dropped, 0 for none
+ * @param createdAtMillis the latest creation time of any, Unix milliseconds: any copy as old may have been purged
  */
-public record TruncatedPrefix(long sequence, long madeMs) {
+public record TruncatedPrefix(long sequence, long createdAtMillis) {
 
     /** Nothing has been dropped. */
     public static final TruncatedPrefix NONE = new TruncatedPrefix(0, Long.MIN_VALUE);
--- a/src/main/java/clovermill/controlplane/eventlog/decide/package-info.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/package-info.java
@@ -1,6 +1,13 @@
 /**
- * What the event log decides, without I/O: the log itself, how a director follows a replica of it, what a replica sends
- * to whom, when what a director holds is proven, and how a client appends once. Clock and randomness are passed in;
- * time is microseconds of the owner's clock. The invariants stand in {@code docs/design/event-log.md}.
+ * Decisions of the event log, without I/O, clock or threads: the owner passes time (microseconds of its own clock) and
+ * randomness in.
+ *
+ * <p>At a replica: {@link clovermill.controlplane.eventlog.decide.EventLog} is the log itself, with sequence numbers,
+ * compaction by subject, retention by bytes and client sessions; {@link
+ * clovermill.controlplane.eventlog.decide.ReplicaFeed} decides what is sent to which director, by window and rate.
+ * At a director: {@link clovermill.controlplane.eventlog.decide.Follower} keeps the position and selects the replica,
+ * {@link clovermill.controlplane.eventlog.decide.FreshnessLease} says until when the copy is proven complete, and
+ * {@link clovermill.controlplane.eventlog.decide.AppendClient} appends each call once. Between them: {@link
+ * clovermill.controlplane.eventlog.decide.EventLogMessage}. The invariants are in {@code docs/design/event-log.md}.
  */
 package clovermill.controlplane.eventlog.decide;
--- a/src/main/java/clovermill/simulation/emulator/eventlog/EventLogFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/EventLogFleet.java
@@ -91,7 +91,7 @@
         return new FleetMetrics(checker.known(), faults.injected(), checker.lost(), checker.misordered(),
                 checker.twice(), checker.stale(), checker.late(), checker.longestUs() / 1000,
                 looks == 0 ? 0 : 100 * provenLooks / looks, machines.tornSnapshots(), followers.failovers(),
-                followers.clears(), checker.first(), digest.getValue());
+                followers.truncations(), checker.first(), digest.getValue());
     }
 
     /** True time. */
--- a/src/main/java/clovermill/simulation/emulator/eventlog/FleetMachines.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FleetMachines.java
@@ -119,7 +119,7 @@
             storages[machine].restart();
         } else {
             failovers += tasks[machine].followerCounts().failovers();
-            clears += tasks[machine].followerCounts().clears();
+            clears += tasks[machine].followerCounts().truncations();
         }
     }
 
@@ -182,7 +182,7 @@
         for (int i = EventLogFleet.REPLICAS; i < tasks.length; i++) {
             Follower.Counts counts = tasks[i].followerCounts();
             allFailovers += counts.failovers();
-            allClears += counts.clears();
+            allClears += counts.truncations();
         }
         return new Follower.Counts(0, 0, 0, allFailovers, allClears);
     }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/InvariantChecker.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/InvariantChecker.java
@@ -35,16 +35,18 @@
         private void apply(Entry entry) {
             Event event = entry.event();
             Entry earlier = latest.get(event.subject());
-            long madeMs = earlier == null ? event.madeMs() : Math.max(event.madeMs(), earlier.event().madeMs());
+            long createdAtMillis = earlier == null ? event.createdAtMillis()
+                    : Math.max(event.createdAtMillis(), earlier.event().createdAtMillis());
             latest.put(event.subject(),
-                    new Entry(entry.sequence(), new Event(event.subject(), madeMs, event.detail())));
+                    new Entry(entry.sequence(), new Event(event.subject(), createdAtMillis, event.detail())));
         }
 
         private boolean holds(Entry entry) {
             Entry own = latest.get(entry.event().subject());
             return own != null && own.sequence() >= entry.sequence()
-                    && own.event().madeMs() >= entry.event().madeMs()
-                    || clear.sequence() >= entry.sequence() && clear.madeMs() >= entry.event().madeMs();
+                    && own.event().createdAtMillis() >= entry.event().createdAtMillis()
+                    || clear.sequence() >= entry.sequence()
+                            && clear.createdAtMillis() >= entry.event().createdAtMillis();
         }
     }
 
@@ -115,8 +117,8 @@
             place(entry, nowUs);
             director.apply(entry);
         } else if (delivery instanceof Delivery.Truncated cleared) {
-            ordered(director, cleared.clear().sequence(), number, nowUs);
-            director.clear = cleared.clear();
+            ordered(director, cleared.prefix().sequence(), number, nowUs);
+            director.clear = cleared.prefix();
         } else {
             lost++; // no run loses a log
             note("another log at director " + number + " at " + nowUs);
--- a/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
@@ -107,7 +107,7 @@
     }
 
     private static int follows(EventLogFleet fleet, int director) {
-        return fleet.task(EventLogFleet.machine(director)).follows();
+        return fleet.task(EventLogFleet.machine(director)).followedReplica();
     }
 
     @Test
@@ -161,7 +161,7 @@
             assertThat(taken.bytesOut()).isLessThanOrEqualTo(10 * 9000);
         }
         assertAllProvenAt(fleet, 76 * SECOND, directors);
-        assertThat(fleet.task(cut).followerCounts().clears()).isEqualTo(1);
+        assertThat(fleet.task(cut).followerCounts().truncations()).isEqualTo(1);
         assertHolds(fleet);
     }
 
@@ -277,9 +277,9 @@
                 assertThat(fleet.proven(director)).isTrue();
             }
         }
-        long toCatchUp = IntStream.range(0, EventLogFleet.REPLICAS)
-                .mapToLong(each -> fleet.task(each).feedCounts().toCatchUp()).sum();
-        assertThat(toCatchUp).isPositive();
+        long droppedToCatchUp = IntStream.range(0, EventLogFleet.REPLICAS)
+                .mapToLong(each -> fleet.task(each).feedCounts().droppedToCatchUp()).sum();
+        assertThat(droppedToCatchUp).isPositive();
         assertAllProvenAt(fleet, 50 * SECOND, 8);
         assertHolds(fleet);
     }
--- a/src/test/java/clovermill/controlplane/eventlog/PacketCodecTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/PacketCodecTest.java
@@ -27,10 +27,10 @@
     private final PacketCodec to = new PacketCodec(2, 9, KEY, 71);
 
     private static List<Packet> packets() {
-        LogRange slice = new LogRange(3, 900, 901, new TruncatedPrefix(4, 5),
+        LogRange range = new LogRange(3, 900, 901, new TruncatedPrefix(4, 5),
                 List.of(new Entry(6, EVENT), new Entry(900, EVENT)));
         List<EventLogMessage> messages = List.of(new EventLogMessage.Follow(1, 2, 3, 4, true),
-                new EventLogMessage.Batch(1, 2, 3, -1, 5, slice),
+                new EventLogMessage.Batch(1, 2, 3, -1, 5, range),
                 new EventLogMessage.Batch(1, 2, 3, 4, 5, new LogRange(0, 0, 0, null, List.of())),
                 new EventLogMessage.OpenSession(5),
                 new EventLogMessage.SessionOpened(5, 6), new EventLogMessage.Append(6, 7, List.of(EVENT, EVENT)),
@@ -77,14 +77,14 @@
             for (int i = 0; i < 50; i++) {
                 byte[] bad = good.clone();
                 bad[random.nextInt(bad.length)] ^= (byte) (1 << random.nextInt(8));
-                assertThatThrownBy(() -> to.read(bad)).isInstanceOf(PacketCodec.InvalidPacketException.class);
+                assertThatThrownBy(() -> to.read(bad)).isInstanceOf(InvalidPacketException.class);
             }
             assertThatThrownBy(() -> to.read(Arrays.copyOf(good, good.length - 1)))
-                    .isInstanceOf(PacketCodec.InvalidPacketException.class);
+                    .isInstanceOf(InvalidPacketException.class);
             assertThatThrownBy(() -> new PacketCodec(3, 9, KEY, 72).read(good))
-                    .isInstanceOf(PacketCodec.InvalidPacketException.class);
+                    .isInstanceOf(InvalidPacketException.class);
             assertThatThrownBy(() -> new PacketCodec(2, 1, KEY, 72).read(good))
-                    .isInstanceOf(PacketCodec.InvalidPacketException.class);
+                    .isInstanceOf(InvalidPacketException.class);
         }
     }
 
@@ -94,14 +94,14 @@
         byte[] second = from.write(2, new Packet.JoinRequest(8, true));
         to.read(second);
         to.read(first);
-        assertThatThrownBy(() -> to.read(first)).hasMessage("a repeated one");
-        assertThatThrownBy(() -> to.read(second)).hasMessage("a repeated one");
+        assertThatThrownBy(() -> to.read(first)).hasMessage("replayed");
+        assertThatThrownBy(() -> to.read(second)).hasMessage("replayed");
     }
 
     @Test
     void aBatchIsNoLargerThanItIsCountedAndFitsAnyLink() {
         EventLog log = new EventLog(new EventLog.Bounds(100_000, 1));
-        log.open();
+        log.openSession();
         for (int i = 1; i < 300; i++) {
             log.append(1, i, List.of(new Event(new Subject(Kind.OBJECT_PURGE, i), i, "x".repeat(i % 65))));
         }
--- a/src/test/java/clovermill/controlplane/eventlog/decide/AppendClientTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/AppendClientTest.java
@@ -27,16 +27,16 @@
         assertThat(appender.tick(0)).isEqualTo(new AppendClient.Request(1, new EventLogMessage.OpenSession(70)));
         assertThat(appender.tick(1)).isNull();
         assertThat(appender.tick(300_000)).isEqualTo(new AppendClient.Request(2, new EventLogMessage.OpenSession(70)));
-        appender.on(new EventLogMessage.Redirect(0), 300_001);
+        appender.redirected(new EventLogMessage.Redirect(0), 300_001);
         assertThat(appender.tick(320_001)).isEqualTo(new AppendClient.Request(0, new EventLogMessage.OpenSession(70)));
-        appender.on(new EventLogMessage.SessionOpened(70, 4), 400_000);
+        appender.sessionOpened(new EventLogMessage.SessionOpened(70, 4), 400_000);
         EventLogMessage.Append call = new EventLogMessage.Append(4, 1, events(5));
         assertThat(appender.tick(400_000)).isEqualTo(new AppendClient.Request(0, call));
         assertThat(appender.tick(700_000)).isEqualTo(new AppendClient.Request(1, call));
         EventLogMessage.AppendAnswer answer =
                 new EventLogMessage.AppendAnswer(4, 1, new AppendResult(AppendOutcome.APPENDED, 3));
-        assertThat(appender.on(answer, 700_001)).isEqualTo(new AppendClient.CallResult(1, answer.result()));
-        assertThat(appender.on(answer, 700_002)).isNull();
+        assertThat(appender.answered(answer, 700_001)).isEqualTo(new AppendClient.CallResult(1, answer.result()));
+        assertThat(appender.answered(answer, 700_002)).isNull();
         assertThat(appender.nextUs()).isEqualTo(Long.MAX_VALUE);
     }
 
@@ -45,10 +45,10 @@
         AppendClient appender = new AppendClient(List.of(0), 0, 70);
         appender.offer(1, events(5), 0);
         appender.offer(2, events(6), 0);
-        appender.on(new EventLogMessage.SessionOpened(70, 4), 0);
+        appender.sessionOpened(new EventLogMessage.SessionOpened(70, 4), 0);
         EventLogMessage.AppendAnswer refused =
                 new EventLogMessage.AppendAnswer(4, 1, new AppendResult(AppendOutcome.SESSION_EXPIRED, 0));
-        assertThat(appender.on(refused, 0).token()).isEqualTo(1);
+        assertThat(appender.answered(refused, 0).token()).isEqualTo(1);
         assertThat(appender.tick(0).message()).isEqualTo(new EventLogMessage.OpenSession(71));
     }
 
@@ -61,7 +61,7 @@
             large.addAll(events(i));
         }
         assertThat(appender.offer(0, large, 0)).isFalse();
-        for (int i = 0; i < AppendClient.MOST_WAITING; i++) {
+        for (int i = 0; i < AppendClient.MAX_QUEUED_CALLS; i++) {
             assertThat(appender.offer(i, events(i), 0)).isTrue();
         }
         assertThat(appender.offer(99, events(1), 0)).isFalse();
@@ -88,15 +88,15 @@
             if (!toLog.isEmpty() && random.nextInt(3) > 0) {
                 EventLogMessage message = toLog.get(random.nextInt(toLog.size())); // maybe an old one, and again later
                 toClient.add(message instanceof EventLogMessage.OpenSession open
-                        ? new EventLogMessage.SessionOpened(open.nonce(), log.open())
+                        ? new EventLogMessage.SessionOpened(open.nonce(), log.openSession())
                         : answer(log, (EventLogMessage.Append) message));
             }
             if (!toClient.isEmpty() && random.nextInt(3) > 0) {
                 EventLogMessage message = toClient.get(random.nextInt(toClient.size()));
                 if (message instanceof EventLogMessage.SessionOpened opened) {
-                    appender.on(opened, now);
+                    appender.sessionOpened(opened, now);
                 } else {
-                    AppendClient.CallResult over = appender.on((EventLogMessage.AppendAnswer) message, now);
+                    AppendClient.CallResult over = appender.answered((EventLogMessage.AppendAnswer) message, now);
                     if (over != null && over.result().outcome() == AppendOutcome.APPENDED) {
                         assertThat(done.add(over.token())).isTrue();
                     } else if (over != null) {
--- a/src/test/java/clovermill/controlplane/eventlog/decide/EventLogTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/EventLogTest.java
@@ -20,39 +20,40 @@
 
     private record Call(long session, long call) {}
 
-    private static Event event(long key, long madeMs) {
-        return new Event(new Subject(Kind.OBJECT_PURGE, key), madeMs);
+    private static Event event(long key, long createdAtMillis) {
+        return new Event(new Subject(Kind.OBJECT_PURGE, key), createdAtMillis);
     }
 
-    /** Checks that a slice covers all events of its range, and names when what replaced the others is seen. */
-    static void assertCovers(LogRange slice, List<Entry> all) {
+    /** Checks that a range covers all events of its range, and names when what replaced the others is seen. */
+    static void assertCovers(LogRange range, List<Entry> all) {
         for (Entry each : all) {
-            if (each.sequence() <= slice.from() || each.sequence() > slice.to()) {
+            if (each.sequence() <= range.from() || each.sequence() > range.to()) {
                 continue;
             }
-            TruncatedPrefix clear = slice.clear();
-            boolean cleared = clear != null && each.sequence() <= clear.sequence()
-                    && each.event().madeMs() <= clear.madeMs();
+            TruncatedPrefix prefix = range.truncatedPrefix();
+            boolean cleared = prefix != null && each.sequence() <= prefix.sequence()
+                    && each.event().createdAtMillis() <= prefix.createdAtMillis();
             boolean replaced = all.stream().anyMatch(later -> later.sequence() > each.sequence()
-                    && later.sequence() <= slice.completeAt()
+                    && later.sequence() <= range.completeAt()
                     && later.event().subject().equals(each.event().subject()));
-            boolean there = slice.entries().stream().anyMatch(entry -> entry.sequence() == each.sequence()
+            boolean there = range.entries().stream().anyMatch(entry -> entry.sequence() == each.sequence()
                     && entry.event().subject().equals(each.event().subject())
-                    && entry.event().madeMs() >= each.event().madeMs());
-            assertThat(there || replaced || cleared).as("%s in %s", each, slice).isTrue();
+                    && entry.event().createdAtMillis() >= each.event().createdAtMillis());
+            assertThat(there || replaced || cleared).as("%s in %s", each, range).isTrue();
         }
     }
 
     @Property(tries = 300)
-    void eachEventHasOneNumberAndEachRangeCoversIt(@ForAll long seed, @ForAll @IntRange(min = 20, max = 400) int kept) {
+    void eachEventHasOneNumberAndEachRangeCoversIt(@ForAll long seed,
+            @ForAll @IntRange(min = 20, max = 400) int retentionBytes) {
         Random random = new Random(seed);
-        EventLog log = new EventLog(new EventLog.Bounds(kept, 3));
+        EventLog log = new EventLog(new EventLog.Bounds(retentionBytes, 3));
         List<Entry> all = new ArrayList<>();
         Map<Call, AppendResult> answers = new HashMap<>();
         long sessions = 0;
         for (int step = 0; step < 120; step++) {
             if (sessions == 0 || random.nextInt(15) == 0) {
-                assertThat(log.open()).isEqualTo(++sessions);
+                assertThat(log.openSession()).isEqualTo(++sessions);
             }
             Call call = new Call(1 + random.nextInt((int) sessions), random.nextInt(30));
             Event event = event(random.nextInt(12), random.nextInt(1000));
@@ -66,15 +67,15 @@
             } else if (answer.outcome() == AppendOutcome.APPENDED && call.call() > 0) {
                 assertThat(answer).isEqualTo(answers.get(call));
             }
-            assertThat(log.bytes()).isLessThanOrEqualTo(kept);
-            assertThat(log.sessions()).isLessThanOrEqualTo(3);
+            assertThat(log.bytes()).isLessThanOrEqualTo(retentionBytes);
+            assertThat(log.sessionCount()).isLessThanOrEqualTo(3);
         }
-        assertThat(log.bytes()).isEqualTo(log.all().stream().mapToLong(each -> each.event().bytes()).sum());
+        assertThat(log.bytes()).isEqualTo(log.entries().stream().mapToLong(each -> each.event().bytes()).sum());
         for (long from = 0; from <= log.head(); from++) {
-            LogRange slice = log.read(from, 1 + random.nextInt(200));
-            assertThat(slice.to()).isBetween(from + (from < log.head() ? 1 : 0), log.head());
-            assertThat(slice.completeAt()).isBetween(slice.to(), log.head());
-            assertCovers(slice, all);
+            LogRange range = log.read(from, 1 + random.nextInt(200));
+            assertThat(range.to()).isBetween(from + (from < log.head() ? 1 : 0), log.head());
+            assertThat(range.completeAt()).isBetween(range.to(), log.head());
+            assertCovers(range, all);
         }
     }
 
@@ -83,13 +84,13 @@
         Random random = new Random(seed);
         EventLog log = new EventLog(new EventLog.Bounds(150, 2));
         EventLog copy = new EventLog(new EventLog.Bounds(150, 2));
-        log.name(5);
-        log.open();
-        log.open();
+        log.assignId(5);
+        log.openSession();
+        log.openSession();
         for (int i = 1; i < 40; i++) {
             log.append(1 + random.nextInt(2), i, List.of(event(random.nextInt(9), i)));
         }
-        copy.restore(log.describe(), log.all(), log.allSessions());
+        copy.restore(log.state(), log.entries(), log.openSessions());
         assertThat(copy).isEqualTo(log);
         for (int i = 40; i < 80; i++) {
             long session = 1 + random.nextInt(3);
@@ -103,7 +104,7 @@
     @Test
     void theSameEventAskedForTwiceIsOneEvent() {
         EventLog log = new EventLog(new EventLog.Bounds(1000, 4));
-        long session = log.open();
+        long session = log.openSession();
         AppendResult first = log.append(session, 1, List.of(event(7, 1), event(8, 1)));
         assertThat(log.append(session, 1, List.of(event(7, 1), event(8, 1)))).isEqualTo(first);
         assertThat(log.head()).isEqualTo(2);
@@ -112,9 +113,9 @@
     @Test
     void aSessionThatWasDroppedIsRefusedAndNotTakenForNew() {
         EventLog log = new EventLog(new EventLog.Bounds(1000, 1));
-        long first = log.open();
+        long first = log.openSession();
         log.append(first, 1, List.of(event(7, 1)));
-        log.open();
+        log.openSession();
         assertThat(log.append(first, 1, List.of(event(7, 1))).outcome()).isEqualTo(AppendOutcome.SESSION_EXPIRED);
         assertThat(log.append(first, 2, List.of(event(7, 1))).outcome()).isEqualTo(AppendOutcome.SESSION_EXPIRED);
         assertThat(log.head()).isEqualTo(1);
@@ -123,7 +124,7 @@
     @Test
     void aCallThatCameLateIsNotAppended() {
         EventLog log = new EventLog(new EventLog.Bounds(1000, 1));
-        long session = log.open();
+        long session = log.openSession();
         log.append(session, 2, List.of(event(7, 1)));
         assertThat(log.append(session, 1, List.of(event(9, 1))).outcome()).isEqualTo(AppendOutcome.OUTDATED);
         assertThat(log.head()).isEqualTo(1);
@@ -132,7 +133,7 @@
     @Test
     void theLaterEventOfASubjectKeepsTheLaterTime() {
         EventLog log = new EventLog(new EventLog.Bounds(1000, 1));
-        long session = log.open();
+        long session = log.openSession();
         log.append(session, 1, List.of(event(7, 500), event(7, 400)));
         assertThat(log.read(0, 1000).entries()).containsExactly(new Entry(2, event(7, 500)));
         assertThat(log.read(0, 1000).completeAt()).isEqualTo(2);
--- a/src/test/java/clovermill/controlplane/eventlog/decide/FollowerTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/FollowerTest.java
@@ -15,13 +15,13 @@
 
 class FollowerTest {
 
-    private static final EventLogTiming TERMS = new EventLogTiming(400, 1000, 250, 250, 5000, 60_000, 0.01);
+    private static final EventLogTiming TIMING = new EventLogTiming(400, 1000, 250, 250, 5000, 60_000, 0.01);
     private static final ReplicaFeed.Bounds FEED = new ReplicaFeed.Bounds(2_000_000_000L, 2_000_000_000L, 16_000, 10);
 
-    /** What a director holds, told by deliveries alone. */
+    /** A director's copy of the log, built from deliveries alone. */
     private static final class Held {
         private final Map<Subject, Entry> latest = new HashMap<>();
-        private TruncatedPrefix clear = TruncatedPrefix.NONE;
+        private TruncatedPrefix prefix = TruncatedPrefix.NONE;
         private long last;
 
         void take(Delivery delivery) {
@@ -29,17 +29,18 @@
                 assertThat(applied.entry().sequence()).isGreaterThan(last);
                 last = applied.entry().sequence();
                 latest.put(applied.entry().event().subject(), applied.entry());
-            } else if (delivery instanceof Delivery.Truncated cleared) {
-                assertThat(cleared.clear().sequence()).isGreaterThan(last);
-                last = cleared.clear().sequence();
-                clear = cleared.clear();
+            } else if (delivery instanceof Delivery.Truncated truncated) {
+                assertThat(truncated.prefix().sequence()).isGreaterThan(last);
+                last = truncated.prefix().sequence();
+                prefix = truncated.prefix();
             }
         }
 
         boolean covers(Entry entry) {
             Entry own = latest.get(entry.event().subject());
             return own != null && own.sequence() >= entry.sequence()
-                    || clear.sequence() >= entry.sequence() && clear.madeMs() >= entry.event().madeMs();
+                    || prefix.sequence() >= entry.sequence()
+                            && prefix.createdAtMillis() >= entry.event().createdAtMillis();
         }
     }
 
@@ -47,15 +48,15 @@
 
     private record Appended(Entry entry, long atUs) {}
 
-    private static Batch batch(long question, LogRange slice, long head, long ageUs) {
-        return new Batch(77, question, 5, head, ageUs, slice);
+    private static Batch batch(long requestId, LogRange range, long head, long ageUs) {
+        return new Batch(77, requestId, 5, head, ageUs, range);
     }
 
     private static Entry entry(long sequence) {
         return new Entry(sequence, new Event(new Subject(Kind.OBJECT_PURGE, sequence), sequence));
     }
 
-    private static LogRange slice(long from, long to) {
+    private static LogRange range(long from, long to) {
         List<Entry> entries = new ArrayList<>();
         for (long at = from + 1; at <= to; at++) {
             entries.add(entry(at));
@@ -64,17 +65,17 @@
     }
 
     private static Follower follower() {
-        return new Follower(TERMS, 0, List.of(0, 1, 2, 3), 77, new Random(1), 0);
+        return new Follower(TIMING, 0, List.of(0, 1, 2, 3), 77, new Random(1), 0);
     }
 
     @Test
     void aGapIsNotAppliedAndWhatOverlapsIsAppliedOnce() {
         Follower follower = follower();
-        assertThat(follower.on(0, batch(0, slice(0, 3), -1, 0), 1)).hasSize(3);
-        assertThat(follower.on(0, batch(0, slice(5, 6), -1, 0), 2)).isEmpty();
-        assertThat(follower.on(0, batch(0, slice(2, 5), -1, 0), 3)).containsExactly(
+        assertThat(follower.receive(0, batch(0, range(0, 3), -1, 0), 1)).hasSize(3);
+        assertThat(follower.receive(0, batch(0, range(5, 6), -1, 0), 2)).isEmpty();
+        assertThat(follower.receive(0, batch(0, range(2, 5), -1, 0), 3)).containsExactly(
                 new Delivery.Applied(entry(4)), new Delivery.Applied(entry(5)));
-        assertThat(follower.on(2, batch(0, slice(2, 5), -1, 0), 4)).isEmpty();
+        assertThat(follower.receive(2, batch(0, range(2, 5), -1, 0), 4)).isEmpty();
         assertThat(follower.position()).isEqualTo(5);
         assertThat(follower.counts().gaps()).isEqualTo(1);
     }
@@ -82,7 +83,7 @@
     @Test
     void aBatchForAnotherStartOfTheDirectorIsIgnored() {
         Follower follower = follower();
-        assertThat(follower.on(0, new Batch(78, 0, 5, 3, 0, slice(0, 3)), 1)).isEmpty();
+        assertThat(follower.receive(0, new Batch(78, 0, 5, 3, 0, range(0, 3)), 1)).isEmpty();
         assertThat(follower.position()).isZero();
     }
 
@@ -90,7 +91,7 @@
     void aSilentReplicaIsLeftForAnotherAndThePositionStays() {
         Follower follower = follower();
         follower.tick(0);
-        follower.on(0, batch(1, slice(0, 3), 3, 0), 10);
+        follower.receive(0, batch(1, range(0, 3), 3, 0), 10);
         assertThat(follower.tick(1009)).isNotNull();
         assertThat(follower.replica()).isZero();
         Follower.Request request = follower.tick(1010);
@@ -104,7 +105,7 @@
         for (long now = 0; now < 10_000; now += 100) {
             Follower.Request request = follower.tick(now);
             if (request != null && request.replica() == 0) {
-                follower.on(0, batch(request.follow().question(), slice(0, 0), 0, now + 1000), now);
+                follower.receive(0, batch(request.follow().requestId(), range(0, 0), 0, now + 1000), now);
             }
         }
         assertThat(follower.replica()).isNotZero();
@@ -120,7 +121,7 @@
             Follower.Request request = follower.tick(now);
             boolean answers = request != null && (now > 5000 || request.replica() != before);
             if (answers) {
-                follower.on(request.replica(), batch(request.follow().question(), slice(0, 0), 0, 0), now);
+                follower.receive(request.replica(), batch(request.follow().requestId(), range(0, 0), 0, 0), now);
             }
             left |= follower.replica() != before;
         }
@@ -132,9 +133,9 @@
     void anotherLogBeginsAnew() {
         Follower follower = follower();
         follower.tick(0);
-        follower.on(0, batch(1, slice(0, 3), 3, 0), 10);
+        follower.receive(0, batch(1, range(0, 3), 3, 0), 10);
         assertThat(follower.freshness().proven(20)).isTrue();
-        List<Delivery> deliveries = follower.on(0, new Batch(77, 1, 6, -1, 0, slice(0, 1)), 20);
+        List<Delivery> deliveries = follower.receive(0, new Batch(77, 1, 6, -1, 0, range(0, 1)), 20);
         assertThat(deliveries).containsExactly(new Delivery.LogReplaced(6), new Delivery.Applied(entry(1)));
         assertThat(follower.freshness().proven(20)).isFalse();
     }
@@ -151,13 +152,13 @@
         List<ReplicaFeed> feeds = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             logs.add(new EventLog(bounds));
-            logs.get(i).name(5);
-            logs.get(i).open();
-            feeds.add(new ReplicaFeed(TERMS, FEED, logs.get(i), 0));
+            logs.get(i).assignId(5);
+            logs.get(i).openSession();
+            feeds.add(new ReplicaFeed(TIMING, FEED, logs.get(i), 0));
         }
         List<Appended> all = new ArrayList<>();
         int[] replicated = new int[3];
-        Follower follower = new Follower(TERMS, random.nextInt(3), List.of(0, 1, 2), 77, random, 0);
+        Follower follower = new Follower(TIMING, random.nextInt(3), List.of(0, 1, 2), 77, random, 0);
         Held held = new Held();
         List<InFlight> flying = new ArrayList<>();
         int proven = 0;
@@ -182,7 +183,7 @@
             }
             Follower.Request request = follower.tick(now);
             if (request != null && random.nextInt(5) > 0) {
-                ReplicaFeed.Push push = feeds.get(request.replica()).on(9, request.follow(), now);
+                ReplicaFeed.Push push = feeds.get(request.replica()).receive(9, request.follow(), now);
                 if (push != null) {
                     flying.add(new InFlight(request.replica(), push.batch()));
                 }
@@ -191,13 +192,13 @@
                 int which = random.nextInt(flying.size());
                 InFlight one = random.nextInt(10) == 0 ? flying.get(which) : flying.remove(which);
                 if (random.nextInt(6) > 0) {
-                    follower.on(one.from(), one.batch(), now).forEach(held::take);
+                    follower.receive(one.from(), one.batch(), now).forEach(held::take);
                 }
             }
             if (follower.freshness().proven(now)) {
                 proven++;
                 for (Appended each : all) {
-                    if (each.atUs() < now - TERMS.stalenessUs()) {
+                    if (each.atUs() < now - TIMING.stalenessUs()) {
                         assertThat(held.covers(each.entry())).as("%s at %s", each, now).isTrue();
                     }
                 }
--- a/src/test/java/clovermill/controlplane/eventlog/decide/FreshnessLeaseTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/FreshnessLeaseTest.java
@@ -6,13 +6,13 @@
 
 class FreshnessLeaseTest {
 
-    private static final EventLogTiming TERMS = new EventLogTiming(400, 1000, 250, 250, 5000, 60_000, 0.01);
-    private final FreshnessLease freshness = new FreshnessLease(TERMS);
+    private static final EventLogTiming TIMING = new EventLogTiming(400, 1000, 250, 250, 5000, 60_000, 0.01);
+    private final FreshnessLease freshness = new FreshnessLease(TIMING);
 
     @Test
     void itCountsFromTheQuestionAndTheAgeOfTheProofNotFromTheAnswer() {
-        freshness.asked(1, 10_000);
-        freshness.answered(1, 0, 1000, 14_000);
+        freshness.requestSent(1, 10_000);
+        freshness.responseReceived(1, 0, 1000, 14_000);
         freshness.applied(0);
         assertThat(freshness.asOfUs()).isEqualTo(10_000 - 1010);
         assertThat(freshness.provenUntilUs()).isEqualTo(10_000 - 1010 + 4950);
@@ -22,8 +22,8 @@
 
     @Test
     void itEndsAtItsEdge() {
-        freshness.asked(1, 10_000);
-        freshness.answered(1, 0, 0, 10_100);
+        freshness.requestSent(1, 10_000);
+        freshness.responseReceived(1, 0, 0, 10_100);
         freshness.applied(0);
         assertThat(freshness.proven(14_949)).isTrue();
         assertThat(freshness.proven(14_950)).isFalse();
@@ -31,8 +31,8 @@
 
     @Test
     void aProofWaitsUntilAllItNamesIsApplied() {
-        freshness.asked(1, 10_000);
-        freshness.answered(1, 7, 0, 10_100);
+        freshness.requestSent(1, 10_000);
+        freshness.responseReceived(1, 7, 0, 10_100);
         freshness.applied(6);
         assertThat(freshness.proven(10_100)).isFalse();
         freshness.applied(7);
@@ -41,8 +41,8 @@
 
     @Test
     void aRangeWithHolesProvesNothingUntilWhatReplacedThemIsApplied() {
-        freshness.asked(1, 10_000);
-        freshness.answered(1, 7, 0, 10_100);
+        freshness.requestSent(1, 10_000);
+        freshness.responseReceived(1, 7, 0, 10_100);
         freshness.incompleteUntil(9);
         freshness.applied(8);
         assertThat(freshness.proven(10_100)).isFalse();
@@ -52,31 +52,31 @@
 
     @Test
     void anAnswerToAQuestionThatWasNotAskedOrWithoutAProofProvesNothing() {
-        freshness.asked(1, 10_000);
-        freshness.answered(2, 0, 0, 10_100);
-        freshness.answered(1, -1, 0, 10_100);
-        freshness.answered(1, 0, -5, 10_100);
+        freshness.requestSent(1, 10_000);
+        freshness.responseReceived(2, 0, 0, 10_100);
+        freshness.responseReceived(1, -1, 0, 10_100);
+        freshness.responseReceived(1, 0, -5, 10_100);
         freshness.applied(0);
         assertThat(freshness.proven(10_100)).isFalse();
     }
 
     @Test
     void aClockThatRunsBackDropsTheProof() {
-        freshness.asked(1, 10_000);
-        freshness.answered(1, 0, 0, 10_100);
+        freshness.requestSent(1, 10_000);
+        freshness.responseReceived(1, 0, 0, 10_100);
         freshness.applied(0);
         assertThat(freshness.proven(10_050)).isFalse();
-        freshness.asked(2, 10_050);
+        freshness.requestSent(2, 10_050);
         assertThat(freshness.proven(10_100)).isFalse();
     }
 
     @Test
     void manyQuestionsAndProofsAreForgottenAndProveLessNeverMore() {
         for (int i = 1; i <= 100; i++) {
-            freshness.asked(i, 10_000 + i);
-            freshness.answered(i, 1000 + i, 0, 10_000 + i);
+            freshness.requestSent(i, 10_000 + i);
+            freshness.responseReceived(i, 1000 + i, 0, 10_000 + i);
         }
-        freshness.answered(1, 0, 0, 10_200);
+        freshness.responseReceived(1, 0, 0, 10_200);
         freshness.applied(0);
         assertThat(freshness.proven(10_200)).isFalse();
         freshness.applied(1100);
--- a/src/test/java/clovermill/controlplane/eventlog/decide/ReplayWindowTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/ReplayWindowTest.java
@@ -21,7 +21,7 @@
         long highest = Long.MIN_VALUE;
         for (long number : numbers) {
             boolean old = highest != Long.MIN_VALUE && highest - number >= 64;
-            assertThat(window.take(1, number)).isEqualTo(!old && !taken.contains(number));
+            assertThat(window.accept(1, number)).isEqualTo(!old && !taken.contains(number));
             taken.add(number);
             highest = Math.max(highest, number);
         }
@@ -30,13 +30,13 @@
     @Test
     void eachStartOfASenderHasItsOwnWindowAndTheFifthForgetsTheOneThatWasSilentLongest() {
         ReplayWindow window = new ReplayWindow();
-        for (long boot = 1; boot <= 4; boot++) {
-            assertThat(window.take(boot, 5)).isTrue();
-            assertThat(window.take(boot, 5)).isFalse();
+        for (long incarnation = 1; incarnation <= 4; incarnation++) {
+            assertThat(window.accept(incarnation, 5)).isTrue();
+            assertThat(window.accept(incarnation, 5)).isFalse();
         }
-        assertThat(window.take(1, 6)).isTrue();
-        assertThat(window.take(5, 5)).isTrue();
-        assertThat(window.take(1, 6)).isFalse();
-        assertThat(window.take(2, 5)).isTrue(); // was forgotten
+        assertThat(window.accept(1, 6)).isTrue();
+        assertThat(window.accept(5, 5)).isTrue();
+        assertThat(window.accept(1, 6)).isFalse();
+        assertThat(window.accept(2, 5)).isTrue(); // was forgotten
     }
 }
--- a/src/test/java/clovermill/controlplane/eventlog/decide/ReplicaFeedTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/ReplicaFeedTest.java
@@ -12,43 +12,43 @@
 class ReplicaFeedTest {
 
     private static final long SECOND = 1_000_000;
-    private static final EventLogTiming TERMS = EventLogTiming.DEFAULT;
+    private static final EventLogTiming TIMING = EventLogTiming.DEFAULT;
     private final EventLog log = new EventLog(new EventLog.Bounds(100_000, 4));
-    private final long session = log.open();
+    private final long session = log.openSession();
     private long calls;
 
     private void append(int count) {
-        log.name(5);
+        log.assignId(5);
         for (int i = 0; i < count; i++) {
             log.append(session, ++calls, List.of(new Event(new Subject(Kind.OBJECT_PURGE, calls), calls)));
         }
     }
 
     private ReplicaFeed feed(ReplicaFeed.Bounds bounds) {
-        return new ReplicaFeed(TERMS, bounds, log, 0);
+        return new ReplicaFeed(TIMING, bounds, log, 0);
     }
 
-    private static Follow follow(long boot, long position, boolean wantsAnswer) {
-        return new Follow(boot, 1, 5, position, wantsAnswer);
+    private static Follow follow(long incarnation, long position, boolean wantsAnswer) {
+        return new Follow(incarnation, 1, 5, position, wantsAnswer);
     }
 
     @Test
     void whoDoesNotAcknowledgeGetsAWindowAndNobodyElseWaits() {
         ReplicaFeed feed = feed(new ReplicaFeed.Bounds(1_000_000, 10_000_000, 4000, 10));
         append(1);
-        feed.on(1, follow(1, 0, false), 0);
-        feed.on(2, follow(2, 0, false), 0);
+        feed.receive(1, follow(1, 0, false), 0);
+        feed.receive(2, follow(2, 0, false), 0);
         long prompt = 0;
         int toSlow = 0;
         int batches = 0;
-        for (long now = 0; now < 60 * SECOND; now += TERMS.batchUs()) {
+        for (long now = 0; now < 60 * SECOND; now += TIMING.batchUs()) {
             append(25);
-            feed.on(1, follow(1, 0, false), now); // alive, and never further
+            feed.receive(1, follow(1, 0, false), now); // alive, and never further
             int slowNow = 0;
             for (ReplicaFeed.Push push : feed.tick(now)) {
                 if (push.director() == 2) {
-                    prompt = push.batch().slice().to();
-                    feed.on(2, follow(2, prompt, false), now);
+                    prompt = push.batch().range().to();
+                    feed.receive(2, follow(2, prompt, false), now);
                 } else {
                     slowNow += push.batch().bytes();
                     batches++;
@@ -59,7 +59,7 @@
             assertThat(prompt).isEqualTo(log.head());
         }
         // Once by its silence, while all there was fitted the window, and then by a full window, for good.
-        assertThat(feed.counts().toCatchUp()).isEqualTo(2);
+        assertThat(feed.counts().droppedToCatchUp()).isEqualTo(2);
         assertThat(feed.catchingUp()).isEqualTo(1);
         assertThat(batches).isPositive();
         assertThat(toSlow).isLessThan(60 * 4 * 5400 / 3);
@@ -71,26 +71,26 @@
         append(1);
         long position = 0;
         long now = 0;
-        feed.on(1, follow(1, 0, false), now);
-        for (; now < 2 * SECOND; now += TERMS.batchUs()) {
+        feed.receive(1, follow(1, 0, false), now);
+        for (; now < 2 * SECOND; now += TIMING.batchUs()) {
             for (ReplicaFeed.Push push : feed.tick(now)) {
-                position = push.batch().slice().to();
-                feed.on(1, follow(1, position, false), now);
+                position = push.batch().range().to();
+                feed.receive(1, follow(1, position, false), now);
             }
         }
         assertThat(feed.catchingUp()).isZero();
         append(400);
-        for (; now < 3 * SECOND; now += TERMS.batchUs()) {
+        for (; now < 3 * SECOND; now += TIMING.batchUs()) {
             feed.tick(now);
             append(1);
         }
         assertThat(feed.catchingUp()).isEqualTo(1);
-        assertThat(feed.counts().toCatchUp()).isEqualTo(1);
-        for (; now < 10 * SECOND; now += TERMS.batchUs()) {
-            feed.on(1, follow(1, position, false), now);
+        assertThat(feed.counts().droppedToCatchUp()).isEqualTo(1);
+        for (; now < 10 * SECOND; now += TIMING.batchUs()) {
+            feed.receive(1, follow(1, position, false), now);
             for (ReplicaFeed.Push push : feed.tick(now)) {
-                position = push.batch().slice().from() <= position ? push.batch().slice().to() : position;
-                feed.on(1, follow(1, position, false), now);
+                position = push.batch().range().from() <= position ? push.batch().range().to() : position;
+                feed.receive(1, follow(1, position, false), now);
             }
         }
         assertThat(position).isEqualTo(log.head());
@@ -101,9 +101,9 @@
     void whoComesBackPastRetentionIsToldToClear() {
         append(20_000);
         ReplicaFeed feed = feed(ReplicaFeed.Bounds.DEFAULT);
-        feed.on(1, follow(1, 10, false), 0);
-        LogRange first = feed.tick(0).get(0).batch().slice();
-        assertThat(first.clear()).isEqualTo(log.clear());
+        feed.receive(1, follow(1, 10, false), 0);
+        LogRange first = feed.tick(0).get(0).batch().range();
+        assertThat(first.truncatedPrefix()).isEqualTo(log.truncatedPrefix());
         assertThat(first.from()).isEqualTo(10);
         assertThat(first.completeAt()).isEqualTo(log.head());
     }
@@ -115,14 +115,14 @@
         Random random = new Random(4);
         long position = 0;
         long sent = 0;
-        feed.on(1, follow(1, 0, false), 0);
+        feed.receive(1, follow(1, 0, false), 0);
         for (long now = 0; now < 10 * SECOND; now += 10_000) {
             for (ReplicaFeed.Push push : feed.tick(now)) {
                 sent += push.batch().bytes();
-                position = random.nextInt(20) > 0 && push.batch().slice().from() <= position
-                        ? push.batch().slice().to() : position;
+                position = random.nextInt(20) > 0 && push.batch().range().from() <= position
+                        ? push.batch().range().to() : position;
             }
-            ReplicaFeed.Push answer = feed.on(1, follow(1, position, now % 400_000 == 0), now);
+            ReplicaFeed.Push answer = feed.receive(1, follow(1, position, now % 400_000 == 0), now);
             sent += answer == null ? 0 : answer.batch().bytes();
         }
         assertThat(sent).isLessThanOrEqualTo(10 * 7000 + 7000 + 1400);
@@ -135,13 +135,13 @@
         ReplicaFeed feed = feed(new ReplicaFeed.Bounds(7000, 50_000, 16_000, 200));
         long[] positions = new long[100];
         long sent = 0;
-        for (long now = 0; now < 20 * SECOND; now += TERMS.batchUs()) {
+        for (long now = 0; now < 20 * SECOND; now += TIMING.batchUs()) {
             for (int i = 0; i < positions.length; i++) {
-                feed.on(i, follow(i, positions[i], false), now);
+                feed.receive(i, follow(i, positions[i], false), now);
             }
             for (ReplicaFeed.Push push : feed.tick(now)) {
                 sent += push.batch().bytes();
-                positions[push.director()] = Math.max(positions[push.director()], push.batch().slice().to());
+                positions[push.director()] = Math.max(positions[push.director()], push.batch().range().to());
             }
         }
         assertThat(sent).isLessThanOrEqualTo(20 * 50_000 + 50_000 + 100 * 7000);
@@ -152,12 +152,12 @@
     void oneMoreThanTheMostIsRefusedAndAPlaceIsFreeWhenSomebodyHasGone() {
         append(1);
         ReplicaFeed feed = feed(new ReplicaFeed.Bounds(7000, 50_000, 16_000, 2));
-        assertThat(feed.on(1, follow(1, 0, true), 0)).isNotNull();
-        assertThat(feed.on(2, follow(2, 0, true), 0)).isNotNull();
-        assertThat(feed.on(3, follow(3, 0, true), 0)).isNull();
+        assertThat(feed.receive(1, follow(1, 0, true), 0)).isNotNull();
+        assertThat(feed.receive(2, follow(2, 0, true), 0)).isNotNull();
+        assertThat(feed.receive(3, follow(3, 0, true), 0)).isNull();
         assertThat(feed.counts().refused()).isEqualTo(1);
         feed.tick(6 * SECOND);
-        assertThat(feed.on(3, follow(3, 0, true), 6 * SECOND)).isNotNull();
+        assertThat(feed.receive(3, follow(3, 0, true), 6 * SECOND)).isNotNull();
         assertThat(feed.followers()).isEqualTo(1);
     }
 
@@ -165,9 +165,9 @@
     void aFollowerThatIsFurtherThanTheReplicaIsSentNothingOld() {
         append(5);
         ReplicaFeed feed = feed(ReplicaFeed.Bounds.DEFAULT);
-        feed.on(1, follow(1, 9, false), 0);
+        feed.receive(1, follow(1, 9, false), 0);
         assertThat(feed.tick(0)).isEmpty();
         append(6);
-        assertThat(feed.tick(SECOND).get(0).batch().slice().from()).isEqualTo(9);
+        assertThat(feed.tick(SECOND).get(0).batch().range().from()).isEqualTo(9);
     }
 }
