--- a/src/main/java/clovermill/controlplane/gossip/GossipCodec.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipCodec.java
@@ -23,12 +23,12 @@
  * signature:16
  * </pre>
  *
- * <p>Whatever is not exactly this, for this director and by this key, is an {@link InvalidMessageException} and
- * nothing else.
+ * <p>A datagram that is not exactly this, for this director and signed by this key, causes an {@link
+ * InvalidMessageException} and no other effect. Not thread-safe.
  */
 final class GossipCodec {
 
-    /** A datagram that is refused; the text gives the reason, and holds nothing of its content. */
+    /** A datagram that is not a valid message; the text names the reason and none of its content. */
     static final class InvalidMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -80,19 +80,19 @@
         in.get(datagram);
         int signed = datagram.length - SIGNATURE_BYTES;
         mac.update(datagram, 0, signed);
-        // Compared in constant time, lest the time tells how much of a forged signature was right.
+        // Compared in constant time, so that the time does not reveal how much of a forged signature was right.
         byte[] right = Arrays.copyOf(mac.doFinal(), SIGNATURE_BYTES);
         if (!MessageDigest.isEqual(right, Arrays.copyOfRange(datagram, signed, datagram.length))) {
             throw new InvalidMessageException("not signed with the fleet's key, or changed on its way");
         }
         try {
-            return message(ByteBuffer.wrap(datagram, 4, signed - 4));
+            return readMessage(ByteBuffer.wrap(datagram, 4, signed - 4));
         } catch (BufferUnderflowException cut) {
-            throw new InvalidMessageException("shorter than it says");
+            throw new InvalidMessageException("shorter than its counts require");
         }
     }
 
-    private GossipMessage message(ByteBuffer in) throws InvalidMessageException {
+    private GossipMessage readMessage(ByteBuffer in) throws InvalidMessageException {
         int from = in.getShort() & 0xffff;
         if ((in.getShort() & 0xffff) != self) {
             throw new InvalidMessageException("meant for another director");
@@ -100,8 +100,18 @@
         long incarnation = in.getLong();
         long sequence = in.getLong();
         long digest = in.getLong();
+        List<ReplicatedEntry> entries = readEntries(in);
+        List<GossipMessage.LoanRequest> requests = readLoanRequests(in);
+        List<GossipMessage.Loan> loans = readLoans(in);
+        if (in.hasRemaining()) {
+            throw new InvalidMessageException("longer than its counts require");
+        }
+        return new GossipMessage(from, incarnation, sequence, digest, entries, requests, loans);
+    }
+
+    private static List<ReplicatedEntry> readEntries(ByteBuffer in) throws InvalidMessageException {
         List<ReplicatedEntry> entries = new ArrayList<>();
-        for (int i = count(in); i > 0; i--) {
+        for (int i = readCount(in); i > 0; i--) {
             byte[] key = new byte[in.get() & 0xff];
             in.get(key);
             if (key.length == 0 || key.length > MAX_KEY_BYTES) {
@@ -110,21 +120,26 @@
             entries.add(new ReplicatedEntry(new String(key, StandardCharsets.UTF_8), in.get() == 1, in.getLong(),
                     in.getShort() & 0xffff));
         }
+        return entries;
+    }
+
+    private static List<GossipMessage.LoanRequest> readLoanRequests(ByteBuffer in) throws InvalidMessageException {
         List<GossipMessage.LoanRequest> requests = new ArrayList<>();
-        for (int i = count(in); i > 0; i--) {
-            requests.add(new GossipMessage.LoanRequest(in.get() & 0xff, in.getLong(), amount(in)));
+        for (int i = readCount(in); i > 0; i--) {
+            requests.add(new GossipMessage.LoanRequest(in.get() & 0xff, in.getLong(), readAmount(in)));
         }
+        return requests;
+    }
+
+    private static List<GossipMessage.Loan> readLoans(ByteBuffer in) throws InvalidMessageException {
         List<GossipMessage.Loan> loans = new ArrayList<>();
-        for (int i = count(in); i > 0; i--) {
-            loans.add(new GossipMessage.Loan(in.get() & 0xff, in.getLong(), amount(in)));
+        for (int i = readCount(in); i > 0; i--) {
+            loans.add(new GossipMessage.Loan(in.get() & 0xff, in.getLong(), readAmount(in)));
         }
-        if (in.hasRemaining()) {
-            throw new InvalidMessageException("longer than it says");
-        }
-        return new GossipMessage(from, incarnation, sequence, digest, entries, requests, loans);
+        return loans;
     }
 
-    private static int count(ByteBuffer in) throws InvalidMessageException {
+    private static int readCount(ByteBuffer in) throws InvalidMessageException {
         int count = in.get() & 0xff;
         if (count > MAX_ITEMS) {
             throw new InvalidMessageException("more items than any message has");
@@ -132,10 +147,10 @@
         return count;
     }
 
-    private static double amount(ByteBuffer in) throws InvalidMessageException {
+    private static double readAmount(ByteBuffer in) throws InvalidMessageException {
         double amount = in.getDouble();
         if (!(amount >= 0 && amount < Double.POSITIVE_INFINITY)) {
-            throw new InvalidMessageException("an amount that is none");
+            throw new InvalidMessageException("an amount that is negative or not finite");
         }
         return amount;
     }
--- a/src/main/java/clovermill/controlplane/gossip/GossipService.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipService.java
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Binds the socket and gossips from now on; {@code onOutage} is called with each cache that a peer took out
-     * (true) or put back. While another process of this director has the socket, this one retries, and admits no more
-     * than the reserved part that the other never lends.
+     * Binds the socket and gossips from now on; {@code onOutage} is called with each cache that a peer disabled
+     * (true) or enabled again. While another process of this director has the socket, this one retries, and admits no
+     * more than the reserved part that the other never lends.
      */
     public void open(EventLoop loop, BiConsumer<String, Boolean> onOutage) {
         outageHandler = onOutage;
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Replicates to all directors that operators took a cache out here, or put it back. */
+    /** Replicates to all directors that operators disabled a cache here, or enabled it again. */
     public void putOutage(String id, boolean out) {
         String key = CACHE_PREFIX + id;
         boolean fits = key.getBytes(StandardCharsets.UTF_8).length <= GossipCodec.MAX_KEY_BYTES;
@@ -159,7 +159,9 @@
         return first;
     }
 
-    /** A request that was admitted under the first so many limits has ended, or never began. */
+    /**
+     * Releases a request from the first {@code count} limits that admitted it: it has ended, or another rejected it.
+     */
     private void release(ClientRequest ask, int count) {
         for (int i = 0; i < count; i++) {
             if (appliesTo(limits.get(i), ask)) {
--- a/src/main/java/clovermill/controlplane/gossip/GossipSettings.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipSettings.java
@@ -20,14 +20,19 @@
 
     /**
      * A limit on all directors together: requests by second, or requests open at once. It counts those of a class, of
-     * a range of groups (a tenant's), or only clients' repeats, as far as it says so; else every request.
+     * a range of groups (a tenant's), or only clients' repeats, where these are given; otherwise every request.
      */
     public record Limit(String name, @JsonProperty("class") String requestClass, List<Integer> groups, boolean repeats,
             @JsonProperty("per_second") Double perSecond, Integer open) {}
 
     private static final long MAX_TERM_MS = 60_000;
 
-    /** Checks what no schema can; an {@link IllegalArgumentException} says which field and why. */
+    /**
+     * Checks what the schema cannot.
+     *
+     * @param classes the names of all request classes, or null if they are unknown
+     * @throws IllegalArgumentException if a value cannot be used; the message names the field and the reason
+     */
     public void check(List<String> classes) {
         if (directors == null || directors.size() < 2 || self < 0 || self >= directors.size()) {
             throw new IllegalArgumentException("/fleet/self: " + self + " is no index of the directors");
@@ -50,6 +55,7 @@
         }
     }
 
+    /** The limits in their order, empty if none are given. */
     @Override
     public List<Limit> limits() {
         return limits == null ? List.of() : limits;
@@ -59,6 +65,7 @@
         return intervalMs == null ? 200 : intervalMs;
     }
 
+    /** This director's place in the group. */
     GossipMember.GroupMembership membership() {
         return new GossipMember.GroupMembership(self, directors.size(), interval() * 1000, fanout == null ? 4 : fanout);
     }
@@ -72,19 +79,21 @@
         for (Limit limit : limits()) {
             shares.add(limit.open != null
                     ? new ConcurrencyLimitShare(
-                            new ConcurrencyLimitShare.Terms(limit.open, directors.size(), termUs, maxDrift), self,
+                            new ConcurrencyLimitShare.Parameters(limit.open, directors.size(), termUs, maxDrift), self,
                             nowUs)
                     : new RateLimitShare(
-                            new RateLimitShare.Terms(limit.perSecond, directors.size(), burstS, termUs, maxDrift),
+                            new RateLimitShare.Parameters(limit.perSecond, directors.size(), burstS, termUs, maxDrift),
                             nowUs));
         }
         return shares;
     }
 
+    /** The addresses of all directors, in their order. */
     List<InetSocketAddress> addresses() {
         return Peers.addresses("/fleet", directors);
     }
 
+    /** The fleet's key for signatures. */
     byte[] key() {
         return Peers.key("/fleet", keyFile);
     }
--- a/src/main/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShare.java
@@ -3,14 +3,14 @@
 /**
  * One director's share of a limit on how many requests the whole fleet has open at once (a distributed semaphore). A
  * share is a number of permits, lent as in {@link RateLimitShare}; a request on a borrowed permit has to end before the
- * loan does. So at every moment all directors together have at most the limit open, whatever becomes of messages;
- * what a director that died had open ends when the caches notice. Not thread-safe; times are microseconds of the
- * owner's clock.
+ * loan does. So at every moment all directors together have at most the limit open, whichever messages are lost;
+ * requests that a director had open when it died end when the caches notice. Not thread-safe; times are microseconds of
+ * the owner's clock.
  */
 public final class ConcurrencyLimitShare implements LimitShare {
 
     /** What all directors of a fleet have in common: permits, directors, the term of a loan, the bound on drift. */
-    public record Terms(int permits, int directors, long termUs, double drift) {
+    public record Parameters(int permits, int directors, long termUs, double drift) {
 
         /** How long a lender counts a loan: longer than any borrower uses it by its own clock. */
         long lenderTermUs() {
@@ -21,7 +21,7 @@
     /** Time constant of the exponential average of refusals, which is the shortfall. */
     private static final double REFUSED_US = 1_000_000;
 
-    private final Terms terms;
+    private final Parameters parameters;
     private final int own;
     private final int reserved;
     private final LoanBook lent = new LoanBook();
@@ -31,10 +31,11 @@
     private double refused;
     private long refusedUs;
 
-    /** The director of a number, from 0; permits that cannot be divided evenly go to the first ones. */
-    public ConcurrencyLimitShare(Terms terms, int self, long nowUs) {
-        this.terms = terms;
-        this.own = terms.permits() / terms.directors() + (self < terms.permits() % terms.directors() ? 1 : 0);
+    /** The share of director {@code self}, from 0; permits that cannot be divided evenly go to the first directors. */
+    public ConcurrencyLimitShare(Parameters parameters, int self, long nowUs) {
+        this.parameters = parameters;
+        this.own = parameters.permits() / parameters.directors()
+                + (self < parameters.permits() % parameters.directors() ? 1 : 0);
         this.reserved = (int) Math.ceil(RateLimitShare.RESERVED_PART * own);
         this.startedUs = nowUs;
         this.refusedUs = nowUs;
@@ -70,7 +71,7 @@
 
     @Override
     public double maxRequest() {
-        return Math.max(1, terms.permits() / (double) terms.directors());
+        return Math.max(1, parameters.permits() / (double) parameters.directors());
     }
 
     /** Lends whole permits that are free now and not reserved. */
@@ -81,7 +82,7 @@
         boolean lends = !justStarted(nowUs) && !lent.full();
         double granted = lends ? Math.floor(Math.max(0, Math.min(requested, free))) : 0;
         if (granted > 0) {
-            lent.add(granted, nowUs + terms.lenderTermUs());
+            lent.add(granted, nowUs + parameters.lenderTermUs());
         }
         return granted;
     }
@@ -89,9 +90,9 @@
     @Override
     public void borrow(double granted, long requestedUs, long nowUs) {
         update(nowUs);
-        boolean expired = requestedUs + terms.termUs() <= nowUs;
-        if (!expired && granted >= 1 && granted <= terms.permits() && !borrowed.full()) {
-            borrowed.add(Math.floor(granted), requestedUs + terms.termUs());
+        boolean expired = requestedUs + parameters.termUs() <= nowUs;
+        if (!expired && granted >= 1 && granted <= parameters.permits() && !borrowed.full()) {
+            borrowed.add(Math.floor(granted), requestedUs + parameters.termUs());
         }
     }
 
@@ -107,7 +108,7 @@
 
     /** Whether loans of the process before may still run, which this one does not know of. */
     private boolean justStarted(long nowUs) {
-        return nowUs - startedUs < terms.lenderTermUs();
+        return nowUs - startedUs < parameters.lenderTermUs();
     }
 
     private void update(long nowUs) {
--- a/src/main/java/clovermill/controlplane/gossip/decide/GossipMember.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/GossipMember.java
@@ -75,7 +75,7 @@
         return Math.max(3 * membership.round(), 20) * membership.intervalUs() / 1000 + delayMs;
     }
 
-    /** Assumes that another process of this director may still admit and lend. */
+    /** Withholds all lendable parts for a term: another process of this director may still admit and lend. */
     public void restart(long nowUs) {
         loanExchange.restart(nowUs);
     }
@@ -110,7 +110,7 @@
         return ignored;
     }
 
-    /** What the failure detector holds a peer to be. */
+    /** The failure detector's state of a peer. */
     public PeerState state(int peer, long nowUs) {
         return PeerState.afterSilentRounds(
                 peers[peer].silentUs(nowUs) / (membership.round() * membership.intervalUs()));
@@ -137,7 +137,7 @@
         message.entries().forEach(this::merge);
         message.loans().forEach(loan -> loanExchange.borrow(loan, nowUs));
         List<GossipMessage.Loan> loans = loanExchange.lend(message.loanRequests(), nowUs);
-        // A differing digest is answered once for each of the peer's, lest two that differ reply without end.
+        // A differing digest is answered once for each of the peer's, so that two maps cannot cause endless replies.
         boolean sendsEntries = digestChanged && message.digest() != map.digest();
         return loans.isEmpty() && !sendsEntries ? List.of()
                 : List.of(new OutgoingMessage(message.from(), message(message.from(), List.of(), loans)));
--- a/src/main/java/clovermill/controlplane/gossip/decide/GossipMessage.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/GossipMessage.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What one director sends another: the incarnation that sends it ({@code incarnation}, a random number drawn at its
- * start), its sequence number to this peer, the digest of the sender's {@link ReplicatedMap}, some of its entries, and
- * loans requested and granted by limit.
+ * A message from one director to another: the incarnation that sends it ({@code incarnation}, a random number drawn at
+ * its start), its sequence number to this peer, the digest of the sender's {@link ReplicatedMap}, some of its entries,
+ * and loans requested and granted by limit.
  */
 public record GossipMessage(int from, long incarnation, long sequence, long digest, List<ReplicatedEntry> entries,
         List<LoanRequest> loanRequests, List<Loan> loans) {
--- a/src/main/java/clovermill/controlplane/gossip/decide/LimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/LimitShare.java
@@ -25,7 +25,7 @@
     /** Lends up to so much; what it returns counts as lent from now on, whether the answer arrives or not. */
     double lend(double requested, long nowUs);
 
-    /** Takes a loan that was requested at {@code requestedUs} of this clock, unless its lease has expired. */
+    /** Accepts a loan that was requested at {@code requestedUs} of this clock, unless its lease has expired. */
     void borrow(double granted, long requestedUs, long nowUs);
 
     /** Assumes that another process may still use and lend this share: what may be lent is withheld for a term. */
--- a/src/main/java/clovermill/controlplane/gossip/decide/LoanBook.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/LoanBook.java
@@ -13,6 +13,7 @@
     private final PriorityQueue<Loan> open = new PriorityQueue<>((a, b) -> Long.compare(a.expiryUs, b.expiryUs));
     private double sum;
 
+    /** Records a loan. */
     void add(double amount, long expiryUs) {
         open.add(new Loan(amount, expiryUs));
         sum += amount;
@@ -27,14 +28,17 @@
         sum = open.isEmpty() ? 0 : sum;
     }
 
+    /** The sum of all loans that have not expired. */
     double sum() {
         return sum;
     }
 
+    /** Whether the bound on loans is reached. */
     boolean full() {
         return open.size() >= MAX_LOANS;
     }
 
+    /** When the next loan expires; {@link Long#MAX_VALUE} if there is none. */
     long nextExpiryUs() {
         return open.isEmpty() ? Long.MAX_VALUE : open.peek().expiryUs;
     }
--- a/src/main/java/clovermill/controlplane/gossip/decide/LoanExchange.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/LoanExchange.java
@@ -9,12 +9,12 @@
 
 /**
  * Borrows and lends parts of the limits by messages: requests what this director's shares fall short of, grants what
- * they can spare, and takes each loan once, and only if this incarnation requested it (by its nonce). Not thread-safe;
- * times are microseconds of the owner's clock.
+ * they can spare, and accepts each loan once, and only if this incarnation requested it (by its nonce). Not
+ * thread-safe; times are microseconds of the owner's clock.
  */
 final class LoanExchange {
 
-    /** Loan requests without an answer, by limit; older ones are dropped, and loans for them are not taken. */
+    /** Loan requests without an answer, by limit; older ones are dropped, and loans for them are ignored. */
     private static final int MAX_PENDING_REQUESTS = 64;
 
     private final List<LimitShare> shares;
@@ -34,7 +34,7 @@
         return shares.get(limit);
     }
 
-    /** Assumes that another process of this director may still admit and lend. */
+    /** Withholds all lendable parts for a term: another process of this director may still admit and lend. */
     void restart(long nowUs) {
         shares.forEach(share -> share.restart(nowUs));
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Takes a loan if this director requested it, and only once. */
+    /** Accepts a loan if this director requested it, and only once. */
     void borrow(GossipMessage.Loan loan, long nowUs) {
         if (!isLimit(loan.limit())) {
             return;
--- a/src/main/java/clovermill/controlplane/gossip/decide/PeerSession.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/PeerSession.java
@@ -5,7 +5,7 @@
 
 /**
  * What a member knows of one peer: its present incarnation and the last sequence number of it, by which replayed
- * messages are told apart, the digest of its replicated map, and when its last message was received. Not thread-safe;
+ * messages are detected, the digest of its replicated map, and when its last message was received. Not thread-safe;
  * times are microseconds of the owner's clock.
  */
 final class PeerSession {
--- a/src/main/java/clovermill/controlplane/gossip/decide/PeerState.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/PeerState.java
@@ -1,6 +1,6 @@
 package clovermill.controlplane.gossip.decide;
 
-/** What the failure detector holds a peer to be, by how many gossip rounds have passed since its last message. */
+/** The failure detector's state of a peer, by how many gossip rounds have passed since its last message. */
 public enum PeerState {
     /** It has sent within the last two rounds. */
     ALIVE,
@@ -12,7 +12,7 @@
     private static final int SUSPECT_ROUNDS = 2;
     private static final int UNREACHABLE_ROUNDS = 5;
 
-    /** The state of a peer that has sent nothing for so many whole rounds. */
+    /** The state of a peer that has sent nothing for so many complete rounds. */
     static PeerState afterSilentRounds(long rounds) {
         if (rounds < SUSPECT_ROUNDS) {
             return ALIVE;
--- a/src/main/java/clovermill/controlplane/gossip/decide/RateLimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/RateLimitShare.java
@@ -20,7 +20,7 @@
      * What all directors of a fleet have in common: the limit by second, the number of directors, seconds of its
      * share that a bucket holds, the term of a loan, and the bound on clock drift.
      */
-    public record Terms(double perSecond, int directors, double burstS, long termUs, double drift) {
+    public record Parameters(double perSecond, int directors, double burstS, long termUs, double drift) {
 
         /** Each director's equal part, by second. */
         double share() {
@@ -41,7 +41,7 @@
     private static final double DEMAND_US = 1_000_000;
     private static final double SECOND_US = 1e6;
 
-    private final Terms terms;
+    private final Parameters parameters;
     private long startedUs;
     private final LoanBook lent = new LoanBook();
     private final LoanBook borrowed = new LoanBook();
@@ -50,8 +50,9 @@
     private double demand;
     private long demandUs;
 
-    public RateLimitShare(Terms terms, long nowUs) {
-        this.terms = terms;
+    /** The share of a director that starts now: it withholds for a term what an earlier process may have lent. */
+    public RateLimitShare(Parameters parameters, long nowUs) {
+        this.parameters = parameters;
         this.startedUs = nowUs;
         this.filledUs = nowUs;
         this.demandUs = nowUs;
@@ -65,8 +66,8 @@
     }
 
     /** What all directors together admit at most in any so many seconds, partitions and restarts included. */
-    public static double maxAdmitted(Terms terms, double seconds) {
-        return terms.perSecond() * (seconds + terms.burstS()) + terms.directors();
+    public static double maxAdmitted(Parameters parameters, double seconds) {
+        return parameters.perSecond() * (seconds + parameters.burstS()) + parameters.directors();
     }
 
     @Override
@@ -85,10 +86,10 @@
 
     @Override
     public double maxRequest() {
-        return terms.share();
+        return parameters.share();
     }
 
-    /** Whether one more is admitted now. */
+    /** Whether one more request is admitted now. */
     public boolean admit(long nowUs) {
         decayDemand(nowUs);
         demand += SECOND_US / DEMAND_US;
@@ -100,7 +101,7 @@
         return true;
     }
 
-    /** What it may admit by second now. */
+    /** The requests a second that it may admit now. */
     public double rate(long nowUs) {
         fill(nowUs);
         return currentRate(nowUs);
@@ -115,8 +116,8 @@
     /** How much, by second, it could lend now. */
     public double spare(long nowUs) {
         fill(nowUs);
-        double lendable = (1 - RESERVED_PART) * terms.share() - lent.sum();
-        double unused = terms.share() - lent.sum() - DEMAND_MARGIN * decayDemand(nowUs);
+        double lendable = (1 - RESERVED_PART) * parameters.share() - lent.sum();
+        double unused = parameters.share() - lent.sum() - DEMAND_MARGIN * decayDemand(nowUs);
         return justStarted(nowUs) || lent.full() ? 0 : Math.max(0, Math.min(lendable, unused));
     }
 
@@ -124,7 +125,7 @@
     public double lend(double requested, long nowUs) {
         double granted = requested > 0 ? Math.min(requested, spare(nowUs)) : 0;
         if (granted > 0) {
-            lent.add(granted, nowUs + terms.lenderTermUs());
+            lent.add(granted, nowUs + parameters.lenderTermUs());
             capTokens(nowUs);
         }
         return granted;
@@ -133,9 +134,9 @@
     @Override
     public void borrow(double granted, long requestedUs, long nowUs) {
         fill(nowUs);
-        boolean expired = requestedUs + terms.termUs() <= nowUs;
-        if (!expired && granted > 0 && granted <= terms.perSecond() && !borrowed.full()) {
-            borrowed.add(granted, requestedUs + terms.termUs());
+        boolean expired = requestedUs + parameters.termUs() <= nowUs;
+        if (!expired && granted > 0 && granted <= parameters.perSecond() && !borrowed.full()) {
+            borrowed.add(granted, requestedUs + parameters.termUs());
         }
     }
 
@@ -159,23 +160,25 @@
     }
 
     private long nextRateChangeUs() {
-        long lendsAgainUs = startedUs + terms.lenderTermUs();
+        long lendsAgainUs = startedUs + parameters.lenderTermUs();
         long next = lendsAgainUs > filledUs ? lendsAgainUs : Long.MAX_VALUE;
         return Math.min(next, Math.min(lent.nextExpiryUs(), borrowed.nextExpiryUs()));
     }
 
     private double currentRate(long atUs) {
-        double own = justStarted(atUs) ? RESERVED_PART * terms.share() : terms.share() - lent.sum();
+        double own = justStarted(atUs) ? RESERVED_PART * parameters.share() : parameters.share() - lent.sum();
         return own + borrowed.sum();
     }
 
     /** Whether loans of the process before may still run, which this one does not know of. */
     private boolean justStarted(long atUs) {
-        return atUs - startedUs < terms.lenderTermUs();
+        return atUs - startedUs < parameters.lenderTermUs();
     }
 
-    /** A bucket holds the burst of the current rate, and one request at least, lest small shares admit nothing. */
+    /**
+     * A bucket holds the burst of the current rate, and one request at least, so that small shares admit some requests.
+     */
     private void capTokens(long nowUs) {
-        tokens = Math.min(tokens, Math.max(1, terms.burstS() * currentRate(nowUs)));
+        tokens = Math.min(tokens, Math.max(1, parameters.burstS() * currentRate(nowUs)));
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/GossipFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/GossipFleet.java
@@ -33,13 +33,14 @@
     public record Kill(double at, double lasts, int which) {}
 
     /**
-     * What was seen. {@code most}: admitted by all within any one second, beside its {@code bound}; {@code
-     * usedShare}: of the limit, where more was offered; {@code staleMs}: the longest until an entry was everywhere,
-     * from when the links allowed it, beside its bound; {@code lostEntries}: missing somewhere at the end; {@code
-     * mostAlone}: by a director that was cut off for longer than a term, beyond its own share.
+     * What was seen. {@code maxAdmittedPerSecond}: admitted by all within any one second, beside its {@code bound};
+     * {@code usedShare}: of the limit, where more was offered; {@code staleMs}: the longest until an entry was
+     * everywhere, from when the links allowed it, beside its bound; {@code lostEntries}: missing somewhere at the end;
+     * {@code excessWhileIsolated}: by a director that was cut off for longer than a term, beyond its own share.
      */
-    public record GossipMetrics(double most, double bound, double usedShare, long staleMs, long staleBoundMs,
-            int lostEntries, double mostAlone) {}
+    public record GossipMetrics(double maxAdmittedPerSecond, double bound, double usedShare, long staleMs,
+            long staleBoundMs,
+            int lostEntries, double excessWhileIsolated) {}
 
     private static final long STEP_US = 10_000;
     private static final long SECOND_US = 1_000_000;
@@ -48,7 +49,7 @@
     private static final double DRIFT = 0.01;
     private static final long INTERVAL_US = 200_000;
     private static final int FANOUT = 4;
-    private static final double REPEATED = 0.02;
+    private static final double DUPLICATE_RATE = 0.02;
 
     private record Packet(long atUs, long order, int to, GossipMessage message) implements Comparable<Packet> {
         @Override
@@ -61,7 +62,7 @@
     private static final class PutEntry {
         private final String key;
         private long fromUs;
-        private boolean everywhere;
+        private boolean replicated;
 
         PutEntry(String key, long fromUs) {
             this.key = key;
@@ -76,8 +77,8 @@
         private final long offsetUs = (long) (random.nextDouble() * 20 * SECOND_US);
         private final long phaseUs = (long) (random.nextDouble() * INTERVAL_US);
         private GossipMember member;
-        private long tickUs;
-        private double due;
+        private long nextTickUs;
+        private double dueRequests;
 
         Peer(int number) {
             this.number = number;
@@ -88,94 +89,106 @@
         }
 
         void start() {
-            member = new GossipMember(membership(number), List.of(new RateLimitShare(terms, clock())), random.split(),
+            member = new GossipMember(membership(number), List.of(new RateLimitShare(limitParameters, clock())),
+                    random.split(),
                     entry -> {}, clock());
-            tickUs = nowUs + phaseUs;
+            nextTickUs = nowUs + phaseUs;
         }
     }
 
-    private final Scenario plan;
+    private final Scenario scenario;
     private final SplittableRandom random;
-    private final RateLimitShare.Terms terms;
+    private final RateLimitShare.Parameters limitParameters;
     private final List<Peer> peers = new ArrayList<>();
     private final PriorityQueue<Packet> packets = new PriorityQueue<>();
     private final List<PutEntry> entries = new ArrayList<>();
     private final Deque<Integer> window = new ArrayDeque<>();
-    private int inWindow;
-    private int most;
+    private int admittedInWindow;
+    private int maxAdmittedPerSecond;
     private long admitted;
     private long nowUs;
     private long order;
     private long staleUs;
-    private double mostAlone;
+    private double excessWhileIsolated;
 
-    private GossipFleet(Scenario plan, long seed) {
-        this.plan = plan;
+    private GossipFleet(Scenario scenario, long seed) {
+        this.scenario = scenario;
         this.random = new SplittableRandom(seed);
-        this.terms = new RateLimitShare.Terms(plan.limit(), plan.directors(), BURST_S, TERM_US, DRIFT);
-        for (int i = 0; i < plan.directors(); i++) {
+        this.limitParameters =
+                new RateLimitShare.Parameters(scenario.limit(), scenario.directors(), BURST_S, TERM_US, DRIFT);
+        for (int i = 0; i < scenario.directors(); i++) {
             peers.add(new Peer(i));
             peers.get(i).start();
         }
     }
 
     private GroupMembership membership(int number) {
-        return new GroupMembership(number, plan.directors(), INTERVAL_US, FANOUT);
+        return new GroupMembership(number, scenario.directors(), INTERVAL_US, FANOUT);
     }
 
     /** Plays a case. */
-    public static GossipMetrics play(Scenario plan, long seed) {
-        return new GossipFleet(plan, seed).run();
+    public static GossipMetrics play(Scenario scenario, long seed) {
+        return new GossipFleet(scenario, seed).run();
     }
 
     private GossipMetrics run() {
-        long end = plan.seconds() * SECOND_US;
+        long end = scenario.seconds() * SECOND_US;
         long nextPutUs = SECOND_US;
         for (nowUs = 0; nowUs < end; nowUs += STEP_US) {
-            faults();
-            while (!packets.isEmpty() && packets.peek().atUs <= nowUs) {
-                Packet packet = packets.poll();
-                Peer to = peers.get(packet.to);
-                if (to.member != null && linked(packet.message.from(), packet.to)) {
-                    send(to, to.member.receive(packet.message, to.clock()));
-                }
-            }
-            for (Peer peer : peers) {
-                if (peer.member != null && nowUs >= peer.tickUs) {
-                    peer.tickUs += INTERVAL_US;
-                    send(peer, peer.member.tick(peer.clock()));
-                }
-            }
+            applyFaults();
+            deliverPackets();
+            tickMembers();
             if (nowUs >= nextPutUs && nowUs < end - 15 * SECOND_US) {
                 nextPutUs += SECOND_US;
                 put();
             }
             admit();
-            follow();
+            trackReplication();
         }
         int lost = (int) entries.stream().filter(entry -> !setEverywhere(entry.key)).count();
-        return new GossipMetrics(most, RateLimitShare.maxAdmitted(terms, 1), admitted / (plan.limit() * plan.seconds()),
-                staleUs / 1000, GossipMember.stalenessBoundMs(membership(0), plan.delayMs()), lost, mostAlone);
+        return new GossipMetrics(maxAdmittedPerSecond, RateLimitShare.maxAdmitted(limitParameters, 1),
+                admitted / (scenario.limit() * scenario.seconds()),
+                staleUs / 1000, GossipMember.stalenessBoundMs(membership(0), scenario.delayMs()), lost,
+                excessWhileIsolated);
+    }
+
+    private void deliverPackets() {
+        while (!packets.isEmpty() && packets.peek().atUs <= nowUs) {
+            Packet packet = packets.poll();
+            Peer to = peers.get(packet.to);
+            if (to.member != null && linked(packet.message.from(), packet.to)) {
+                send(to, to.member.receive(packet.message, to.clock()));
+            }
+        }
+    }
+
+    private void tickMembers() {
+        for (Peer peer : peers) {
+            if (peer.member != null && nowUs >= peer.nextTickUs) {
+                peer.nextTickUs += INTERVAL_US;
+                send(peer, peer.member.tick(peer.clock()));
+            }
+        }
     }
 
-    private void faults() {
-        for (Kill kill : plan.kills()) {
+    private void applyFaults() {
+        for (Kill kill : scenario.kills()) {
             Peer peer = peers.get(kill.which());
-            if (happens(kill.at())) {
+            if (isDue(kill.at())) {
                 peer.member = null;
-            } else if (happens(kill.at() + kill.lasts())) {
+            } else if (isDue(kill.at() + kill.lasts())) {
                 peer.start();
             }
         }
     }
 
-    private boolean happens(double at) {
+    private boolean isDue(double at) {
         long atUs = (long) (at * SECOND_US);
         return nowUs >= atUs && nowUs - STEP_US < atUs;
     }
 
     private boolean linked(int one, int other) {
-        for (Cut cut : plan.cuts()) {
+        for (Cut cut : scenario.cuts()) {
             boolean now = nowUs >= cut.at() * SECOND_US && nowUs < (cut.at() + cut.lasts()) * SECOND_US;
             if (now && inside(cut, one) != inside(cut, other)) {
                 return false;
@@ -191,9 +204,9 @@
     /** Every message takes a time of its own, so that they overtake one another; some are lost and some come twice. */
     private void send(Peer from, List<OutgoingMessage> messages) {
         for (OutgoingMessage each : messages) {
-            int copies = random.nextDouble() < plan.loss() ? 0 : random.nextDouble() < REPEATED ? 2 : 1;
+            int copies = random.nextDouble() < scenario.loss() ? 0 : random.nextDouble() < DUPLICATE_RATE ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                long delayUs = (long) (random.nextDouble() * plan.delayMs() * 1000);
+                long delayUs = (long) (random.nextDouble() * scenario.delayMs() * 1000);
                 packets.add(new Packet(nowUs + delayUs, order++, each.to(), each.message()));
             }
         }
@@ -213,29 +226,29 @@
     /** Each hot director is asked for its share of what is offered. */
     private void admit() {
         int now = 0;
-        for (int i = 0; i < plan.hot(); i++) {
+        for (int i = 0; i < scenario.hot(); i++) {
             Peer peer = peers.get(i);
-            peer.due += plan.offered() * plan.limit() / plan.hot() * STEP_US / SECOND_US;
-            for (; peer.due >= 1; peer.due--) {
+            peer.dueRequests += scenario.offered() * scenario.limit() / scenario.hot() * STEP_US / SECOND_US;
+            for (; peer.dueRequests >= 1; peer.dueRequests--) {
                 now += peer.member != null && peer.member.share(0).admit(peer.clock(), 0) ? 1 : 0;
             }
-            if (peer.member != null && alone(i)) {
-                double share = terms.perSecond() / terms.directors();
-                mostAlone = Math.max(mostAlone, peer.member.share(0).amount(peer.clock()) - share);
+            if (peer.member != null && isIsolated(i)) {
+                double share = limitParameters.perSecond() / limitParameters.directors();
+                excessWhileIsolated = Math.max(excessWhileIsolated, peer.member.share(0).amount(peer.clock()) - share);
             }
         }
         admitted += now;
-        inWindow += now;
+        admittedInWindow += now;
         window.add(now);
         if (window.size() > SECOND_US / STEP_US) {
-            inWindow -= window.poll();
+            admittedInWindow -= window.poll();
         }
-        most = Math.max(most, inWindow);
+        maxAdmittedPerSecond = Math.max(maxAdmittedPerSecond, admittedInWindow);
     }
 
     /** Whether a director has been cut off for longer than a term. */
-    private boolean alone(int number) {
-        for (Cut cut : plan.cuts()) {
+    private boolean isIsolated(int number) {
+        for (Cut cut : scenario.cuts()) {
             boolean longer = nowUs > cut.at() * SECOND_US + 1.1 * TERM_US;
             if (longer && nowUs < (cut.at() + cut.lasts()) * SECOND_US && cut.to() - cut.from() == 1
                     && cut.from() == number) {
@@ -246,14 +259,14 @@
     }
 
     /** How long entries take; while links are cut or directors are dead, the time starts anew with the last of it. */
-    private void follow() {
-        boolean whole = peers.stream().allMatch(peer -> peer.member != null) && plan.cuts().stream()
+    private void trackReplication() {
+        boolean connected = peers.stream().allMatch(peer -> peer.member != null) && scenario.cuts().stream()
                 .noneMatch(cut -> nowUs >= cut.at() * SECOND_US && nowUs < (cut.at() + cut.lasts()) * SECOND_US);
         for (PutEntry entry : entries) {
-            if (!whole) {
-                entry.fromUs = entry.everywhere ? entry.fromUs : nowUs;
-            } else if (!entry.everywhere) {
-                entry.everywhere = setEverywhere(entry.key);
+            if (!connected) {
+                entry.fromUs = entry.replicated ? entry.fromUs : nowUs;
+            } else if (!entry.replicated) {
+                entry.replicated = setEverywhere(entry.key);
                 staleUs = Math.max(staleUs, nowUs - entry.fromUs);
             }
         }
--- a/src/test/java/clovermill/controlplane/gossip/GossipCodecTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/GossipCodecTest.java
@@ -62,7 +62,8 @@
         GossipMessage forged =
                 new GossipMessage(3, 1, 1, 1, List.of(), List.of(new GossipMessage.LoanRequest(0, 1, Double.NaN)),
                         List.of());
-        assertThatThrownBy(() -> other.read(one.write(4, forged))).hasMessage("an amount that is none");
+        assertThatThrownBy(() -> other.read(one.write(4, forged)))
+                .hasMessage("an amount that is negative or not finite");
         GossipMessage withoutKey =
                 new GossipMessage(3, 1, 1, 1, List.of(new ReplicatedEntry("", true, 1, 1)), List.of(),
                         List.of());
--- a/src/test/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShareTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShareTest.java
@@ -12,7 +12,8 @@
 /** A limit on what the whole fleet has open, in permits that are lent for a term. */
 class ConcurrencyLimitShareTest {
 
-    private static final ConcurrencyLimitShare.Terms TERMS = new ConcurrencyLimitShare.Terms(50, 4, 2_000_000, 0.01);
+    private static final ConcurrencyLimitShare.Parameters PARAMETERS =
+            new ConcurrencyLimitShare.Parameters(50, 4, 2_000_000, 0.01);
     private static final long LATER = 5_000_000;
 
     private static int opened(ConcurrencyLimitShare share, int asked, long nowUs, long untilUs) {
@@ -27,15 +28,16 @@
     void permitsAreDividedToTheLastOne() {
         int all = 0;
         for (int i = 0; i < 4; i++) {
-            all += opened(new ConcurrencyLimitShare(TERMS, i, 0), 100, LATER, LATER + 1);
+            all += opened(new ConcurrencyLimitShare(PARAMETERS, i, 0), 100, LATER, LATER + 1);
         }
         assertThat(all).isEqualTo(50);
-        assertThat(opened(new ConcurrencyLimitShare(TERMS, 0, 0), 100, 0, 1)).as("right after a start").isEqualTo(3);
+        assertThat(opened(new ConcurrencyLimitShare(PARAMETERS, 0, 0), 100, 0, 1)).as("right after a start")
+                .isEqualTo(3);
     }
 
     @Test
     void aBorrowedPermitAdmitsOnlyRequestsThatEndBeforeTheLoan() {
-        ConcurrencyLimitShare share = new ConcurrencyLimitShare(TERMS, 0, 0);
+        ConcurrencyLimitShare share = new ConcurrencyLimitShare(PARAMETERS, 0, 0);
         opened(share, 100, LATER, LATER + 9_000_000);
         share.borrow(2, LATER, LATER + 1);
         assertThat(share.admit(LATER + 2, LATER + 2_000_001)).as("one that may last longer").isFalse();
@@ -45,11 +47,11 @@
 
     @Test
     void onlyFreePermitsAreLentAndReservedOnesNever() {
-        ConcurrencyLimitShare share = new ConcurrencyLimitShare(TERMS, 0, 0);
+        ConcurrencyLimitShare share = new ConcurrencyLimitShare(PARAMETERS, 0, 0);
         opened(share, 4, LATER, LATER + 1);
         assertThat(share.lend(100, LATER)).as("13 of its own, 4 open").isEqualTo(9);
         assertThat(share.admit(LATER, LATER + 1)).isFalse();
-        ConcurrencyLimitShare idle = new ConcurrencyLimitShare(TERMS, 0, 0);
+        ConcurrencyLimitShare idle = new ConcurrencyLimitShare(PARAMETERS, 0, 0);
         assertThat(idle.lend(100, LATER)).as("3 it never lends").isEqualTo(10);
     }
 
@@ -61,7 +63,7 @@
         List<ConcurrencyLimitShare> all = new ArrayList<>();
         List<long[]> open = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            all.add(new ConcurrencyLimitShare(TERMS, i, 0));
+            all.add(new ConcurrencyLimitShare(PARAMETERS, i, 0));
         }
         for (long now = 0; now < 15_000_000; now += 10_000) {
             for (int i = open.size() - 1; i >= 0; i--) {
--- a/src/test/java/clovermill/controlplane/gossip/decide/GossipMemberTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/decide/GossipMemberTest.java
@@ -20,8 +20,8 @@
     private final GossipMember two = member(1, 2);
 
     private GossipMember member(int self, long seed) {
-        RateLimitShare.Terms terms = new RateLimitShare.Terms(300, 3, 0.1, 2_000_000, 0.01);
-        return new GossipMember(new GroupMembership(self, 3, INTERVAL, 2), List.of(new RateLimitShare(terms, 0)),
+        RateLimitShare.Parameters parameters = new RateLimitShare.Parameters(300, 3, 0.1, 2_000_000, 0.01);
+        return new GossipMember(new GroupMembership(self, 3, INTERVAL, 2), List.of(new RateLimitShare(parameters, 0)),
                 new SplittableRandom(seed),
                 entry -> updates.add(self + " " + entry.key() + " " + entry.value()), 0);
     }
--- a/src/test/java/clovermill/controlplane/gossip/decide/RateLimitShareTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/decide/RateLimitShareTest.java
@@ -13,7 +13,8 @@
 /** A limit on the fleet, in shares that are lent for a term. */
 class RateLimitShareTest {
 
-    private static final RateLimitShare.Terms TERMS = new RateLimitShare.Terms(1000, 10, 0.1, 2_000_000, 0.01);
+    private static final RateLimitShare.Parameters PARAMETERS =
+            new RateLimitShare.Parameters(1000, 10, 0.1, 2_000_000, 0.01);
     private static final long SECOND = 1_000_000;
 
     /** Asked for so much by second from a time to another; how many were admitted. */
@@ -27,7 +28,7 @@
 
     @Test
     void aDirectorThatIsCutOffAdmitsItsShareAndNoMore() {
-        RateLimitShare rate = new RateLimitShare(TERMS, 0);
+        RateLimitShare rate = new RateLimitShare(PARAMETERS, 0);
         int first = asked(rate, 5000, 0, SECOND);
         assertThat(first).as("right after its start, what it never lends").isBetween(18, 32);
         asked(rate, 5000, SECOND, 3 * SECOND);
@@ -36,39 +37,39 @@
 
     @Test
     void aLenderCountsALoanForLongerThanTheBorrowerUsesIt() {
-        RateLimitShare lender = new RateLimitShare(TERMS, 0);
-        RateLimitShare borrower = new RateLimitShare(TERMS, 0);
+        RateLimitShare lender = new RateLimitShare(PARAMETERS, 0);
+        RateLimitShare borrower = new RateLimitShare(PARAMETERS, 0);
         long askedUs = 5 * SECOND;
         long gaveUs = askedUs + 300_000;
         double given = lender.lend(60, gaveUs);
         assertThat(given).isEqualTo(60);
         assertThat(lender.rate(gaveUs)).isCloseTo(40, within(1e-9));
         borrower.borrow(given, askedUs, gaveUs + 300_000);
-        assertThat(borrower.rate(askedUs + TERMS.termUs() - 1)).isCloseTo(160, within(1e-9));
-        assertThat(borrower.rate(askedUs + TERMS.termUs())).isCloseTo(100, within(1e-9));
-        assertThat(lender.rate(gaveUs + TERMS.termUs())).isCloseTo(40, within(1e-9));
-        assertThat(lender.rate(gaveUs + TERMS.lenderTermUs())).isCloseTo(100, within(1e-9));
+        assertThat(borrower.rate(askedUs + PARAMETERS.termUs() - 1)).isCloseTo(160, within(1e-9));
+        assertThat(borrower.rate(askedUs + PARAMETERS.termUs())).isCloseTo(100, within(1e-9));
+        assertThat(lender.rate(gaveUs + PARAMETERS.termUs())).isCloseTo(40, within(1e-9));
+        assertThat(lender.rate(gaveUs + PARAMETERS.lenderTermUs())).isCloseTo(100, within(1e-9));
     }
 
     @Test
     void aLoanThatArrivesAfterItsTermIsIgnored() {
-        RateLimitShare borrower = new RateLimitShare(TERMS, 0);
-        borrower.borrow(60, 5 * SECOND, 5 * SECOND + TERMS.termUs());
-        assertThat(borrower.rate(5 * SECOND + TERMS.termUs())).isCloseTo(100, within(1e-9));
+        RateLimitShare borrower = new RateLimitShare(PARAMETERS, 0);
+        borrower.borrow(60, 5 * SECOND, 5 * SECOND + PARAMETERS.termUs());
+        assertThat(borrower.rate(5 * SECOND + PARAMETERS.termUs())).isCloseTo(100, within(1e-9));
     }
 
     @Test
     void aDirectorThatNeedsItsShareOrHasJustStartedLendsNothing() {
-        RateLimitShare busy = new RateLimitShare(TERMS, 0);
+        RateLimitShare busy = new RateLimitShare(PARAMETERS, 0);
         asked(busy, 500, 4 * SECOND, 6 * SECOND);
         assertThat(busy.lend(50, 6 * SECOND)).isZero();
         assertThat(busy.shortfall(6 * SECOND)).isGreaterThan(100);
-        assertThat(new RateLimitShare(TERMS, 7 * SECOND).lend(50, 8 * SECOND)).isZero();
+        assertThat(new RateLimitShare(PARAMETERS, 7 * SECOND).lend(50, 8 * SECOND)).isZero();
     }
 
     @Test
     void requestsBeyondItsShareAreGrantedOnlyUpToTheReservedPart() {
-        RateLimitShare idle = new RateLimitShare(TERMS, 0);
+        RateLimitShare idle = new RateLimitShare(PARAMETERS, 0);
         double all = 0;
         for (int i = 0; i < 1000; i++) {
             all += idle.lend(1e9, 5 * SECOND) + idle.lend(1, 5 * SECOND) + idle.lend(-5, 5 * SECOND);
@@ -82,11 +83,11 @@
     void theSharesOfAllNeverExceedTheLimit(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int n = 4;
-        RateLimitShare.Terms terms = new RateLimitShare.Terms(400, n, 0.1, 2_000_000, 0.01);
+        RateLimitShare.Parameters parameters = new RateLimitShare.Parameters(400, n, 0.1, 2_000_000, 0.01);
         double[] pace = random.doubles(n, 0.995, 1.005).toArray();
         List<RateLimitShare> all = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            all.add(new RateLimitShare(terms, 0));
+            all.add(new RateLimitShare(parameters, 0));
         }
         for (long now = 0; now < 20 * SECOND; now += 10_000) {
             int one = random.nextInt(n);
@@ -99,7 +100,7 @@
                     all.get(other).borrow(given, askedUs, (long) (now * pace[other]));
                 }
             } else if (random.nextInt(300) == 0) {
-                all.set(one, new RateLimitShare(terms, here));
+                all.set(one, new RateLimitShare(parameters, here));
             }
             double sum = 0;
             for (int i = 0; i < n; i++) {
--- a/src/test/java/clovermill/prove/LimitsProof.java
+++ b/src/test/java/clovermill/prove/LimitsProof.java
@@ -88,12 +88,12 @@
                 GossipMetrics seen = GossipFleet.play(each.getValue(), seed);
                 String name = each.getKey() + "_" + n;
                 System.out.println(name + " " + seen);
-                hold(name + " admitted " + seen.most(), seen.most() <= seen.bound());
+                hold(name + " admitted " + seen.maxAdmittedPerSecond(), seen.maxAdmittedPerSecond() <= seen.bound());
                 hold(name + " lost entries", seen.lostEntries() == 0);
                 hold(name + " stale " + seen.staleMs(), seen.staleMs() <= seen.staleBoundMs());
-                hold(name + " alone", seen.mostAlone() <= 1e-9);
+                hold(name + " alone", seen.excessWhileIsolated() <= 1e-9);
                 hold(name + " another run", seen.equals(GossipFleet.play(each.getValue(), seed)));
-                overshoot = Math.max(overshoot, seen.most() - each.getValue().limit());
+                overshoot = Math.max(overshoot, seen.maxAdmittedPerSecond() - each.getValue().limit());
                 lost += seen.lostEntries();
                 stale = Math.max(stale, seen.staleMs());
                 if (each.getKey().equals("plain")) {
--- a/src/test/java/clovermill/prove/capacity/LimitsAtSize.java
+++ b/src/test/java/clovermill/prove/capacity/LimitsAtSize.java
@@ -35,7 +35,7 @@
                     GossipMetrics seen = GossipFleet.play(each.getValue(), SEED);
                     System.out.println(directors + " " + limit + " " + each.getKey() + " " + seen);
                     add(file, each.getKey(), directors, limit, seen);
-                    holds &= seen.most() <= seen.bound();
+                    holds &= seen.maxAdmittedPerSecond() <= seen.bound();
                 }
             }
         }
@@ -59,8 +59,9 @@
 
     private static void add(FigureFile file, String kind, int directors, int limit, GossipMetrics seen) {
         file.add(kind, directors, limit, "used", 100 * seen.usedShare(), 1, "%", "");
-        file.add(kind, directors, limit, "most", seen.most(), 0, "in a second", "");
+        file.add(kind, directors, limit, "most", seen.maxAdmittedPerSecond(), 0, "in a second", "");
         file.add(kind, directors, limit, "bound", seen.bound(), 0, "in a second", "");
-        file.add(kind, directors, limit, "over", 100 * Math.max(0, seen.most() / limit - 1), 1, "%", "");
+        file.add(kind, directors, limit, "over", 100 * Math.max(0, seen.maxAdmittedPerSecond() / limit - 1), 1, "%",
+                "");
     }
 }
--- a/src/test/java/clovermill/simulation/emulator/GossipFleetTest.java
+++ b/src/test/java/clovermill/simulation/emulator/GossipFleetTest.java
@@ -18,11 +18,12 @@
 
     private static GossipMetrics holds(Scenario plan) {
         GossipMetrics seen = GossipFleet.play(plan, 11);
-        assertThat(seen.most()).as("admitted in one second, %s", seen).isLessThanOrEqualTo(seen.bound());
+        assertThat(seen.maxAdmittedPerSecond()).as("admitted in one second, %s", seen)
+                .isLessThanOrEqualTo(seen.bound());
         assertThat(seen.lostEntries()).as("entries that are missing somewhere, %s", seen).isZero();
         assertThat(seen.staleMs()).as("the longest until an entry was everywhere, %s", seen)
                 .isLessThanOrEqualTo(seen.staleBoundMs());
-        assertThat(seen.mostAlone()).as("beyond its share while alone, %s", seen).isLessThanOrEqualTo(1e-9);
+        assertThat(seen.excessWhileIsolated()).as("beyond its share while alone, %s", seen).isLessThanOrEqualTo(1e-9);
         return seen;
     }
 
