--- a/src/main/java/clovermill/simulation/adapter/Fields.java
+++ b/src/main/java/clovermill/simulation/adapter/Fields.java
@@ -2,42 +2,52 @@
 
 import java.util.Base64;
 
-/** The fields of one line, taken one after another. */
+/**
+ * The fields of one line, separated by single spaces and read in order. Each method reads the next field and throws
+ * {@link MalformedInput} if it is missing or of another type; those with a default accept its absence, written as
+ * {@code -} or as the end of the line.
+ */
 final class Fields {
 
+    private static final int MAX_SHOWN_CHARS = 120;
+
     private final String line;
     private final long number;
-    private int at;
+    /** Where the next field begins; beyond the line's length when all are read. */
+    private int position;
 
+    /** The fields of a line; {@code number} counts lines from 1. */
     Fields(String line, long number) {
         this.line = line;
         this.number = number;
     }
 
-    MalformedInput malformed(String what) {
-        String shown = line.length() <= 120 ? line : line.substring(0, 120) + "...";
-        return new MalformedInput("line " + number + ": " + what + ": " + shown);
+    /** The exception for this line, with a reason. */
+    MalformedInput malformed(String reason) {
+        String shown = line.length() <= MAX_SHOWN_CHARS ? line : line.substring(0, MAX_SHOWN_CHARS) + "...";
+        return new MalformedInput("line " + number + ": " + reason + ": " + shown);
     }
 
+    /** Whether there is a further field. */
     boolean more() {
-        return at <= line.length() && !line.isEmpty();
+        return position <= line.length() && !line.isEmpty();
     }
 
-    /** The next field, which must be there. */
+    /** A text. */
     String text() {
         if (!more()) {
             throw malformed("a value is missing");
         }
-        int end = line.indexOf(' ', at);
-        String field = end < 0 ? line.substring(at) : line.substring(at, end);
-        at = end < 0 ? line.length() + 1 : end + 1;
+        int end = line.indexOf(' ', position);
+        String field = end < 0 ? line.substring(position) : line.substring(position, end);
+        position = end < 0 ? line.length() + 1 : end + 1;
         if (field.isEmpty()) {
             throw malformed("an empty value");
         }
         return field;
     }
 
-    /** The next field, or null if it is absent. */
+    /** A text, or null if it is absent. */
     String optionalText() {
         if (!more()) {
             return null;
@@ -46,32 +56,38 @@
         return field.equals("-") ? null : field;
     }
 
+    /** A decimal number of 64 bits. */
     long integer() {
         return toLong(text());
     }
 
+    /** A decimal number of 64 bits, or a default. */
     long integerOr(long absent) {
         String field = optionalText();
         return field == null ? absent : toLong(field);
     }
 
-    int smallOr(int absent) {
+    /** A decimal number of 32 bits, or a default. */
+    int int32Or(int absent) {
         return toInt(integerOr(absent));
     }
 
-    int small() {
+    /** A decimal number of 32 bits. */
+    int int32() {
         return toInt(integer());
     }
 
+    /** A floating-point number, or a default. */
     double numberOr(double absent) {
         String field = optionalText();
         try {
             return field == null ? absent : Double.parseDouble(field);
-        } catch (NumberFormatException e) {
+        } catch (NumberFormatException invalid) {
             throw malformed("not a number: " + field);
         }
     }
 
+    /** A flag, 1 or 0. */
     boolean flag() {
         String field = text();
         if (!field.equals("1") && !field.equals("0")) {
@@ -80,20 +96,18 @@
         return field.equals("1");
     }
 
-    long hex() {
-        return toHex(text());
-    }
-
+    /** A hexadecimal number of 64 bits, unsigned, or null if it is absent. */
     Long optionalHex() {
         String field = optionalText();
         return field == null ? null : Long.valueOf(toHex(field));
     }
 
+    /** Bytes as base64, empty if they are absent. */
     byte[] bytes() {
         String field = optionalText();
         try {
             return field == null ? new byte[0] : Base64.getDecoder().decode(field);
-        } catch (IllegalArgumentException e) {
+        } catch (IllegalArgumentException invalid) {
             throw malformed("not base64: " + field);
         }
     }
@@ -108,15 +122,15 @@
     private long toLong(String field) {
         try {
             return Long.parseLong(field);
-        } catch (NumberFormatException e) {
-            throw malformed("not a whole number: " + field);
+        } catch (NumberFormatException invalid) {
+            throw malformed("not an integer: " + field);
         }
     }
 
     private long toHex(String field) {
         try {
             return Long.parseUnsignedLong(field, 16);
-        } catch (NumberFormatException e) {
+        } catch (NumberFormatException invalid) {
             throw malformed("not a hexadecimal number: " + field);
         }
     }
--- a/src/main/java/clovermill/simulation/adapter/LineReader.java
+++ b/src/main/java/clovermill/simulation/adapter/LineReader.java
@@ -5,15 +5,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads lines of bytes through a buffer of its own that grows with the longest line. */
+/** Reads lines of UTF-8, ended by LF or CRLF, through a buffer that grows with the longest line. Not thread-safe. */
 final class LineReader {
 
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+
     private final InputStream in;
-    private byte[] buffer = new byte[1 << 16];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int from;
     private int to;
     private long number;
 
+    /** Reads from a stream, which stays open. */
     LineReader(InputStream in) {
         this.in = in;
     }
@@ -23,13 +26,17 @@
         return number;
     }
 
-    /** The next line without its end, or null when the input has ended. */
+    /**
+     * The next line without its end, or null when the input has ended.
+     *
+     * @throws MalformedInput if the input ended inside a line
+     */
     String next() throws IOException {
         int scanned = from;
         while (true) {
             for (; scanned < to; scanned++) {
                 if (buffer[scanned] == '\n') {
-                    String line = text(scanned);
+                    String line = decodeLine(scanned);
                     from = scanned + 1;
                     return line;
                 }
@@ -45,12 +52,13 @@
         }
     }
 
-    private String text(int end) {
+    private String decodeLine(int end) {
         number++;
         int last = end > from && buffer[end - 1] == '\r' ? end - 1 : end;
         return new String(buffer, from, last - from, StandardCharsets.UTF_8);
     }
 
+    /** Reads further bytes; false at the end of the input. */
     private boolean fill() throws IOException {
         if (from > 0) {
             System.arraycopy(buffer, from, buffer, 0, to - from);
