--- a/src/main/java/clovermill/cli/FleetSimCommand.java
+++ b/src/main/java/clovermill/cli/FleetSimCommand.java
@@ -98,7 +98,7 @@
         line.put("choice", choice);
         line.put("second", second.second());
         line.put("mean", Math.round(second.mean() * 1000) / 1000.0);
-        line.put("most", Math.round(second.most() * 1000) / 1000.0);
+        line.put("most", Math.round(second.max() * 1000) / 1000.0);
         Map<String, Object> loads = new TreeMap<>();
         second.loads().forEach((id, load) -> loads.put(id, Math.round(load * 1000) / 1000.0));
         line.put("loads", loads);
--- a/src/main/java/clovermill/simulation/emulator/EmulatedCache.java
+++ b/src/main/java/clovermill/simulation/emulator/EmulatedCache.java
@@ -10,23 +10,25 @@
 import java.util.Map;
 
 /**
- * A cache whose link its transfers share: so many of them run at full pace, more are slowed alike. It keeps what was
- * asked for last, starts cold by a straight line, and falls over where it is sent too much while cold.
+ * A cache whose transfers share its link: as many as its capacity run at full pace, more are slowed evenly. It caches
+ * objects by LRU, its capacity grows linearly after a cold start, and it fails if it
+ * gets too much work while cold. Times are microseconds. Not thread-safe.
  */
 public final class EmulatedCache {
 
-    /** Held requests beyond which it turns work away, in multiples of its room. */
-    private static final double FULL = 5;
-    /** Slack of the budget for chance, in mean requests: what the last one overdraws. */
-    private static final double SLACK = 2;
+    /** Open transfers from which on it rejects work, in multiples of its capacity. */
+    private static final double FULL_FACTOR = 5;
+    /** Tolerance of the cold-start budget, in requests: what the last one overdraws. */
+    private static final double SLACK_REQUESTS = 2;
 
-    /** A transfer that is out here. */
+    /** An open transfer. */
     public static final class Transfer {
         public final Runnable done;
         final boolean fill;
         double leftUs;
         double waitUs;
 
+        /** A transfer that calls {@code done} after it has waited and its work at full pace is done. */
         public Transfer(Runnable done, boolean fill, double workUs, double waitUs) {
             this.done = done;
             this.fill = fill;
@@ -37,105 +39,114 @@
 
     private record Report(long visibleUs, LoadReport load) {}
 
-    private record Sent(long atUs, double workUs) {}
+    private record Arrival(long atUs, double workUs) {}
 
     public final String id;
-    public final double toldRoom;
+    public final double declaredCapacity;
     public final long startedUs;
     final double phase;
-    private final double room;
+    private final double capacity;
     private final ColdRule rule;
-    private final Map<Long, Boolean> kept;
+    private final Map<Long, Boolean> cached;
     private final Deque<Report> reports = new ArrayDeque<>();
-    private final Deque<Sent> sent = new ArrayDeque<>();
-    /** What is out here now. */
+    private final Deque<Arrival> recentWork = new ArrayDeque<>();
+    /** The open transfers. */
     public final List<Transfer> open = new ArrayList<>();
-    private LoadReport visible;
+    private LoadReport visibleLoad;
     public double pace = 1;
-    boolean mute;
-    public boolean leaves;
-    boolean fallen;
-    int flowingFills;
-    private double heldTime;
+    boolean reportsSuppressed;
+    public boolean draining;
+    boolean failed;
+    int activeFills;
+    private double transferTimeUs;
 
     /**
-     * A cache of so much told and true room, in transfers; started at 0 long ago, so that it is warm.
+     * A cache that starts cold, or warm if {@code startedUs} is 0.
+     *
+     * @param declaredCapacity transfers at full pace that the list of members states
+     * @param capacity transfers at full pace in truth
+     * @param phase part of a report's period by which its reports are shifted
+     * @param rule how it warms up, and how much work it can take meanwhile
      */
-    public EmulatedCache(String id, double toldRoom, double room, long startedUs, double phase, int keeps,
+    public EmulatedCache(String id, double declaredCapacity, double capacity, long startedUs, double phase,
+            int maxCachedObjects,
             ColdRule rule) {
         this.id = id;
-        this.toldRoom = toldRoom;
-        this.room = room;
+        this.declaredCapacity = declaredCapacity;
+        this.capacity = capacity;
         this.startedUs = startedUs;
         this.phase = phase;
         this.rule = rule;
-        this.kept = new LinkedHashMap<>(16, 0.75f, true) {
+        this.cached = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-                return size() > keeps;
+                return size() > maxCachedObjects;
             }
         };
     }
 
-    /** The part of its capacity that it can give. */
-    public double part(long now) {
+    /** The part of its capacity that is available, 1 when it is warm. */
+    public double warmUpFraction(long now) {
         return startedUs == 0 ? 1 : Math.min(1, rule.from() + (1 - rule.from()) * (now - startedUs) / rule.warmUs());
     }
 
+    /** Whether it is still warming up. */
     public boolean cold(long now) {
-        return part(now) < 1;
+        return warmUpFraction(now) < 1;
     }
 
-    /** Transfers that run at full pace now. */
-    public double roomNow(long now) {
-        return room * pace * part(now);
+    /** The transfers that run at full pace now. */
+    public double currentCapacity(long now) {
+        return capacity * pace * warmUpFraction(now);
     }
 
+    /** Whether it rejects further work. */
     public boolean full() {
-        return open.size() >= FULL * room;
+        return open.size() >= FULL_FACTOR * capacity;
     }
 
-    /** Whether it holds an object, which counts as a use; a miss is kept from then on where that is asked for. */
-    public boolean look(long object, boolean keep) {
-        boolean hit = kept.get(object) != null;
+    /** Whether an object is cached, which counts as a use; {@code keep} caches it after a miss. */
+    public boolean lookUp(long object, boolean keep) {
+        boolean hit = cached.get(object) != null;
         if (!hit && keep) {
-            kept.put(object, true);
+            cached.put(object, true);
         }
         return hit;
     }
 
-    /** Counts work that arrives while it is cold; true if that pushes it over, once. */
-    public boolean pushedOver(long now, double workUs) {
-        if (!cold(now) || fallen) {
+    /** Counts work that arrives while it is cold; true, once, if it fails by too much of it. */
+    public boolean overloadedWhileCold(long now, double workUs) {
+        if (!cold(now) || failed) {
             return false;
         }
-        sent.add(new Sent(now, workUs));
-        while (sent.peek().atUs <= now - rule.windowUs()) {
-            sent.poll();
+        recentWork.add(new Arrival(now, workUs));
+        while (recentWork.peek().atUs <= now - rule.windowUs()) {
+            recentWork.poll();
         }
-        double work = sent.stream().mapToDouble(each -> each.workUs).sum() - SLACK * workUs;
-        double meanPart = (part(now) + Math.max(rule.from(), part(Math.max(startedUs, now - rule.windowUs())))) / 2;
-        fallen = work > rule.multiple() * room * meanPart * rule.windowUs();
-        return fallen;
+        double work = recentWork.stream().mapToDouble(each -> each.workUs).sum() - SLACK_REQUESTS * workUs;
+        double meanWarmUpFraction = (warmUpFraction(now)
+                + Math.max(rule.from(), warmUpFraction(Math.max(startedUs, now - rule.windowUs())))) / 2;
+        failed = work > rule.multiple() * capacity * meanWarmUpFraction * rule.windowUs();
+        return failed;
     }
 
     /**
-     * Lets its transfers go on for a step, fills at no more than the pace of the link; returns those that are done.
-     * What it held is added up for the mean over time.
+     * Advances the transfers by a step, fills at {@code link} of full pace at most; returns those that are complete.
+     * Their number is summed up for the mean load.
      */
     public List<Transfer> step(long now, long stepUs, double link) {
-        double share = Math.min(1, roomNow(now) / Math.max(1, open.size()));
+        double share = Math.min(1, currentCapacity(now) / Math.max(1, open.size()));
         List<Transfer> done = new ArrayList<>();
-        flowingFills = 0;
+        activeFills = 0;
         for (Transfer transfer : open) {
-            heldTime += stepUs;
+            transferTimeUs += stepUs;
             if (transfer.waitUs > 0) {
                 transfer.waitUs -= stepUs;
             } else {
                 transfer.leftUs -= stepUs * (transfer.fill ? Math.min(share, link) : share);
-                flowingFills += transfer.fill ? 1 : 0;
+                activeFills += transfer.fill ? 1 : 0;
             }
             if (transfer.leftUs <= 0) {
                 done.add(transfer);
@@ -145,24 +156,24 @@
         return done;
     }
 
-    /** The mean load over a time, over its present room; starts the next mean. */
+    /** The mean number of transfers since the last call, relative to the current capacity; starts the next mean. */
     public double load(long now, double spanUs) {
-        double load = heldTime / spanUs / roomNow(now);
-        heldTime = 0;
+        double load = transferTimeUs / spanUs / currentCapacity(now);
+        transferTimeUs = 0;
         return load;
     }
 
-    /** Makes a report, which is seen after the delay. */
+    /** Makes a load report, which answers carry after the delay. */
     public void report(long now, long delayUs, double noise, double linkUse) {
         double held = Math.max(0, open.size() * (1 + noise));
-        reports.add(new Report(now + delayUs, new LoadReport(held * pace, Math.min(1, held / room), linkUse)));
+        reports.add(new Report(now + delayUs, new LoadReport(held * pace, Math.min(1, held / capacity), linkUse)));
     }
 
-    /** What an answer carries; null before the first report. */
-    public LoadReport seen(long now, boolean frozen) {
+    /** The load report that an answer carries; null before the first one, and while they are suppressed. */
+    public LoadReport visibleReport(long now, boolean frozen) {
         while (!frozen && !reports.isEmpty() && reports.peek().visibleUs <= now) {
-            visible = reports.poll().load;
+            visibleLoad = reports.poll().load;
         }
-        return mute ? null : visible;
+        return reportsSuppressed ? null : visibleLoad;
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/EmulatedDirector.java
+++ b/src/main/java/clovermill/simulation/emulator/EmulatedDirector.java
@@ -28,7 +28,7 @@
 /** One director of an {@link Emulation}: its router, the requests that it has open, and its clients. */
 final class EmulatedDirector {
 
-    /** A request that this director has taken, and how each open attempt is cancelled. */
+    /** A request of a client, and how to cancel each open attempt. */
     private static final class Call {
         final Request request;
         final long takenUs;
@@ -44,16 +44,19 @@
         }
     }
 
+    /** How long a fill waits for its first byte. */
+    private static final double FILL_LATENCY_US = 30_000;
+
     private final Emulation emulation;
     private final Plan plan;
     private final Workload workload;
     private final SplittableRandom random;
-    private final FleetMetrics tally;
+    private final FleetMetrics metrics;
     private final int number;
     private final Map<String, Call> calls = new LinkedHashMap<>();
     private CacheRouter router;
     private long nextArrivalUs;
-    private int asked;
+    private int requestCount;
     private int starts;
 
     EmulatedDirector(int number, Emulation emulation) {
@@ -62,10 +65,10 @@
         this.plan = emulation.plan();
         this.workload = emulation.workload();
         this.random = emulation.random();
-        this.tally = emulation.tally();
+        this.metrics = emulation.metrics();
     }
 
-    /** Starts its process, which knows the list of members alone. */
+    /** Starts its process, which knows nothing but the list of members. */
     void start() {
         long seed = random.nextLong();
         starts++;
@@ -74,14 +77,14 @@
             case "two" -> new LeastLoadedRouter(seed, 2);
             default -> new RequestRouter(workload.settings(), seed);
         };
-        tell(emulation.allMembers());
+        handle(emulation.allMembers());
     }
 
     /** Kills its process; all open requests fail with it. */
     void stop() {
         router = null;
         List.copyOf(calls.values()).forEach(call -> {
-            tally.failed += call.over ? 0 : 1;
+            metrics.failed += call.over ? 0 : 1;
             call.over = true;
             List.copyOf(call.attempts.values()).forEach(Runnable::run);
         });
@@ -98,57 +101,67 @@
         nextArrivalUs += (long) (-Math.log(1 - random.nextDouble()) / workload.requestsPerSecond(number)
                 * Emulation.SECOND_US);
         emulation.at(nextArrivalUs, this::arrive);
-        tally.asked++;
+        metrics.requests++;
         if (router == null) {
-            tally.failed++;
+            metrics.failed++;
             return;
         }
         double workUs = plan.workMs() * 1000 * Math.min(10, -Math.log(1 - random.nextDouble()));
         long object = workload.nextObject(random);
-        Request request = new Request(number + "-" + starts + "-" + asked++, 0, 0, object, 0, (int) (object & 255),
-                Math.max(1, workUs * Workload.PACE_KB_PER_S / 1e6), Workload.DEADLINE_US, false);
+        Request request =
+                new Request(number + "-" + starts + "-" + requestCount++, 0, 0, object, 0, (int) (object & 255),
+                        Math.max(1, workUs * Workload.PACE_KB_PER_S / 1e6), Workload.DEADLINE_US, false);
         long aimUs = Math.min(Workload.DEADLINE_US, 500_000 + (long) (2 * workUs));
         calls.put(request.id(), new Call(request, emulation.now(), aimUs));
-        tell(request);
+        handle(request);
     }
 
-    /** Gives its router an event and carries out the actions; a stopped one takes none. */
-    void tell(Event event) {
+    /** Passes an event to its router and executes the actions; ignored while the process is stopped. */
+    void handle(Event event) {
         if (router != null) {
             List<Action> actions = new ArrayList<>();
             router.handle(emulation.now(), event, actions::add);
-            actions.forEach(this::carryOut);
+            actions.forEach(this::execute);
         }
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof SendVia via) {
             send(calls.get(via.request()), via.member(), via.timeoutUs(), !via.source().equals(via.member()),
                     via.rank() > 0);
         } else if (action instanceof Send plain) {
             send(calls.get(plain.request()), plain.member(), plain.timeoutUs(), false, false);
         } else if (action instanceof Cancel cancel) {
-            Call call = calls.get(cancel.request());
-            Runnable attempt = call == null ? null : call.attempts.get(cancel.attempt());
-            if (attempt != null) {
-                attempt.run();
-            }
+            cancel(cancel);
         } else if (action instanceof Refuse refuse) {
             end(calls.get(refuse.request()));
-            tally.refused++;
+            metrics.refused++;
         } else if (action instanceof Fail fail) {
             end(calls.get(fail.request()));
-            tally.failed++;
+            metrics.failed++;
         } else if (action instanceof SetTimer timer) {
-            CacheRouter set = router;
-            emulation.at(emulation.now() + timer.delayUs(), () -> {
-                if (router == set) {
-                    tell(new Timer(timer.token()));
-                }
-            });
+            setTimer(timer);
+        }
+    }
+
+    private void cancel(Cancel cancel) {
+        Call call = calls.get(cancel.request());
+        Runnable attempt = call == null ? null : call.attempts.get(cancel.attempt());
+        if (attempt != null) {
+            attempt.run();
         }
     }
 
+    /** A timer of a process that was killed meanwhile does not fire. */
+    private void setTimer(SetTimer timer) {
+        CacheRouter owner = router;
+        emulation.at(emulation.now() + timer.delayUs(), () -> {
+            if (router == owner) {
+                handle(new Timer(timer.token()));
+            }
+        });
+    }
+
     private void end(Call call) {
         call.over = true;
         if (call.attempts.isEmpty()) {
@@ -162,21 +175,26 @@
         EmulatedCache cache = emulation.cache(member);
         double workUs = call.request.sizeKb() / Workload.PACE_KB_PER_S * 1e6;
         call.attempts.put(index, () -> ended(call, index, cache, Result.CANCELLED, sentUs, false));
-        if (cache.pushedOver(emulation.now(), workUs)) {
-            tally.overruns++;
+        if (cache.overloadedWhileCold(emulation.now(), workUs)) {
+            metrics.overruns++;
         }
-        if (cache.full() || cache.fallen) {
-            endsNextStep(() -> ended(call, index, cache, cache.fallen ? Result.UNCONNECTED : Result.REFUSED, sentUs,
+        if (cache.full() || cache.failed) {
+            endInNextStep(() -> ended(call, index, cache, cache.failed ? Result.UNCONNECTED : Result.REFUSED, sentUs,
                     false));
             return;
         }
-        boolean hit = cache.look(call.request.object(), keeps && fills);
+        boolean hit = cache.lookUp(call.request.object(), keeps && fills);
         if (!hit && !fills) {
-            endsNextStep(() -> ended(call, index, cache, Result.MISS, sentUs, false));
+            endInNextStep(() -> ended(call, index, cache, Result.MISS, sentUs, false));
             return;
         }
+        startTransfer(call, index, cache, workUs, sentUs, timeoutUs, hit);
+    }
+
+    private void startTransfer(Call call, int index, EmulatedCache cache, double workUs, long sentUs, long timeoutUs,
+            boolean hit) {
         Transfer transfer = new Transfer(() -> ended(call, index, cache, Result.OK, sentUs, hit), !hit, workUs,
-                hit ? 0 : 30_000);
+                hit ? 0 : FILL_LATENCY_US);
         cache.open.add(transfer);
         call.attempts.put(index, () -> {
             cache.open.remove(transfer);
@@ -189,33 +207,39 @@
         });
     }
 
-    private void endsNextStep(Runnable end) {
+    private void endInNextStep(Runnable end) {
         emulation.at(emulation.now() + Emulation.STEP_US, end);
     }
 
+    private void answer(Call call, boolean hit) {
+        boolean inTime = emulation.now() - call.takenUs <= call.aimUs;
+        call.over = true;
+        metrics.answered++;
+        metrics.hits += hit ? 1 : 0;
+        metrics.inTime += inTime ? 1 : 0;
+        metrics.late += inTime ? 0 : 1;
+    }
+
+    /** An attempt has ended: answers the client if it succeeded, and reports the outcome to the router. */
     private void ended(Call call, int index, EmulatedCache cache, Result result, long sentUs, boolean hit) {
         if (call.attempts.remove(index) == null || calls.get(call.request.id()) != call) {
             return;
         }
         if (result == Result.OK && !call.over) {
-            call.over = true;
-            tally.answered++;
-            tally.hits += hit ? 1 : 0;
-            tally.inTime += emulation.now() - call.takenUs <= call.aimUs ? 1 : 0;
-            tally.late += emulation.now() - call.takenUs <= call.aimUs ? 0 : 1;
+            answer(call, hit);
         }
         boolean reports = !plan.choice().equals("guess") && result == Result.OK
                 && random.nextDouble() >= plan.reports().loss();
-        LoadReport load = reports ? cache.seen(emulation.now(), emulation.reportsFrozen()) : null;
-        tell(new Outcome(call.request.id(), index, cache.id, result, emulation.now() - sentUs, call.over,
+        LoadReport load = reports ? cache.visibleReport(emulation.now(), emulation.reportsFrozen()) : null;
+        handle(new Outcome(call.request.id(), index, cache.id, result, emulation.now() - sentUs, call.over,
                 result != Result.OK ? Note.NONE : hit ? Note.HIT : Note.FILLED, 0, load));
         if (call.over && call.attempts.isEmpty()) {
             calls.remove(call.request.id());
         }
         if (!call.over && emulation.now() - call.takenUs >= Workload.DEADLINE_US) {
             end(call);
-            tally.failed++;
-            tell(new ClientGone(call.request.id()));
+            metrics.failed++;
+            handle(new ClientGone(call.request.id()));
         }
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/Emulation.java
+++ b/src/main/java/clovermill/simulation/emulator/Emulation.java
@@ -31,22 +31,22 @@
     private final EventQueue events = new EventQueue();
     private final Map<String, EmulatedCache> caches = new TreeMap<>();
     private final List<EmulatedDirector> directors = new ArrayList<>();
-    private final FleetMetrics tally;
-    private final double linkRoom;
+    private final FleetMetrics metrics;
+    private final double linkCapacity;
     private long now = EPOCH_US;
     private int joined;
-    private boolean frozen;
-    private int filling;
+    private boolean reportsFrozen;
+    private int activeFills;
 
     private Emulation(Plan plan, long seed) {
         this.plan = plan;
         this.random = new SplittableRandom(seed);
-        this.tally = new FleetMetrics(plan.settle());
-        double all = plan.directors() * plan.perDirector() * plan.workMs() / 1000 / plan.load();
-        this.linkRoom = Math.max(1, plan.link() * all);
-        this.workload = new Workload(plan, linkRoom);
+        this.metrics = new FleetMetrics(plan.settle());
+        double totalCapacity = plan.directors() * plan.perDirector() * plan.workMs() / 1000 / plan.load();
+        this.linkCapacity = Math.max(1, plan.link() * totalCapacity);
+        this.workload = new Workload(plan, linkCapacity);
         for (int i = 0; i < plan.caches(); i++) {
-            add(cache("cache-" + i, all / plan.caches() * (i % 2 == 0 ? 0.7 : 1.3), 0));
+            add(cache("cache-" + i, totalCapacity / plan.caches() * (i % 2 == 0 ? 0.7 : 1.3), 0));
         }
         for (int i = 0; i < plan.directors(); i++) {
             EmulatedDirector director = new EmulatedDirector(i, this);
@@ -56,7 +56,7 @@
         }
         plan.faults().forEach(this::schedule);
         for (EmulatedCache cache : List.copyOf(caches.values())) {
-            reporting(cache);
+            scheduleReports(cache);
         }
     }
 
@@ -65,9 +65,9 @@
         plan.check();
         Emulation emulation = new Emulation(plan, seed);
         for (int second = 0; second < plan.seconds(); second++) {
-            emulation.second(second);
+            emulation.runSecond(second);
         }
-        return emulation.tally;
+        return emulation.metrics;
     }
 
     // ---- What directors use ---------------------------------------------------------------------------
@@ -84,17 +84,17 @@
         return random;
     }
 
-    FleetMetrics tally() {
-        return tally;
+    FleetMetrics metrics() {
+        return metrics;
     }
 
     EmulatedCache cache(String id) {
         return caches.get(id);
     }
 
-    /** Whether load reports are stale now, by a fault of the plan. */
+    /** Whether load reports are frozen now, by a fault of the plan. */
     boolean reportsFrozen() {
-        return frozen;
+        return reportsFrozen;
     }
 
     // ---- Time -------------------------------------------------------------------------------------
@@ -109,38 +109,38 @@
         return now;
     }
 
-    private void second(int second) {
+    private void runSecond(int second) {
         for (long until = now + SECOND_US; now < until;) {
             now += STEP_US;
             events.runUntil(now);
-            flow();
+            stepTransfers();
         }
         Map<String, Double> loads = new TreeMap<>();
         for (EmulatedCache cache : caches.values()) {
             double load = cache.load(now, SECOND_US);
-            if (!cache.leaves && !cache.cold(now)) {
+            if (!cache.draining && !cache.cold(now)) {
                 loads.put(cache.id, load);
             }
         }
-        tally.second(second, loads);
+        metrics.second(second, loads);
     }
 
     /** One step of every transfer. */
-    private void flow() {
-        double link = Math.min(FILL_PACE, linkRoom / Math.max(1, filling));
-        filling = 0;
+    private void stepTransfers() {
+        double link = Math.min(FILL_PACE, linkCapacity / Math.max(1, activeFills));
+        activeFills = 0;
         for (EmulatedCache cache : List.copyOf(caches.values())) {
             List<Transfer> done = cache.step(now, STEP_US, link);
-            filling += cache.flowingFills;
+            activeFills += cache.activeFills;
             done.forEach(transfer -> transfer.done.run());
         }
     }
 
     // ---- Caches -----------------------------------------------------------------------------------
 
-    private EmulatedCache cache(String id, double room, long startedUs) {
+    private EmulatedCache cache(String id, double capacity, long startedUs) {
         double speed = 0.85 + 0.3 * random.nextDouble();
-        return new EmulatedCache(id, Math.max(1, Math.round(room)), Math.max(1, room) * speed, startedUs,
+        return new EmulatedCache(id, Math.max(1, Math.round(capacity)), Math.max(1, capacity) * speed, startedUs,
                 random.nextDouble(), plan.keeps(), Workload.COLD);
     }
 
@@ -148,14 +148,14 @@
         caches.put(cache.id, cache);
     }
 
-    private void reporting(EmulatedCache cache) {
+    private void scheduleReports(EmulatedCache cache) {
         long periodUs = plan.reports().periodMs() * 1000L;
         at(now + (long) (periodUs * cache.phase), () -> report(cache));
     }
 
     private void report(EmulatedCache cache) {
         double noise = plan.reports().noise() * (2 * random.nextDouble() - 1);
-        cache.report(now, plan.reports().delayMs() * 1000L, noise, filling / linkRoom);
+        cache.report(now, plan.reports().delayMs() * 1000L, noise, activeFills / linkCapacity);
         if (caches.get(cache.id) == cache) {
             at(now + plan.reports().periodMs() * 1000L, () -> report(cache));
         }
@@ -167,12 +167,12 @@
         String id = "cache-" + fault.which();
         switch (fault.kind()) {
             case "freeze" -> {
-                at(from, () -> frozen = true);
-                at(until, () -> frozen = false);
+                at(from, () -> reportsFrozen = true);
+                at(until, () -> reportsFrozen = false);
             }
             case "mute" -> {
-                at(from, () -> caches.get(id).mute = true);
-                at(until, () -> caches.get(id).mute = false);
+                at(from, () -> caches.get(id).reportsSuppressed = true);
+                at(until, () -> caches.get(id).reportsSuppressed = false);
             }
             case "slow" -> {
                 at(from, () -> caches.get(id).pace = fault.factor());
@@ -180,7 +180,7 @@
             }
             case "join" -> at(from, this::join);
             case "leave" -> at(from, () -> {
-                caches.get(id).leaves = true;
+                caches.get(id).draining = true;
                 announce(caches.get(id), Availability.DRAINING);
             });
             default -> {
@@ -191,34 +191,34 @@
     }
 
     private void join() {
-        double mean = caches.values().stream().mapToDouble(cache -> cache.toldRoom).average().orElse(1);
+        double mean = caches.values().stream().mapToDouble(cache -> cache.declaredCapacity).average().orElse(1);
         EmulatedCache cache = cache("joined-" + joined++, mean, now);
         add(cache);
-        reporting(cache);
+        scheduleReports(cache);
         announce(cache, Availability.HEALTHY);
     }
 
-    /** The list tells every director, each at a time of its own, some seconds late. */
+    /** Every director receives the change of the list after a delay of its own, up to some seconds. */
     private void announce(EmulatedCache cache, Availability state) {
-        Members news = new Members(ListScope.CHANGES, List.of(member(cache, state)));
+        Members change = new Members(ListScope.CHANGES, List.of(member(cache, state)));
         for (EmulatedDirector director : directors) {
-            at(now + (long) ((0.5 + 2 * random.nextDouble()) * SECOND_US), () -> director.tell(news));
+            at(now + (long) ((0.5 + 2 * random.nextDouble()) * SECOND_US), () -> director.handle(change));
         }
     }
 
     private static Member member(EmulatedCache cache, Availability state) {
-        return new Member(cache.id, 1, 0, 0, state, cache.toldRoom, cache.startedUs);
+        return new Member(cache.id, 1, 0, 0, state, cache.declaredCapacity, cache.startedUs);
     }
 
     /** The full list of members, as a director gets it when it starts. */
     Members allMembers() {
         List<Member> all = new ArrayList<>();
         caches.values().forEach(cache -> all.add(member(cache,
-                cache.leaves ? Availability.DRAINING : Availability.HEALTHY)));
+                cache.draining ? Availability.DRAINING : Availability.HEALTHY)));
         for (int i = 0; i < 3; i++) {
-            all.add(new Member("hub-" + i, 0, 1, 100 + i, Availability.HEALTHY, linkRoom, 0));
+            all.add(new Member("hub-" + i, 0, 1, 100 + i, Availability.HEALTHY, linkCapacity, 0));
         }
-        all.add(new Member("origin", 0, 2, 200, Availability.HEALTHY, linkRoom, 0));
+        all.add(new Member("origin", 0, 2, 200, Availability.HEALTHY, linkCapacity, 0));
         return new Members(ListScope.FULL, all);
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/FleetMetrics.java
+++ b/src/main/java/clovermill/simulation/emulator/FleetMetrics.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** What is seen of a run: by second the load of each cache, over its room, and how requests ended. */
+/** The measurements of a run: the load of each cache by second, relative to its capacity, and outcomes of requests. */
 public final class FleetMetrics {
 
-    /** A second in which the fleet has less to do than this says nothing of who is idle. */
-    private static final double QUIET = 0.1;
+    /** Mean load below which a second does not count for {@link #idleSeconds}. */
+    private static final double MIN_JUDGED_LOAD = 0.1;
 
     /** One second: the load of each cache that is warm and in service, by id. */
     public record Second(int second, Map<String, Double> loads) {
@@ -21,19 +21,19 @@
         }
 
         /** The highest of all caches. */
-        public double most() {
+        public double max() {
             return loads.values().stream().mapToDouble(d -> d).max().orElse(0);
         }
 
         double spread() {
-            return mean() == 0 ? 1 : most() / mean();
+            return mean() == 0 ? 1 : max() / mean();
         }
     }
 
     private final int settle;
     private final List<Second> seconds = new ArrayList<>();
     private final List<Double> loads = new ArrayList<>();
-    long asked;
+    long requests;
     long inTime;
     long late;
     long refused;
@@ -46,10 +46,10 @@
         this.settle = settle;
     }
 
-    void second(int second, Map<String, Double> loadById) {
+    void second(int second, Map<String, Double> loadByCache) {
         if (second >= settle) {
-            seconds.add(new Second(second, loadById));
-            loads.addAll(loadById.values());
+            seconds.add(new Second(second, loadByCache));
+            loads.addAll(loadByCache.values());
         }
     }
 
@@ -73,20 +73,20 @@
         return percentile(loads.stream().mapToDouble(d -> d).toArray());
     }
 
-    /** Seconds that single caches had nothing to do while the fleet had. */
+    /** Seconds, summed over caches, in which a cache was idle while the fleet was not. */
     public int idleSeconds() {
-        return (int) seconds.stream().filter(each -> each.mean() >= QUIET)
+        return (int) seconds.stream().filter(each -> each.mean() >= MIN_JUDGED_LOAD)
                 .mapToLong(each -> each.loads.values().stream().filter(load -> load == 0).count()).sum();
     }
 
-    /** Cold caches that were pushed over. */
+    /** Cold caches that failed by too much work. */
     public int overruns() {
         return overruns;
     }
 
-    /** Share of requests that were answered within their wanted time. */
+    /** The part of the requests that were answered within their target time. */
     public double inTimeShare() {
-        return asked == 0 ? 1 : (double) inTime / asked;
+        return requests == 0 ? 1 : (double) inTime / requests;
     }
 
     private static double percentile(double[] values) {
@@ -98,14 +98,14 @@
         return Math.round(value * 1000) / 1000.0;
     }
 
-    /** The figures of the whole run, in their order. */
+    /** The figures of the run by name, in the order of output. */
     public Map<String, Object> figures() {
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("requests", asked);
+        all.put("requests", requests);
         all.put("in_time", rounded(inTimeShare()));
-        all.put("late", rounded(asked == 0 ? 0 : (double) late / asked));
-        all.put("refused", rounded(asked == 0 ? 0 : (double) refused / asked));
-        all.put("failed", rounded(asked == 0 ? 0 : (double) failed / asked));
+        all.put("late", rounded(requests == 0 ? 0 : (double) late / requests));
+        all.put("refused", rounded(requests == 0 ? 0 : (double) refused / requests));
+        all.put("failed", rounded(requests == 0 ? 0 : (double) failed / requests));
         all.put("hits", rounded(answered == 0 ? 0 : (double) hits / answered));
         all.put("max_over_mean", rounded(maxOverMean()));
         all.put("p99_over_mean", rounded(p99OverMean()));
--- a/src/main/java/clovermill/simulation/emulator/LeastLoadedRouter.java
+++ b/src/main/java/clovermill/simulation/emulator/LeastLoadedRouter.java
@@ -20,7 +20,7 @@
 import java.util.function.Consumer;
 
 /**
- * The textbook choices to compare with: the cache that was reported least busy, of all or of a few drawn at random
+ * Baselines from the literature: the cache that was reported least busy, of all or of a few drawn at random
  * (Mitzenmacher, "The Power of Two Choices", 2001). They follow each report as it stands and know neither homes nor
  * cold starts; a miss is filled from the one hub.
  */
@@ -38,8 +38,8 @@
 
     @Override
     public void handle(long nowUs, Event event, Consumer<Action> out) {
-        if (event instanceof Members news) {
-            news.members().stream().filter(each -> each.kind() == 0).forEach(each -> members.put(each.id(), each));
+        if (event instanceof Members change) {
+            change.members().stream().filter(each -> each.kind() == 0).forEach(each -> members.put(each.id(), each));
             members.values().removeIf(member -> member.availability() != Availability.HEALTHY);
         } else if (event instanceof Request request) {
             List<Member> left = new ArrayList<>(members.values());
--- a/src/main/java/clovermill/simulation/emulator/Plan.java
+++ b/src/main/java/clovermill/simulation/emulator/Plan.java
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 
 /**
- * What an emulation plays; read from JSON, where each field may be left out for the value that {@link #standard} has.
+ * The plan of an emulation; read from JSON, where a field that is left out has its value in {@link #standard}.
  *
  * @param directors how many directors serve the one location
  * @param caches how many caches it has at first; half of them are about twice as large as the others
@@ -21,11 +21,11 @@
  * @param skew how many times the others' share the first director gets
  * @param seconds how long it lasts, and {@code settle} how many of them are not judged
  * @param objects how many objects there are, asked for with popularity 1/rank^{@code zipf}
- * @param keeps objects that one cache keeps
+ * @param keeps objects that one cache can hold
  * @param workMs mean time of sending one object at full pace
- * @param link room of the location's link in, over that of all caches
- * @param choice who chooses: {@code module}, {@code guess} (the module, told no reports), {@code least} (the cache that
- *     was reported least busy) or {@code two} (the less busy of two at random)
+ * @param link capacity of the location's inbound link, relative to that of all caches
+ * @param choice the router: {@code module} (the real one), {@code guess} (the same without load reports), {@code least}
+ *     (the least loaded cache by reports) or {@code two} (the less loaded of two at random)
  * @param reports how load reports come
  * @param faults what goes wrong
  */
@@ -56,9 +56,9 @@
     private static final List<String> CHOICES = List.of("module", "guess", "least", "two");
     private static final List<String> FAULTS = List.of("freeze", "mute", "slow", "join", "leave", "kill");
     /** Bounds of a run: what one machine plays in minutes within its memory. */
-    private static final int MOST_DIRECTORS = 2000;
-    private static final int MOST_CACHES = 500;
-    private static final double MOST_REQUESTS = 5e6;
+    private static final int MAX_DIRECTORS = 2000;
+    private static final int MAX_CACHES = 500;
+    private static final double MAX_REQUESTS = 5e6;
 
     /** So many directors with a thousand requests a second together, or one each where that is more. */
     public static Plan standard(int directors) {
@@ -87,48 +87,51 @@
         }
     }
 
-    /** Ends in one line where a field cannot be played. */
+    /** Throws {@link InvalidPlanException} for a field that is out of range. */
     void check() throws InvalidPlanException {
-        within("directors", directors, 1, MOST_DIRECTORS);
-        within("caches", caches, 2, MOST_CACHES);
-        within("perDirector", perDirector, 0.01, 10_000);
-        within("load", load, 0.01, 3);
-        within("skew", skew, 1, 1000);
-        within("seconds", seconds, 2, 3600);
-        within("settle", settle, 0, seconds - 1);
-        within("objects", objects, 1, 1_000_000);
-        within("zipf", zipf, 0, 2);
-        within("keeps", keeps, 1, 1_000_000);
-        within("workMs", workMs, 1, 10_000);
-        within("link", link, 0.01, 100);
-        within("seconds x directors x perDirector", seconds * directors * perDirector, 0, MOST_REQUESTS);
-        known("choice", choice, CHOICES);
+        checkRange("directors", directors, 1, MAX_DIRECTORS);
+        checkRange("caches", caches, 2, MAX_CACHES);
+        checkRange("perDirector", perDirector, 0.01, 10_000);
+        checkRange("load", load, 0.01, 3);
+        checkRange("skew", skew, 1, 1000);
+        checkRange("seconds", seconds, 2, 3600);
+        checkRange("settle", settle, 0, seconds - 1);
+        checkRange("objects", objects, 1, 1_000_000);
+        checkRange("zipf", zipf, 0, 2);
+        checkRange("keeps", keeps, 1, 1_000_000);
+        checkRange("workMs", workMs, 1, 10_000);
+        checkRange("link", link, 0.01, 100);
+        checkRange("seconds x directors x perDirector", seconds * directors * perDirector, 0, MAX_REQUESTS);
+        checkChoice("choice", choice, CHOICES);
         if (reports == null || faults == null) {
             throw new InvalidPlanException("/reports, /faults: may be left out, not null");
         }
-        within("reports/periodMs", reports.periodMs(), 1, 60_000);
-        within("reports/delayMs", reports.delayMs(), 0, 60_000);
-        within("reports/noise", reports.noise(), 0, 1);
-        within("reports/loss", reports.loss(), 0, 1);
+        checkRange("reports/periodMs", reports.periodMs(), 1, 60_000);
+        checkRange("reports/delayMs", reports.delayMs(), 0, 60_000);
+        checkRange("reports/noise", reports.noise(), 0, 1);
+        checkRange("reports/loss", reports.loss(), 0, 1);
         for (int i = 0; i < faults.size(); i++) {
-            Fault fault = faults.get(i);
-            known("faults/" + i + "/kind", fault.kind(), FAULTS);
-            within("faults/" + i + "/at", fault.at(), 0, seconds);
-            within("faults/" + i + "/lasts", fault.lasts(), 0, seconds);
-            within("faults/" + i + "/which", fault.which(), 0, (fault.kind().equals("kill") ? directors : caches) - 1);
-            if (fault.kind().equals("slow")) {
-                within("faults/" + i + "/factor", fault.factor(), 0.01, 1);
-            }
+            checkFault(i, faults.get(i));
+        }
+    }
+
+    private void checkFault(int i, Fault fault) throws InvalidPlanException {
+        checkChoice("faults/" + i + "/kind", fault.kind(), FAULTS);
+        checkRange("faults/" + i + "/at", fault.at(), 0, seconds);
+        checkRange("faults/" + i + "/lasts", fault.lasts(), 0, seconds);
+        checkRange("faults/" + i + "/which", fault.which(), 0, (fault.kind().equals("kill") ? directors : caches) - 1);
+        if (fault.kind().equals("slow")) {
+            checkRange("faults/" + i + "/factor", fault.factor(), 0.01, 1);
         }
     }
 
-    private static void within(String field, double value, double least, double most) throws InvalidPlanException {
-        if (!(value >= least && value <= most)) {
-            throw new InvalidPlanException("/" + field + ": " + value + " is not between " + least + " and " + most);
+    private static void checkRange(String field, double value, double min, double max) throws InvalidPlanException {
+        if (!(value >= min && value <= max)) {
+            throw new InvalidPlanException("/" + field + ": " + value + " is not between " + min + " and " + max);
         }
     }
 
-    private static void known(String field, String word, List<String> words) throws InvalidPlanException {
+    private static void checkChoice(String field, String word, List<String> words) throws InvalidPlanException {
         if (!words.contains(word)) {
             throw new InvalidPlanException("/" + field + ": " + word + " is none of " + words);
         }
--- a/src/main/java/clovermill/simulation/emulator/Workload.java
+++ b/src/main/java/clovermill/simulation/emulator/Workload.java
@@ -24,9 +24,9 @@
     private final double[] popularity;
     private final double[] requestsPerSecond;
 
-    /** {@code linkRoom} is how many fills the location's link carries at once. */
-    Workload(Plan plan, double linkRoom) {
-        this.settings = settings(plan, linkRoom);
+    /** {@code linkCapacity} is how many fills the location's link carries at once. */
+    Workload(Plan plan, double linkCapacity) {
+        this.settings = settings(plan, linkCapacity);
         this.popularity = popularity(plan.objects(), plan.zipf());
         this.requestsPerSecond = requestsPerSecond(plan);
     }
@@ -46,13 +46,13 @@
         return 0x5DEECE66DL * (rank < 0 ? -rank - 1 : rank) + 11;
     }
 
-    private static Settings settings(Plan plan, double linkRoom) {
+    private static Settings settings(Plan plan, double linkCapacity) {
         RequestClass read = new RequestClass(500_000, 2, DEADLINE_US, 1, 0.15, Effect.IDEMPOTENT, KeyScope.ALL,
                 Emulation.SECOND_US, false, false, false, 0, 0, 1);
         Permissions allowed = new Permissions(false, false, true, true, false, false, 6, 100_000, 500_000);
         return new Settings(0, plan.directors(), 1, List.of(read), List.of(0, plan.directors()), List.of(0, 0), 1, 2,
                 PACE_KB_PER_S, true, Siblings.NONE, Telling.HITS, COLD, COLD, 250_000, 8_000, 500_000, 6_000_000,
-                400_000, false, 10_000_000, 0, 0, linkRoom * PACE_KB_PER_S, allowed);
+                400_000, false, 10_000_000, 0, 0, linkCapacity * PACE_KB_PER_S, allowed);
     }
 
     /** Zipf's law, summed up. */
--- a/src/main/java/clovermill/simulation/emulator/eventlog/DatagramListener.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/DatagramListener.java
@@ -1,8 +1,8 @@
 package clovermill.simulation.emulator.eventlog;
 
-/** Sees each datagram that leaves a machine. */
+/** Observes each datagram that a machine sends. */
 @FunctionalInterface
 public interface DatagramListener {
-    /** One leaves. */
+    /** A datagram was sent. */
     void sent(int from, int to, byte[] bytes);
 }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/EventLogFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/EventLogFleet.java
@@ -30,8 +30,8 @@
     public static final long IN_FORCE_US = 7_100_000;
 
     private static final long SECOND_US = 1_000_000;
-    private static final long LOOK_US = 50_000;
-    private static final long CALM_S = 30;
+    private static final long OBSERVATION_INTERVAL_US = 50_000;
+    private static final long FAULT_FREE_END_S = 30;
 
     private final FleetSize size;
     private final World<EventLogTaskMessage> world;
@@ -42,8 +42,8 @@
     private final FaultInjector faults;
     private final FleetMachines machines;
     private final CRC32C digest = new CRC32C();
-    private long looks;
-    private long provenLooks;
+    private long observations;
+    private long provenObservations;
 
     /** A fleet whose machines run from now on. */
     public EventLogFleet(FleetSize size, long seed) {
@@ -76,10 +76,10 @@
     public static FleetMetrics play(Scenario plan, long seed) {
         EventLogFleet fleet = new EventLogFleet(plan.size(), seed);
         long end = plan.seconds() * SECOND_US;
-        long calmFrom = end - CALM_S * SECOND_US;
+        long faultsEndUs = end - FAULT_FREE_END_S * SECOND_US;
         fleet.every(1 / plan.eventsPerSecond(), end - 10 * SECOND_US, fleet::appendAnywhere);
-        fleet.every(plan.faultEveryS(), calmFrom, fleet.faults::inject);
-        fleet.world.at(calmFrom, fleet::endFaults);
+        fleet.every(plan.faultEveryS(), faultsEndUs, fleet.faults::inject);
+        fleet.world.at(faultsEndUs, fleet::endFaults);
         fleet.run(end);
         fleet.checker.end(end);
         return fleet.figures();
@@ -89,9 +89,10 @@
     public FleetMetrics figures() {
         Follower.Counts followers = machines.followerTotals();
         return new FleetMetrics(checker.known(), faults.injected(), checker.lost(), checker.misordered(),
-                checker.twice(), checker.stale(), checker.late(), checker.longestUs() / 1000,
-                looks == 0 ? 0 : 100 * provenLooks / looks, machines.tornSnapshots(), followers.failovers(),
-                followers.truncations(), checker.first(), digest.getValue());
+                checker.duplicated(), checker.stale(), checker.late(), checker.longestUs() / 1000,
+                observations == 0 ? 0 : 100 * provenObservations / observations, machines.tornSnapshots(),
+                followers.failovers(),
+                followers.truncations(), checker.firstViolation(), digest.getValue());
     }
 
     /** True time. */
@@ -208,15 +209,15 @@
         every(1 / eventsPerSecond, untilUs, this::appendAnywhere);
     }
 
-    /** Lets time pass up to a moment, while the checker looks. */
+    /** Lets time pass up to a moment, while the checker observations. */
     public void run(long untilUs) {
-        for (long at = world.nowUs() + LOOK_US; at <= untilUs; at += LOOK_US) {
+        for (long at = world.nowUs() + OBSERVATION_INTERVAL_US; at <= untilUs; at += OBSERVATION_INTERVAL_US) {
             world.run(at);
             for (int i = 0; i < size.directors(); i++) {
                 boolean proven = proven(i);
-                looks++;
-                provenLooks += proven ? 1 : 0;
-                checker.look(i, proven, reachable(machine(i)), at);
+                observations++;
+                provenObservations += proven ? 1 : 0;
+                checker.observe(i, proven, reachable(machine(i)), at);
             }
         }
     }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/FaultInjector.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FaultInjector.java
@@ -10,7 +10,7 @@
 final class FaultInjector {
 
     private static final long SECOND_US = 1_000_000;
-    private static final long LONGEST_FAULT_US = 20 * SECOND_US;
+    private static final long MAX_FAULT_US = 20 * SECOND_US;
     private static final long RESTART_AFTER_TORN_SNAPSHOT_US = 10 * SECOND_US;
     private static final int MAX_CHUNKS_UNTIL_CRASH = 8;
     private static final double BAD_LINK_LOSS = 0.4;
@@ -37,7 +37,7 @@
     void inject() {
         injected++;
         int machine = random.nextInt(3) > 0 ? random.nextInt(EventLogFleet.REPLICAS) : random.nextInt(machines);
-        long durationUs = (long) (random.nextDouble() * random.nextDouble() * LONGEST_FAULT_US);
+        long durationUs = (long) (random.nextDouble() * random.nextDouble() * MAX_FAULT_US);
         long untilUs = fleet.nowUs() + durationUs;
         switch (random.nextInt(9)) {
             case 0, 1 -> killFor(machine, durationUs, false);
--- a/src/main/java/clovermill/simulation/emulator/eventlog/FleetMachines.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FleetMachines.java
@@ -39,7 +39,7 @@
     private final Map<Integer, Integer> sendsUntilDeath = new HashMap<>();
     /** Of directors that were killed. */
     private long failovers;
-    private long clears;
+    private long truncations;
 
     /**
      * Machines that are all down.
@@ -119,7 +119,7 @@
             storages[machine].restart();
         } else {
             failovers += tasks[machine].followerCounts().failovers();
-            clears += tasks[machine].followerCounts().truncations();
+            truncations += tasks[machine].followerCounts().truncations();
         }
     }
 
@@ -178,12 +178,12 @@
     /** What all directors have seen, those that were killed too; only failovers and clears are counted over lives. */
     Follower.Counts followerTotals() {
         long allFailovers = failovers;
-        long allClears = clears;
+        long allTruncations = truncations;
         for (int i = EventLogFleet.REPLICAS; i < tasks.length; i++) {
             Follower.Counts counts = tasks[i].followerCounts();
             allFailovers += counts.failovers();
-            allClears += counts.truncations();
+            allTruncations += counts.truncations();
         }
-        return new Follower.Counts(0, 0, 0, allFailovers, allClears);
+        return new Follower.Counts(0, 0, 0, allFailovers, allTruncations);
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/FleetMetrics.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FleetMetrics.java
@@ -1,12 +1,12 @@
 package clovermill.simulation.emulator.eventlog;
 
-/** What was seen in a run. */
-public record FleetMetrics(int events, int faults, long lost, long misordered, long twice, long stale, long late,
-        long longestMs, long provenShare, int tornSnapshots, long failovers, long clears, String first,
+/** The measurements of a run; {@code digest} is over all deliveries in order. */
+public record FleetMetrics(int events, int faults, long lost, long misordered, long duplicated, long stale, long late,
+        long longestMs, long provenShare, int tornSnapshots, long failovers, long truncations, String firstViolation,
         long digest) {
 
     /** Whether no invariant was broken. */
     public boolean holds() {
-        return lost + misordered + twice + stale + late == 0;
+        return lost + misordered + duplicated + stale + late == 0;
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/FleetSize.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FleetSize.java
@@ -1,10 +1,10 @@
 package clovermill.simulation.emulator.eventlog;
 
 /**
- * A fleet.
+ * The size of a fleet and the quality of its links.
  *
  * @param retentionBytes bytes of events that replicas retain
  * @param subjects different objects that events are about
- * @param wayUs the longest way of a datagram
+ * @param wayUs the maximum latency of a datagram, microseconds
  */
 public record FleetSize(int directors, long retentionBytes, int subjects, double loss, long wayUs) {}
--- a/src/main/java/clovermill/simulation/emulator/eventlog/InvariantChecker.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/InvariantChecker.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * Sees from outside, in true time, which events were acknowledged, and what each director was handed; knows nothing of
- * replicas, positions or proofs. It counts what breaks the promises of the log.
+ * Observes from outside, in true time, which events were acknowledged and what each director was delivered, without
+ * regard to replicas, positions or proofs. Counts violations of the log's invariants. Not thread-safe.
  */
 final class InvariantChecker {
 
@@ -20,15 +20,15 @@
     private record Identity(Subject subject, String detail) {}
 
     /** An event that was acknowledged. */
-    private record Known(Entry entry, long atUs) {}
+    private record AcknowledgedEvent(Entry entry, long atUs) {}
 
-    /** What one life of a director holds. */
+    /** The state of one incarnation of a director. */
     private static final class Director {
         private final Map<Subject, Entry> latest = new HashMap<>();
-        private TruncatedPrefix clear = TruncatedPrefix.NONE;
+        private TruncatedPrefix truncatedPrefix = TruncatedPrefix.NONE;
         private long last;
         /** Events of the list before this one are held; for speed only. */
-        private int heldBefore;
+        private int coveredBefore;
         private long reachableSinceUs;
 
         /** An earlier event about the same subject was applied too, so what it purged stays purged. */
@@ -45,8 +45,8 @@
             Entry own = latest.get(entry.event().subject());
             return own != null && own.sequence() >= entry.sequence()
                     && own.event().createdAtMillis() >= entry.event().createdAtMillis()
-                    || clear.sequence() >= entry.sequence()
-                            && clear.createdAtMillis() >= entry.event().createdAtMillis();
+                    || truncatedPrefix.sequence() >= entry.sequence()
+                            && truncatedPrefix.createdAtMillis() >= entry.event().createdAtMillis();
         }
     }
 
@@ -54,16 +54,16 @@
     private final long stalenessUs;
     private final long inForceUs;
     private final long catchUpUs;
-    private final List<Known> known = new ArrayList<>();
+    private final List<AcknowledgedEvent> known = new ArrayList<>();
     private final Map<Long, Identity> bySequence = new HashMap<>();
     private final Map<Identity, Long> sequences = new HashMap<>();
     private long misordered;
-    private long twice;
+    private long duplicated;
     private long stale;
     private long late;
     private long lost;
     private long longestUs;
-    private String first;
+    private String firstViolation;
 
     /**
      * Checks so many directors.
@@ -82,7 +82,7 @@
         }
     }
 
-    /** A director begins anew and knows nothing. */
+    /** A director starts, with an empty copy of the log. */
     void started(int director, long nowUs) {
         directors[director] = new Director();
         directors[director].reachableSinceUs = nowUs;
@@ -92,33 +92,34 @@
     void acknowledged(List<Event> events, long last, long nowUs) {
         for (int i = 0; i < events.size(); i++) {
             Entry entry = new Entry(last - events.size() + 1 + i, events.get(i));
-            known.add(new Known(entry, nowUs));
-            place(entry, nowUs);
+            known.add(new AcknowledgedEvent(entry, nowUs));
+            recordSequence(entry, nowUs);
         }
     }
 
-    /** One event has one number, and one number one event, whoever reports it. */
-    private void place(Entry entry, long nowUs) {
+    /** Checks that an event has one number, and a number one event, whoever reports it. */
+    private void recordSequence(Entry entry, long nowUs) {
         Identity identity = new Identity(entry.event().subject(), entry.event().detail());
         Identity other = bySequence.putIfAbsent(entry.sequence(), identity);
-        Long place = sequences.putIfAbsent(identity, entry.sequence());
-        if (other != null && !other.equals(identity) || place != null && place != entry.sequence()) {
-            twice++;
-            note("twice: " + entry + " beside " + other + " and " + place + " at " + nowUs);
+        Long earlierSequence = sequences.putIfAbsent(identity, entry.sequence());
+        if (other != null && !other.equals(identity)
+                || earlierSequence != null && earlierSequence != entry.sequence()) {
+            duplicated++;
+            note("twice: " + entry + " beside " + other + " and " + earlierSequence + " at " + nowUs);
         }
     }
 
-    /** A director was handed something. */
+    /** A delivery was made to a director. */
     void delivered(int number, Delivery delivery, long nowUs) {
         Director director = directors[number];
         if (delivery instanceof Delivery.Applied applied) {
             Entry entry = applied.entry();
             ordered(director, entry.sequence(), number, nowUs);
-            place(entry, nowUs);
+            recordSequence(entry, nowUs);
             director.apply(entry);
-        } else if (delivery instanceof Delivery.Truncated cleared) {
-            ordered(director, cleared.prefix().sequence(), number, nowUs);
-            director.clear = cleared.prefix();
+        } else if (delivery instanceof Delivery.Truncated truncated) {
+            ordered(director, truncated.prefix().sequence(), number, nowUs);
+            director.truncatedPrefix = truncated.prefix();
         } else {
             lost++; // no run loses a log
             note("another log at director " + number + " at " + nowUs);
@@ -134,24 +135,24 @@
     }
 
     /**
-     * Looks at a director.
+     * Observes a director.
      *
      * @param proven whether it calls what it holds proven at this moment
      * @param reachable whether it is up and some replica could reach it and the others at this moment
      */
-    void look(int number, boolean proven, boolean reachable, long nowUs) {
+    void observe(int number, boolean proven, boolean reachable, long nowUs) {
         Director director = directors[number];
         if (!reachable) {
             director.reachableSinceUs = nowUs;
         }
-        while (director.heldBefore < known.size() && director.holds(known.get(director.heldBefore).entry)) {
-            Known held = known.get(director.heldBefore++);
+        while (director.coveredBefore < known.size() && director.holds(known.get(director.coveredBefore).entry)) {
+            AcknowledgedEvent held = known.get(director.coveredBefore++);
             if (director.reachableSinceUs <= held.atUs) {
                 longestUs = Math.max(longestUs, nowUs - held.atUs);
             }
         }
-        for (int i = director.heldBefore; i < known.size(); i++) {
-            Known each = known.get(i);
+        for (int i = director.coveredBefore; i < known.size(); i++) {
+            AcknowledgedEvent each = known.get(i);
             boolean old = nowUs - each.atUs > stalenessUs;
             boolean returned = each.atUs < director.reachableSinceUs + catchUpUs;
             boolean overdue =
@@ -170,7 +171,7 @@
     /** The end, after a calm: all directors hold all. */
     void end(long nowUs) {
         for (int i = 0; i < directors.length; i++) {
-            for (Known each : known) {
+            for (AcknowledgedEvent each : known) {
                 if (!directors[i].holds(each.entry)) {
                     lost++;
                     note("lost: " + each + " at director " + i + " at " + nowUs);
@@ -180,7 +181,7 @@
     }
 
     private void note(String what) {
-        first = first == null ? what : first;
+        firstViolation = firstViolation == null ? what : firstViolation;
     }
 
     int known() {
@@ -191,8 +192,8 @@
         return misordered;
     }
 
-    long twice() {
-        return twice;
+    long duplicated() {
+        return duplicated;
     }
 
     long stale() {
@@ -207,13 +208,13 @@
         return lost;
     }
 
-    /** The longest from an acknowledgement to a director that could be reached all along. */
+    /** The longest time from an acknowledgement until a director that was reachable all along had the event. */
     long longestUs() {
         return longestUs;
     }
 
-    /** The first thing that was wrong, or null. */
-    String first() {
-        return first;
+    /** The first violation, or null. */
+    String firstViolation() {
+        return firstViolation;
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/Traffic.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/Traffic.java
@@ -1,6 +1,6 @@
 package clovermill.simulation.emulator.eventlog;
 
-/** Bytes, with headers of IP and UDP, and datagrams that a machine has sent and been sent. */
+/** Bytes, with headers of IP and UDP, and datagrams that a machine has sent and received. */
 public record Traffic(long bytesOut, long bytesIn, long datagramsOut, long datagramsIn) {
 
     Traffic out(int bytes) {
@@ -11,7 +11,7 @@
         return new Traffic(bytesOut, bytesIn + bytes, datagramsOut, datagramsIn + 1);
     }
 
-    /** What came since an earlier moment. */
+    /** The difference to an earlier moment. */
     public Traffic since(Traffic earlier) {
         return new Traffic(bytesOut - earlier.bytesOut, bytesIn - earlier.bytesIn,
                 datagramsOut - earlier.datagramsOut, datagramsIn - earlier.datagramsIn);
--- a/src/main/java/clovermill/simulation/emulator/world/World.java
+++ b/src/main/java/clovermill/simulation/emulator/world/World.java
@@ -10,29 +10,29 @@
 import java.util.function.LongFunction;
 
 /**
- * Machines, each with a clock of its own that is off and runs a little fast or slow, and one task while it is up. Links
- * between them delay, lose, repeat, and can be cut each way. Time is true time in microseconds from 0.
+ * Machines, each with a clock of its own that is offset and drifts, and one task while it is up. Links between them
+ * delay, lose, duplicate, and can be cut in each direction. Time is true time in microseconds from 0. Not thread-safe.
  *
- * @param <M> what the tasks take
+ * @param <M> the messages of the tasks
  */
 public final class World<M> {
 
-    private record Event(long atUs, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long atUs, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
         }
     }
 
-    /** One machine; what reaches it while it is stopped waits, what reaches it while it is down is lost. */
+    /** A machine. Messages that reach it while it is stopped wait; those that reach it while it is down are lost. */
     public final class Machine {
         private final int number;
         private final double pace;
         private final long offsetUs;
         private Task<M> task;
-        private long life;
+        private long incarnation;
         private long stoppedUntilUs;
-        private long tickAtUs = Long.MAX_VALUE;
+        private long nextTickUs = Long.MAX_VALUE;
 
         private Machine(int number, double drift) {
             this.number = number;
@@ -56,60 +56,60 @@
         }
 
         /** Starts a task, which is given the time by this machine's clock. */
-        public void start(LongFunction<Task<M>> made) {
-            life++;
+        public void start(LongFunction<Task<M>> factory) {
+            incarnation++;
             stoppedUntilUs = 0;
-            tickAtUs = Long.MAX_VALUE;
-            task = made.apply(clock());
-            tick(life);
+            nextTickUs = Long.MAX_VALUE;
+            task = factory.apply(clock());
+            tick(incarnation);
         }
 
-        /** Its process dies, with all that it did not put on its disk. */
+        /** Its process dies; all state that is not on its disk is lost. */
         public void kill() {
-            life++;
+            incarnation++;
             task = null;
         }
 
-        /** It stands still for a while, its clock does not. */
+        /** Its process stops for a while; its clock runs on. */
         public void stop(long forUs) {
             stoppedUntilUs = Math.max(stoppedUntilUs, nowUs + forUs);
         }
 
-        /** Hands it a message from its own machine. */
+        /** Delivers a message from a part of the same process, at once. */
         public void hand(M message) {
             if (task != null) {
-                arrive(life, message);
+                receive(incarnation, message);
             }
         }
 
-        private void arrive(long ofLife, M message) {
-            if (ofLife != life || task == null) {
+        private void receive(long expectedIncarnation, M message) {
+            if (expectedIncarnation != incarnation || task == null) {
                 return;
             }
             if (nowUs < stoppedUntilUs) {
-                at(stoppedUntilUs, () -> arrive(ofLife, message));
+                at(stoppedUntilUs, () -> receive(expectedIncarnation, message));
                 return;
             }
             task.on(message, clock());
-            tick(life);
+            tick(incarnation);
         }
 
-        private void tick(long ofLife) {
-            if (ofLife != life || task == null) {
+        private void tick(long expectedIncarnation) {
+            if (expectedIncarnation != incarnation || task == null) {
                 return;
             }
             if (nowUs < stoppedUntilUs) {
-                at(stoppedUntilUs, () -> tick(ofLife));
+                at(stoppedUntilUs, () -> tick(expectedIncarnation));
                 return;
             }
             long next = task.tick(clock());
             long afterUs = next == Long.MAX_VALUE ? Long.MAX_VALUE / 4 : (long) Math.ceil((next - clock()) / pace) + 1;
             long atUs = nowUs + Math.max(100, afterUs);
-            if (atUs < tickAtUs || tickAtUs <= nowUs) {
-                tickAtUs = atUs;
+            if (atUs < nextTickUs || nextTickUs <= nowUs) {
+                nextTickUs = atUs;
                 at(atUs, () -> {
-                    if (tickAtUs == atUs || tickAtUs <= nowUs) {
-                        tick(ofLife);
+                    if (nextTickUs == atUs || nextTickUs <= nowUs) {
+                        tick(expectedIncarnation);
                     }
                 });
             }
@@ -120,14 +120,14 @@
     private final List<Machine> machines = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     /** Links that are cut, as {@code from * count + to}. */
-    private final Set<Integer> cut = new HashSet<>();
+    private final Set<Integer> cutLinks = new HashSet<>();
     private long nowUs;
     private long order;
     private double loss;
-    private long delayUs = 2000;
+    private long maxDelayUs = 2000;
     private long sent;
 
-    /** So many machines, whose clocks run wrong by up to {@code drift}. */
+    /** So many machines, whose clocks drift by up to {@code drift}. */
     public World(int count, double drift, long seed) {
         this.random = new Random(seed);
         for (int i = 0; i < count; i++) {
@@ -140,7 +140,7 @@
         return machines.get(number);
     }
 
-    /** How many there are. */
+    /** The number of machines. */
     public int size() {
         return machines.size();
     }
@@ -155,59 +155,59 @@
         return sent;
     }
 
-    /** The source of all chance here. */
+    /** The source of all randomness. */
     public Random random() {
         return random;
     }
 
-    /** How much is lost from now on, and the longest time on the way. */
-    public void links(double lost, long longestUs) {
-        loss = lost;
-        delayUs = longestUs;
+    /** Sets the part of messages that are lost from now on, and the maximum latency. */
+    public void links(double newLoss, long newMaxDelayUs) {
+        loss = newLoss;
+        maxDelayUs = newMaxDelayUs;
     }
 
-    /** Cuts or mends the way from one machine to another, and not the way back. */
+    /** Cuts or restores one direction of a link. */
     public void cut(int from, int to, boolean off) {
         int link = from * machines.size() + to;
         if (off) {
-            cut.add(link);
+            cutLinks.add(link);
         } else {
-            cut.remove(link);
+            cutLinks.remove(link);
         }
     }
 
-    /** Mends all links. */
+    /** Restores all links. */
     public void mend() {
-        cut.clear();
+        cutLinks.clear();
     }
 
-    /** A message leaves a machine; what goes to the machine itself is not lost. */
+    /** Sends a message; one to the machine itself is not lost. */
     public void send(int from, int to, M message) {
         sent++;
-        boolean own = from == to;
-        int copies = own ? 1 : random.nextDouble() < loss ? 0 : random.nextDouble() < 0.02 ? 2 : 1;
+        boolean loopback = from == to;
+        int copies = loopback ? 1 : random.nextDouble() < loss ? 0 : random.nextDouble() < 0.02 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long onWayUs = own ? 10 : 50 + (long) (random.nextDouble() * delayUs);
-            at(nowUs + onWayUs, () -> {
-                if (own || !cut.contains(from * machines.size() + to)) {
+            long latencyUs = loopback ? 10 : 50 + (long) (random.nextDouble() * maxDelayUs);
+            at(nowUs + latencyUs, () -> {
+                if (loopback || !cutLinks.contains(from * machines.size() + to)) {
                     Machine machine = machines.get(to);
-                    machine.arrive(machine.life, message);
+                    machine.receive(machine.incarnation, message);
                 }
             });
         }
     }
 
-    /** Has something done at a time. */
-    public void at(long atUs, Runnable what) {
-        events.add(new Event(Math.max(nowUs, atUs), order++, what));
+    /** Schedules an action. */
+    public void at(long atUs, Runnable action) {
+        events.add(new Event(Math.max(nowUs, atUs), order++, action));
     }
 
-    /** Lets time pass up to a moment. */
+    /** Runs all that is due until a moment. */
     public void run(long untilUs) {
         while (!events.isEmpty() && events.peek().atUs <= untilUs) {
             Event event = events.poll();
             nowUs = event.atUs;
-            event.what.run();
+            event.action.run();
         }
         nowUs = untilUs;
     }
--- a/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
@@ -32,7 +32,7 @@
     private static void assertHolds(EventLogFleet fleet) {
         fleet.finish();
         FleetMetrics figures = fleet.figures();
-        assertThat(figures.first()).isNull();
+        assertThat(figures.firstViolation()).isNull();
         assertThat(figures.holds()).isTrue();
         assertThat(figures.events()).isPositive();
     }
@@ -46,7 +46,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void whateverFailsNothingIsLostOutOfOrderOrStale(long seed) {
         FleetMetrics figures = EventLogFleet.play(new Scenario(SMALL, 100, RATE, 2), seed);
-        assertThat(figures.first()).isNull();
+        assertThat(figures.firstViolation()).isNull();
         assertThat(figures.holds()).isTrue();
         assertThat(figures.events()).isGreaterThan(300);
         assertThat(figures.faults()).isGreaterThan(20);
@@ -67,7 +67,7 @@
     private static void holdAll(long... seeds) {
         for (long seed : seeds) {
             FleetMetrics figures = EventLogFleet.play(new Scenario(SMALL, 100, RATE, 2), seed);
-            assertThat(figures.first()).as("seed %s", seed).isNull();
+            assertThat(figures.firstViolation()).as("seed %s", seed).isNull();
             assertThat(figures.holds()).isTrue();
         }
     }
--- a/src/test/java/clovermill/prove/CacheFleet.java
+++ b/src/test/java/clovermill/prove/CacheFleet.java
@@ -139,7 +139,8 @@
                     connection -> new Poll(connection, channel));
             channels.add(channel);
             StringBuilder all = new StringBuilder();
-            boxes.forEach((id, box) -> all.append(entry(id, box, box.model.leaves ? "draining" : "ready")).append(','));
+            boxes.forEach(
+                    (id, box) -> all.append(entry(id, box, box.model.draining ? "draining" : "ready")).append(','));
             all.append(other("p-1", "parent")).append(',').append(other("o-1", "origin"));
             return Map.entry("127.0.0.1:" + channel.listener.port(), "{\"cursor\":1,\"cmds\":[{\"cursor\":1,\"nodes\":"
                     + "{\"version\":1,\"full\":true,\"servers\":[" + all + "]}}]}");
@@ -171,7 +172,7 @@
     void leave(String id) throws Exception {
         ask(() -> {
             Box box = boxes.get(id);
-            box.model.leaves = true;
+            box.model.draining = true;
             box.drainToldUs = clock.micros();
             tell(entry(id, box, "draining"));
             return null;
@@ -223,7 +224,7 @@
 
     private static String entry(String id, Box box, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + box.listener.port() + "\",\"zone\":\"edge\",\"kind\":"
-                + "\"std\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":" + (int) box.model.toldRoom
+                + "\"std\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":" + (int) box.model.declaredCapacity
                 + ",\"started_ms\":" + box.startedMs + "}";
     }
 
@@ -250,7 +251,7 @@
             if (second) {
                 double load = box.model.load(now, now - lastSecondUs);
                 box.busiest = Math.max(box.busiest, load);
-                if (!box.model.leaves && !box.model.cold(now)) {
+                if (!box.model.draining && !box.model.cold(now)) {
                     loads.add(load);
                 }
             }
@@ -293,13 +294,13 @@
                 }
                 mostLately = Math.max(mostLately, lately.size());
             }
-            drainsBroken += now > box.drainToldUs + GRACE_US && box.model.leaves ? 1 : 0;
-            overruns += box.model.pushedOver(now, work) ? 1 : 0;
+            drainsBroken += now > box.drainToldUs + GRACE_US && box.model.draining ? 1 : 0;
+            overruns += box.model.overloadedWhileCold(now, work) ? 1 : 0;
             if (box.model.full()) {
                 say(id + " WAIT - 0\r\n\r\n");
                 return;
             }
-            boolean hit = token == null && box.model.look(Long.parseUnsignedLong(field(fields, "obj"), 16), fills);
+            boolean hit = token == null && box.model.lookUp(Long.parseUnsignedLong(field(fields, "obj"), 16), fills);
             if (token == null && !hit && !fills) {
                 say(id + " LACK - 0\r\n\r\n");
                 return;
@@ -317,7 +318,7 @@
         private void done(String id, boolean hit) {
             open.remove(id);
             reads.computeIfPresent(id, (key, count) -> count > 1 ? count - 1 : null);
-            LoadReport load = mute ? null : box.model.seen(clock.micros(), frozen);
+            LoadReport load = mute ? null : box.model.visibleReport(clock.micros(), frozen);
             String gauges = load == null ? "" : String.format(Locale.ROOT,
                     ",gauges=concurrent:%.3f;load_share:%.3f;x1:%.3f", load.held(), load.busy(), load.linkUse());
             say(id + " DONE etag=t,made=" + clock.unixMillis() + ",res=" + (hit ? "HIT" : "MISS") + gauges + " " + BODY
--- a/src/test/java/clovermill/prove/EventLogSimProof.java
+++ b/src/test/java/clovermill/prove/EventLogSimProof.java
@@ -39,10 +39,11 @@
         StringBuilder line = new StringBuilder("prove-event-log-sim: replicas=4 directors=8 seeds=" + seeds + " faults="
                 + sum(runs, FleetMetrics::faults) + " events=" + sum(runs, FleetMetrics::events) + " lost="
                 + sum(runs, FleetMetrics::lost) + " misordered=" + sum(runs, FleetMetrics::misordered) + " twice="
-                + sum(runs, FleetMetrics::twice) + " stale=" + sum(runs, FleetMetrics::stale) + " late="
+                + sum(runs, FleetMetrics::duplicated) + " stale=" + sum(runs, FleetMetrics::stale) + " late="
                 + sum(runs, FleetMetrics::late) + " seeds_broken=" + broken + " in_force_most_ms="
                 + runs.stream().mapToLong(FleetMetrics::longestMs).max().orElse(0) + " torn_snapshots="
-                + sum(runs, FleetMetrics::tornSnapshots) + " clears=" + sum(runs, FleetMetrics::clears) + " same_again="
+                + sum(runs, FleetMetrics::tornSnapshots) + " clears=" + sum(runs, FleetMetrics::truncations)
+                + " same_again="
                 + again);
         boolean holds = broken == 0 && again;
         for (String directors : System.getProperty("sizes", "60,180,540").split(",")) {
--- a/src/test/java/clovermill/simulation/emulator/EmulationTest.java
+++ b/src/test/java/clovermill/simulation/emulator/EmulationTest.java
@@ -35,11 +35,11 @@
 
     @Test
     void aReportedOverloadIsSpreadMoreEvenlyThanAGuessedOne() throws Plan.InvalidPlanException {
-        FleetMetrics told = Emulation.play(loaded(60), 5);
+        FleetMetrics reported = Emulation.play(loaded(60), 5);
         FleetMetrics guessed = Emulation.play(loaded(60).choosing("guess"), 5);
-        assertThat(told.maxOverMean()).isLessThan(0.95 * guessed.maxOverMean());
-        assertThat(told.inTimeShare()).isGreaterThan(guessed.inTimeShare());
-        assertThat(told.idleSeconds()).isZero();
+        assertThat(reported.maxOverMean()).isLessThan(0.95 * guessed.maxOverMean());
+        assertThat(reported.inTimeShare()).isGreaterThan(guessed.inTimeShare());
+        assertThat(reported.idleSeconds()).isZero();
     }
 
     @Test
