--- a/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
@@ -32,7 +32,7 @@
     private static void assertHolds(EventLogFleet fleet) {
         fleet.finish();
         FleetMetrics figures = fleet.figures();
-        assertThat(figures.first()).isNull();
+        assertThat(figures.firstViolation()).isNull();
         assertThat(figures.holds()).isTrue();
         assertThat(figures.events()).isPositive();
     }
@@ -46,7 +46,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void whateverFailsNothingIsLostOutOfOrderOrStale(long seed) {
         FleetMetrics figures = EventLogFleet.play(new Scenario(SMALL, 100, RATE, 2), seed);
-        assertThat(figures.first()).isNull();
+        assertThat(figures.firstViolation()).isNull();
         assertThat(figures.holds()).isTrue();
         assertThat(figures.events()).isGreaterThan(300);
         assertThat(figures.faults()).isGreaterThan(20);
@@ -67,7 +67,7 @@
     private static void holdAll(long... seeds) {
         for (long seed : seeds) {
             FleetMetrics figures = EventLogFleet.play(new Scenario(SMALL, 100, RATE, 2), seed);
-            assertThat(figures.first()).as("seed %s", seed).isNull();
+            assertThat(figures.firstViolation()).as("seed %s", seed).isNull();
             assertThat(figures.holds()).isTrue();
         }
     }
@@ -107,7 +107,7 @@
     }
 
     private static int follows(EventLogFleet fleet, int director) {
-        return fleet.task(EventLogFleet.machine(director)).follows();
+        return fleet.task(EventLogFleet.machine(director)).followedReplica();
     }
 
     @Test
@@ -161,7 +161,7 @@
             assertThat(taken.bytesOut()).isLessThanOrEqualTo(10 * 9000);
         }
         assertAllProvenAt(fleet, 76 * SECOND, directors);
-        assertThat(fleet.task(cut).followerCounts().clears()).isEqualTo(1);
+        assertThat(fleet.task(cut).followerCounts().truncations()).isEqualTo(1);
         assertHolds(fleet);
     }
 
@@ -277,9 +277,9 @@
                 assertThat(fleet.proven(director)).isTrue();
             }
         }
-        long toCatchUp = IntStream.range(0, EventLogFleet.REPLICAS)
-                .mapToLong(each -> fleet.task(each).feedCounts().toCatchUp()).sum();
-        assertThat(toCatchUp).isPositive();
+        long droppedToCatchUp = IntStream.range(0, EventLogFleet.REPLICAS)
+                .mapToLong(each -> fleet.task(each).feedCounts().droppedToCatchUp()).sum();
+        assertThat(droppedToCatchUp).isPositive();
         assertAllProvenAt(fleet, 50 * SECOND, 8);
         assertHolds(fleet);
     }
