--- a/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
+++ b/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
@@ -84,18 +84,18 @@
     public void submit(ClientRequest ask, ResponseHandler asker) {
         if (calls.size() >= allowed.maxOpen()) {
             asker.refused(allowed.maxRetryAfterUs() / 1000);
-            notTaken(ask, UsageRecord.End.REFUSED);
+            recordRejected(ask, UsageRecord.End.REFUSED);
             return;
         }
         if (calls.containsKey(ask.id())) {
             asker.failed();
-            notTaken(ask, UsageRecord.End.FAILED);
+            recordRejected(ask, UsageRecord.End.FAILED);
             return;
         }
         long afterMs = audit == null ? UsageListener.ADMITTED : audit.retryAfterMillis(ask);
         if (afterMs != UsageListener.ADMITTED) {
             asker.refused(Math.min(afterMs, allowed.maxRetryAfterUs() / 1000));
-            notTaken(ask, UsageRecord.End.REFUSED);
+            recordRejected(ask, UsageRecord.End.REFUSED);
             return;
         }
         RequestContext call = new RequestContext(this, ask, asker, bounds == null ? null : bounds.allowedMembers(ask));
@@ -106,7 +106,7 @@
     }
 
     /** Tells the audit of a request that a front or the host turned away before the module saw it. */
-    public void notTaken(ClientRequest ask, UsageRecord.End how) {
+    public void recordRejected(ClientRequest ask, UsageRecord.End how) {
         if (audit != null) {
             long nowUs = clock.micros();
             audit.requestEnded(new UsageRecord(ask, false, nowUs, nowUs, how, 0, null, null, null, 0, 0));
@@ -114,7 +114,7 @@
     }
 
     /** Whether anybody keeps count. */
-    public boolean audited() {
+    public boolean recordsUsage() {
         return audit != null;
     }
 
@@ -132,7 +132,7 @@
      * The client sends no more: it may have gone, or only read on. Nothing new begins for its request. What is out may
      * still be answered; where nothing is, the final answer is given now.
      */
-    public void clientLeft(String id) {
+    public void clientHalfClosed(String id) {
         RequestContext call = calls.get(id);
         if (call == null || call.over() || call.left()) {
             return;
@@ -158,7 +158,7 @@
     }
 
     /** Puts other settings in force, for requests that come from now on. */
-    public void retune(Settings settings) {
+    public void reload(Settings settings) {
         allowed = settings.allowed();
         classes = settings.classes();
         slackUs = settings.answerSlackUs();
@@ -166,7 +166,7 @@
     }
 
     /** Gives every open request its final answer now: the end of the process is near. */
-    public void answerAll() {
+    public void answerOpenRequests() {
         for (RequestContext call : List.copyOf(calls.values())) {
             if (!call.over()) {
                 if (call.sent == 0) {
--- a/src/main/java/clovermill/dataplane/server/BudgetWait.java
+++ b/src/main/java/clovermill/dataplane/server/BudgetWait.java
@@ -5,57 +5,65 @@
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.Timeout;
 
-/** Waits until the budget has room for a large frame. Its client is not read meanwhile, and may go unseen. */
+/**
+ * Waits, for a bounded time, until the budget has memory for a large frame. The client is not read meanwhile, so its
+ * end would not be seen.
+ */
 final class BudgetWait {
 
-    /** For so long that does not matter: half of what an attempt may begin late after its client has gone. */
-    private static final long BLIND_US = 50_000;
-    /** Then the frame is given up: its request's answer must come half a second after its time at the latest. */
-    private static final long MOST_US = 400_000;
+    /** After this the client may have gone unnoticed; half of the time that an attempt may begin late after that. */
+    private static final long UNNOTICED_END_MICROS = 50_000;
+    /** Then the frame is skipped and rejected; its answer is owed half a second after its deadline at the latest. */
+    private static final long MAX_WAIT_MICROS = 400_000;
 
     private final Budget budget;
-    private final Timeout blind;
-    private final Timeout most;
-    private final Runnable over;
-    private boolean waits;
+    private final Timeout longWait;
+    private final Timeout timeout;
+    private final Runnable onMemory;
+    private boolean waiting;
 
-    /** {@code blind} is run where it takes long, {@code over} when there is room, {@code none} once if none comes. */
-    BudgetWait(Budget budget, Clock clock, Deadlines deadlines, Runnable blind, Runnable over, Runnable none) {
+    /**
+     * {@code onLongWait} runs after {@link #UNNOTICED_END_MICROS}, {@code onMemory} when memory was returned to the
+     * budget, {@code onTimeout} once if there was none in time.
+     */
+    BudgetWait(Budget budget, Clock clock, Deadlines deadlines, Runnable onLongWait, Runnable onMemory,
+            Runnable onTimeout) {
         this.budget = budget;
-        this.blind = new Timeout(clock, deadlines, blind);
-        this.most = new Timeout(clock, deadlines, () -> {
-            waits = false;
-            none.run();
+        this.longWait = new Timeout(clock, deadlines, onLongWait);
+        this.timeout = new Timeout(clock, deadlines, () -> {
+            waiting = false;
+            onTimeout.run();
         });
-        this.over = over;
+        this.onMemory = onMemory;
     }
 
+    /** Begins to wait, or continues where the memory that was returned did not suffice. */
     void begin() {
-        waits = true;
-        if (!most.isSet()) { // else some room was found, and not enough
-            blind.setAfter(BLIND_US);
-            most.setAfter(MOST_US);
+        waiting = true;
+        if (!timeout.isSet()) {
+            longWait.setAfter(UNNOTICED_END_MICROS);
+            timeout.setAfter(MAX_WAIT_MICROS);
         }
         budget.await(() -> {
-            if (waits) {
-                waits = false;
-                over.run();
+            if (waiting) {
+                waiting = false;
+                onMemory.run();
             }
         });
     }
 
-    boolean waits() {
-        return waits;
+    boolean isWaiting() {
+        return waiting;
     }
 
-    /** The frame has its room. */
+    /** The frame has its memory. */
     void end() {
-        blind.cancel();
-        most.cancel();
+        longWait.cancel();
+        timeout.cancel();
     }
 
     void close() {
-        most.close();
-        blind.close();
+        timeout.close();
+        longWait.close();
     }
 }
--- a/src/main/java/clovermill/dataplane/server/ClientServer.java
+++ b/src/main/java/clovermill/dataplane/server/ClientServer.java
@@ -2,34 +2,31 @@
 
 import java.io.IOException;
 
-/**
- * A protocol by which clients reach the director. Whatever it is, it hands its requests to the one host and
- * so goes through the same decisions and rules.
- */
+/** A server by whose protocol clients reach the director; it passes their requests to the one proxy core. */
 public interface ClientServer {
 
-    /** Starts to listen. */
+    /** Starts to listen; fails if the address cannot be bound. */
     void open() throws IOException;
 
-    /** Whether it takes new connections and the director can serve them. */
-    boolean ready();
+    /** Whether new connections are accepted and the director can serve them. */
+    boolean isReady();
 
     /**
-     * Tells clients to send nothing new, and goes on serving what comes all the same. Where another process
-     * accepts from the same socket, no new connection is taken from here on.
+     * Asks clients to send no new requests; requests that come nevertheless are served. No new connection is accepted
+     * from here on where another process accepts from the same socket.
      */
-    void leave();
+    void announceShutdown();
 
-    /** Takes no new connections beyond those that have come up to now; those that are open go on. */
-    void shut();
+    /** Stops accepting, after the connections that wait in the backlog; open connections continue. */
+    void stopAccepting();
 
     /**
-     * Ends each connection on which nothing taken is open. New requests are turned away from now on if {@code
-     * turningAway}. If {@code cuttingOff}, what has come is answered and what is left is closed, at the call after that
-     * also on clients that do not read.
+     * Closes all connections without open requests. New requests are rejected from now on if {@code rejectNew}. If
+     * {@code force}, requests that have arrived are answered and all connections closed; the next forced call also
+     * closes those whose clients do not read their answers.
      */
-    void part(boolean turningAway, boolean cuttingOff);
+    void closeConnections(boolean rejectNew, boolean force);
 
     /** Whether no client is connected. */
-    boolean empty();
+    boolean isEmpty();
 }
--- a/src/main/java/clovermill/dataplane/server/ClientStream.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStream.java
@@ -6,45 +6,47 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A request that is open on a connection; it is answered once. */
+/** A request that is open on a connection; it writes the one answer. */
 final class ClientStream implements ResponseHandler {
 
     final long number;
-    final String id;
+    final String requestId;
+    /** Bytes taken from the budget for the request's body. */
     final int bodyBytes;
     private final FrameConnection connection;
 
-    ClientStream(FrameConnection connection, long number, String id, int bodyBytes) {
+    ClientStream(FrameConnection connection, long number, String requestId, int bodyBytes) {
         this.connection = connection;
         this.number = number;
-        this.id = id;
+        this.requestId = requestId;
         this.bodyBytes = bodyBytes;
     }
 
     @Override
-    public void served(UpstreamResponse answer) {
+    public void served(UpstreamResponse response) {
         connection.end(this);
         Map<String, String> fields = new TreeMap<>();
-        if (answer.notModified()) {
+        if (response.notModified()) {
             fields.put("notmod", "1");
         }
-        if (answer.tag() != null) {
-            fields.put("etag", answer.tag());
+        if (response.tag() != null) {
+            fields.put("etag", response.tag());
         }
-        byte[] body = answer.notModified() ? new byte[0] : answer.body().bytes();
+        byte[] body = response.notModified() ? new byte[0] : response.body().bytes();
         ByteBuffer bytes = ByteBuffer.wrap(body);
-        connection.answer(Frames.answer(Frames.ANSWER, number, Frames.SERVED, fields, body.length), bytes, whole -> {
-            answer.body().close();
-            if (answer.writeListener() != null) {
-                answer.writeListener().written(bytes.position(), whole);
+        ByteBuffer head = Frames.responseHead(Frames.RESPONSE, number, Frames.SERVED, fields, body.length);
+        connection.respond(head, bytes, complete -> {
+            response.body().close();
+            if (response.writeListener() != null) {
+                response.writeListener().written(bytes.position(), complete);
             }
         });
     }
 
     @Override
-    public void refused(long afterMs) {
+    public void refused(long retryAfterMillis) {
         connection.end(this);
-        connection.refuse(number, afterMs);
+        connection.refuse(number, retryAfterMillis);
     }
 
     @Override
--- a/src/main/java/clovermill/dataplane/server/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -8,134 +8,141 @@
 import java.util.List;
 import java.util.Map;
 
-/** The requests that are open on one connection; it takes them in, and gives their bytes back at their end. */
+/** The open requests of one connection: accepts or rejects them, and returns their memory when they end. */
 final class ClientStreams {
 
-    private static final int MOST_OPEN = 32;
-    /** Where another director is to take the request, it may do so at once. */
-    private static final long AT_ONCE_MS = 1;
+    private static final int MAX_OPEN = 32;
+    /** Retry delay during a shutdown: another director serves the request at once. */
+    private static final long RETRY_ELSEWHERE_MILLIS = 1;
 
     private final FrameConnection connection;
-    private final ServerContext shared;
+    private final ServerContext context;
     private final StreamNumbers used = new StreamNumbers();
     private final Map<Long, ClientStream> open = new HashMap<>();
 
-    ClientStreams(FrameConnection connection, ServerContext shared) {
+    ClientStreams(FrameConnection connection, ServerContext context) {
         this.connection = connection;
-        this.shared = shared;
+        this.context = context;
     }
 
     boolean isEmpty() {
         return open.isEmpty();
     }
 
-    /** By when a request is to be answered that arrived at that moment, in microseconds of the clock. */
+    /** When a request that arrived then must have been answered, both in microseconds of the clock. */
     long answerByMicros(ByteBuffer payload, long arrivedMicros) throws ProtocolException {
-        long withinUs = shared.reader().answerWithinUs(Frames.fields(payload.duplicate().order(payload.order())));
-        return withinUs == Long.MAX_VALUE ? Long.MAX_VALUE : arrivedMicros + withinUs;
+        Map<String, String> fields = Frames.fields(payload.duplicate().order(payload.order()));
+        long withinMicros = context.reader().answerWithinMicros(fields);
+        return withinMicros == Long.MAX_VALUE ? Long.MAX_VALUE : arrivedMicros + withinMicros;
     }
 
-    /** Answers a request that is not to be taken any more. */
-    void turnAway(long stream, ByteBuffer payload) throws ProtocolException {
-        if (free(stream)) {
-            connection.refuse(stream, shared.awayMs().getAsLong());
+    /** Rejects a request that was not accepted; {@code payload} is null if it was not read. */
+    void reject(long stream, ByteBuffer payload) throws ProtocolException {
+        if (claimNumber(stream)) {
+            connection.refuse(stream, context.retryAfterMillis().getAsLong());
             if (payload != null) {
-                notTaken(Frames.fields(payload));
+                recordRejected(Frames.fields(payload));
             }
         }
     }
 
-    /** Whether a request may come on that stream; it is marked as used, or an error is told. */
-    private boolean free(long stream) throws ProtocolException {
+    /** Marks the number of a new stream as used; a number that may not be used is answered with an error. */
+    private boolean claimNumber(long stream) throws ProtocolException {
         if (stream == 0 || open.containsKey(stream)) {
             connection.fail(0);
             return false;
         }
-        if (!used.use(stream)) {
+        if (!used.markUsed(stream)) {
             connection.fail(stream);
             return false;
         }
         return true;
     }
 
-    /** Takes a request that arrived at that moment of the clock, or answers it at once. */
-    void take(long stream, ByteBuffer payload, long arrivedMicros) throws ProtocolException {
+    /** Accepts a request that arrived at that time of the clock, or answers it at once. */
+    void accept(long stream, ByteBuffer payload, long arrivedMicros) throws ProtocolException {
         Map<String, String> fields = Frames.fields(payload);
-        if (!free(stream)) {
+        if (!claimNumber(stream)) {
             return;
         }
         int bodyBytes = payload.remaining();
-        boolean turnedAway = shared.turningAway().getAsBoolean();
-        if (turnedAway || open.size() >= MOST_OPEN || !shared.budget().take(bodyBytes)) {
-            long awayMs = shared.awayMs().getAsLong();
-            connection.refuse(stream, turnedAway ? Math.min(AT_ONCE_MS, awayMs) : awayMs);
-            notTaken(fields);
+        boolean rejectingNew = context.rejectingNew().getAsBoolean();
+        if (rejectingNew || open.size() >= MAX_OPEN || !context.budget().take(bodyBytes)) {
+            long retryAfterMillis = context.retryAfterMillis().getAsLong();
+            connection.refuse(stream,
+                    rejectingNew ? Math.min(RETRY_ELSEWHERE_MILLIS, retryAfterMillis) : retryAfterMillis);
+            recordRejected(fields);
             return;
         }
         byte[] body = new byte[bodyBytes];
         payload.get(body);
         try {
-            ClientRequest ask = shared.reader().read(fields, body).afterDelay(shared.clock().micros() - arrivedMicros);
-            if (ask.remainingMicros() <= 0) {
-                shared.budget().give(bodyBytes);
-                connection.refuse(stream, shared.awayMs().getAsLong());
-                shared.host().notTaken(ask, UsageRecord.End.REFUSED);
-                return;
-            }
-            ClientStream opened = new ClientStream(connection, stream, ask.id(), bodyBytes);
-            open.put(stream, opened);
-            connection.taken();
-            shared.host().submit(ask, opened);
-        } catch (RequestReader.BadRequest bad) {
-            shared.budget().give(bodyBytes);
+            submit(stream, context.reader().read(fields, body)
+                    .afterDelay(context.clock().micros() - arrivedMicros));
+        } catch (BadRequestException invalid) {
+            context.budget().give(bodyBytes);
             connection.fail(stream);
         }
     }
 
-    /** Lets whoever keeps count know of a request for which there was no place here. */
-    private void notTaken(Map<String, String> fields) {
-        if (shared.host().audited()) {
+    private void submit(long stream, ClientRequest request) {
+        int bodyBytes = request.body().length;
+        if (request.remainingMicros() <= 0) {
+            context.budget().give(bodyBytes);
+            connection.refuse(stream, context.retryAfterMillis().getAsLong());
+            context.proxy().recordRejected(request, UsageRecord.End.REFUSED);
+            return;
+        }
+        ClientStream opened = new ClientStream(connection, stream, request.id(), bodyBytes);
+        open.put(stream, opened);
+        connection.requestAccepted();
+        context.proxy().submit(request, opened);
+    }
+
+    /** Records the usage of a request that was rejected here; an invalid one cannot be assigned to anybody. */
+    private void recordRejected(Map<String, String> fields) {
+        if (context.proxy().recordsUsage()) {
             try {
-                shared.host().notTaken(shared.reader().read(fields, new byte[0]), UsageRecord.End.REFUSED);
-            } catch (RequestReader.BadRequest bad) {
-                // what cannot be read belongs to nobody
+                context.proxy().recordRejected(context.reader().read(fields, new byte[0]), UsageRecord.End.REFUSED);
+            } catch (BadRequestException invalid) {
+                return;
             }
         }
     }
 
-    /** Nobody waits for that one any more; whether it was open. */
-    boolean giveUp(long stream) {
-        ClientStream given = open.get(stream);
-        if (given == null) {
+    /** The client no longer waits for a request; false if it is not open. */
+    boolean cancel(long stream) {
+        ClientStream cancelled = open.get(stream);
+        if (cancelled == null) {
             return false;
         }
-        end(given);
-        shared.host().clientGone(given.id);
+        end(cancelled);
+        context.proxy().clientGone(cancelled.requestId);
         return true;
     }
 
-    /** A number that was used up without its request being taken. */
-    void spend(long stream) throws ProtocolException {
-        used.use(stream);
+    /** Marks the number of a request that was cancelled before it was accepted. */
+    void markUsed(long stream) throws ProtocolException {
+        used.markUsed(stream);
     }
 
-    /** The one place where a stream ends and its request's bytes are given back. */
+    /** The one place where a stream ends and the memory of its request is returned. */
     void end(ClientStream stream) {
         if (open.remove(stream.number, stream)) {
-            shared.budget().give(stream.bodyBytes);
+            context.budget().give(stream.bodyBytes);
         }
     }
 
     /**
-     * From now on nothing new begins for what is open: the client may have gone, which would not be seen. What is out
-     * may still be answered.
+     * No further attempt begins for the open requests, since the client may have gone unnoticed. Attempts in flight may
+     * still be answered.
      */
-    void bar() {
-        List.copyOf(open.values()).forEach(stream -> shared.host().clientLeft(stream.id));
+    void stopNewAttempts() {
+        List.copyOf(open.values()).forEach(stream -> context.proxy().clientHalfClosed(stream.requestId));
     }
 
     /** The client has gone. */
-    void close() {
-        List.copyOf(open.keySet()).forEach(this::giveUp);
+    void cancelAll() {
+        List.copyOf(open.keySet()).forEach(this::cancel);
     }
 }
--- a/src/main/java/clovermill/dataplane/server/ClientThrottle.java
+++ b/src/main/java/clovermill/dataplane/server/ClientThrottle.java
@@ -5,42 +5,42 @@
 import clovermill.runtime.net.Timeout;
 
 /**
- * Counts what came to nothing for a client: answers that turn away, requests that are withdrawn. One that brings too
- * much of it is not worked on for a while, which guards the others against storms of repeats and of cancels.
+ * Throttles one client by its unserved requests (rejected, failed, cancelled) in a window, so that a storm of retries
+ * or cancellations does not take processor time from other clients.
  */
 final class ClientThrottle {
 
-    private static final int MOST_IN_VAIN = 100;
-    private static final long SPAN_US = 1_000_000;
+    private static final int MAX_UNSERVED = 100;
+    private static final long WINDOW_MICROS = 1_000_000;
 
     private final Clock clock;
-    private final Timeout pause;
-    private long spanUs;
-    private int count;
+    private final Timeout throttled;
+    private long windowStartMicros;
+    private int unserved;
 
-    /** {@code over} is run at the end of each such while. */
-    ClientThrottle(Clock clock, Deadlines deadlines, Runnable over) {
+    /** {@code onEnd} runs when the client is throttled no longer. */
+    ClientThrottle(Clock clock, Deadlines deadlines, Runnable onEnd) {
         this.clock = clock;
-        this.pause = new Timeout(clock, deadlines, over);
+        this.throttled = new Timeout(clock, deadlines, onEnd);
     }
 
-    void count() {
-        long nowUs = clock.micros();
-        if (nowUs - spanUs >= SPAN_US) {
-            spanUs = nowUs;
-            count = 0;
+    /** Counts an unserved request; above the limit the client is throttled until the end of the window. */
+    void countUnserved() {
+        long nowMicros = clock.micros();
+        if (nowMicros - windowStartMicros >= WINDOW_MICROS) {
+            windowStartMicros = nowMicros;
+            unserved = 0;
         }
-        if (++count > MOST_IN_VAIN && !pause.isSet()) {
-            pause.setAt(spanUs + SPAN_US);
+        if (++unserved > MAX_UNSERVED && !throttled.isSet()) {
+            throttled.setAt(windowStartMicros + WINDOW_MICROS);
         }
     }
 
-    /** Whether the client is not to be worked on now. */
-    boolean holds() {
-        return pause.isSet();
+    boolean isThrottled() {
+        return throttled.isSet();
     }
 
     void close() {
-        pause.close();
+        throttled.close();
     }
 }
--- a/src/main/java/clovermill/dataplane/server/FrameConnection.java
+++ b/src/main/java/clovermill/dataplane/server/FrameConnection.java
@@ -4,166 +4,146 @@
 import clovermill.runtime.net.ProtocolException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.ByteOrder;
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One client connection; it owns its open streams and answers each of them once. */
+/** One client connection: its open streams, the answers written to it, and its close. */
 final class FrameConnection implements Connection.Handler {
 
-    /** Nothing more is worked on for a client that lets so much of its answers lie. */
-    private static final long MOST_UNREAD = 1 << 20;
-    /** A client that has just connected is about to ask. */
-    private static final long ABOUT_TO_ASK_US = 100_000;
+    /** A client that connected less than this ago is expected to send its first request. */
+    private static final long FIRST_REQUEST_MICROS = 100_000;
+
     private final Connection connection;
-    private final ServerContext shared;
-    private final FrameParser parser;
-    private final ReadPause reading;
-    private final FrameTimeout frameTimeout;
-    private final HeldFrames held;
-    private final ClientThrottle throttle;
-    private final BudgetWait budgetWait;
+    private final ServerContext context;
+    private final ClientStreams streams;
+    private final FrameIntake intake;
     private final WriteTimeout writeTimeout;
     private final LingeringClose lingeringClose;
-    private final ClientStreams streams;
-    private final long sinceUs;
-    private boolean spoken;
-    private boolean leaveAfterNext;
+    private final long openedMicros;
+    private boolean announceAfterNextRequest;
     private boolean closing;
-    private boolean cutOff;
-    private boolean ended;
+    private boolean forcedClose;
+    private boolean inputEnded;
 
-    FrameConnection(Connection connection, ServerContext shared) {
+    FrameConnection(Connection connection, ServerContext context) {
         this.connection = connection;
-        this.shared = shared;
-        this.parser = new FrameParser(shared.budget(), this::frame, this::skipped);
-        this.reading = new ReadPause(connection, shared.clock());
-        this.frameTimeout = new FrameTimeout(connection, shared.clock(), shared.deadlines(), parser, this::reject);
-        this.streams = new ClientStreams(this, shared);
-        this.held = new HeldFrames(shared.budget(), shared.clock(), shared.deadlines(), this::expired);
-        this.throttle = new ClientThrottle(shared.clock(), shared.deadlines(), this::workOn);
-        this.budgetWait = new BudgetWait(shared.budget(), shared.clock(), shared.deadlines(), streams::bar,
-                this::workOn, this::skipFrame);
-        this.writeTimeout = new WriteTimeout(connection, shared.clock(), shared.deadlines());
-        this.lingeringClose = new LingeringClose(connection, shared.clock(), shared.deadlines());
-        this.sinceUs = shared.clock().micros();
+        this.context = context;
+        this.streams = new ClientStreams(this, context);
+        this.intake = new FrameIntake(this, connection, context, streams);
+        this.writeTimeout = new WriteTimeout(connection, context.clock(), context.deadlines());
+        this.lingeringClose = new LingeringClose(connection, context.clock(), context.deadlines());
+        this.openedMicros = context.clock().micros();
     }
 
-    /** Tells the client to send nothing new here. */
-    void leave() {
-        connection.send(Frames.bare(Frames.LEAVING, 0));
+    /** Asks the client to send no new requests on this connection. */
+    void announceShutdown() {
+        connection.send(Frames.emptyFrame(Frames.GOING_AWAY, 0));
     }
 
-    /** A client that connects while the director leaves is served first, and told then. */
-    void leaveAfterNext() {
-        leaveAfterNext = true;
+    /** A client that connects during the shutdown is served once before it is asked to go elsewhere. */
+    void announceShutdownAfterNextRequest() {
+        announceAfterNextRequest = true;
     }
 
-    private boolean quiet() {
-        return streams.isEmpty() && held.isEmpty() && connection.queuedBytes() == 0;
+    /** Whether this side is about to close, so that no held frame is processed any more. */
+    boolean isClosing() {
+        return closing;
+    }
+
+    private boolean hasNothingPending() {
+        return streams.isEmpty() && !intake.hasHeldFrames() && connection.queuedBytes() == 0;
     }
 
     /**
-     * Ends this side of a connection on which nothing taken is open, after a last look at what has come. Not to be
-     * called from {@link #received}.
+     * Closes this side if no request is open, after it has read what has arrived. Not to be called from
+     * {@link #received}.
      */
-    void endIfIdle() {
-        workOn();
-        if (idleNow()) {
+    void closeIfIdle() {
+        intake.resume();
+        if (isIdle()) {
             connection.readNow();
-            if (connection.isOpen() && idleNow()) {
+            if (connection.isOpen() && isIdle()) {
                 lingeringClose.begin();
             }
         }
     }
 
-    private boolean idleNow() {
-        return !lingeringClose.begun() && !closing && quiet() && !parser.midFrame() && !connection.isPaused()
-                && (spoken || shared.clock().micros() >= sinceUs + ABOUT_TO_ASK_US);
+    private boolean isIdle() {
+        return !lingeringClose.hasBegun() && !closing && hasNothingPending() && !intake.isMidFrame()
+                && !connection.isPaused()
+                && (intake.hasReceivedFrame() || context.clock().micros() >= openedMicros + FIRST_REQUEST_MICROS);
     }
 
     /**
-     * Answers what has come and ends this side; at the next call a client that has not taken its answers by then is
-     * closed on. One whose end has begun has its 100 ms.
+     * Answers all that has arrived and closes this side; the second call closes the connection even if the client has
+     * not read its answers. A close that has begun is left to end in its own time.
      */
-    void cutOff() {
-        if (lingeringClose.begun()) {
+    void forceClose() {
+        if (lingeringClose.hasBegun()) {
             return;
         }
-        if (cutOff) {
+        if (forcedClose) {
             connection.close();
             return;
         }
-        cutOff = true;
-        workOn();
+        forcedClose = true;
+        intake.resume();
         connection.readNow();
         closing = true;
-        answerAll();
+        answerPending();
     }
 
     @Override
     public void received(ByteBuffer data) {
-        if (lingeringClose.begun()) {
-            lingeringClose.drop(data);
+        if (lingeringClose.hasBegun()) {
+            lingeringClose.discard(data);
             return;
         }
         try {
-            parser.parse(data);
-            if (parser.waitsForRoom()) {
-                reading.pause();
-                budgetWait.begin();
-            } else {
-                budgetWait.end();
-            }
-            frameTimeout.update();
-            rest();
+            intake.receive(data);
+            updateIdleState();
         } catch (ProtocolException malformed) {
             data.position(data.limit());
-            reject();
+            rejectProtocolError();
         }
     }
 
-    /** Tells of an error that belongs to no request. What was taken is still answered before the close. */
-    private void reject() {
+    /** Sends an error that belongs to no request. Requests that were accepted are still answered before the close. */
+    void rejectProtocolError() {
         fail(0);
         closing = true;
-        reading.pause();
-        answerAll();
+        intake.pause();
+        answerPending();
     }
 
-    /** Nothing more is worked on here: what waits gets its final answer, what is out may still be answered. */
-    private void answerAll() {
-        streams.bar();
-        for (HeldFrames.Frame next = held.poll(); next != null; next = held.poll()) {
-            if (next.type() == Frames.REQUEST) {
-                refuse(next.stream(), shared.awayMs().getAsLong());
-            }
-        }
+    /** Nothing new is begun: held requests get their final answer, those with an attempt in flight may be served. */
+    private void answerPending() {
+        streams.stopNewAttempts();
+        intake.rejectHeld();
         closeIfDone();
     }
 
-    /** Notes that nothing is owed here, or that something is. */
-    private void rest() {
-        if (!connection.isOpen() || !spoken) {
+    private void updateIdleState() {
+        if (!connection.isOpen() || !intake.hasReceivedFrame()) {
             return;
         }
-        if (quiet() && !parser.midFrame()) {
-            shared.idle().rests(this, shared.clock().micros());
+        if (hasNothingPending() && !intake.isMidFrame()) {
+            context.idle().markIdle(this, context.clock().micros());
         } else {
-            shared.idle().busy(this);
+            context.idle().remove(this);
         }
     }
 
     /**
-     * Ends a connection on which nothing is owed, after a last look at what has come; one that is in the middle of a
-     * frame is told. False if something has come. Not to be called from {@link #received}.
+     * Closes a connection without open requests, after it has read what has arrived; a client in the middle of a frame
+     * gets an error. False if the connection turned out to be in use. Not to be called from {@link #received}.
      */
-    boolean letGo() {
+    boolean evict() {
         connection.readNow();
-        if (connection.isOpen() && (!quiet() || budgetWait.waits() || spoken && parser.midFrame())) {
-            return false; // what waits for room may be whole
+        if (connection.isOpen() && isInUse()) {
+            return false;
         }
-        if (parser.midFrame()) {
+        if (intake.isMidFrame()) {
             fail(0);
             connection.closeWhenFlushed();
         } else {
@@ -172,112 +152,16 @@
         return true;
     }
 
-    private boolean heldBack() {
-        return throttle.holds() && !shared.turningAway().getAsBoolean() || connection.queuedBytes() > MOST_UNREAD;
-    }
-
-    /** False where no more is to be read for a while: its client could go unseen then. */
-    private boolean frame(int type, long stream, ByteBuffer payload) throws ProtocolException {
-        spoken = true;
-        boolean waits = heldBack() || !held.isEmpty();
-        if (waits) {
-            held.saw();
-        }
-        switch (type) {
-            case Frames.GIVE_UP -> giveUp(stream); // whatever waits: its request must not go on
-            case Frames.REQUEST, Frames.READY_QUESTION -> {
-                if (!waits || !hold(type, stream, payload)) {
-                    take(type, stream, payload, reading.arrivedMicros());
-                }
-            }
-            default -> throw new ProtocolException("an unknown type of frame");
-        }
-        if (held.full()) {
-            reading.pause();
-            streams.bar();
-        }
-        return !held.full();
-    }
-
-    private boolean hold(int type, long stream, ByteBuffer payload) throws ProtocolException {
-        long arrivedMicros = reading.arrivedMicros();
-        return held.add(type, stream, payload, arrivedMicros, type != Frames.REQUEST ? Long.MAX_VALUE
-                : streams.answerByMicros(payload, arrivedMicros));
-    }
-
-    /** A frame's time is over while it is held. */
-    private void expired(HeldFrames.Frame frame) {
-        guarded(() -> streams.turnAway(frame.stream(), payload(frame)));
-        workOn(); // there may be room to read on
-    }
-
-    /** There was no room for a frame, which is read no further than to its end. */
-    private void skipFrame() {
-        parser.skipFrame();
-        workOn();
-    }
-
-    private void skipped(int type, long stream) throws ProtocolException {
-        if (type != Frames.REQUEST) {
-            throw new ProtocolException("a large frame that is no request");
-        }
-        spoken = true;
-        streams.turnAway(stream, null);
-    }
-
-    private void giveUp(long stream) throws ProtocolException {
-        if (streams.giveUp(stream)) {
-            throttle.count();
-        } else if (held.withdraw(stream)) {
-            streams.spend(stream);
-        }
-    }
-
-    private void take(int type, long stream, ByteBuffer payload, long arrivedMicros) throws ProtocolException {
-        if (type == Frames.REQUEST) {
-            streams.take(stream, payload, arrivedMicros);
-        } else {
-            connection.send(Frames.answer(Frames.READY_ANSWER, stream,
-                    shared.ready().getAsBoolean() ? Frames.SERVED : Frames.REFUSED, Map.of(), 0));
-        }
-    }
-
-    /** Takes up what was held, and reads on. */
-    private void workOn() {
-        if (closing || !connection.isOpen()) {
-            return;
-        }
-        guarded(() -> {
-            for (HeldFrames.Frame next; !heldBack() && (next = held.poll()) != null;) {
-                take(next.type(), next.stream(), payload(next), next.arrivedMicros());
-            }
-        });
-        if (!closing && !held.full() && !budgetWait.waits()) {
-            reading.resume();
-        }
-    }
-
-    private interface Step {
-        void run() throws ProtocolException;
-    }
-
-    private void guarded(Step step) {
-        try {
-            step.run();
-        } catch (ProtocolException malformed) {
-            reject();
-        }
-    }
-
-    private static ByteBuffer payload(HeldFrames.Frame frame) {
-        return ByteBuffer.wrap(frame.payload()).order(ByteOrder.LITTLE_ENDIAN);
+    /** A request that waits for memory may have been sent completely: it is owed an answer. */
+    private boolean isInUse() {
+        return !hasNothingPending() || intake.awaitsMemory() || intake.hasReceivedFrame() && intake.isMidFrame();
     }
 
-    /** A request has been taken here. */
-    void taken() {
-        if (leaveAfterNext) {
-            leaveAfterNext = false;
-            leave();
+    /** A request was accepted on this connection. */
+    void requestAccepted() {
+        if (announceAfterNextRequest) {
+            announceAfterNextRequest = false;
+            announceShutdown();
         }
     }
 
@@ -285,49 +169,52 @@
         streams.end(stream);
     }
 
-    /** Writes an answer with bytes; {@code done} is told once whether all of it has been written. */
-    void answer(ByteBuffer head, ByteBuffer body, Consumer<Boolean> done) {
+    /** Sends a response; {@code written} is called once, with true if all of it was written to the socket. */
+    void respond(ByteBuffer head, ByteBuffer body, Consumer<Boolean> written) {
         connection.send(head);
-        connection.send(body, () -> done.accept(connection.isOpen()));
-        answered();
+        connection.send(body, () -> written.accept(connection.isOpen()));
+        responseQueued();
     }
 
-    void refuse(long stream, long afterMs) {
-        Map<String, String> fields = afterMs > 0 ? Map.of("after", Long.toString(afterMs)) : Map.of();
-        connection.send(Frames.answer(Frames.ANSWER, stream, Frames.REFUSED, fields, 0));
-        throttle.count();
-        answered();
+    /** Rejects a request; it may be retried after so many milliseconds, 0 for at once. */
+    void refuse(long stream, long retryAfterMillis) {
+        Map<String, String> fields =
+                retryAfterMillis > 0 ? Map.of("after", Long.toString(retryAfterMillis)) : Map.of();
+        connection.send(Frames.responseHead(Frames.RESPONSE, stream, Frames.REFUSED, fields, 0));
+        intake.countUnserved();
+        responseQueued();
     }
 
+    /** Fails a request, or the connection as such where {@code stream} is 0. */
     void fail(long stream) {
-        connection.send(Frames.answer(Frames.ANSWER, stream, Frames.FAILED, Map.of(), 0));
-        throttle.count();
-        answered();
+        connection.send(Frames.responseHead(Frames.RESPONSE, stream, Frames.FAILED, Map.of(), 0));
+        intake.countUnserved();
+        responseQueued();
     }
 
-    private void answered() {
+    private void responseQueued() {
         writeTimeout.watch();
         closeIfDone();
     }
 
     @Override
     public void flushed() {
-        workOn();
-        rest();
+        intake.resume();
+        updateIdleState();
         closeIfDone();
     }
 
-    /** The client sends no more: it may have gone, or only read on. */
+    /** The client has closed its output: it may have gone, or may still read its answers. */
     @Override
     public void ended() {
-        ended = true;
+        inputEnded = true;
         closing = true;
-        answerAll();
+        answerPending();
     }
 
     private void closeIfDone() {
         if (closing && streams.isEmpty()) {
-            if (ended) {
+            if (inputEnded) {
                 connection.closeWhenFlushed();
             } else if (connection.queuedBytes() == 0) {
                 lingeringClose.begin();
@@ -339,12 +226,8 @@
     public void closed(IOException cause) {
         writeTimeout.close();
         lingeringClose.close();
-        frameTimeout.close();
-        throttle.close();
-        budgetWait.close();
-        parser.close();
-        held.close();
-        streams.close();
-        shared.closed().accept(this);
+        intake.close();
+        streams.cancelAll();
+        context.closed().accept(this);
     }
 }
--- a/src/main/java/clovermill/dataplane/server/FrameParser.java
+++ b/src/main/java/clovermill/dataplane/server/FrameParser.java
@@ -6,123 +6,143 @@
 import java.nio.ByteOrder;
 import java.util.Arrays;
 
-/** Reads frames: a little-endian length, a type, a stream, and the payload. */
+/**
+ * Incremental parser of frames: a little-endian length, a type, a stream number, and the payload. The buffer grows with
+ * the bytes that arrive and is charged to the budget; a frame for which there is no memory can be skipped.
+ */
 final class FrameParser {
 
-    /** Where whole frames go; false stops the parser after this one. */
+    /** Gets complete frames. */
     interface Sink {
+        /** A frame; the payload is valid during the call. Returns false to stop the parser after this frame. */
         boolean frame(int type, long stream, ByteBuffer payload) throws ProtocolException;
     }
 
-    /** Hears of a frame that was passed over, once all of it has come. */
-    interface Skipped {
+    /** Gets the header of each skipped frame when all of it has arrived. */
+    interface SkipListener {
         void skipped(int type, long stream) throws ProtocolException;
     }
 
-    private static final int HEAD = 4;
-    private static final int LEAST = 5;
-    /** Length, type and stream. */
-    private static final int KEPT_OF_SKIPPED = HEAD + LEAST;
-    private static final int MOST = 262_144;
-    private static final int FIRST_ROOM = 1024;
+    /** The length field. */
+    private static final int LENGTH_BYTES = 4;
+    /** Type and stream number; the length counts them. */
+    private static final int TYPE_AND_STREAM_BYTES = 5;
+    private static final int HEADER_BYTES = LENGTH_BYTES + TYPE_AND_STREAM_BYTES;
+    private static final int MAX_LENGTH = 262_144;
+    /** Not charged to the budget. */
+    private static final int INITIAL_BUFFER_BYTES = 1024;
 
     private final Budget budget;
     private final Sink sink;
-    private final Skipped skipped;
-    private byte[] frame = new byte[FIRST_ROOM];
+    private final SkipListener skipListener;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int filled;
-    private boolean waitsForRoom;
+    private boolean awaitsMemory;
     private boolean skipping;
 
-    FrameParser(Budget budget, Sink sink, Skipped skipped) {
+    FrameParser(Budget budget, Sink sink, SkipListener skipListener) {
         this.budget = budget;
         this.sink = sink;
-        this.skipped = skipped;
+        this.skipListener = skipListener;
     }
 
     /**
-     * Reads all of {@code data}, or up to the frame after which the sink wants no more, or to where the
-     * budget has no room for a large frame.
+     * Reads {@code data} to its end, or to the frame after which the sink stops, or to where the budget has no memory
+     * for a large frame. Fails on a length out of range, or as the sink does.
      */
     void parse(ByteBuffer data) throws ProtocolException {
-        waitsForRoom = false;
+        awaitsMemory = false;
         while (data.hasRemaining()) {
-            int whole = HEAD;
-            if (filled >= HEAD) {
-                whole += length();
-            }
-            int part = Math.min(whole - filled, data.remaining());
+            int frameBytes = filled < LENGTH_BYTES ? LENGTH_BYTES : LENGTH_BYTES + length();
+            int count = Math.min(frameBytes - filled, data.remaining());
             if (skipping) {
-                skip(data, part, whole);
+                skip(data, count, frameBytes);
                 continue;
             }
-            if (filled + part > frame.length) {
-                // Grows with what has really come: a length alone must not take memory.
-                int room = Math.min(whole, Math.max(2 * frame.length, filled + part));
-                if (!budget.take(room - frame.length)) {
-                    waitsForRoom = true;
-                    return;
-                }
-                frame = Arrays.copyOf(frame, room);
+            if (!ensureCapacity(filled + count, frameBytes)) {
+                awaitsMemory = true;
+                return;
             }
-            data.get(frame, filled, part);
-            filled += part;
-            if (filled == whole && filled > HEAD) {
-                filled = 0;
-                ByteBuffer read = ByteBuffer.wrap(frame, HEAD, whole - HEAD).order(ByteOrder.LITTLE_ENDIAN);
-                int type = read.get() & 0xff;
-                long stream = read.getInt() & 0xffffffffL;
-                boolean more = sink.frame(type, stream, read);
-                close();
-                if (!more) {
-                    return;
-                }
+            data.get(buffer, filled, count);
+            filled += count;
+            if (isComplete(frameBytes) && !emit(frameBytes)) {
+                return;
             }
         }
     }
 
-    /** Gives the frame up that waits for room: its rest is passed over, and its room given back. */
+    /** Grows the buffer with the bytes that have arrived: a length alone must not allocate memory. */
+    private boolean ensureCapacity(int needed, int frameBytes) {
+        if (needed <= buffer.length) {
+            return true;
+        }
+        int capacity = Math.min(frameBytes, Math.max(2 * buffer.length, needed));
+        if (!budget.take(capacity - buffer.length)) {
+            return false;
+        }
+        buffer = Arrays.copyOf(buffer, capacity);
+        return true;
+    }
+
+    private boolean isComplete(int frameBytes) {
+        return filled == frameBytes && filled > LENGTH_BYTES;
+    }
+
+    private boolean emit(int frameBytes) throws ProtocolException {
+        filled = 0;
+        ByteBuffer frame = ByteBuffer.wrap(buffer, LENGTH_BYTES, frameBytes - LENGTH_BYTES)
+                .order(ByteOrder.LITTLE_ENDIAN);
+        int type = frame.get() & 0xff;
+        long stream = frame.getInt() & 0xffffffffL;
+        boolean proceed = sink.frame(type, stream, frame);
+        releaseBuffer();
+        return proceed;
+    }
+
+    /** Skips the rest of the frame that waits for memory, and releases its buffer. */
     void skipFrame() {
         skipping = true;
-        waitsForRoom = false;
-        close();
+        awaitsMemory = false;
+        releaseBuffer();
     }
 
-    private void skip(ByteBuffer data, int part, int whole) throws ProtocolException {
-        int kept = Math.max(0, Math.min(part, KEPT_OF_SKIPPED - filled));
-        data.get(frame, Math.min(filled, KEPT_OF_SKIPPED), kept);
-        data.position(data.position() + part - kept);
-        filled += part;
-        if (filled == whole && filled > HEAD) {
+    /** Stores the header alone. */
+    private void skip(ByteBuffer data, int count, int frameBytes) throws ProtocolException {
+        int stored = Math.max(0, Math.min(count, HEADER_BYTES - filled));
+        data.get(buffer, Math.min(filled, HEADER_BYTES), stored);
+        data.position(data.position() + count - stored);
+        filled += count;
+        if (isComplete(frameBytes)) {
             filled = 0;
             skipping = false;
-            ByteBuffer head = ByteBuffer.wrap(frame, HEAD, LEAST).order(ByteOrder.LITTLE_ENDIAN);
-            skipped.skipped(head.get() & 0xff, head.getInt() & 0xffffffffL);
+            ByteBuffer header =
+                    ByteBuffer.wrap(buffer, LENGTH_BYTES, TYPE_AND_STREAM_BYTES).order(ByteOrder.LITTLE_ENDIAN);
+            skipListener.skipped(header.get() & 0xff, header.getInt() & 0xffffffffL);
         }
     }
 
-    /** True while a frame waits for room in the budget. */
-    boolean waitsForRoom() {
-        return waitsForRoom;
+    /** Whether a frame waits until the budget has memory for it. */
+    boolean awaitsMemory() {
+        return awaitsMemory;
     }
 
     /** Whether a part of a frame has been read. */
-    boolean midFrame() {
+    boolean isMidFrame() {
         return filled > 0;
     }
 
-    /** The one place where the room of a large frame is given back. */
-    void close() {
-        int taken = frame.length - FIRST_ROOM;
-        if (taken > 0) {
-            frame = Arrays.copyOf(frame, FIRST_ROOM); // the head of a frame that is passed over is still needed
-            budget.give(taken);
+    /** The one place where the memory of a large frame is returned. The header of a skipped frame stays readable. */
+    void releaseBuffer() {
+        int charged = buffer.length - INITIAL_BUFFER_BYTES;
+        if (charged > 0) {
+            buffer = Arrays.copyOf(buffer, INITIAL_BUFFER_BYTES);
+            budget.give(charged);
         }
     }
 
     private int length() throws ProtocolException {
-        int length = ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN).getInt();
-        if (length < LEAST || length > MOST) {
+        int length = ByteBuffer.wrap(buffer).order(ByteOrder.LITTLE_ENDIAN).getInt();
+        if (length < TYPE_AND_STREAM_BYTES || length > MAX_LENGTH) {
             throw new ProtocolException("a frame of " + (length & 0xffffffffL) + " bytes");
         }
         return length;
--- a/src/main/java/clovermill/dataplane/server/FrameServer.java
+++ b/src/main/java/clovermill/dataplane/server/FrameServer.java
@@ -18,99 +18,110 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** The front that speaks binary frames. */
+/** Accepts the clients that speak the binary frame protocol. */
 public final class FrameServer implements ClientServer {
 
     /**
-     * Where this front listens, how many connections it takes, and whether the director can serve. A listening
-     * socket that was {@code passed} in, or null, is used in place of the address.
+     * How this server listens.
+     *
+     * @param address where to listen, if no socket is inherited
+     * @param inheritedSocket a listening socket that other processes share, or null
+     * @param maxConnections how many connections may be open
+     * @param canServe whether the director can serve requests
      */
-    public record Terms(InetSocketAddress address, ServerSocketChannel passed, int connections,
-            BooleanSupplier able) {}
+    public record Options(InetSocketAddress address, ServerSocketChannel inheritedSocket, int maxConnections,
+            BooleanSupplier canServe) {}
 
     private static final System.Logger LOG = System.getLogger(FrameServer.class.getName());
-    /** Kept back from a client's wait for the way there and back, and for a busy core. */
-    private static final long MARGIN_US = 20_000;
-    private static final long SWEEP_US = 250_000;
-    /** How soon a director that shares its listening socket sees that it can serve. */
-    private static final long LOOK_US = 10_000;
+    /** Subtracted from a client's wait for the network both ways and a busy core. */
+    private static final long ANSWER_MARGIN_MICROS = 20_000;
+    private static final long SWEEP_INTERVAL_MICROS = 250_000;
+    /** How often a director that inherited its socket checks whether it can serve. */
+    private static final long READINESS_INTERVAL_MICROS = 10_000;
 
     private final EventLoop loop;
     private final Clock clock;
-    private final Terms terms;
+    private final Options options;
     private final RequestReader reader;
-    private final ServerContext shared;
+    private final ServerContext context;
     private final Set<FrameConnection> connections = new LinkedHashSet<>();
     private final IdleConnections idle = new IdleConnections();
-    private final RecurringTask sweeping;
-    private final RecurringTask opening;
+    private final RecurringTask sweep;
+    private final RecurringTask readinessCheck;
     private Listener listener;
-    private int most;
-    private long awayMs;
-    private boolean leaving;
-    private boolean turningAway;
-
-    public FrameServer(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, ProxyCore host,
-            Settings settings, List<String> classNames, Terms terms) {
+    private int maxConnections;
+    private long retryAfterMillis;
+    private boolean shuttingDown;
+    private boolean rejectingNew;
+
+    /** A server that passes requests to {@code proxy}; {@code classNames} as in {@link #reload}. */
+    public FrameServer(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, ProxyCore proxy,
+            Settings settings, List<String> classNames, Options options) {
         this.loop = loop;
         this.clock = clock;
-        this.terms = terms;
-        this.most = terms.connections();
-        this.reader = new RequestReader(MARGIN_US);
-        this.shared = new ServerContext(host, reader, budget, clock, deadlines, () -> awayMs, this::ready,
-                () -> turningAway, idle, this::forget);
-        this.sweeping = new RecurringTask(deadlines, clock, SWEEP_US, () -> idle.sweep(clock.micros()));
-        this.opening = new RecurringTask(deadlines, clock, LOOK_US, this::openWhenAble);
-        retune(classNames, settings);
+        this.options = options;
+        this.maxConnections = options.maxConnections();
+        this.reader = new RequestReader(ANSWER_MARGIN_MICROS);
+        this.context = new ServerContext(proxy, reader, budget, clock, deadlines, () -> retryAfterMillis,
+                this::isReady, () -> rejectingNew, idle, this::forget);
+        this.sweep = new RecurringTask(deadlines, clock, SWEEP_INTERVAL_MICROS,
+                () -> idle.closeExpired(clock.micros()));
+        this.readinessCheck = new RecurringTask(deadlines, clock, READINESS_INTERVAL_MICROS, this::openWhenReady);
+        reload(classNames, settings);
     }
 
-    /** Takes requests of these classes from now on; a name is null where its class is taken no more. */
-    public void retune(List<String> classNames, Settings settings) {
-        reader.retune(classNames, settings.classes(), settings.paceKbPerS());
-        awayMs = settings.allowed().maxRetryAfterUs() / 1000;
+    /** Accepts requests of these classes from now on; a name is null if its class is not accepted any more. */
+    public void reload(List<String> classNames, Settings settings) {
+        reader.reload(classNames, settings.classes(), settings.paceKbPerS());
+        retryAfterMillis = settings.allowed().maxRetryAfterUs() / 1000;
     }
 
     @Override
     public void open() throws IOException {
-        if (terms.passed() == null) {
-            listener = loop.listen(terms.address(), most, () -> idle.makeRoom(clock.micros()),
-                    this::accepted);
+        if (options.inheritedSocket() == null) {
+            listener = loop.listen(options.address(), maxConnections, this::evictIdle, this::accept);
         } else {
-            opening.start();
+            readinessCheck.start();
         }
-        sweeping.start();
+        sweep.start();
     }
 
-    /** Whether new connections are taken here, or left to another process on the same socket. */
-    public void accepting(boolean taken) {
+    /** Whether new connections are accepted here, or left to another process on the same socket. */
+    public void setAccepting(boolean accepting) {
         if (listener != null) {
-            listener.accepting(taken);
+            listener.accepting(accepting);
         }
     }
 
-    /** Has so many connections be open from now on. */
-    public void limit(int connections) {
-        most = connections;
-        if (listener != null && !leaving) {
-            listener.limit(connections);
+    /** Sets how many connections may be open; idle ones are closed where more are. */
+    public void setMaxConnections(int max) {
+        maxConnections = max;
+        if (listener != null && !shuttingDown) {
+            listener.limit(max);
         }
     }
 
-    /** What a director accepts before it can serve, another process on the same socket would have served. */
-    private void openWhenAble() {
-        if (!leaving && !terms.able().getAsBoolean()) {
+    /**
+     * Begins to accept from an inherited socket once this director can serve: until then another process on the socket
+     * serves the connections. A director that shuts down before that never begins.
+     */
+    private void openWhenReady() {
+        if (!shuttingDown && !options.canServe().getAsBoolean()) {
             return;
         }
-        if (!leaving) {
+        if (!shuttingDown) {
             try {
-                listener = loop.listenOn(terms.passed(), most, () -> idle.makeRoom(clock.micros()),
-                        this::accepted);
+                listener = loop.listenOn(options.inheritedSocket(), maxConnections, this::evictIdle, this::accept);
             } catch (IOException failure) {
-                LOG.log(Level.WARNING, "the passed socket cannot be listened on: {0}", failure.toString());
-                return; // tried again
+                LOG.log(Level.WARNING, "cannot listen on the inherited socket, retrying: {0}", failure.toString());
+                return;
             }
         }
-        opening.stop();
+        readinessCheck.stop();
+    }
+
+    private void evictIdle() {
+        idle.evictOne(clock.micros());
     }
 
     /** The port that was bound. */
@@ -118,39 +129,39 @@
         return listener.port();
     }
 
-    private Connection.Handler accepted(Connection connection) {
-        FrameConnection accepted = new FrameConnection(connection, shared);
+    private Connection.Handler accept(Connection connection) {
+        FrameConnection accepted = new FrameConnection(connection, context);
         connections.add(accepted);
-        idle.came(accepted, clock.micros());
-        if (leaving) {
-            accepted.leaveAfterNext();
+        idle.addOpened(accepted, clock.micros());
+        if (shuttingDown) {
+            accepted.announceShutdownAfterNextRequest();
         }
         return accepted;
     }
 
     @Override
-    public boolean ready() {
-        return listener != null && !leaving && terms.able().getAsBoolean();
+    public boolean isReady() {
+        return listener != null && !shuttingDown && options.canServe().getAsBoolean();
     }
 
     private void forget(FrameConnection connection) {
         connections.remove(connection);
-        idle.busy(connection);
+        idle.remove(connection);
     }
 
     @Override
-    public void leave() {
-        leaving = true;
-        if (terms.passed() != null) {
-            shut();
+    public void announceShutdown() {
+        shuttingDown = true;
+        if (options.inheritedSocket() != null) {
+            stopAccepting();
         }
-        connections.forEach(FrameConnection::leave);
+        connections.forEach(FrameConnection::announceShutdown);
     }
 
     @Override
-    public void shut() {
+    public void stopAccepting() {
         if (listener != null) {
-            if (terms.passed() == null) {
+            if (options.inheritedSocket() == null) {
                 listener.acceptAll();
             }
             listener.close();
@@ -158,13 +169,13 @@
     }
 
     @Override
-    public void part(boolean turnAway, boolean cuttingOff) {
-        turningAway |= turnAway;
-        List.copyOf(connections).forEach(cuttingOff ? FrameConnection::cutOff : FrameConnection::endIfIdle);
+    public void closeConnections(boolean rejectNew, boolean force) {
+        rejectingNew |= rejectNew;
+        List.copyOf(connections).forEach(force ? FrameConnection::forceClose : FrameConnection::closeIfIdle);
     }
 
     @Override
-    public boolean empty() {
+    public boolean isEmpty() {
         return connections.isEmpty();
     }
 }
--- a/src/main/java/clovermill/dataplane/server/FrameTimeout.java
+++ b/src/main/java/clovermill/dataplane/server/FrameTimeout.java
@@ -5,40 +5,40 @@
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.Timeout;
 
-/** Guards against frames that never end, and those that come bit by bit: each has a time to be whole. */
+/** Bounds the time from the first byte of a frame to its last. */
 final class FrameTimeout {
 
     private final Connection connection;
     private final FrameParser parser;
-    private final Timeout whole;
-    private final Runnable late;
+    private final Timeout timeout;
+    private final Runnable onTimeout;
 
-    /** {@code late} is run when a frame has taken too long. */
-    FrameTimeout(Connection connection, Clock clock, Deadlines deadlines, FrameParser parser, Runnable late) {
+    /** {@code onTimeout} runs when a frame is not complete in {@link IdleConnections#FIRST_FRAME_MICROS}. */
+    FrameTimeout(Connection connection, Clock clock, Deadlines deadlines, FrameParser parser, Runnable onTimeout) {
         this.connection = connection;
         this.parser = parser;
-        this.late = late;
-        this.whole = new Timeout(clock, deadlines, this::expired);
+        this.onTimeout = onTimeout;
+        this.timeout = new Timeout(clock, deadlines, this::expire);
     }
 
-    /** Something has been read. */
+    /** Bytes have been read. */
     void update() {
-        if (!parser.midFrame()) {
-            whole.cancel();
-        } else if (!whole.isSet()) {
-            whole.setAfter(IdleConnections.SILENT_US);
+        if (!parser.isMidFrame()) {
+            timeout.cancel();
+        } else if (!timeout.isSet()) {
+            timeout.setAfter(IdleConnections.FIRST_FRAME_MICROS);
         }
     }
 
-    private void expired() {
+    private void expire() {
         if (connection.isPaused()) {
-            update(); // it is this side that does not read
+            update(); // the delay is this side's, which does not read
         } else {
-            late.run();
+            onTimeout.run();
         }
     }
 
     void close() {
-        whole.close();
+        timeout.close();
     }
 }
--- a/src/main/java/clovermill/dataplane/server/Frames.java
+++ b/src/main/java/clovermill/dataplane/server/Frames.java
@@ -7,15 +7,15 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The frame protocol's types, codes, and the form of its fields. */
+/** The frame protocol: types, response codes, and the encoding of fields. */
 final class Frames {
 
     static final int REQUEST = 0;
-    static final int ANSWER = 1;
-    static final int GIVE_UP = 2;
-    static final int READY_QUESTION = 6;
-    static final int READY_ANSWER = 7;
-    static final int LEAVING = 9;
+    static final int RESPONSE = 1;
+    static final int CANCEL = 2;
+    static final int READINESS_REQUEST = 6;
+    static final int READINESS_RESPONSE = 7;
+    static final int GOING_AWAY = 9;
 
     static final byte SERVED = 79;
     static final byte REFUSED = 66;
@@ -23,24 +23,24 @@
 
     private Frames() {}
 
-    /** Reads a list of fields and leaves the payload at what follows it. */
+    /** Reads the list of fields; the payload is positioned after it. Fails if the payload is too short for them. */
     static Map<String, String> fields(ByteBuffer payload) throws ProtocolException {
         Map<String, String> fields = new HashMap<>(16);
-        for (int i = number(payload, 1); i > 0; i--) {
-            String name = text(payload, number(payload, 1));
-            fields.put(name, text(payload, number(payload, 2)));
+        for (int i = readNumber(payload, 1); i > 0; i--) {
+            String name = readText(payload, readNumber(payload, 1));
+            fields.put(name, readText(payload, readNumber(payload, 2)));
         }
         return fields;
     }
 
-    private static int number(ByteBuffer payload, int size) throws ProtocolException {
+    private static int readNumber(ByteBuffer payload, int size) throws ProtocolException {
         if (payload.remaining() < size) {
             throw new ProtocolException("the fields of a frame are cut off");
         }
         return size == 1 ? payload.get() & 0xff : payload.getShort() & 0xffff;
     }
 
-    private static String text(ByteBuffer payload, int size) throws ProtocolException {
+    private static String readText(ByteBuffer payload, int size) throws ProtocolException {
         if (payload.remaining() < size) {
             throw new ProtocolException("the fields of a frame are cut off");
         }
@@ -49,8 +49,8 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** The head of an answer, up to its body; the length counts the body too. */
-    static ByteBuffer answer(int type, long stream, byte code, Map<String, String> fields, int bodyLength) {
+    /** A response frame up to its body; {@code bodyLength} is counted in its length field. */
+    static ByteBuffer responseHead(int type, long stream, byte code, Map<String, String> fields, int bodyLength) {
         int size = 7;
         for (Map.Entry<String, String> field : fields.entrySet()) {
             size += 3 + field.getKey().length() + field.getValue().length();
@@ -66,8 +66,8 @@
         return frame.flip();
     }
 
-    /** A frame without payload. */
-    static ByteBuffer bare(int type, long stream) {
+    /** A frame with no payload. */
+    static ByteBuffer emptyFrame(int type, long stream) {
         return ByteBuffer.allocate(9).order(ByteOrder.LITTLE_ENDIAN).putInt(5).put((byte) type)
                 .putInt((int) stream).flip();
     }
--- a/src/main/java/clovermill/dataplane/server/HeldFrames.java
+++ b/src/main/java/clovermill/dataplane/server/HeldFrames.java
@@ -11,62 +11,63 @@
 import java.util.function.Consumer;
 
 /**
- * Frames of a client that is not worked on for a while, in their order. They are read all the same, so that its end and
- * what it calls off are seen behind them; once they are many no more is to be read.
+ * Queue of the frames of a client that is throttled. They are read nevertheless, so that cancellations and the end of
+ * the connection are seen behind them; the queue is bounded by bytes and by the number of frames read meanwhile.
  */
 final class HeldFrames {
 
     /**
-     * One frame, as it came; both times in microseconds of the clock, the second that by which it is to be answered.
+     * A held frame.
+     *
+     * @param arrivedMicros when it arrived, in microseconds of the clock
+     * @param answerByMicros when its request must have been answered; {@link Long#MAX_VALUE} if it has no deadline
      */
     record Frame(int type, long stream, byte[] payload, long arrivedMicros, long answerByMicros) {}
 
-    /** What may be held: some hundreds of requests without a body, of which a usual client has 32 open at most. */
-    private static final int MOST_BYTES = 1 << 16;
-    /** What a frame takes beside its bytes. */
-    private static final int FRAME_BYTES = 64;
-    /** So many frames are read while a client is not worked on: what is read and called off must not go on for ever. */
-    private static final int MOST_SEEN = 1000;
+    /** Some hundreds of requests without a body; clients usually have at most 32 open. */
+    private static final int MAX_BYTES = 1 << 16;
+    /** Charged for each frame in addition to its payload. */
+    private static final int FRAME_OVERHEAD_BYTES = 64;
+    /** Frames read while the client is throttled, cancelled ones included, before reading pauses. */
+    private static final int MAX_FRAMES_READ = 1000;
 
     private final Budget budget;
     private final Clock clock;
-    private final Timeout overdue;
+    private final Timeout expiry;
     private final Consumer<Frame> expired;
     private final ArrayDeque<Frame> frames = new ArrayDeque<>();
-    private long nextMicros = Long.MAX_VALUE;
+    private long expiryMicros = Long.MAX_VALUE;
     private int bytes;
-    private int seen;
+    private int framesRead;
 
-    /** {@code expired} gets each frame that has to be answered while it is held; it is no longer held then. */
+    /** {@code expired} gets each frame whose time is over; it has been removed by then. */
     HeldFrames(Budget budget, Clock clock, Deadlines deadlines, Consumer<Frame> expired) {
         this.budget = budget;
         this.clock = clock;
         this.expired = expired;
-        this.overdue = new Timeout(clock, deadlines, this::expire);
+        this.expiry = new Timeout(clock, deadlines, this::expire);
     }
 
     private void expire() {
-        for (Frame each : List.copyOf(frames)) {
-            if (each.answerByMicros() <= clock.micros() && frames.remove(each)) {
-                give(each);
-                expired.accept(each);
+        for (Frame frame : List.copyOf(frames)) {
+            if (frame.answerByMicros() <= clock.micros() && frames.remove(frame)) {
+                release(frame);
+                expired.accept(frame);
             }
         }
-        watch();
+        scheduleExpiry();
     }
 
-    /** Wakes up for the frame that is to be answered first. */
-    private void watch() {
-        long firstMicros = frames.stream().mapToLong(Frame::answerByMicros).min().orElse(Long.MAX_VALUE);
-        nextMicros = firstMicros;
-        if (firstMicros != Long.MAX_VALUE) {
-            overdue.setAt(firstMicros);
+    private void scheduleExpiry() {
+        expiryMicros = frames.stream().mapToLong(Frame::answerByMicros).min().orElse(Long.MAX_VALUE);
+        if (expiryMicros != Long.MAX_VALUE) {
+            expiry.setAt(expiryMicros);
         }
     }
 
-    /** Holds a frame, unless there is no room for it in the budget; both times as in {@link Frame}. */
+    /** Adds a copy of a frame; false if the budget has no memory for it. Times as in {@link Frame}. */
     boolean add(int type, long stream, ByteBuffer payload, long arrivedMicros, long answerByMicros) {
-        int size = payload.remaining() + FRAME_BYTES;
+        int size = payload.remaining() + FRAME_OVERHEAD_BYTES;
         if (!budget.take(size)) {
             return false;
         }
@@ -74,59 +75,60 @@
         payload.get(copy);
         frames.add(new Frame(type, stream, copy, arrivedMicros, answerByMicros));
         bytes += size;
-        if (answerByMicros < nextMicros) {
-            nextMicros = answerByMicros;
-            overdue.setAt(answerByMicros);
+        if (answerByMicros < expiryMicros) {
+            expiryMicros = answerByMicros;
+            expiry.setAt(answerByMicros);
         }
         return true;
     }
 
-    /** One more frame was read while the client was not worked on. */
-    void saw() {
-        seen++;
+    /** Counts a frame that was read while the client is throttled. */
+    void countRead() {
+        framesRead++;
     }
 
-    /** Whether no more is to be read. */
-    boolean full() {
-        return bytes >= MOST_BYTES || seen >= MOST_SEEN;
+    /** Whether reading must pause. */
+    boolean isFull() {
+        return bytes >= MAX_BYTES || framesRead >= MAX_FRAMES_READ;
     }
 
     boolean isEmpty() {
         return frames.isEmpty();
     }
 
-    /** Drops the request on that stream; whether there was one. */
-    boolean withdraw(long stream) {
+    /** Removes the request of a stream; false if none is held. */
+    boolean remove(long stream) {
         for (Iterator<Frame> each = frames.iterator(); each.hasNext();) {
             Frame frame = each.next();
             if (frame.type() == Frames.REQUEST && frame.stream() == stream) {
                 each.remove();
-                give(frame);
+                release(frame);
                 return true;
             }
         }
         return false;
     }
 
-    /** The next one, or null; with the last one counting begins anew. */
+    /** Removes the eldest frame, or returns null and resets the count of frames read. */
     Frame poll() {
         Frame next = frames.poll();
         if (next != null) {
-            give(next);
+            release(next);
         } else {
-            seen = 0;
+            framesRead = 0;
         }
         return next;
     }
 
-    private void give(Frame frame) {
-        int size = frame.payload().length + FRAME_BYTES;
+    private void release(Frame frame) {
+        int size = frame.payload().length + FRAME_OVERHEAD_BYTES;
         bytes -= size;
         budget.give(size);
     }
 
+    /** Removes all frames. */
     void close() {
-        overdue.close();
+        expiry.close();
         while (poll() != null) {
             continue;
         }
--- a/src/main/java/clovermill/dataplane/server/IdleConnections.java
+++ b/src/main/java/clovermill/dataplane/server/IdleConnections.java
@@ -4,66 +4,67 @@
 import java.util.Map;
 
 /**
- * The connections to which nothing is owed, the longest idle first. Guards the descriptors against clients
- * that ask once and stay for good, and against those that connect by the hundred and say nothing: both are
- * let go after a while, and sooner where a new connection needs their place.
+ * The connections without open requests, the longest idle first. Bounds the descriptors held by clients that sent one
+ * request and stay, and by those that connect and send nothing: they are closed after a timeout, or earlier where a new
+ * connection needs the descriptor.
  */
 final class IdleConnections {
 
-    /** Clients close idle connections after 4 s; one that is still there later has been left behind. */
-    private static final long IDLE_US = 5_000_000;
-    /** What has not brought a whole frame by then, in one go or bit by bit, is no usual client. */
-    static final long SILENT_US = 2_000_000;
+    /** Clients close idle connections after 4 s themselves; one that is open longer has been abandoned. */
+    private static final long IDLE_TIMEOUT_MICROS = 5_000_000;
+    /** Time from the connect to the first complete frame, and from any frame's first byte to its last. */
+    static final long FIRST_FRAME_MICROS = 2_000_000;
     /**
-     * Whoever has just connected is about to ask: closing that costs the request, while an idle connection
-     * costs its client another connect.
+     * A client that has just connected is about to send: an eviction would lose its request, while that of an idle
+     * connection costs its client another connect.
      */
-    private static final long JUST_COME_US = 100_000;
+    private static final long JUST_OPENED_MICROS = 100_000;
 
     private final Map<FrameConnection, Long> silent = new LinkedHashMap<>();
     private final Map<FrameConnection, Long> idle = new LinkedHashMap<>();
 
-    /** A connection that has only come up. */
-    void came(FrameConnection connection, long nowUs) {
-        silent.put(connection, nowUs);
+    /** Adds a connection that was accepted and has sent nothing yet. */
+    void addOpened(FrameConnection connection, long nowMicros) {
+        silent.put(connection, nowMicros);
     }
 
-    /** A connection to which nothing is owed from now on. */
-    void rests(FrameConnection connection, long nowUs) {
-        busy(connection);
-        idle.put(connection, nowUs);
+    /** A connection has no open requests any more. */
+    void markIdle(FrameConnection connection, long nowMicros) {
+        remove(connection);
+        idle.put(connection, nowMicros);
     }
 
-    /** A connection with a request, or one that is closed. */
-    void busy(FrameConnection connection) {
+    /** A connection has an open request, or was closed. */
+    void remove(FrameConnection connection) {
         silent.remove(connection);
         idle.remove(connection);
     }
 
-    /** Lets those go whose time is over. */
-    void sweep(long nowUs) {
-        while (letGo(silent, nowUs - SILENT_US) || letGo(idle, nowUs - IDLE_US)) {
+    /** Closes the connections whose timeout has passed. */
+    void closeExpired(long nowMicros) {
+        while (evictEldest(silent, nowMicros - FIRST_FRAME_MICROS)
+                || evictEldest(idle, nowMicros - IDLE_TIMEOUT_MICROS)) {
             continue;
         }
     }
 
-    /** Gives one place free, if any can be: that of a silent one first, but of one that has just come last. */
-    void makeRoom(long nowUs) {
-        if (!letGo(silent, nowUs - JUST_COME_US) && !letGo(idle, nowUs)) {
-            letGo(silent, nowUs);
+    /** Closes one connection if any is idle: a silent one first, one that has just been opened last. */
+    void evictOne(long nowMicros) {
+        if (!evictEldest(silent, nowMicros - JUST_OPENED_MICROS) && !evictEldest(idle, nowMicros)) {
+            evictEldest(silent, nowMicros);
         }
     }
 
-    /** Lets the eldest go of those that rest since then or longer; one on which something has come is passed over. */
-    private static boolean letGo(Map<FrameConnection, Long> from, long sinceUs) {
-        for (int left = from.size(); left > 0; left--) {
+    /** Closes the eldest that is idle since {@code sinceMicros} or earlier; one found to be in use is passed over. */
+    private static boolean evictEldest(Map<FrameConnection, Long> from, long sinceMicros) {
+        for (int remaining = from.size(); remaining > 0; remaining--) {
             Map.Entry<FrameConnection, Long> eldest = from.entrySet().iterator().next();
             FrameConnection connection = eldest.getKey();
-            if (eldest.getValue() > sinceUs) {
+            if (eldest.getValue() > sinceMicros) {
                 return false;
             }
             from.remove(connection);
-            if (connection.letGo()) {
+            if (connection.evict()) {
                 return true;
             }
         }
--- a/src/main/java/clovermill/dataplane/server/LingeringClose.java
+++ b/src/main/java/clovermill/dataplane/server/LingeringClose.java
@@ -7,44 +7,44 @@
 import java.nio.ByteBuffer;
 
 /**
- * The last moment of a connection: this side has ended, and what still comes is read and dropped. A close over unread
- * bytes would be a reset, which takes answers with it that are still on their way.
+ * Closes this side's output first and discards what the client still sends for a moment. A close with unread bytes
+ * would send a reset, which destroys answers that are still on their way.
  */
 final class LingeringClose {
 
-    /** From this side's end to the close: what crosses the end comes within 50 ms. */
-    private static final long CROSSING_US = 100_000;
-    /** A client that goes on sending is not read for ever. */
-    private static final int MOST_DROPPED = 1 << 18;
+    /** From the end of output to the close; what the client sent before it saw the end arrives within 50 ms. */
+    private static final long LINGER_MICROS = 100_000;
+    /** A client that sends more than this meanwhile is closed at once. */
+    private static final int MAX_DISCARDED_BYTES = 1 << 18;
 
     private final Connection connection;
     private final Timeout close;
-    private boolean begun;
-    private int dropped;
+    private boolean hasBegun;
+    private int discardedBytes;
 
     LingeringClose(Connection connection, Clock clock, Deadlines deadlines) {
         this.connection = connection;
         this.close = new Timeout(clock, deadlines, connection::close);
     }
 
-    boolean begun() {
-        return begun;
+    boolean hasBegun() {
+        return hasBegun;
     }
 
     void begin() {
-        if (!begun && connection.isOpen()) {
-            begun = true;
-            close.setAfter(CROSSING_US);
+        if (!hasBegun && connection.isOpen()) {
+            hasBegun = true;
+            close.setAfter(LINGER_MICROS);
             connection.endOutput();
             connection.resume();
         }
     }
 
-    /** Sent before this side's end was seen: it is sent again elsewhere. */
-    void drop(ByteBuffer data) {
-        dropped += data.remaining();
+    /** Discards requests that the client sent before it saw the end; it sends them again elsewhere. */
+    void discard(ByteBuffer data) {
+        discardedBytes += data.remaining();
         data.position(data.limit());
-        if (dropped > MOST_DROPPED) {
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
             connection.close();
         }
     }
--- a/src/main/java/clovermill/dataplane/server/ReadPause.java
+++ b/src/main/java/clovermill/dataplane/server/ReadPause.java
@@ -4,19 +4,19 @@
 import clovermill.runtime.net.Connection;
 
 /**
- * Stops and resumes the reading of a client, and bounds when what is read arrived. A request's time runs from its last
- * byte; what lay in the machine while nothing was read may have come at any moment of that pause, so the pause's begin
- * counts: the deadline told to a server must not exceed what the client has left.
+ * Pauses and resumes the reading of a client, and bounds when the bytes that are read arrived. A request's deadline
+ * counts from its last byte. Bytes that waited in the socket may have arrived at any time during the pause, so its
+ * beginning is used: the deadline passed to a server must not exceed the time that the client has left.
  */
 final class ReadPause {
 
-    /** After a pause so long in microseconds passes until all that lay in the machine has surely been read. */
+    /** After a pause of any length all bytes that waited in the socket have been read by then. */
     private static final long DRAIN_MICROS = 50_000;
 
     private final Connection connection;
     private final Clock clock;
     private boolean paused;
-    private long sinceMicros;
+    private long pausedSinceMicros;
     private long drainedMicros = Long.MIN_VALUE;
 
     ReadPause(Connection connection, Clock clock) {
@@ -28,7 +28,7 @@
         connection.pause();
         if (!paused) {
             paused = true;
-            sinceMicros = draining() ? sinceMicros : clock.micros();
+            pausedSinceMicros = isDraining() ? pausedSinceMicros : clock.micros();
         }
     }
 
@@ -40,12 +40,12 @@
         }
     }
 
-    /** When what is read now arrived at the earliest, in microseconds of the clock. */
+    /** Lower bound of when the bytes read now arrived, in microseconds of the clock. */
     long arrivedMicros() {
-        return paused || draining() ? sinceMicros : clock.micros();
+        return paused || isDraining() ? pausedSinceMicros : clock.micros();
     }
 
-    private boolean draining() {
+    private boolean isDraining() {
         return clock.micros() < drainedMicros;
     }
 }
--- a/src/main/java/clovermill/dataplane/server/RequestReader.java
+++ b/src/main/java/clovermill/dataplane/server/RequestReader.java
@@ -8,137 +8,128 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Turns the fields of a client's request into what the host takes, and says what is wrong with them. */
+/** Parses and validates the fields of a client's request. */
 final class RequestReader {
 
-    /** Fields that no request can be made of. */
-    static final class BadRequest extends Exception {
-
-        private static final long serialVersionUID = 1L;
-
-        BadRequest(String message) {
-            super(message, null, false, false);
-        }
-    }
-
     /** The protocol's largest body of a write. */
-    private static final int LARGEST_BODY = 48_000;
-    private static final int LAST_PART = 65_535;
-    private static final int LAST_GROUP = 255;
-    /** A part that takes so many times longer to send than any client waits does not exist. */
-    private static final int LONGEST_SENDING = 4;
-    /** Of a short wait only this part is kept back: a client in a hurry has none to spare. */
-    private static final int MARGIN_PART = 16;
+    private static final int MAX_BODY_BYTES = 48_000;
+    private static final int MAX_PART = 65_535;
+    private static final int MAX_GROUP = 255;
+    /** No part takes so many times longer to send than clients of its class wait at most. */
+    private static final int MAX_SENDING_RATIO = 4;
+    /** The margin is at most this fraction (1/n) of the client's wait. */
+    private static final int MARGIN_DIVISOR = 16;
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
 
-    private final Map<String, Integer> classes = new HashMap<>();
-    private final long marginUs;
-    private List<RequestClass> kinds = List.of();
+    private final Map<String, Integer> classIndices = new HashMap<>();
+    private final long marginMicros;
+    private List<RequestClass> requestClasses = List.of();
     private double paceKbPerS;
 
-    /** {@code marginUs} is kept back from the time that a client waits, for the way of its answer. */
-    RequestReader(long marginUs) {
-        this.marginUs = marginUs;
+    /** {@code marginMicros} is subtracted from the time that a client waits, for the transfer of its answer. */
+    RequestReader(long marginMicros) {
+        this.marginMicros = marginMicros;
     }
 
-    /** Reads requests of these classes from now on; the name is null of one that is taken no more. */
-    void retune(List<String> names, List<RequestClass> newKinds, double newPaceKbPerS) {
-        classes.clear();
+    /** Sets the classes; a name is null if its class is not accepted any more. Pace in kilobytes a second. */
+    void reload(List<String> names, List<RequestClass> newClasses, double newPaceKbPerS) {
+        classIndices.clear();
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i) != null) {
-                classes.put(names.get(i), i);
+                classIndices.put(names.get(i), i);
             }
         }
-        kinds = newKinds;
+        requestClasses = newClasses;
         paceKbPerS = newPaceKbPerS;
     }
 
     /**
-     * Checks every field before anything of the request is kept, told to the module or sent: a cache that
-     * cannot read one line closes on all that is open with it, and a figure that is out of range would be
-     * learned from.
+     * Builds a request after every field has been checked. A cache closes a connection with all its exchanges on one
+     * malformed line, and a value out of range would distort the statistics.
      */
-    ClientRequest read(Map<String, String> fields, byte[] body) throws BadRequest {
-        String className = needed(fields, "class");
-        Integer index = classes.get(className);
+    ClientRequest read(Map<String, String> fields, byte[] body) throws BadRequestException {
+        String className = required(fields, "class");
+        Integer index = classIndices.get(className);
         if (index == null) {
-            throw new BadRequest("unknown class");
+            throw new BadRequestException("unknown class");
         }
-        RequestClass kind = kinds.get(index);
-        String token = word(fields.get("once"));
-        if (token == null && kind.effect() == Effect.DEDUPLICATED) {
-            throw new BadRequest("once is missing");
+        RequestClass requestClass = requestClasses.get(index);
+        String idempotencyKey = plainWord(fields.get("once"));
+        if (idempotencyKey == null && requestClass.effect() == Effect.DEDUPLICATED) {
+            throw new BadRequestException("once is missing");
         }
-        long waitUs = waitUs(fields, kind);
-        double longestKb = paceKbPerS > 0 ? LONGEST_SENDING * kind.deadlineUs() / 1e6 * paceKbPerS : Integer.MAX_VALUE;
+        long waitMicros = waitMicros(fields, requestClass);
+        double maxKb = paceKbPerS > 0
+                ? MAX_SENDING_RATIO * requestClass.deadlineUs() / 1e6 * paceKbPerS
+                : Integer.MAX_VALUE;
         String retry = fields.getOrDefault("retry", "0");
-        if (waitUs == 0 || body.length > LARGEST_BODY || !retry.equals("0") && !retry.equals("1")) {
-            throw new BadRequest("out of range");
+        if (waitMicros == 0 || body.length > MAX_BODY_BYTES || !retry.equals("0") && !retry.equals("1")) {
+            throw new BadRequestException("out of range");
         }
-        return new ClientRequest(hex(needed(fields, "id")), index, className, hex(needed(fields, "key")),
-                whole(fields.getOrDefault("seg", "0"), LAST_PART),
-                whole(fields.getOrDefault("bucket", "0"), LAST_GROUP),
-                number(fields.getOrDefault("kb", "0"), longestKb), withoutMargin(waitUs),
-                retry.equals("1"), token, word(fields.get("etag")), body);
+        return new ClientRequest(hex(required(fields, "id")), index, className, hex(required(fields, "key")),
+                integer(fields.getOrDefault("seg", "0"), MAX_PART),
+                integer(fields.getOrDefault("bucket", "0"), MAX_GROUP),
+                number(fields.getOrDefault("kb", "0"), maxKb), withoutMargin(waitMicros),
+                retry.equals("1"), idempotencyKey, plainWord(fields.get("etag")), body);
     }
 
-    /** How long a request may wait for its answer, in microseconds; {@link Long#MAX_VALUE} where it names no time. */
-    long answerWithinUs(Map<String, String> fields) {
-        Integer index = classes.get(fields.get("class"));
+    /** Time until a request must have been answered, in microseconds; {@link Long#MAX_VALUE} if it is invalid. */
+    long answerWithinMicros(Map<String, String> fields) {
+        Integer index = classIndices.get(fields.get("class"));
         try {
-            return index == null ? Long.MAX_VALUE : withoutMargin(waitUs(fields, kinds.get(index)));
-        } catch (BadRequest bad) {
-            return Long.MAX_VALUE; // it is answered as such when it is taken
+            return index == null ? Long.MAX_VALUE : withoutMargin(waitMicros(fields, requestClasses.get(index)));
+        } catch (BadRequestException invalid) {
+            return Long.MAX_VALUE; // rejected as invalid when it is processed
         }
     }
 
-    private long withoutMargin(long waitUs) {
-        return waitUs - Math.min(marginUs, waitUs / MARGIN_PART);
+    private long withoutMargin(long waitMicros) {
+        return waitMicros - Math.min(marginMicros, waitMicros / MARGIN_DIVISOR);
     }
 
-    private static long waitUs(Map<String, String> fields, RequestClass kind) throws BadRequest {
-        return (long) (number(needed(fields, "wait"), kind.deadlineUs() / 1000.0) * 1000);
+    private static long waitMicros(Map<String, String> fields, RequestClass requestClass) throws BadRequestException {
+        return (long) (number(required(fields, "wait"), requestClass.deadlineUs() / 1000.0) * 1000);
     }
 
-    private static String needed(Map<String, String> fields, String name) throws BadRequest {
+    private static String required(Map<String, String> fields, String name) throws BadRequestException {
         String value = fields.get(name);
         if (value == null) {
-            throw new BadRequest(name + " is missing");
+            throw new BadRequestException(name + " is missing");
         }
         return value;
     }
 
-    private static String hex(String value) throws BadRequest {
+    private static String hex(String value) throws BadRequestException {
         if (value.length() != 16 || !value.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
-            throw new BadRequest("not 16 hexadecimal digits");
+            throw new BadRequestException("not 16 hexadecimal digits");
         }
         return value;
     }
 
-    /** Guards the lines to the caches, into which these words go, against what would end a word or a line. */
-    private static String word(String value) throws BadRequest {
+    /** Rejects characters that would end a word or a line of the protocol spoken to the caches. */
+    private static String plainWord(String value) throws BadRequestException {
         if (value == null || value.isEmpty()) {
             return null;
         }
         if (value.length() > 200 || !value.chars().allMatch(c -> c > ' ' && c < 127 && c != ',' && c != '=')) {
-            throw new BadRequest("not a plain word");
+            throw new BadRequestException("not a plain word");
         }
         return value;
     }
 
-    private static int whole(String value, int most) throws BadRequest {
-        double number = number(value, most);
+    private static int integer(String value, int max) throws BadRequestException {
+        double number = number(value, max);
         if (number != Math.rint(number)) {
-            throw new BadRequest("not a whole number");
+            throw new BadRequestException("not an integer");
         }
         return (int) number;
     }
 
-    private static double number(String value, double most) throws BadRequest {
+    private static double number(String value, double max) throws BadRequestException {
         double number = NUMBER.matcher(value).matches() ? Double.parseDouble(value) : Double.NaN;
-        if (number <= most) {
+        if (number <= max) {
             return number;
         }
-        throw new BadRequest("not a number in range");
+        throw new BadRequestException("not a number in range");
     }
 }
--- a/src/main/java/clovermill/dataplane/server/ServerContext.java
+++ b/src/main/java/clovermill/dataplane/server/ServerContext.java
@@ -8,7 +8,20 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** What all connections of the front share; {@code awayMs} is for how long a client that is turned away keeps away. */
-record ServerContext(ProxyCore host, RequestReader reader, Budget budget, Clock clock, Deadlines deadlines,
-        LongSupplier awayMs, BooleanSupplier ready, BooleanSupplier turningAway, IdleConnections idle,
+/**
+ * What all connections of one server share.
+ *
+ * @param proxy gets the requests
+ * @param reader parses and validates requests
+ * @param budget memory for bodies and held frames
+ * @param clock the loop's clock
+ * @param deadlines the loop's timers
+ * @param retryAfterMillis delay that a rejected client is asked to wait, in milliseconds
+ * @param ready whether the director can serve requests
+ * @param rejectingNew whether new requests are rejected, during a shutdown
+ * @param idle the connections without open requests
+ * @param closed called with each connection that was closed
+ */
+record ServerContext(ProxyCore proxy, RequestReader reader, Budget budget, Clock clock, Deadlines deadlines,
+        LongSupplier retryAfterMillis, BooleanSupplier ready, BooleanSupplier rejectingNew, IdleConnections idle,
         Consumer<FrameConnection> closed) {}
--- a/src/main/java/clovermill/dataplane/server/WriteTimeout.java
+++ b/src/main/java/clovermill/dataplane/server/WriteTimeout.java
@@ -5,31 +5,31 @@
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.Timeout;
 
-/** Closes a connection whose client takes none of its answers for long: it is gone, and must not keep their memory. */
+/** Closes a connection whose client reads none of its answers for a while, which frees their memory. */
 final class WriteTimeout {
 
-    private static final long STALL_US = 10_000_000;
+    private static final long TIMEOUT_MICROS = 10_000_000;
 
     private final Connection connection;
     private final Timeout check;
-    private long writtenBefore;
+    private long writtenBytesBefore;
 
     WriteTimeout(Connection connection, Clock clock, Deadlines deadlines) {
         this.connection = connection;
         this.check = new Timeout(clock, deadlines, this::check);
     }
 
-    /** Checks after a while, if there are answers to be read, whether any have been. */
+    /** Schedules a check if answers are queued and none is scheduled. */
     void watch() {
         if (!check.isSet() && connection.isOpen() && connection.queuedBytes() > 0) {
-            writtenBefore = connection.writtenBytes();
-            check.setAfter(STALL_US);
+            writtenBytesBefore = connection.writtenBytes();
+            check.setAfter(TIMEOUT_MICROS);
         }
     }
 
+    /** Progress counts, not an empty queue: a busy connection always has bytes queued. */
     private void check() {
-        // What counts is that nothing has moved: something may well be queued on a busy connection.
-        if (connection.queuedBytes() > 0 && connection.writtenBytes() == writtenBefore) {
+        if (connection.queuedBytes() > 0 && connection.writtenBytes() == writtenBytesBefore) {
             connection.close();
         } else {
             watch();
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -118,7 +118,7 @@
         BooleanSupplier caughtUp = () -> platform.passed() == null || channel.heard()
                 || clock.micros() >= settledUs + CATCH_UP_US;
         front = new FrameServer(loop, clock, deadlines, budget, host, settings, config.classes(),
-                new FrameServer.Terms(config.listen(), platform.passed(), shares.clients(false),
+                new FrameServer.Options(config.listen(), platform.passed(), shares.clients(false),
                         () -> roster.known() && clock.micros() >= settledUs && caughtUp.getAsBoolean()));
         sharing = HandoverCoordinator.open(platform.shared(), shares, clock, deadlines, roster, front, pool);
         if (sharing != null) {
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -80,15 +80,15 @@
 
     private void look() {
         catchUp();
-        presence.markReady(front.ready(), clock.micros());
+        presence.markReady(front.isReady(), clock.micros());
         ProcessRegistry.Others now = presence.look();
         if (now != others) {
             others = now;
             boolean beside = now != ProcessRegistry.Others.NONE;
-            front.limit(shares.clients(beside));
+            front.setMaxConnections(shares.clients(beside));
             pool.limit(shares.members(beside));
             // Of a successor that ends before this process is asked to leave, the connections come here again.
-            front.accepting(now != ProcessRegistry.Others.SUCCESSOR);
+            front.setAccepting(now != ProcessRegistry.Others.SUCCESSOR);
             LOG.log(Level.INFO, switch (now) {
                 case NONE -> "this process is alone again";
                 case BESIDE -> "another process of this director is here";
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -16,7 +16,7 @@
 
     @Override
     public boolean ready() {
-        return front.ready();
+        return front.isReady();
     }
 
     @Override
--- a/src/main/java/clovermill/director/reload/SettingsReload.java
+++ b/src/main/java/clovermill/director/reload/SettingsReload.java
@@ -75,8 +75,8 @@
 
     private void tell() {
         Settings settings = told.with(classes.terms(), classes.bounded(told.allowed()));
-        host.retune(settings);
-        front.retune(classes.taken(), settings);
+        host.reload(settings);
+        front.reload(classes.taken(), settings);
     }
 
     /** The longest deadline of a request under the configuration in force, in microseconds. */
--- a/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
+++ b/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
@@ -46,7 +46,7 @@
     /** Begins the end; once is enough. */
     public void begin() {
         farewell = new ShutdownSequence(clock.micros(), longestUs.getAsLong(), handsOver);
-        front.leave();
+        front.announceShutdown();
         checking.start();
     }
 
@@ -54,10 +54,10 @@
         ShutdownSequence.Step step = farewell.at(clock.micros());
         if (!shut && step.compareTo(ShutdownSequence.Step.ENDS_IDLE) >= 0) {
             shut = true;
-            front.shut();
+            front.stopAccepting();
         }
         if (step.compareTo(ShutdownSequence.Step.ANSWERS_ALL) >= 0) {
-            host.answerAll();
+            host.answerOpenRequests();
         }
         if (!cut && step == ShutdownSequence.Step.CUTS_OFF) {
             cut = true;
@@ -65,9 +65,9 @@
                     Long.toString(farewell.mostUs() / 1000));
         }
         if (shut) {
-            front.part(step.compareTo(ShutdownSequence.Step.TURNS_AWAY) >= 0, cut);
+            front.closeConnections(step.compareTo(ShutdownSequence.Step.TURNS_AWAY) >= 0, cut);
         }
-        if (front.empty() && (shut || handsOver)) {
+        if (front.isEmpty() && (shut || handsOver)) {
             checking.stop();
             loop.stop();
         }
--- a/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -291,7 +291,7 @@
     @Test
     void afterItsClientsEndARequestWithNothingOutIsAnsweredAtOnce() {
         submit();
-        host.clientLeft(ID);
+        host.clientHalfClosed(ID);
         assertThat(answers).containsExactly("refused 100");
         assertThat(events).last().isEqualTo(new ClientGone(ID));
     }
@@ -300,7 +300,7 @@
     void afterItsClientsEndWhatIsOutMayBeAnsweredAndNothingFollows() {
         submit(new Send(ID, "a", 0));
         replies.add(List.of(new Cancel(ID, 0)));
-        host.clientLeft(ID);
+        host.clientHalfClosed(ID);
         assertThat(answers).isEmpty();
         replies.add(List.of(new Send(ID, "b", 0)));
         listeners.get(0).ended(Result.ERROR, Note.NONE, 0, null);
@@ -312,7 +312,7 @@
     void afterItsClientsEndWhatOnlyWaitsIsWithdrawn() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 0));
-        host.clientLeft(ID);
+        host.clientHalfClosed(ID);
         assertThat(answers).containsExactly("refused 100");
         assertThat(events).last().isEqualTo(outcome(0, "a", Result.NOT_SENT, 0, true));
     }
--- a/src/test/java/clovermill/dataplane/server/FrameParserTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameParserTest.java
@@ -16,80 +16,80 @@
 
 class FrameParserTest {
 
-    private static final ByteBuffer ANSWER =
-            Frames.answer(Frames.ANSWER, 3_000_000_000L, Frames.REFUSED, Map.of("after", "100"), 2);
+    private static final ByteBuffer RESPONSE =
+            Frames.responseHead(Frames.RESPONSE, 3_000_000_000L, Frames.REFUSED, Map.of("after", "100"), 2);
     private final Budget budget = new Budget(100_000);
 
-    private static final FrameParser.Skipped NONE_SKIPPED = (type, stream) -> {
-        throw new AssertionError("a frame was passed over");
+    private static final FrameParser.SkipListener NOTHING_SKIPPED = (type, stream) -> {
+        throw new AssertionError("a frame was skipped");
     };
 
     private static byte[] input() {
-        return ByteBuffer.allocate(ANSWER.remaining() + 2 + 9).put(ANSWER.duplicate()).put(new byte[] {8, 9})
-                .put(Frames.bare(Frames.GIVE_UP, 7)).array();
+        return ByteBuffer.allocate(RESPONSE.remaining() + 2 + 9).put(RESPONSE.duplicate()).put(new byte[] {8, 9})
+                .put(Frames.emptyFrame(Frames.CANCEL, 7)).array();
     }
 
-    private Splits.Parser parser(Consumer<String> told) {
+    private Splits.Parser parser(Consumer<String> seen) {
         FrameParser parser = new FrameParser(budget, (type, stream, payload) -> {
-            String fields = type == Frames.ANSWER ? payload.get() + " " + new TreeMap<>(Frames.fields(payload)) : "";
-            told.accept(type + " " + stream + " " + fields + " " + payload.remaining());
+            String fields = type == Frames.RESPONSE ? payload.get() + " " + new TreeMap<>(Frames.fields(payload)) : "";
+            seen.accept(type + " " + stream + " " + fields + " " + payload.remaining());
             return true;
-        }, NONE_SKIPPED);
+        }, NOTHING_SKIPPED);
         return parser::parse;
     }
 
     @Test
-    void readsTheSameAtEverySplit() throws Exception {
+    void parsesTheSameFramesAtEverySplit() throws Exception {
         Splits.same(input(), List.of("1 3000000000 66 {after=100} 2", "2 7  0"), this::parser);
     }
 
     @Test
-    void refusesJunkWithoutAnotherFault() {
+    void rejectsMalformedInputWithAProtocolExceptionOnly() {
         Splits.junk(input(), ProtocolException.class, this::parser);
     }
 
     @Test
-    void refusesLengthsOutOfRange() {
+    void rejectsLengthsOutOfRange() {
         for (int length : new int[] {0, 4, 262_145, -1}) {
             ByteBuffer frame = ByteBuffer.allocate(9).order(ByteOrder.LITTLE_ENDIAN).putInt(0, length);
-            assertThatThrownBy(() -> parser(told -> {}).parse(frame)).isInstanceOf(ProtocolException.class);
+            assertThatThrownBy(() -> parser(seen -> {}).parse(frame)).isInstanceOf(ProtocolException.class);
         }
     }
 
     /** Many clients that each begin a large frame must not take the heap. */
     @Test
-    void aLargeFrameTakesRoomAsItComesAndGivesItBack() throws Exception {
+    void aLargeFrameTakesMemoryAsItArrivesAndReturnsIt() throws Exception {
         ByteBuffer frame = ByteBuffer.allocate(60_000).order(ByteOrder.LITTLE_ENDIAN).putInt(0, 59_996);
-        FrameParser first = new FrameParser(budget, (type, stream, payload) -> true, NONE_SKIPPED);
+        FrameParser first = new FrameParser(budget, (type, stream, payload) -> true, NOTHING_SKIPPED);
         first.parse(frame.duplicate().limit(4));
         assertThat(budget.used()).isZero();
         first.parse(frame.duplicate().position(4).limit(59_000));
         assertThat(budget.used()).isBetween(57_000L, 60_000L);
-        FrameParser second = new FrameParser(budget, (type, stream, payload) -> true, NONE_SKIPPED);
+        FrameParser second = new FrameParser(budget, (type, stream, payload) -> true, NOTHING_SKIPPED);
         ByteBuffer rest = frame.duplicate();
         second.parse(rest);
-        assertThat(second.waitsForRoom()).isTrue();
+        assertThat(second.awaitsMemory()).isTrue();
         assertThat(rest.hasRemaining()).isTrue();
         first.parse(frame.duplicate().position(59_000));
         assertThat(budget.used()).isZero();
         second.parse(rest);
-        assertThat(second.waitsForRoom()).isFalse();
-        assertThat(second.midFrame()).isFalse();
+        assertThat(second.awaitsMemory()).isFalse();
+        assertThat(second.isMidFrame()).isFalse();
     }
 
     @Test
-    void aStreamIsNewOnlyOnce() throws Exception {
+    void aStreamNumberIsNewOnlyOnce() throws Exception {
         StreamNumbers used = new StreamNumbers();
         for (long stream : new long[] {1, 2, 5, 4, 3, 4_294_967_295L}) {
-            assertThat(used.use(stream)).as("stream %d", stream).isTrue();
+            assertThat(used.markUsed(stream)).as("stream %d", stream).isTrue();
         }
         for (long stream : new long[] {1, 2, 3, 4, 5, 4_294_967_295L}) {
-            assertThat(used.use(stream)).as("stream %d", stream).isFalse();
+            assertThat(used.markUsed(stream)).as("stream %d", stream).isFalse();
         }
-        assertThat(used.use(6)).isTrue();
+        assertThat(used.markUsed(6)).isTrue();
         assertThatThrownBy(() -> {
             for (long stream = 10; stream < 10_000; stream += 2) {
-                used.use(stream);
+                used.markUsed(stream);
             }
         }).isInstanceOf(ProtocolException.class);
     }
--- a/src/test/java/clovermill/dataplane/server/FrameServerTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameServerTest.java
@@ -12,9 +12,9 @@
 import clovermill.routing.api.Event;
 import clovermill.routing.api.Request;
 import clovermill.runtime.net.Budget;
-import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.ManualClock;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -34,23 +34,12 @@
 class FrameServerTest {
 
     private static final long STEP_US = 10_000;
-    private static final byte[] READY_QUESTION = {6, 0, 0, 0, 6, 1, 0, 0, 0, 0};
-    private static final int READY_ANSWER = 7;
+    private static final byte[] READINESS_REQUEST = {6, 0, 0, 0, 6, 1, 0, 0, 0, 0};
+    private static final int READINESS_RESPONSE = 7;
 
-    private long nowUs = 1_700_000_000_000_000L;
-    private int looks;
+    private int readinessChecks;
     private final Deadlines deadlines = new Deadlines();
-    private final Clock clock = new Clock() {
-        @Override
-        public long micros() {
-            return nowUs;
-        }
-
-        @Override
-        public long unixMillis() {
-            return nowUs / 1000;
-        }
-    };
+    private final ManualClock clock = new ManualClock(1_700_000_000_000_000L);
 
     private static final Upstream NOBODY = new Upstream() {
         @Override
@@ -68,75 +57,76 @@
     private final Budget budget = new Budget(1 << 20);
     private final List<Event> events = new ArrayList<>();
 
-    private FrameServer front(EventLoop loop, ServerSocketChannel passed, BooleanSupplier able) throws Exception {
+    private FrameServer server(EventLoop loop, ServerSocketChannel inherited, BooleanSupplier canServe)
+            throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
-        ProxyCore host =
+        ProxyCore proxy =
                 new ProxyCore((atUs, event, out) -> events.add(event), config.settings(), clock, deadlines, NOBODY);
-        return new FrameServer(loop, clock, deadlines, budget, host, config.settings(), config.classes(),
-                new FrameServer.Terms(new InetSocketAddress(
-                        InetAddress.getLoopbackAddress(), 0), passed, 8, able));
+        return new FrameServer(loop, clock, deadlines, budget, proxy, config.settings(), config.classes(),
+                new FrameServer.Options(new InetSocketAddress(
+                        InetAddress.getLoopbackAddress(), 0), inherited, 8, canServe));
     }
 
-    /** A process that is never ready, on a socket that nobody reads, would hold up the platform's upgrade for good. */
+    /** A process that never becomes ready would block the platform's upgrade. */
     @Test
-    void aLookThatFailsDoesNotLeaveThePassedSocketUnread() throws Exception {
+    void givenAReadinessCheckThatFailsOnceThenTheInheritedSocketIsStillAccepted() throws Exception {
         EventLoop loop = new EventLoop(clock, deadlines);
-        try (ServerSocketChannel passed = ServerSocketChannel.open()
+        try (ServerSocketChannel inherited = ServerSocketChannel.open()
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            FrameServer front = front(loop, passed, () -> {
-                looks++;
-                if (looks == 2) {
-                    throw new IllegalStateException("a fault while it looks whether it can serve");
+            FrameServer server = server(loop, inherited, () -> {
+                readinessChecks++;
+                if (readinessChecks == 2) {
+                    throw new IllegalStateException("a fault while it readinessChecks whether it can serve");
                 }
-                return looks > 2;
+                return readinessChecks > 2;
             });
-            front.open();
-            assertThat(front.ready()).isFalse();
+            server.open();
+            assertThat(server.isReady()).isFalse();
             for (int i = 0; i < 3; i++) {
-                nowUs += STEP_US;
+                clock.passMicros(STEP_US);
                 loop.turn(0);
             }
-            assertThat(front.ready()).isTrue();
-            try (Socket client = new Socket(InetAddress.getLoopbackAddress(), passed.socket().getLocalPort())) {
-                client.getOutputStream().write(READY_QUESTION);
+            assertThat(server.isReady()).isTrue();
+            try (Socket client = new Socket(InetAddress.getLoopbackAddress(), inherited.socket().getLocalPort())) {
+                client.getOutputStream().write(READINESS_REQUEST);
                 client.setSoTimeout(10_000);
                 for (int i = 0; i < 100 && client.getInputStream().available() == 0; i++) {
                     loop.turn(10);
                 }
-                assertThat(client.getInputStream().readNBytes(5)).endsWith(READY_ANSWER);
+                assertThat(client.getInputStream().readNBytes(5)).endsWith(READINESS_RESPONSE);
             }
         }
     }
 
-    /** A front with one client, on a budget without room, and a clock that stands still between the waits. */
-    private final class OneClient implements AutoCloseable {
+    /** A server with one client; the clock moves only in {@link #pass}. */
+    private final class SingleClient implements AutoCloseable {
         final EventLoop loop = new EventLoop(clock, deadlines);
-        final FrameServer front = front(loop, null, () -> true);
+        final FrameServer server = server(loop, null, () -> true);
         final Socket socket;
 
-        OneClient() throws Exception {
-            front.open();
-            socket = new Socket(InetAddress.getLoopbackAddress(), front.port());
+        SingleClient() throws Exception {
+            server.open();
+            socket = new Socket(InetAddress.getLoopbackAddress(), server.port());
             socket.setSoTimeout(10_000);
             socket.setTcpNoDelay(true);
         }
 
-        void turns() throws Exception {
+        void runLoop() throws Exception {
             for (int i = 0; i < 20; i++) {
                 loop.turn(1);
             }
         }
 
-        void waits(long millis) throws Exception {
+        void pass(long millis) throws Exception {
             for (long i = 0; i < millis; i += 10) {
-                nowUs += STEP_US;
+                clock.passMicros(STEP_US);
                 loop.turn(0);
             }
-            turns();
+            runLoop();
         }
 
-        void sends(int type, int stream, Map<String, String> fields, int bodyBytes) throws Exception {
+        void sendFrame(int type, int stream, Map<String, String> fields, int bodyBytes) throws Exception {
             ByteBuffer frame = ByteBuffer.allocate(100_000).order(ByteOrder.LITTLE_ENDIAN).position(4);
             frame.put((byte) type).putInt(stream).put((byte) fields.size());
             fields.forEach((name, value) -> frame.put((byte) name.length())
@@ -145,16 +135,18 @@
             frame.position(frame.position() + bodyBytes);
             frame.putInt(0, frame.position() - 4);
             socket.getOutputStream().write(frame.array(), 0, frame.position());
-            turns();
+            runLoop();
         }
 
-        void asks(int stream, int bodyBytes) throws Exception {
-            sends(Frames.REQUEST, stream, Map.of("class", "page", "id", String.format("%016x", stream), "wait", "3000",
-                    "key", "7f3a9c21e0b4d655"), bodyBytes);
+        void sendRequest(int stream, int bodyBytes) throws Exception {
+            sendFrame(Frames.REQUEST, stream,
+                    Map.of("class", "page", "id", String.format("%016x", stream), "wait", "3000",
+                            "key", "7f3a9c21e0b4d655"),
+                    bodyBytes);
         }
 
-        /** The next frame: its type, its stream and its code. */
-        String reads() throws Exception {
+        /** The next frame, as type, stream number and code. */
+        String readFrame() throws Exception {
             if (socket.getInputStream().available() == 0) {
                 return "nothing";
             }
@@ -167,87 +159,87 @@
         @Override
         public void close() throws IOException {
             socket.close();
-            front.shut();
+            server.stopAccepting();
         }
     }
 
-    /** Behind a frame for which there is no room the client's end would not be seen. */
+    /** The end of the client would not be seen behind a frame that waits for memory. */
     @Test
-    void aClientThatWaitsForRoomFor50MillisIsBarred() throws Exception {
-        try (OneClient client = new OneClient()) {
-            client.asks(1, 0);
+    void givenAFrameThatWaits50MillisForMemoryThenNoNewAttemptBegins() throws Exception {
+        try (SingleClient client = new SingleClient()) {
+            client.sendRequest(1, 0);
             budget.take(1 << 20);
-            client.asks(2, 20_000);
-            client.waits(40);
-            assertThat(client.reads()).isEqualTo("nothing");
+            client.sendRequest(2, 20_000);
+            client.pass(40);
+            assertThat(client.readFrame()).isEqualTo("nothing");
             assertThat(events).hasSize(1).allMatch(Request.class::isInstance);
-            client.waits(10);
+            client.pass(10);
             assertThat(events).hasSize(2).anyMatch(ClientGone.class::isInstance);
-            assertThat(client.reads()).as("nothing is out for it").isEqualTo("1 1 B");
+            assertThat(client.readFrame()).as("nothing is out for it").isEqualTo("1 1 B");
         }
     }
 
-    /** A request that was sent whole is owed an answer, however long others hold the memory. */
+    /** A request that was sent completely is owed an answer, however long the memory is in use. */
     @Test
-    void aRequestForWhichThereIsNoRoomIsRefusedAndItsConnectionGoesOn() throws Exception {
-        try (OneClient client = new OneClient()) {
+    void givenNoMemoryFor400MillisThenTheRequestIsRejectedAndItsConnectionContinues() throws Exception {
+        try (SingleClient client = new SingleClient()) {
             budget.take(1 << 20);
-            client.asks(1, 20_000);
-            client.waits(390);
-            assertThat(client.reads()).isEqualTo("nothing");
-            client.waits(10);
-            assertThat(client.reads()).isEqualTo("1 1 B");
-            client.sends(Frames.READY_QUESTION, 7, Map.of(), 0);
-            assertThat(client.reads()).isEqualTo("7 7 O");
+            client.sendRequest(1, 20_000);
+            client.pass(390);
+            assertThat(client.readFrame()).isEqualTo("nothing");
+            client.pass(10);
+            assertThat(client.readFrame()).isEqualTo("1 1 B");
+            client.sendFrame(Frames.READINESS_REQUEST, 7, Map.of(), 0);
+            assertThat(client.readFrame()).isEqualTo("7 7 O");
             assertThat(budget.used()).isEqualTo(1 << 20);
             budget.give(1 << 20);
-            client.asks(2, 20_000);
+            client.sendRequest(2, 20_000);
             assertThat(events).hasSize(1);
         }
     }
 
-    /** It was read in part and is whole in the machine: to close on it would lose it. */
+    /** The rest of the request lies unread in the socket: a close would lose it. */
     @Test
-    void aNewConnectionWhoseFirstRequestWaitsForRoomIsNotLetGoForAnother() throws Exception {
-        try (OneClient client = new OneClient()) {
+    void givenAFirstRequestThatWaitsForMemoryThenItsConnectionIsNotEvicted() throws Exception {
+        try (SingleClient client = new SingleClient()) {
             budget.take(1 << 20);
-            client.asks(1, 20_000);
-            client.waits(110);
-            client.front.limit(0);
-            client.turns();
-            assertThat(client.reads()).isEqualTo("nothing");
-            client.waits(290);
-            assertThat(client.reads()).isEqualTo("1 1 B");
+            client.sendRequest(1, 20_000);
+            client.pass(110);
+            client.server.setMaxConnections(0);
+            client.runLoop();
+            assertThat(client.readFrame()).isEqualTo("nothing");
+            client.pass(290);
+            assertThat(client.readFrame()).isEqualTo("1 1 B");
         }
     }
 
-    /** A client has the time that it names from its last byte on, wherever the request waits. */
+    /** The deadline counts from the last byte of a request, wherever it waits. */
     @Test
-    void aRequestThatWaitedForRoomHasThatMuchLessTime() throws Exception {
-        try (OneClient client = new OneClient()) {
+    void givenARequestThatWaitedForMemoryThenItsDeadlineIsShorterByTheWait() throws Exception {
+        try (SingleClient client = new SingleClient()) {
             budget.take(1 << 20);
-            client.asks(1, 20_000);
-            client.waits(300);
+            client.sendRequest(1, 20_000);
+            client.pass(300);
             budget.give(1 << 20);
-            client.turns();
+            client.runLoop();
             assertThat(events).hasSize(1);
             assertThat(((Request) events.get(0)).graceUs()).isEqualTo(2_980_000 - 300_000);
         }
     }
 
-    /** Whoever sends on and on after what could not be read is not read for the whole of the last 100 ms. */
+    /** A client that continues to send after a protocol error is closed before the 100 ms are over. */
     @Test
-    void aConnectionThatIsEndedDropsOnlySoMuch() throws Exception {
-        try (OneClient client = new OneClient()) {
+    void givenALingeringCloseThenOnlyABoundedNumberOfBytesIsDiscarded() throws Exception {
+        try (SingleClient client = new SingleClient()) {
             client.socket.getOutputStream().write(new byte[] {-1, -1, -1, -1, 0});
-            client.turns();
-            assertThat(client.reads()).isEqualTo("1 0 E");
+            client.runLoop();
+            assertThat(client.readFrame()).isEqualTo("1 0 E");
             client.socket.getOutputStream().write(new byte[200_000]);
-            client.turns();
-            assertThat(client.front.empty()).isFalse();
+            client.runLoop();
+            assertThat(client.server.isEmpty()).isFalse();
             client.socket.getOutputStream().write(new byte[62_200]);
-            client.turns();
-            assertThat(client.front.empty()).isTrue();
+            client.runLoop();
+            assertThat(client.server.isEmpty()).isTrue();
         }
     }
 }
--- a/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
+++ b/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
@@ -45,27 +45,27 @@
         public void open() {}
 
         @Override
-        public boolean ready() {
+        public boolean isReady() {
             return false;
         }
 
         @Override
-        public void leave() {}
+        public void announceShutdown() {}
 
         @Override
-        public void shut() {}
+        public void stopAccepting() {}
 
         @Override
-        public void part(boolean turnAway, boolean cuttingOff) {
+        public void closeConnections(boolean rejectNew, boolean force) {
             partings++;
-            empty = cuttingOff;
+            empty = force;
             if (partings == 1) {
                 throw new IllegalStateException("the first connection cannot be ended");
             }
         }
 
         @Override
-        public boolean empty() {
+        public boolean isEmpty() {
             return empty;
         }
     }
