--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -104,10 +104,10 @@
     }
 
     private void changed(String id) {
-        host.tell(new Operated(List.copyOf(outages.allOut())));
+        host.handle(new Operated(List.copyOf(outages.allOut())));
         Entry entry = listed.get(id);
         if (entry != null) {
-            host.tell(new Members(ListScope.CHANGES, List.of(member(entry))));
+            host.handle(new Members(ListScope.CHANGES, List.of(member(entry))));
         }
     }
 
@@ -124,7 +124,7 @@
                 drops.add(drop);
             }
         }
-        host.tell(new Members(ListScope.REMEMBERED, listed.values().stream().map(this::member).toList()));
+        host.handle(new Members(ListScope.REMEMBERED, listed.values().stream().map(this::member).toList()));
         long[] agesUs = PurgeAgeEstimator.agesAtStartUs(drops.stream().map(DiscoveryEvents.Drop::whenMs).toList());
         for (int i = 0; i < agesUs.length; i++) {
             purge(drops.get(i), agesUs[i]);
@@ -148,7 +148,7 @@
         for (DiscoveryEvents.Command command : news.list()) {
             if (command instanceof DiscoveryEvents.Nodes nodes) {
                 Set<String> unfit = update(nodes, first);
-                host.tell(new Members(nodes.full() ? ListScope.FULL : ListScope.CHANGES,
+                host.handle(new Members(nodes.full() ? ListScope.FULL : ListScope.CHANGES,
                         nodes.entries().stream().map(this::member).toList()));
                 drop(unfit);
             } else if (command instanceof DiscoveryEvents.Drop drop) {
@@ -225,7 +225,7 @@
 
     /** What is queued for the object would take an older copy: the module, which knows by then, sends it anew. */
     private void purge(DiscoveryEvents.Drop drop, long ageUs) {
-        host.tell(new Purge(drop.object(), drop.group(), ageUs));
+        host.handle(new Purge(drop.object(), drop.group(), ageUs));
         pool.withdraw(ask -> drop.object() == null ? ask.group() == drop.group()
                 : Long.parseUnsignedLong(ask.object(), 16) == drop.object());
     }
--- a/src/main/java/clovermill/dataplane/proxy/Attempt.java
+++ b/src/main/java/clovermill/dataplane/proxy/Attempt.java
@@ -6,68 +6,85 @@
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Deadlines;
 
-/** One attempt; it ends once, by its answer, its time-out or its being called off. */
+/** One attempt of a request. It ends once: by its response, its timeout or its cancellation. */
 final class Attempt implements AttemptListener {
 
-    /** What nobody waits for must not go on going out for longer: it counts as begun when all of it has arrived. */
-    private static final long GOES_ON_US = 50_000;
+    /** An abandoned attempt must be written completely by then: a server counts it from its last byte. */
+    private static final long MAX_WRITE_AFTER_ABANDON_MICROS = 50_000;
 
-    final RequestContext call;
     final int number;
     final String member;
-    final long sentUs;
-    /** From where a miss is filled; null where it is not. */
-    String source;
+    final long sentMicros;
+    private final ProxyCore core;
+    private final RequestContext context;
+    /** Time from an earlier attempt in which this one may be sent, or {@link Long#MAX_VALUE}. */
+    private final long retryWindowMicros;
+    /** The member from which a miss is filled, or null. */
+    private String source;
     /** Null until it is sent. */
-    Exchange exchange;
-    Deadlines.Deadline timeout;
-    private final ProxyCore host;
-    /** How long after the first a further attempt may be sent, or {@link Long#MAX_VALUE} where nothing binds it. */
-    private final long windowUs;
-    private boolean ended;
-    private long endedUs;
+    private Exchange exchange;
+    /** Null until it is sent. */
+    private Deadlines.Deadline timeout;
+    private boolean hasEnded;
+    private long endedMicros;
     private LoadReport load;
 
-    Attempt(ProxyCore host, RequestContext call, String member, long windowUs) {
-        this.host = host;
-        this.call = call;
-        this.number = call.sent++;
+    Attempt(ProxyCore core, RequestContext context, int number, String member) {
+        this.core = core;
+        this.context = context;
+        this.number = number;
         this.member = member;
-        this.windowUs = windowUs;
-        this.sentUs = host.clock.micros();
+        this.retryWindowMicros = core.retryWindowMicros(context.request);
+        this.sentMicros = core.clock.micros();
+    }
+
+    /** Sends it; it may have ended when this returns. */
+    void start(Upstream upstream, AttemptOrder order) {
+        source = order.source();
+        exchange = upstream.send(order, this);
+        if (!hasEnded) {
+            timeout = core.deadlines.add(sentMicros + order.timeoutMicros(), () -> cancel(Result.TIMED_OUT));
+        }
     }
 
-    boolean ended() {
-        return ended;
+    /** The member from which a miss is filled, or null. */
+    String source() {
+        return source;
     }
 
-    /** Whether any of it may have left. */
+    /** Whether any byte of it may have left this process. */
     boolean begun() {
         return exchange != null && exchange.begun();
     }
 
     @Override
     public boolean mayBegin() {
-        return unwantedForUs() < 0 && allowed();
+        return abandonedForMicros() < 0 && isPermitted();
     }
 
     @Override
     public boolean mayContinue() {
-        return unwantedForUs() < GOES_ON_US && allowed();
+        return abandonedForMicros() < MAX_WRITE_AFTER_ABANDON_MICROS && isPermitted();
     }
 
-    /** For how long nobody may have waited for this attempt: its client, or this director, which gave it up. */
-    private long unwantedForUs() {
-        return Math.max(call.unwantedForUs(), ended ? host.clock.micros() - endedUs : -1);
+    /** For how long its client, or this director, may not have waited for it any more; -1 while both wait. */
+    private long abandonedForMicros() {
+        return Math.max(context.abandonedForMicros(), hasEnded ? core.clock.micros() - endedMicros : -1);
     }
 
-    /** Whether the policy of the fleet allows it, and the window for repeats, at this moment. */
-    private boolean allowed() {
-        if (call.allowed != null && !(call.allowed.test(member) && (source == null || call.allowed.test(source)))) {
-            return false;
-        }
-        long ranUs = windowUs == Long.MAX_VALUE ? Long.MAX_VALUE : call.ranBeforeUs(this);
-        return ranUs >= sentUs || host.clock.micros() - ranUs < windowUs;
+    /** Whether the filter of endpoints and the retry window permit it now. */
+    private boolean isPermitted() {
+        return isAllowed(member) && (source == null || isAllowed(source)) && isInRetryWindow();
+    }
+
+    private boolean isAllowed(String id) {
+        return context.allowedMembers == null || context.allowedMembers.test(id);
+    }
+
+    private boolean isInRetryWindow() {
+        long firstRunMicros =
+                retryWindowMicros == Long.MAX_VALUE ? Long.MAX_VALUE : context.firstPossibleRunMicros(this);
+        return firstRunMicros >= sentMicros || core.clock.micros() - firstRunMicros < retryWindowMicros;
     }
 
     @Override
@@ -76,43 +93,46 @@
     }
 
     @Override
-    public void ended(Result told, Note note, long waitedUs, UpstreamResponse answer) {
-        // A member that finds the client's copy good where the client holds none has served nothing.
-        boolean empty = answer != null && answer.notModified() && call.ask.cachedTag() == null;
-        Result result = empty ? Result.ERROR : told;
-        boolean serves = result == Result.OK && !ended && !call.over();
-        if (answer != null && !serves) {
-            answer.body().close();
+    public void ended(Result reported, Note note, long waitedUs, UpstreamResponse response) {
+        Result result = isInvalid(response) ? Result.ERROR : reported;
+        boolean serves = result == Result.OK && !hasEnded && !context.isOver();
+        if (response != null && !serves) {
+            response.body().close();
         }
-        if (ended) {
+        if (hasEnded) {
             return;
         }
-        ended = true;
-        endedUs = host.clock.micros();
-        host.deadlines.cancel(timeout);
-        call.out.remove(number);
+        hasEnded = true;
+        endedMicros = core.clock.micros();
+        core.deadlines.cancel(timeout);
+        context.inFlight.remove(number);
         if (!result.neverRan()) {
-            call.mayHaveRun(sentUs);
+            context.recordPossibleRun(sentMicros);
         }
         if (serves) {
-            call.serve(answer, this, note);
-        } else if (call.left() && call.out.isEmpty()) {
-            call.endUnserved();
+            context.serve(response, this, note);
+        } else if (context.isHalfClosed() && context.inFlight.isEmpty()) {
+            context.endUnserved();
         }
-        call.forget();
-        host.deliver(new Outcome(call.ask.id(), number, member, result, host.clock.micros() - sentUs, call.over(),
-                note, waitedUs, load));
+        context.forgetIfDone();
+        core.deliver(new Outcome(context.request.id(), number, member, result, core.clock.micros() - sentMicros,
+                context.isOver(), note, waitedUs, load));
+    }
+
+    /** A member that reports the client's copy as valid where the client has none has served nothing. */
+    private boolean isInvalid(UpstreamResponse response) {
+        return response != null && response.notModified() && context.request.cachedTag() == null;
     }
 
     /**
-     * Ends it from this side: what was never sent in all its time counts as not connected. What was only
-     * withdrawn before its turn to be written came proves that too, but speaks against nobody: clients
-     * that withdraw hundreds at once must not make all members look dead.
+     * Ends it from this side. An attempt of which nothing was sent until its timeout counts as not connected. One that
+     * was still queued in this process counts as not sent, which is no evidence against the member: many clients that
+     * cancel at once must not make members look unreachable.
      */
-    void giveUp(Result result) {
-        boolean isQueuedLocally = exchange.isQueuedLocally();
+    void cancel(Result result) {
+        boolean queuedLocally = exchange.isQueuedLocally();
         boolean mayHaveRun = exchange.cancel();
-        Result unsent = result == Result.TIMED_OUT && !isQueuedLocally ? Result.UNCONNECTED : Result.NOT_SENT;
+        Result unsent = result == Result.TIMED_OUT && !queuedLocally ? Result.UNCONNECTED : Result.NOT_SENT;
         ended(mayHaveRun ? result : unsent, Note.NONE, 0, null);
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/RequestContext.java
+++ b/src/main/java/clovermill/dataplane/proxy/RequestContext.java
@@ -1,131 +1,163 @@
 package clovermill.dataplane.proxy;
 
 import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
 import clovermill.runtime.net.Deadlines;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
 
 /** A request from its arrival until it has its answer and all its attempts have ended. */
 final class RequestContext {
 
-    private static final long OPEN = Long.MAX_VALUE;
-
-    final ClientRequest ask;
-    final long takenUs;
-    final long deadlineUs;
-    final Map<Integer, Attempt> out = new HashMap<>(2);
-    /** Null where nothing binds it. */
-    final Predicate<String> allowed;
-    private final ProxyCore host;
-    /** Guards the rule of one answer in time against a module that says nothing. */
+    private static final long NEVER = Long.MAX_VALUE;
+
+    final ClientRequest request;
+    final long receivedMicros;
+    final long deadlineMicros;
+    /** By attempt number. */
+    final Map<Integer, Attempt> inFlight = new HashMap<>(2);
+    /** Null if the request may use all members. */
+    final Predicate<String> allowedMembers;
+    /** Number of attempts, those included that were not sent. */
+    int attempts;
+    private final ProxyCore core;
+    /** Answers the client in time if the router does not. */
     private final Deadlines.Deadline overdue;
-    private ResponseHandler asker;
-    /** Since when nobody may wait for it any more: answered, given up, or its client sends no more. */
-    private long unwantedUs = OPEN;
-    private boolean left;
-    /** When the earliest attempt was sent that may have run; a repeat is bound by it. */
-    private long mayHaveRunUs = OPEN;
-    int sent;
+    /** Null once the request has been answered or its client has gone. */
+    private ResponseHandler handler;
+    /** Since when the client may not wait any more: answered, cancelled, or its output closed. */
+    private long abandonedSinceMicros = NEVER;
+    private boolean halfClosed;
+    /** When the first of the ended attempts was sent that may have run; retries are allowed in a window from then. */
+    private long firstPossibleRunMicros = NEVER;
+
+    RequestContext(ProxyCore core, ClientRequest request, ResponseHandler handler, Predicate<String> allowedMembers) {
+        this.core = core;
+        this.request = request;
+        this.handler = handler;
+        this.allowedMembers = allowedMembers;
+        this.receivedMicros = core.clock.micros();
+        this.deadlineMicros = receivedMicros + request.remainingMicros();
+        this.overdue = core.deadlines.add(deadlineMicros + core.answerSlackMicros() / 2,
+                () -> core.failOverdue(this));
+    }
+
+    /** Whether no answer is owed any more. */
+    boolean isOver() {
+        return handler == null;
+    }
+
+    /** Whether the client has closed its output and has not got its answer: it has gone, or only reads. */
+    boolean isHalfClosed() {
+        return halfClosed && !isOver();
+    }
 
-    RequestContext(ProxyCore host, ClientRequest ask, ResponseHandler asker, Predicate<String> allowed) {
-        this.host = host;
-        this.ask = ask;
-        this.asker = asker;
-        this.allowed = allowed;
-        this.takenUs = host.clock.micros();
-        this.deadlineUs = takenUs + ask.remainingMicros();
-        this.overdue = host.deadlines.add(deadlineUs + host.slackUs() / 2, () -> host.overdue(this));
+    /** The client has closed its output; no further attempt begins. */
+    void halfClose() {
+        halfClosed = true;
+        abandonedSinceMicros = Math.min(abandonedSinceMicros, core.clock.micros());
     }
 
-    boolean over() {
-        return asker == null;
+    /** Whether the client may not wait any more. */
+    boolean isAbandoned() {
+        return abandonedSinceMicros != NEVER;
     }
 
-    /** Whether its client sends no more, and has not got its answer: it has gone, or only reads. */
-    boolean left() {
-        return left && !over();
+    /** For how long the client may not have waited any more, in microseconds; -1 while it waits. */
+    long abandonedForMicros() {
+        return isAbandoned() ? core.clock.micros() - abandonedSinceMicros : -1;
     }
 
-    /** From now on nothing new begins for it. */
-    void leave() {
-        left = true;
-        unwantedUs = Math.min(unwantedUs, host.clock.micros());
+    /** Adds an attempt, which is not yet sent. */
+    Attempt newAttempt(String member) {
+        Attempt attempt = new Attempt(core, this, attempts++, member);
+        inFlight.put(attempt.number, attempt);
+        return attempt;
     }
 
-    /** For how long nobody may have waited for it, in microseconds; negative while somebody surely does. */
-    long unwantedForUs() {
-        return unwantedUs == OPEN ? -1 : host.clock.micros() - unwantedUs;
+    /** Cancels the attempts of which nothing has been written. */
+    void cancelQueuedAttempts() {
+        for (Attempt attempt : List.copyOf(inFlight.values())) {
+            if (!attempt.begun()) {
+                attempt.cancel(Result.CANCELLED);
+            }
+        }
     }
 
-    /** Notes an attempt that ended, or is about to be followed by another, without proof that it never ran. */
-    void mayHaveRun(long sentUs) {
-        mayHaveRunUs = Math.min(mayHaveRunUs, sentUs);
+    /** Records that an attempt sent at that time ended without proof that it never ran. */
+    void recordPossibleRun(long sentMicros) {
+        firstPossibleRunMicros = Math.min(firstPossibleRunMicros, sentMicros);
     }
 
-    /** When the earliest attempt other than {@code one} was sent that may have run, or {@link Long#MAX_VALUE}. */
-    long ranBeforeUs(Attempt one) {
-        return out.values().stream().filter(each -> each != one && each.begun()).mapToLong(each -> each.sentUs)
-                .reduce(mayHaveRunUs, Math::min);
+    /** When the first attempt other than {@code excluded} was sent that may have run, or {@link Long#MAX_VALUE}. */
+    long firstPossibleRunMicros(Attempt excluded) {
+        return inFlight.values().stream().filter(attempt -> attempt != excluded && attempt.begun())
+                .mapToLong(attempt -> attempt.sentMicros).reduce(firstPossibleRunMicros, Math::min);
     }
 
-    /** The one place where a request ends; the first to end it gets the asker to answer. */
+    /** The one place where a request ends; returns the handler, to be called by whoever ended it. */
     ResponseHandler end() {
-        ResponseHandler answered = asker;
-        asker = null;
-        unwantedUs = Math.min(unwantedUs, host.clock.micros());
-        host.deadlines.cancel(overdue);
-        forget();
-        return answered;
-    }
-
-    /** The id is free again when no attempt can speak of it any more. */
-    void forget() {
-        if (over() && out.isEmpty()) {
-            host.forget(this);
+        ResponseHandler ended = handler;
+        handler = null;
+        abandonedSinceMicros = Math.min(abandonedSinceMicros, core.clock.micros());
+        core.deadlines.cancel(overdue);
+        forgetIfDone();
+        return ended;
+    }
+
+    /** Frees the id once the request is over and no attempt is in flight. */
+    void forgetIfDone() {
+        if (isOver() && inFlight.isEmpty()) {
+            core.forget(this);
         }
     }
 
-    void refuse(long afterMs) {
-        end().refused(afterMs);
-        audited(UsageRecord.End.REFUSED);
+    void refuse(long retryAfterMillis) {
+        end().refused(retryAfterMillis);
+        recordUsage(UsageRecord.End.REFUSED);
     }
 
     void fail() {
         end().failed();
-        audited(UsageRecord.End.FAILED);
+        recordUsage(UsageRecord.End.FAILED);
     }
 
-    /** The final answer where nothing more may be tried: a refusal only if nothing may have run. */
+    /** Gives the final answer where no attempt may follow: refused only if none may have run. */
     void endUnserved() {
-        if (mayHaveRunUs == OPEN) {
-            refuse(host.awayMs());
+        if (firstPossibleRunMicros == NEVER) {
+            refuse(core.retryAfterMillis());
         } else {
             fail();
         }
     }
 
-    /** Tells the audit of an end without bytes. */
-    void audited(UsageRecord.End how) {
-        if (host.audit != null) {
-            host.audit
-                    .requestEnded(new UsageRecord(ask, true, takenUs, host.clock.micros(), how, sent, null, null, null,
-                            0, 0));
+    /** Records the usage of a request that ended without a response body. */
+    void recordUsage(UsageRecord.End end) {
+        if (core.recordsUsage()) {
+            core.record(new UsageRecord(request, true, receivedMicros, core.clock.micros(), end, attempts, null, null,
+                    null, 0, 0));
         }
     }
 
-    /** Hands over the answer of an attempt; the audit is told when it has been written, or never will be. */
-    void serve(UpstreamResponse answer, Attempt by, Note note) {
-        if (host.audit == null) {
-            end().served(answer);
+    /** Serves the response of an attempt; usage is recorded when it was written, or never will be. */
+    void serve(UpstreamResponse response, Attempt servedBy, Note note) {
+        if (!core.recordsUsage()) {
+            end().served(response);
             return;
         }
-        int attempts = sent;
-        int size = answer.notModified() ? 0 : answer.body().bytes().length;
-        end().served(answer.withListener((bytes,
-                whole) -> host.audit.requestEnded(new UsageRecord(ask, true, takenUs, host.clock.micros(),
-                        !whole ? UsageRecord.End.BROKEN_OFF : answer.notModified() ? UsageRecord.End.NOT_MODIFIED
-                                : UsageRecord.End.SERVED,
-                        attempts, by.member, by.source, note, bytes, size))));
+        int attemptsUntilServed = attempts;
+        int bodyBytes = response.notModified() ? 0 : response.body().bytes().length;
+        end().served(response.withListener((writtenBytes, complete) -> core.record(new UsageRecord(request, true,
+                receivedMicros, core.clock.micros(), endOf(response, complete), attemptsUntilServed, servedBy.member,
+                servedBy.source(), note, writtenBytes, bodyBytes))));
+    }
+
+    private static UsageRecord.End endOf(UpstreamResponse response, boolean complete) {
+        if (!complete) {
+            return UsageRecord.End.BROKEN_OFF;
+        }
+        return response.notModified() ? UsageRecord.End.NOT_MODIFIED : UsageRecord.End.SERVED;
     }
 }
--- a/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -24,8 +24,8 @@
 import clovermill.routing.api.Timer;
 import clovermill.runtime.net.Body;
 import clovermill.runtime.net.Budget;
-import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.ManualClock;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -43,7 +43,7 @@
     private static final RequestClass KEYED = new RequestClass(1000, 0, 100_000, 1, 0,
             Effect.DEDUPLICATED, KeyScope.ALL, WINDOW_US, false, false,
             false, 0, 0, 0);
-    private long nowUs = 1000;
+    private final ManualClock clock = new ManualClock(1000);
     private final Deadlines deadlines = new Deadlines();
     private final Budget budget = new Budget(100);
     private final List<Event> events = new ArrayList<>();
@@ -51,10 +51,10 @@
     private final List<AttemptOrder> orders = new ArrayList<>();
     private final List<AttemptListener> listeners = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
-    private Result atOnce;
+    private Result immediateResult;
     private boolean mayHaveRun = true;
 
-    private final ProxyCore host = new ProxyCore(new CacheRouter() {
+    private final ProxyCore core = new ProxyCore(new CacheRouter() {
         @Override
         public void handle(long at, Event event, Consumer<Action> out) {
             events.add(event);
@@ -63,23 +63,13 @@
     }, new Settings(0, 1, 0, List.of(SAFE, KEYED), List.of(), List.of(), -1, -1, 0, false,
             Siblings.NONE, Telling.ALL, null, null, 0, 4000, 0, 0, 0, false, 0, 0, 0, 0,
             new Permissions(true, true, true, true, true, false, 2, 10, 500_000)),
-            new Clock() {
-                @Override
-                public long micros() {
-                    return nowUs;
-                }
-
-                @Override
-                public long unixMillis() {
-                    return nowUs / 1000;
-                }
-            }, deadlines, new Upstream() {
+            clock, deadlines, new Upstream() {
                 @Override
                 public Exchange send(AttemptOrder order, AttemptListener listener) {
                     orders.add(order);
                     listeners.add(listener);
-                    if (atOnce != null) {
-                        listener.ended(atOnce, Note.NONE, 0, null);
+                    if (immediateResult != null) {
+                        listener.ended(immediateResult, Note.NONE, 0, null);
                     }
                     return new Exchange() {
                         @Override
@@ -109,7 +99,7 @@
 
     private void submit(int requestClass, Action... reply) {
         replies.add(List.of(reply));
-        host.submit(new ClientRequest(ID, requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1, 100_000, false, null, null,
+        core.submit(new ClientRequest(ID, requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1, 100_000, false, null, null,
                 new byte[0]),
                 new ResponseHandler() {
                     @Override
@@ -135,8 +125,8 @@
         return new UpstreamResponse(new Body(new byte[10], budget), false, "t");
     }
 
-    private void at(long us) {
-        nowUs = us;
+    private void advanceTo(long us) {
+        clock.passMicros(us - clock.micros());
         deadlines.sweep(us);
     }
 
@@ -145,9 +135,9 @@
     }
 
     @Test
-    void theFirstOkEndsTheRequestAndLaterAttemptsStillHaveTheirOutcome() {
+    void givenTwoAttemptsWhenOneIsOkThenTheRequestEndsAndBothHaveAnOutcome() {
         submit(new Send(ID, "a", 0), new Send(ID, "b", 0));
-        nowUs += 50;
+        clock.passMicros(50);
         listeners.get(1).ended(Result.OK, Note.NONE, 0, answer());
         listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
         assertThat(answers).containsExactly("served");
@@ -158,18 +148,18 @@
     }
 
     @Test
-    void aTimeOutIsCutToTheClientsDeadlineAndTheAnswerIsStillOwed() {
+    void givenATimeoutBeyondTheDeadlineThenItIsCutAndTheClientIsStillAnswered() {
         submit(new Send(ID, "a", 5_000_000));
         assertThat(orders.get(0).timeoutMicros()).isEqualTo(100_000);
         replies.add(List.of(new Fail(ID)));
-        at(101_000);
+        advanceTo(101_000);
         assertThat(events).contains(outcome(0, "a", Result.TIMED_OUT, 100_000, false));
         assertThat(answers).containsExactly("failed");
     }
 
-    /** Else a client without a copy would be told that its copy holds. */
+    /** Otherwise a client without a copy would get an empty answer. */
     @Test
-    void notModifiedForAClientWithoutACopyIsAnError() {
+    void givenAClientWithoutACopyWhenNotModifiedIsReturnedThenTheAttemptFails() {
         submit(new Send(ID, "a", 0));
         assertThat(budget.take(10)).isTrue();
         listeners.get(0).ended(Result.OK, Note.HIT, 0, new UpstreamResponse(new Body(new byte[10], budget), true, "t"));
@@ -178,25 +168,25 @@
         assertThat(budget.used()).isZero();
     }
 
-    /** Only what was never sent has proof that it never ran. */
+    /** Only an attempt that was never sent provably did not run. */
     @Test
-    void whatWasNeverSentEndsAsNotConnected() {
+    void givenAnAttemptNeverSentWhenItTimesOutThenItIsUnconnected() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 7000));
-        at(8000);
+        advanceTo(8000);
         assertThat(events).contains(outcome(0, "a", Result.UNCONNECTED, 7000, false));
     }
 
-    /** A storm of cancels must not make members look dead. */
+    /** Many cancellations at once must not make members look unreachable. */
     @Test
-    void whatIsWithdrawnBeforeItWasWrittenSpeaksAgainstNobody() {
+    void givenAnAttemptNeverSentWhenItIsCancelledThenItIsNotSent() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 7000), new Cancel(ID, 0));
         assertThat(events).contains(outcome(0, "a", Result.NOT_SENT, 0, false));
     }
 
     @Test
-    void oneAttemptTooManyAndOneAfterTheEndAreNotSent() {
+    void givenTheLimitOfAttemptsOrTheFinalAnswerThenFurtherAttemptsAreNotSent() {
         submit(new Send(ID, "a", 0), new Send(ID, "b", 0), new Send(ID, "c", 0), new Refuse(ID, 250_000),
                 new Send(ID, "d", 0));
         assertThat(orders).hasSize(2);
@@ -206,7 +196,7 @@
     }
 
     @Test
-    void anAttemptThatIsCalledOffEndsOnce() {
+    void givenACancelledAttemptThenItEndsOnce() {
         submit(new Send(ID, "a", 0), new Cancel(ID, 0), new Cancel(ID, 0));
         listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
         assertThat(events.subList(1, events.size())).containsExactly(outcome(0, "a", Result.CANCELLED, 0, false));
@@ -214,30 +204,30 @@
         assertThat(budget.used()).isZero();
     }
 
-    /** An listener during the call that sends must reach the module after its present event, not inside it. */
+    /** The router gets the outcome after its present event, not inside it. */
     @Test
-    void anEndingAtOnceComesAsANewEvent() {
-        atOnce = Result.UNCONNECTED;
+    void givenAnAttemptThatEndsInsideTheCallThenItsOutcomeIsANewEvent() {
+        immediateResult = Result.UNCONNECTED;
         replies.add(List.of(new Send(ID, "a", 0), new SetTimer(10, 7)));
         submit();
         assertThat(events).hasSize(2).last().isEqualTo(outcome(0, "a", Result.UNCONNECTED, 0, false));
-        at(2000);
+        advanceTo(2000);
         assertThat(events).last().isEqualTo(new Timer(7));
     }
 
     @Test
-    void aModuleThatSaysNothingStillLeavesEachClientItsAnswer() {
+    void givenARouterWithoutAnAnswerThenTheClientIsAnsweredAfterItsDeadline() {
         submit();
-        at(101_000 + 2000);
+        advanceTo(101_000 + 2000);
         assertThat(answers).containsExactly("failed");
         assertThat(events).last().isEqualTo(new ClientGone(ID));
     }
 
     @Test
-    void afterTheClientHasGoneNoAnswerIsGiven() {
+    void givenAClientThatHasGoneThenNoAnswerIsGiven() {
         submit(new Send(ID, "a", 0));
         replies.add(List.of(new Refuse(ID, 0)));
-        host.clientGone(ID);
+        core.clientGone(ID);
         listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
         assertThat(answers).isEmpty();
         assertThat(events).last().isEqualTo(outcome(0, "a", Result.OK, 0, true));
@@ -245,62 +235,62 @@
     }
 
     @Test
-    void anIdThatIsOpenAlreadyFails() {
+    void givenAnOpenIdWhenItIsSubmittedAgainThenThatRequestFails() {
         submit(new Send(ID, "a", 0));
         submit();
         assertThat(answers).containsExactly("failed");
         assertThat(events).hasSize(1);
     }
 
-    /** A module may not call off everywhere; what waits for its connection must not go out all the same. */
+    /** The router is not bound to cancel attempts; one that waits for its connection must not be sent. */
     @Test
-    void whatNobodyWaitsForMayNotBeginAndGoesOnForAMomentOnly() {
+    void givenAnAbandonedAttemptThenItMayNotBeginAndMayContinueForABoundedTime() {
         submit(new Send(ID, "a", 0));
         assertThat(listeners.get(0).mayBegin()).isTrue();
-        host.clientGone(ID);
+        core.clientGone(ID);
         assertThat(listeners.get(0).mayBegin()).isFalse();
         assertThat(listeners.get(0).mayContinue()).isTrue();
-        nowUs += 50_000;
+        clock.passMicros(50_000);
         assertThat(listeners.get(0).mayContinue()).isFalse();
     }
 
-    /** A repeat may wait for its connection, or with a part of it written: its window counts from the first's start. */
+    /** A retry may wait for its connection, or be partly written: its window counts from the first attempt. */
     @Test
-    void aRepeatMayNotGoOutPastItsWindow() {
+    void givenARetryAfterItsWindowThenItMayNotBeginOrContinue() {
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
-        nowUs += 1000;
+        clock.passMicros(1000);
         listeners.get(0).ended(Result.BROKEN, Note.NONE, 0, null);
-        nowUs += WINDOW_US - 1001;
+        clock.passMicros(WINDOW_US - 1001);
         assertThat(listeners.get(1).mayBegin()).isTrue();
         assertThat(listeners.get(1).mayContinue()).isTrue();
-        nowUs += 1;
+        clock.passMicros(1);
         assertThat(listeners.get(1).mayBegin()).isFalse();
         assertThat(listeners.get(1).mayContinue()).isFalse();
     }
 
     @Test
-    void aRepeatOfWhatNeverRanHasNoWindow() {
+    void givenAFirstAttemptThatNeverRanThenTheRetryHasNoWindow() {
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
         listeners.get(0).ended(Result.REFUSED, Note.NONE, 0, null);
-        nowUs += WINDOW_US;
+        clock.passMicros(WINDOW_US);
         assertThat(listeners.get(1).mayBegin()).isTrue();
     }
 
     @Test
-    void afterItsClientsEndARequestWithNothingOutIsAnsweredAtOnce() {
+    void givenNoAttemptWhenTheClientHalfClosesThenTheRequestIsRefusedAtOnce() {
         submit();
-        host.clientHalfClosed(ID);
+        core.clientHalfClosed(ID);
         assertThat(answers).containsExactly("refused 100");
         assertThat(events).last().isEqualTo(new ClientGone(ID));
     }
 
     @Test
-    void afterItsClientsEndWhatIsOutMayBeAnsweredAndNothingFollows() {
+    void givenAnAttemptInFlightWhenTheClientHalfClosesThenNoFurtherAttemptBegins() {
         submit(new Send(ID, "a", 0));
         replies.add(List.of(new Cancel(ID, 0)));
-        host.clientHalfClosed(ID);
+        core.clientHalfClosed(ID);
         assertThat(answers).isEmpty();
         replies.add(List.of(new Send(ID, "b", 0)));
         listeners.get(0).ended(Result.ERROR, Note.NONE, 0, null);
@@ -309,22 +299,22 @@
     }
 
     @Test
-    void afterItsClientsEndWhatOnlyWaitsIsWithdrawn() {
+    void givenAQueuedAttemptWhenTheClientHalfClosesThenItIsCancelled() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 0));
-        host.clientHalfClosed(ID);
+        core.clientHalfClosed(ID);
         assertThat(answers).containsExactly("refused 100");
         assertThat(events).last().isEqualTo(outcome(0, "a", Result.NOT_SENT, 0, true));
     }
 
-    /** Half written it would arrive beside the attempt that follows it. */
+    /** Partly written it would arrive beside the attempt that follows it. */
     @Test
-    void whatTimedOutGoesOnForAMomentOnly() {
+    void givenATimedOutAttemptThenItMayContinueForABoundedTime() {
         submit(new Send(ID, "a", 5000));
         replies.add(List.of(new Send(ID, "b", 0)));
-        at(6000);
+        advanceTo(6000);
         assertThat(listeners.get(0).mayContinue()).isTrue();
-        at(56_000);
+        advanceTo(56_000);
         assertThat(listeners.get(0).mayContinue()).isFalse();
         assertThat(listeners.get(1).mayContinue()).isTrue();
     }
