--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -123,10 +123,10 @@
     }
 
     private void publishOutages(String changedId) {
-        proxy.tell(new Operated(List.copyOf(outages.allOut())));
+        proxy.handle(new Operated(List.copyOf(outages.allOut())));
         ListedEndpoint endpoint = listed.get(changedId);
         if (endpoint != null) {
-            proxy.tell(new Members(ListScope.CHANGES, List.of(member(endpoint))));
+            proxy.handle(new Members(ListScope.CHANGES, List.of(member(endpoint))));
         }
     }
 
@@ -140,7 +140,7 @@
                 logUnusable(unusable);
             }
         }
-        proxy.tell(new Members(ListScope.REMEMBERED, listed.values().stream().map(this::member).toList()));
+        proxy.handle(new Members(ListScope.REMEMBERED, listed.values().stream().map(this::member).toList()));
         List<CopiesPurged> purges = known.events().stream().filter(CopiesPurged.class::isInstance)
                 .map(CopiesPurged.class::cast).toList();
         long[] agesMicros = PurgeAgeEstimator.initialAgesMicros(
@@ -184,7 +184,7 @@
 
     private void applyList(EndpointListChanged list, boolean first) {
         Set<String> unavailable = updateList(list, first);
-        proxy.tell(new Members(list.full() ? ListScope.FULL : ListScope.CHANGES,
+        proxy.handle(new Members(list.full() ? ListScope.FULL : ListScope.CHANGES,
                 list.endpoints().stream().map(this::member).toList()));
         withdrawFrom(unavailable);
     }
@@ -257,7 +257,7 @@
 
     /** Purges, and withdraws queued requests for what is purged: they might be answered with an older copy. */
     private void purge(CopiesPurged purge, long ageMicros) {
-        proxy.tell(new Purge(purge.object(), purge.group(), ageMicros));
+        proxy.handle(new Purge(purge.object(), purge.group(), ageMicros));
         pool.withdraw(ask -> purge.object() == null ? ask.group() == purge.group()
                 : Long.parseUnsignedLong(ask.object(), 16) == purge.object());
     }
