--- /dev/null
+++ b/src/test/java/clovermill/controlplane/policystore/RecordedBytesTest.java
@@ -0,0 +1,69 @@
+package clovermill.controlplane.policystore;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import clovermill.controlplane.consensus.ReplicaId;
+import clovermill.controlplane.policystore.decide.PolicyChange;
+import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.PolicyTransition;
+import io.microraft.model.impl.DefaultRaftModelFactory;
+import java.io.ByteArrayOutputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+
+/** The bytes of every message and log entry are those recorded: replicas of two program versions run side by side. */
+class RecordedBytesTest {
+
+    private static final String RECORDED = "/clovermill/controlplane/policystore/recorded-bytes.txt";
+    private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
+
+    private static List<PolicyMessage> messages() {
+        var models = new DefaultRaftModelFactory();
+        var entry = models.createLogEntryBuilder().setIndex(5).setTerm(2)
+                .setOperation(new PolicyChange.Part("ab", 0, "x")).build();
+        var append = models.createAppendEntriesRequestBuilder().setGroupId(PolicyOperationCodec.GROUP)
+                .setSender(new ReplicaId(1, 0)).setTerm(2).setPreviousLogTerm(1).setPreviousLogIndex(4)
+                .setCommitIndex(3).setLogEntries(List.of(entry)).setQuerySequenceNumber(6)
+                .setFlowControlSequenceNumber(7).build();
+        return List.of(new PolicyMessage.Ask(1, 7, 8, -1, 3, "no such site"),
+                new PolicyMessage.Ask(1, 7, 8, 5, -1, null),
+                new PolicyMessage.Grant(1, 7, 8, new PolicyTransition(4, 2, 4), "aa", 1, "bb", 3,
+                        new TreeSet<>(Set.of(1, 900)), 5, "late"),
+                new PolicyMessage.Elsewhere(1, -1, 3), new PolicyMessage.PartAsk(1, "ab", 2),
+                new PolicyMessage.Part(1, "ab", 2, 4, "text"), new PolicyMessage.Submit(1, 9, 2, "ab", 4),
+                new PolicyMessage.Submitted(1, 9, Taken.CONFLICT, 4), new PolicyMessage.Raft(1, 3, append),
+                new PolicyMessage.Join(1, 77, true), new PolicyMessage.Joined(1, 77, true, false));
+    }
+
+    private static List<Object> entries() {
+        return List.of(new PolicyStateMachine.NewTerm(), new PolicyChange.Part("ab", 2, "text"),
+                new PolicyChange.Propose(3, "ab"), new PolicyChange.Settle(4), new PolicyChange.Abort(4, "late"),
+                new PolicyStateMachine.Head(new PolicyTransition(4, 2, 4), 2, "late", "ab"),
+                new PolicyStateMachine.Head(new PolicyTransition(4, 4, -1), 2, null, ""),
+                new PolicyStateMachine.Piece(2, "text"));
+    }
+
+    @Test
+    void everyMessageAndLogEntryHasTheRecordedBytes() throws IOException {
+        List<String> bytes = new ArrayList<>();
+        for (PolicyMessage message : messages()) {
+            bytes.add(HexFormat.of().formatHex(new PolicyMessageCodec(1, KEY).write(2, message).array()));
+        }
+        for (Object entry : entries()) {
+            ByteArrayOutputStream written = new ByteArrayOutputStream();
+            new PolicyOperationCodec().write(entry, new DataOutputStream(written));
+            bytes.add(HexFormat.of().formatHex(written.toByteArray()));
+        }
+        try (var recorded = RecordedBytesTest.class.getResourceAsStream(RECORDED)) {
+            assertThat(bytes)
+                    .isEqualTo(new String(recorded.readAllBytes(), StandardCharsets.US_ASCII).lines().toList());
+        }
+    }
+}
