--- a/src/main/java/clovermill/controlplane/policystore/MessageTransport.java
+++ b/src/main/java/clovermill/controlplane/policystore/MessageTransport.java
@@ -1,9 +1,9 @@
 package clovermill.controlplane.policystore;
 
-/** Sends a letter to a director; one to the sender itself comes too. Any may be lost. */
+/** Sends messages between directors, to the sender itself too. Unreliable: a message may be lost without notice. */
 @FunctionalInterface
 public interface MessageTransport {
 
-    /** Sends it. */
-    void send(int to, PolicyMessage letter);
+    /** Sends a message to the director with a number; never blocks. */
+    void send(int to, PolicyMessage message);
 }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyMessage.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyMessage.java
@@ -1,55 +1,74 @@
 package clovermill.controlplane.policystore;
 
-import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
 import clovermill.controlplane.policystore.decide.PolicyTransition;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import io.microraft.model.message.RaftMessage;
 import java.util.Set;
 
 /**
- * What directors tell one another; {@code from} is the sender. All may be lost, come late, twice or in another order.
+ * A message between directors. Any may be lost, delayed, repeated or reordered. The byte form is {@link
+ * PolicyMessageBody}'s.
  */
 public sealed interface PolicyMessage {
 
-    /** Who sent it. */
+    /** The number of the sending director. */
     int from();
 
     /**
-     * A process of a director asks for a lease, and confirms the step that it has, or {@link PolicyTransition#NONE}.
-     * It may say no
-     * to a step, with the reason; else {@code no} is null.
+     * A director process requests a lease and confirms the step it acts by.
+     *
+     * @param processId drawn at random at the start of the process
+     * @param confirmedStep the step it acts by, or {@link PolicyTransition#NONE}
+     * @param rejectedStep the step it cannot apply, or {@link PolicyTransition#NONE}
+     * @param rejection why it cannot apply that step, or null
      */
-    record Ask(int from, long boot, long question, long step, long noTo, String no) implements PolicyMessage {}
+    record LeaseRequest(int from, long processId, long requestId, long confirmedStep, long rejectedStep,
+            String rejection) implements PolicyMessage {}
 
     /**
-     * The step that was agreed after the question was asked, and the digests of its policies; {@code next} may be
-     * empty.
+     * The leader grants a lease on the step that was agreed after the request arrived.
+     *
+     * @param policy the digest of the policy in force, or the previous one in a transition
+     * @param next the digest of the policy that a transition introduces; empty without one
+     * @param unconfirmed the directors that have not confirmed the transition
+     * @param remainingMicros how long the transition may still wait for them
+     * @param lastAbortReason why the last transition was aborted, or null
      */
-    record Grant(int from, long boot, long question, PolicyTransition step, String policy, int policyParts, String next,
-            int nextParts, Set<Integer> missing, long leftUs, String lastReason) implements PolicyMessage {}
+    record LeaseGrant(int from, long processId, long requestId, PolicyTransition step, String policy, int policyParts,
+            String next, int nextParts, Set<Integer> unconfirmed, long remainingMicros, String lastAbortReason)
+            implements PolicyMessage {}
 
-    /** Not the leader; {@code leader} is, or -1. */
-    record Elsewhere(int from, long question, int leader) implements PolicyMessage {}
+    /**
+     * Names the leader, or -1 if the sender knows none. A sender that names itself asks for a lease request.
+     *
+     * @param requestId the request that this answers, or -1
+     */
+    record LeaderHint(int from, long requestId, int leader) implements PolicyMessage {}
 
-    /** Asks for a part of a text. */
-    record PartAsk(int from, String digest, int number) implements PolicyMessage {}
+    /** Requests a part of the text with a digest. */
+    record PartRequest(int from, String digest, int number) implements PolicyMessage {}
 
-    /** A part of a text, of so many. */
-    record Part(int from, String digest, int number, int parts, String text) implements PolicyMessage {}
+    /** A part of a text, and the number of its parts. */
+    record PartResponse(int from, String digest, int number, int parts, String text) implements PolicyMessage {}
 
-    /** A director hands in what its operators want: a new policy in place of a version, or, with no digest, none. */
-    record Submit(int from, long call, long follows, String digest, int parts) implements PolicyMessage {}
+    /**
+     * A director forwards its operators' change to the leader.
+     *
+     * @param baseVersion the version that the new policy replaces; for an abort, the version being introduced
+     * @param digest the new policy's digest; empty to abort the transition under way
+     */
+    record ChangeRequest(int from, long requestId, long baseVersion, String digest, int parts)
+            implements PolicyMessage {}
 
-    /** What became of it; with {@link Taken#UNKNOWN} the leader still fetches the text. */
-    record Submitted(int from, long call, Taken taken, long version) implements PolicyMessage {}
+    /** The result of a change; with {@link ProposalResult#UNKNOWN} the leader is still fetching the text. */
+    record ChangeResponse(int from, long requestId, ProposalResult result, long version) implements PolicyMessage {}
 
-    /** The voters' own, for the disk that the receiver has. */
-    record Raft(int from, long disk, RaftMessage message) implements PolicyMessage {}
+    /** A Raft message for the replica on the receiver's disk with this number. */
+    record RaftEnvelope(int from, long disk, RaftMessage message) implements PolicyMessage {}
 
-    /**
-     * A voter without its disk asks to be taken in with a new one; or, with {@code disk} 0, whether there is a group.
-     */
-    record Join(int from, long disk, boolean empty) implements PolicyMessage {}
+    /** A voter without its former disk asks to be admitted with a new one; or, if empty, whether a group exists. */
+    record JoinRequest(int from, long disk, boolean empty) implements PolicyMessage {}
 
-    /** The answer: whether the sender has a group, and whether the asker's disk is in it. */
-    record Joined(int from, long disk, boolean group, boolean member) implements PolicyMessage {}
+    /** The answer: whether the sender has a group, and whether the requester's disk votes in it. */
+    record JoinResponse(int from, long disk, boolean hasGroup, boolean isVoter) implements PolicyMessage {}
 }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyOperationCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyOperationCodec.java
@@ -3,18 +3,26 @@
 import clovermill.controlplane.consensus.OperationCodec;
 import clovermill.controlplane.consensus.RaftMessageCodec;
 import clovermill.controlplane.policystore.decide.PolicyChange;
-import clovermill.controlplane.policystore.decide.PolicyTransition;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
 
-/** The register's changes and the pieces of its snapshot as bytes. */
+/** The byte form of the log's entries and of a snapshot's chunks; part of a voter's file and of Raft messages. */
 final class PolicyOperationCodec implements OperationCodec {
 
-    /** The name of the group that agrees on the register. */
+    /** The name of the Raft group. */
     static final Object GROUP = "policy";
 
-    /** The codec of the voters' messages and of their files. */
+    private static final int NEW_TERM = 1;
+    private static final int APPEND_PART = 2;
+    private static final int PROPOSE = 3;
+    private static final int COMPLETE = 4;
+    private static final int ABORT = 5;
+    // 6 is OperationCodec.MEMBERSHIP_KIND
+    private static final int SNAPSHOT_HEADER = 7;
+    private static final int SNAPSHOT_PART = 8;
+
+    /** The codec of the voters' Raft messages and of their files. */
     static RaftMessageCodec messages() {
         return new RaftMessageCodec(GROUP, new PolicyOperationCodec());
     }
@@ -22,53 +30,56 @@
     @Override
     public void write(Object operation, DataOutputStream out) throws IOException {
         if (operation instanceof PolicyStateMachine.NewTerm) {
-            out.writeByte(1);
-        } else if (operation instanceof PolicyChange.Part part) {
-            out.writeByte(2);
+            out.writeByte(NEW_TERM);
+        } else if (operation instanceof PolicyChange change) {
+            writeChange(change, out);
+        } else if (operation instanceof PolicyStateMachine.SnapshotHeader header) {
+            out.writeByte(SNAPSHOT_HEADER);
+            PolicyMessageBody.writeStep(header.step(), out);
+            out.writeLong(header.lastVersion());
+            PolicyMessageBody.writeNullable(header.lastAbortReason(), out);
+            out.writeUTF(header.draftDigest());
+        } else if (operation instanceof PolicyStateMachine.SnapshotPart part) {
+            out.writeByte(SNAPSHOT_PART);
+            out.writeByte(part.which());
+            out.writeUTF(part.text());
+        } else {
+            throw new IOException("unknown log entry: " + operation);
+        }
+    }
+
+    private static void writeChange(PolicyChange change, DataOutputStream out) throws IOException {
+        if (change instanceof PolicyChange.AppendPart part) {
+            out.writeByte(APPEND_PART);
             out.writeUTF(part.digest());
             out.writeInt(part.number());
             out.writeUTF(part.text());
-        } else if (operation instanceof PolicyChange.Propose propose) {
-            out.writeByte(3);
-            out.writeLong(propose.follows());
+        } else if (change instanceof PolicyChange.Propose propose) {
+            out.writeByte(PROPOSE);
+            out.writeLong(propose.baseVersion());
             out.writeUTF(propose.digest());
-        } else if (operation instanceof PolicyChange.Settle settle) {
-            out.writeByte(4);
-            out.writeLong(settle.step());
-        } else if (operation instanceof PolicyChange.Abort abort) {
-            out.writeByte(5);
+        } else if (change instanceof PolicyChange.Complete complete) {
+            out.writeByte(COMPLETE);
+            out.writeLong(complete.step());
+        } else if (change instanceof PolicyChange.Abort abort) {
+            out.writeByte(ABORT);
             out.writeLong(abort.step());
             out.writeUTF(abort.reason());
-        } else if (operation instanceof PolicyStateMachine.Head head) {
-            out.writeByte(7);
-            out.writeLong(head.step().number());
-            out.writeLong(head.step().version());
-            out.writeLong(head.step().next());
-            out.writeLong(head.endedVersion());
-            PolicyMessageCodec.text(head.endedReason(), out);
-            out.writeUTF(head.draftDigest());
-        } else if (operation instanceof PolicyStateMachine.Piece piece) {
-            out.writeByte(8);
-            out.writeByte(piece.which());
-            out.writeUTF(piece.text());
-        } else {
-            throw new IOException("an unknown entry: " + operation);
         }
     }
 
     @Override
     public Object read(int kind, DataInputStream in) throws IOException {
         return switch (kind) {
-            case 1 -> new PolicyStateMachine.NewTerm();
-            case 2 -> new PolicyChange.Part(in.readUTF(), in.readInt(), in.readUTF());
-            case 3 -> new PolicyChange.Propose(in.readLong(), in.readUTF());
-            case 4 -> new PolicyChange.Settle(in.readLong());
-            case 5 -> new PolicyChange.Abort(in.readLong(), in.readUTF());
-            case 7 -> new PolicyStateMachine.Head(new PolicyTransition(in.readLong(), in.readLong(), in.readLong()),
-                    in.readLong(),
-                    PolicyMessageCodec.text(in), in.readUTF());
-            case 8 -> new PolicyStateMachine.Piece(in.readByte(), in.readUTF());
-            default -> throw new IOException("an unknown entry");
+            case NEW_TERM -> new PolicyStateMachine.NewTerm();
+            case APPEND_PART -> new PolicyChange.AppendPart(in.readUTF(), in.readInt(), in.readUTF());
+            case PROPOSE -> new PolicyChange.Propose(in.readLong(), in.readUTF());
+            case COMPLETE -> new PolicyChange.Complete(in.readLong());
+            case ABORT -> new PolicyChange.Abort(in.readLong(), in.readUTF());
+            case SNAPSHOT_HEADER -> new PolicyStateMachine.SnapshotHeader(PolicyMessageBody.readStep(in),
+                    in.readLong(), PolicyMessageBody.readNullable(in), in.readUTF());
+            case SNAPSHOT_PART -> new PolicyStateMachine.SnapshotPart(in.readByte(), in.readUTF());
+            default -> throw new IOException("unknown kind of log entry: " + kind);
         };
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStateMachine.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStateMachine.java
@@ -5,39 +5,42 @@
 import clovermill.controlplane.policystore.decide.PolicyDocument;
 import clovermill.controlplane.policystore.decide.PolicyRegister;
 import clovermill.controlplane.policystore.decide.PolicyTransition;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The register as MicroRaft's state machine: the same log gives the same register. */
+/** The {@link PolicyRegister} as MicroRaft's state machine. */
 final class PolicyStateMachine implements ReplicatedStateMachine {
 
-    /** The first entry of a leader's term, which changes nothing. */
+    /** The first entry of a leader's term; changes nothing. */
     record NewTerm() {}
 
-    /** Asks for the register. */
-    record Look() {}
+    /** The query that returns the register. */
+    record ReadRegister() {}
 
-    /**
-     * A piece of a snapshot: first the steps, then parts of the text in force, of the one to come, and of the draft.
-     */
-    record Head(PolicyTransition step, long endedVersion, String endedReason, String draftDigest) {}
+    /** The first chunk of a snapshot: all but the texts. */
+    record SnapshotHeader(PolicyTransition step, long lastVersion, String lastAbortReason, String draftDigest) {}
 
-    /** A part of the text that is in force (0), to come (1) or a draft (2). */
-    record Piece(int which, String text) {}
+    /** A further chunk: the next part of the text {@link #IN_FORCE}, {@link #PENDING} or {@link #DRAFT}. */
+    record SnapshotPart(int which, String text) {}
 
-    private final Consumer<PolicyRegister> changed;
-    private PolicyRegister register = PolicyRegister.FIRST;
-    private boolean began;
+    static final int IN_FORCE = 0;
+    static final int PENDING = 1;
+    static final int DRAFT = 2;
 
-    /** {@code changed} hears of each register that is another than before. */
-    PolicyStateMachine(Consumer<PolicyRegister> changed) {
-        this.changed = changed;
+    private final Consumer<PolicyRegister> listener;
+    private PolicyRegister register = PolicyRegister.INITIAL;
+    private boolean applied;
+
+    /** {@code listener} is called with each new register. */
+    PolicyStateMachine(Consumer<PolicyRegister> listener) {
+        this.listener = listener;
     }
 
     @Override
     public boolean hasApplied() {
-        return began;
+        return applied;
     }
 
     PolicyRegister register() {
@@ -46,54 +49,55 @@
 
     @Override
     public Object runOperation(long commitIndex, Object operation) {
-        began = true;
+        applied = true;
         if (operation instanceof PolicyChange.Propose propose) {
-            PolicyRegister.Taken taken = register.answer(propose);
-            become(register.after(propose));
-            return taken;
+            ProposalResult result = register.evaluate(propose);
+            update(register.apply(propose));
+            return result;
         }
         if (operation instanceof PolicyChange change) {
-            become(register.after(change));
+            update(register.apply(change));
         }
         return register;
     }
 
-    private void become(PolicyRegister next) {
+    private void update(PolicyRegister next) {
         if (next != register) {
             register = next;
-            changed.accept(next);
+            listener.accept(next);
         }
     }
 
     @Override
     public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
-        chunks.accept(new Head(register.step(), register.last().version(), register.last().reason(),
-                register.draft().digest()));
-        register.policy().parts().forEach(part -> chunks.accept(new Piece(0, part)));
+        chunks.accept(new SnapshotHeader(register.step(), register.lastChange().version(),
+                register.lastChange().abortReason(), register.draft().digest()));
+        register.policy().parts().forEach(part -> chunks.accept(new SnapshotPart(IN_FORCE, part)));
         if (register.pending() != null) {
-            register.pending().parts().forEach(part -> chunks.accept(new Piece(1, part)));
+            register.pending().parts().forEach(part -> chunks.accept(new SnapshotPart(PENDING, part)));
         }
-        register.draft().parts().forEach(part -> chunks.accept(new Piece(2, part)));
+        register.draft().parts().forEach(part -> chunks.accept(new SnapshotPart(DRAFT, part)));
     }
 
     @Override
     public void installSnapshot(long commitIndex, List<Object> chunks) {
-        began = true;
-        Head head = (Head) chunks.get(0);
-        List<StringBuilder> texts = List.of(new StringBuilder(), new StringBuilder());
+        applied = true;
+        SnapshotHeader header = (SnapshotHeader) chunks.get(0);
+        StringBuilder inForce = new StringBuilder();
+        StringBuilder pending = new StringBuilder();
         List<String> draft = new ArrayList<>();
         for (Object chunk : chunks.subList(1, chunks.size())) {
-            Piece piece = (Piece) chunk;
-            if (piece.which < 2) {
-                texts.get(piece.which).append(piece.text);
-            } else {
-                draft.add(piece.text);
+            SnapshotPart part = (SnapshotPart) chunk;
+            switch (part.which) {
+                case IN_FORCE -> inForce.append(part.text);
+                case PENDING -> pending.append(part.text);
+                default -> draft.add(part.text);
             }
         }
-        become(new PolicyRegister(head.step, PolicyDocument.of(texts.get(0).toString()), head.step.both()
-                ? PolicyDocument.of(texts.get(1).toString()) : null,
-                new PolicyRegister.Ended(head.endedVersion, head.endedReason),
-                new PolicyRegister.Draft(head.draftDigest, List.copyOf(draft))));
+        update(new PolicyRegister(header.step, PolicyDocument.of(inForce.toString()),
+                header.step.inTransition() ? PolicyDocument.of(pending.toString()) : null,
+                new PolicyRegister.LastChange(header.lastVersion, header.lastAbortReason),
+                new PolicyRegister.Draft(header.draftDigest, List.copyOf(draft))));
     }
 
     @Override
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
@@ -2,7 +2,7 @@
 
 import clovermill.controlplane.consensus.FileRaftStorage;
 import clovermill.controlplane.policystore.decide.PolicyDocument;
-import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.task.TaskThread;
 import clovermill.storage.Volume;
@@ -20,19 +20,20 @@
 import java.util.function.Consumer;
 
 /**
- * This director's part in the one policy as it runs in service: a thread of its own with a UDP socket and, for a voter,
- * a file. What holds is told on the director's loop.
+ * One director's part in the policy store in service: a {@link PolicyStoreTask} on a thread of its own, with a UDP
+ * socket and, at a voter, a durable file. Views of the policy in force are published on the director's event loop.
  */
 public final class PolicyStore implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger(PolicyStore.class.getName());
-    /** The head of a voter's file. */
+    /** Magic and format version at the head of a voter's file. */
     static final String MAGIC = "CVACCOR1";
-    private static final int ROOM = 1024;
-    private static final long STOP_MS = 500;
+    private static final String THREAD_NAME = "policy-store";
+    private static final int MAILBOX_CAPACITY = 1024;
+    private static final long STOP_TIMEOUT_MILLIS = 500;
 
     private final DatagramChannel socket;
-    private final FileRaftStorage disk;
+    private final FileRaftStorage storage;
     private final PolicyMessageCodec codec;
     private final List<InetSocketAddress> addresses;
     private final int self;
@@ -41,25 +42,26 @@
     private final TaskThread<PolicyTaskMessage> thread;
 
     /**
-     * Begins once {@link #start} is called. {@code views} is told on {@code loop} of what holds from then on.
+     * Opens the socket and a voter's file; takes part from {@link #start} on.
      *
+     * @param listener is called on {@code loop} with each change of the policy in force here
      * @throws IllegalArgumentException naming the setting that cannot be used
+     * @throws IOException if the address or a voter's file cannot be used
      */
-    public PolicyStore(PolicyStoreSettings settings, PolicyStoreTask.Meaning meaning, Clock clock, Executor loop,
-            Consumer<PolicyView> views)
-            throws IOException {
+    public PolicyStore(PolicyStoreSettings settings, PolicyRules rules, Clock clock, Executor loop,
+            Consumer<PolicyView> listener) throws IOException {
         settings.check();
         this.self = settings.self();
         this.clock = clock;
         this.addresses = settings.addresses();
         this.codec = new PolicyMessageCodec(self, settings.key());
-        this.disk = settings.votes() ? new FileRaftStorage(Volume.local(), Path.of(settings.folder()),
-                MAGIC, PolicyOperationCodec.messages()) : null;
+        this.storage = settings.isVoter() ? new FileRaftStorage(Volume.local(), Path.of(settings.folder()), MAGIC,
+                PolicyOperationCodec.messages()) : null;
         this.socket = DatagramChannel.open().bind(addresses.get(self));
-        this.task = new PolicyStoreTask(new PolicyStoreTask.Place(self, settings.voters(), settings.terms()), meaning,
-                this::send,
-                disk, new SecureRandom(), view -> loop.execute(() -> views.accept(view)), clock.micros());
-        this.thread = new TaskThread<>("accord", clock, task, ROOM, socket, this::received, fault -> {});
+        this.task = new PolicyStoreTask(
+                new PolicyStoreTask.Membership(self, settings.voters(), settings.timing()), rules, this::send, storage,
+                new SecureRandom(), view -> loop.execute(() -> listener.accept(view)), clock.micros());
+        this.thread = new TaskThread<>(THREAD_NAME, clock, task, MAILBOX_CAPACITY, socket, this::receive, fault -> {});
     }
 
     /** Takes part from now on. */
@@ -68,41 +70,45 @@
     }
 
     /**
-     * Hands in what operators want: a policy in place of version {@code follows}, or, with null, that a change is taken
-     * back. {@code done} hears on the accord's thread; null stands for no room.
+     * Requests a change on behalf of this director's operators.
+     *
+     * @param baseVersion the version that the new policy replaces; for an abort, the version being introduced
+     * @param policy the new policy, or null to abort the transition under way
+     * @param onResult is called once with the result and the version, on the store's thread or, with a null result for
+     *        a full mailbox, on the caller's
      */
-    public void want(long follows, PolicyDocument policy, BiConsumer<Taken, Long> done) {
-        if (!thread.offer(new PolicyTaskMessage.Wanted(follows, policy, done))) {
-            done.accept(null, 0L);
+    public void requestChange(long baseVersion, PolicyDocument policy, BiConsumer<ProposalResult, Long> onResult) {
+        if (!thread.offer(new PolicyTaskMessage.ChangeRequested(baseVersion, policy, onResult))) {
+            onResult.accept(null, 0L);
         }
     }
 
-    private void send(int to, PolicyMessage letter) {
+    private void send(int to, PolicyMessage message) {
         if (to == self) {
-            thread.offer(new PolicyTaskMessage.Arrived(letter)); // at a full mailbox it is lost, as on any link
+            thread.offer(new PolicyTaskMessage.MessageReceived(message)); // lost if the mailbox is full, as on a link
             return;
         }
         try {
-            socket.send(codec.write(to, letter), addresses.get(to));
-        } catch (IOException unreachable) {
-            LOG.log(Level.DEBUG, "a letter to director {0} is lost", to);
+            socket.send(codec.write(to, message), addresses.get(to));
+        } catch (IOException failure) {
+            LOG.log(Level.DEBUG, "policy store: cannot send to director {0}: {1}", to, failure.toString());
         }
     }
 
-    private void received(ByteBuffer datagram) {
+    private void receive(ByteBuffer datagram) {
         try {
-            task.on(new PolicyTaskMessage.Arrived(codec.read(datagram)), clock.micros());
-        } catch (PolicyMessageCodec.BadLetter bad) {
-            LOG.log(Level.DEBUG, "a datagram was ignored: {0}", bad.getMessage());
+            task.on(new PolicyTaskMessage.MessageReceived(codec.read(datagram)), clock.micros());
+        } catch (MalformedMessageException malformed) {
+            LOG.log(Level.DEBUG, "policy store: datagram discarded: {0}", malformed.getMessage());
         }
     }
 
     @Override
     public void close() {
         try {
-            thread.stop(STOP_MS);
-            if (disk != null) {
-                disk.close();
+            thread.stop(STOP_TIMEOUT_MILLIS);
+            if (storage != null) {
+                storage.close();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
@@ -8,29 +8,47 @@
 import java.util.List;
 
 /**
- * The accord's part of our settings: the addresses of all directors in the same order everywhere, which of them this
- * one is, which vote, the key, a folder that lasts for those that vote, and the figures. What is absent has its
- * default.
+ * The part {@code accord} of the settings. Absent values have their defaults.
+ *
+ * @param directors host:port of all directors, in the same order everywhere
+ * @param self the index of this director
+ * @param voters the indices of the directors that vote
+ * @param keyFile the file with the key that signs datagrams
+ * @param folder a voter's durable folder
+ * @param leaseMillis how long a lease lasts
+ * @param renewalMillis the interval between lease requests
+ * @param drift the largest deviation of a clock's rate from true time, as a fraction
+ * @param withoutLease {@code refuse} for every tenant, or {@code protected} for protected tenants only
  */
 public record PolicyStoreSettings(List<String> directors, int self, List<Integer> voters,
-        @JsonProperty("key_file") String keyFile, String folder, @JsonProperty("lease_ms") Long leaseMs,
-        @JsonProperty("ask_ms") Long askMs, Double drift, @JsonProperty("without_lease") String withoutLease) {
+        @JsonProperty("key_file") String keyFile, String folder, @JsonProperty("lease_ms") Long leaseMillis,
+        @JsonProperty("ask_ms") Long renewalMillis, Double drift, @JsonProperty("without_lease") String withoutLease) {
 
-    private static final List<Integer> GROUPS = List.of(3, 5, 7);
+    private static final List<Integer> VOTER_COUNTS = List.of(3, 5, 7);
+    private static final int MIN_DIRECTORS = 3;
+    private static final int MIN_RENEWALS_PER_LEASE = 3;
+    private static final long DEFAULT_LEASE_MILLIS = 10_000;
+    private static final long DEFAULT_RENEWAL_MILLIS = 1000;
+    private static final double DEFAULT_DRIFT = 0.01;
+    private static final long MICROS_PER_MILLI = 1000;
 
-    /** Checks what no schema can; an {@link IllegalArgumentException} says which field and why. */
+    /**
+     * Checks what no schema can.
+     *
+     * @throws IllegalArgumentException naming the field and the reason
+     */
     public void check() {
-        if (directors == null || directors.size() < 3 || self < 0 || self >= directors.size()) {
+        if (directors == null || directors.size() < MIN_DIRECTORS || self < 0 || self >= directors.size()) {
             throw new IllegalArgumentException("/accord/self: " + self + " is no place among the directors");
         }
-        if (!GROUPS.contains(voters.size()) || new HashSet<>(voters).size() != voters.size()
+        if (!VOTER_COUNTS.contains(voters.size()) || new HashSet<>(voters).size() != voters.size()
                 || voters.stream().anyMatch(each -> each < 0 || each >= directors.size())) {
             throw new IllegalArgumentException("/accord/voters: 3, 5 or 7 different directors are wanted");
         }
-        if (votes() && folder == null) {
+        if (isVoter() && folder == null) {
             throw new IllegalArgumentException("/accord/folder: a voter needs a folder that lasts");
         }
-        if (terms().leaseUs() < 3 * terms().askUs()) {
+        if (timing().leaseMicros() < MIN_RENEWALS_PER_LEASE * timing().renewalMicros()) {
             throw new IllegalArgumentException(
                     "/accord/lease_ms: three times ask_ms at least, or a lost question ends a lease");
         }
@@ -38,21 +56,21 @@
         key();
     }
 
-    /** Whether this director votes. */
-    boolean votes() {
+    /** Whether this director is a voter. */
+    boolean isVoter() {
         return voters.contains(self);
     }
 
-    /** Whether nothing at all is served without a lease. */
-    public boolean allBound() {
+    /** Whether every tenant is refused without a lease. */
+    public boolean refusesAllWithoutLease() {
         return "refuse".equals(withoutLease);
     }
 
-    LeaseTiming terms() {
-        return new LeaseTiming(directors.size(), (leaseMs == null ? 10_000 : leaseMs) * 1000,
-                (askMs == null ? 1000 : askMs)
-                        * 1000,
-                drift == null ? 0.01 : drift);
+    LeaseTiming timing() {
+        return new LeaseTiming(directors.size(),
+                (leaseMillis == null ? DEFAULT_LEASE_MILLIS : leaseMillis) * MICROS_PER_MILLI,
+                (renewalMillis == null ? DEFAULT_RENEWAL_MILLIS : renewalMillis) * MICROS_PER_MILLI,
+                drift == null ? DEFAULT_DRIFT : drift);
     }
 
     List<InetSocketAddress> addresses() {
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
@@ -6,242 +6,212 @@
 import clovermill.controlplane.consensus.RaftStorage;
 import clovermill.controlplane.policystore.decide.LeaseTiming;
 import clovermill.controlplane.policystore.decide.PolicyDocument;
-import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
 import clovermill.controlplane.policystore.decide.PolicyRegister;
 import clovermill.controlplane.policystore.decide.PolicyVersions;
 import clovermill.runtime.task.Task;
 import io.microraft.RaftConfig;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
-import java.util.function.BiPredicate;
 import java.util.function.Consumer;
-import java.util.function.Function;
 
 /**
- * A director's part in the one policy: it holds leases, hands in what its operators want and, if it is one of the
- * voters, votes and may lead. All its state is its own; it meets others by letters only.
+ * One director's part in the policy store: dispatches messages to its {@link LeaseClient} and {@link ChangeForwarder}
+ * and, at a voter, to its Raft member, its {@link PolicyLeader} and its {@link ChangeProposer}. All state is its own;
+ * it meets other directors by messages only.
  */
 public final class PolicyStoreTask implements Task<PolicyTaskMessage> {
 
     /**
-     * Who it is among whom.
+     * The members of the store, and which of them this director is.
      *
      * @param self this director's number
-     * @param voters the directors that vote, by number, the same list everywhere
+     * @param voters the numbers of the directors that vote, the same list everywhere
      */
-    public record Place(int self, List<Integer> voters, LeaseTiming terms) {}
+    public record Membership(int self, List<Integer> voters, LeaseTiming timing) {}
 
-    /**
-     * What the policy means to those who keep it.
-     *
-     * @param check why a policy cannot be kept here, or null
-     * @param binding whether all that differs between two policies is refused where there is no lease
-     */
-    public record Meaning(Function<PolicyDocument, String> check,
-            BiPredicate<PolicyDocument, PolicyDocument> binding) {}
-
-    private static final int MOST_WANTED = 16;
     private static final RaftConfig CONFIG = RaftReplica.config().build();
 
-    private final Place place;
-    private final Meaning meaning;
-    private final MessageTransport post;
-    private final Random random;
-    private final RaftScheduler agenda;
-    private final PolicyVersions library = new PolicyVersions();
-    private final Leases leases;
-    private final Map<Long, PolicyTaskMessage.Wanted> wanted = new LinkedHashMap<>();
+    private final Membership membership;
+    private final PolicyRules rules;
+    private final MessageTransport transport;
+    private final RaftScheduler scheduler;
+    private final PolicyVersions versions = new PolicyVersions();
+    private final LeaseClient leaseClient;
+    private final ChangeForwarder changeForwarder;
+    /** Null at a director that does not vote. */
     private final RaftMember<PolicyStateMachine> member;
-    private Leading leading;
-    private long handInAtUs;
-    private long turnUs;
-    private long calls;
+    /** Null as long as there is no replica, as are the next two. */
+    private PolicyLeader policyLeader;
+    private ChangeProposer changeProposer;
+    private long nowMicros;
 
     /**
-     * A part that begins now.
+     * Starts at {@code nowMicros}; a voter restores its state from its storage.
      *
-     * @param disk where a voter keeps its promises; null for who does not vote
-     * @param views hears of each change of what holds here
+     * @param storage a voter's durable storage; null at a director that does not vote
+     * @param listener is called with each change of the policy in force here
      */
-    public PolicyStoreTask(Place place, Meaning meaning, MessageTransport post, RaftStorage disk, Random random,
-            Consumer<PolicyView> views,
-            long nowUs) {
-        this.place = place;
-        this.meaning = meaning;
-        this.post = post;
-        this.random = random;
-        this.agenda = new RaftScheduler(nowUs);
-        library.add(PolicyDocument.EMPTY);
-        leases = new Leases(place.self(), random.nextLong(), place.voters(), place.terms(), library, post,
-                meaning.check(), views);
-        calls = random.nextLong() >>> 1;
-        member = disk == null ? null : new RaftMember<>(new RaftMember.Place(place.self(), place.voters(),
-                place.terms().askUs() / 2), disk,
-                new RaftReplica.Host(PolicyOperationCodec.GROUP, CONFIG, disk,
-                        agenda, random,
-                        (to, message) -> post.send(to.node(), new PolicyMessage.Raft(place.self(), to.disk(),
-                                message))),
-                () -> new PolicyStateMachine(this::changed), this::began, new Joins());
-        turnUs = nowUs;
+    public PolicyStoreTask(Membership membership, PolicyRules rules, MessageTransport transport, RaftStorage storage,
+            Random random, Consumer<PolicyView> listener, long nowMicros) {
+        this.membership = membership;
+        this.rules = rules;
+        this.transport = transport;
+        this.scheduler = new RaftScheduler(nowMicros);
+        this.nowMicros = nowMicros;
+        versions.add(PolicyDocument.EMPTY);
+        leaseClient = new LeaseClient(membership, random.nextLong(), versions, transport, rules.validate(), listener);
+        changeForwarder = new ChangeForwarder(membership, transport, random.nextLong() >>> 1);
+        member = storage == null ? null : raftMember(storage, random);
         if (member != null) {
             member.restore();
         }
     }
 
-    /** Letters of voters that join. */
-    private final class Joins implements RaftMember.Outbox {
+    private RaftMember<PolicyStateMachine> raftMember(RaftStorage storage, Random random) {
+        RaftReplica.Host host = new RaftReplica.Host(PolicyOperationCodec.GROUP, CONFIG, storage, scheduler, random,
+                (to, message) -> transport.send(to.node(),
+                        new PolicyMessage.RaftEnvelope(membership.self(), to.disk(), message)));
+        return new RaftMember<>(
+                new RaftMember.Place(membership.self(), membership.voters(),
+                        membership.timing().renewalMicros() / 2),
+                storage, host, () -> new PolicyStateMachine(this::onRegisterChanged), this::onReplicaCreated,
+                new JoinMessages());
+    }
+
+    /** Sends the messages of voters that join. */
+    private final class JoinMessages implements RaftMember.Outbox {
         @Override
         public void join(int to, long disk, boolean empty) {
-            post.send(to, new PolicyMessage.Join(place.self(), disk, empty));
+            transport.send(to, new PolicyMessage.JoinRequest(membership.self(), disk, empty));
         }
 
         @Override
-        public void joined(int to, long disk, boolean group, boolean votes) {
-            post.send(to, new PolicyMessage.Joined(place.self(), disk, group, votes));
+        public void joined(int to, long disk, boolean hasGroup, boolean isVoter) {
+            transport.send(to, new PolicyMessage.JoinResponse(membership.self(), disk, hasGroup, isVoter));
         }
     }
 
-    /** Whether this voter leads. */
+    /** Whether this director leads the voters, as far as it knows. */
     public boolean leads() {
         return member != null && member.leads();
     }
 
-    /** What holds here. */
+    /** The policy in force here. */
     public PolicyView view() {
-        return leases.view();
+        return leaseClient.view();
     }
 
-    private RaftReplica<PolicyStateMachine> voter() {
+    private RaftReplica<PolicyStateMachine> replica() {
         return member == null ? null : member.replica();
     }
 
-    private void began(RaftReplica<PolicyStateMachine> voter) {
-        leading = new Leading(place.self(), place.terms(), voter, library, post, meaning.binding(), turnUs);
+    private void onReplicaCreated(RaftReplica<PolicyStateMachine> replica) {
+        policyLeader = new PolicyLeader(membership, replica, transport, rules.enforcedByLease(), nowMicros);
+        changeProposer = new ChangeProposer(membership.self(), replica, versions, transport);
     }
 
-    private void changed(PolicyRegister register) {
-        library.add(register.policy());
+    private void onRegisterChanged(PolicyRegister register) {
+        versions.add(register.policy());
         if (register.pending() != null) {
-            library.add(register.pending());
+            versions.add(register.pending());
         }
-        if (leading != null) {
-            leading.changed();
+        if (policyLeader != null) {
+            policyLeader.onRegisterChanged();
         }
     }
 
     @Override
-    public void on(PolicyTaskMessage mail, long nowUs) {
-        turnUs = nowUs;
-        agenda.run(nowUs);
-        if (mail instanceof PolicyTaskMessage.Arrived arrived) {
-            arrived(arrived.letter(), nowUs);
-        } else if (mail instanceof PolicyTaskMessage.Wanted want) {
-            if (wanted.size() >= MOST_WANTED) {
-                want.done().accept(null, 0L);
-            } else {
-                wanted.put(++calls, want);
-                handInAtUs = nowUs;
-            }
-        }
-        agenda.run(nowUs);
-    }
-
-    private void arrived(PolicyMessage letter, long nowUs) {
-        if (letter instanceof PolicyMessage.Grant grant) {
-            leases.granted(grant, nowUs);
-        } else if (letter instanceof PolicyMessage.Elsewhere elsewhere) {
-            leases.elsewhere(elsewhere, nowUs);
-        } else if (letter instanceof PolicyMessage.Part part) {
-            leases.part(part, nowUs);
-        } else if (letter instanceof PolicyMessage.PartAsk ask) {
-            give(ask);
-        } else if (letter instanceof PolicyMessage.Submitted done) {
-            settled(done);
-        } else if (letter instanceof PolicyMessage.Joined joined) {
-            joined(joined);
-        } else if (letter instanceof PolicyMessage.Join join && member != null) {
-            member.onJoin(join.from(), join.disk(), join.empty());
-        } else if (voter() != null) {
-            atVoter(letter, nowUs);
+    public void on(PolicyTaskMessage event, long eventMicros) {
+        nowMicros = eventMicros;
+        scheduler.run(nowMicros);
+        if (event instanceof PolicyTaskMessage.MessageReceived received) {
+            receive(received.message());
+        } else if (event instanceof PolicyTaskMessage.ChangeRequested change) {
+            changeForwarder.request(change, nowMicros);
         }
+        scheduler.run(nowMicros);
     }
 
-    private void atVoter(PolicyMessage letter, long nowUs) {
-        if (letter instanceof PolicyMessage.Raft raft && raft.disk() == voter().self().disk()) {
-            voter().handle(raft.message(), nowUs);
-        } else if (letter instanceof PolicyMessage.Ask ask) {
-            leading.asked(ask);
-        } else if (letter instanceof PolicyMessage.Submit submit) {
-            leading.submitted(submit);
+    private void receive(PolicyMessage message) {
+        if (message instanceof PolicyMessage.LeaseGrant grant) {
+            leaseClient.onLeaseGrant(grant, nowMicros);
+        } else if (message instanceof PolicyMessage.LeaderHint hint) {
+            leaseClient.onLeaderHint(hint, nowMicros);
+        } else if (message instanceof PolicyMessage.PartResponse part) {
+            leaseClient.onPartResponse(part, nowMicros);
+        } else if (message instanceof PolicyMessage.PartRequest request) {
+            sendPart(request);
+        } else if (message instanceof PolicyMessage.ChangeResponse response) {
+            changeForwarder.onChangeResponse(response);
+        } else if (member != null) {
+            receiveAsVoter(message);
         }
     }
 
-    private void give(PolicyMessage.PartAsk ask) {
-        PolicyDocument document = library.get(ask.digest());
-        if (document == null && voter() != null) {
-            document = voter().machine().register().document(ask.digest());
-        }
-        PolicyDocument own =
-                document != null ? document : wanted.values().stream().map(PolicyTaskMessage.Wanted::policy)
-                        .filter(each -> each != null && each.digest().equals(ask.digest())).findFirst().orElse(null);
-        if (own != null && ask.number() >= 0 && ask.number() < own.parts().size()) {
-            post.send(ask.from(), new PolicyMessage.Part(place.self(), ask.digest(), ask.number(), own.parts().size(),
-                    own.parts().get(ask.number())));
+    private void receiveAsVoter(PolicyMessage message) {
+        if (message instanceof PolicyMessage.JoinResponse response) {
+            member.onJoined(response.from(), response.disk(), response.hasGroup(), response.isVoter());
+        } else if (message instanceof PolicyMessage.JoinRequest request) {
+            member.onJoin(request.from(), request.disk(), request.empty());
+        } else if (replica() != null) {
+            receiveAsReplica(message);
         }
     }
 
-    private void settled(PolicyMessage.Submitted done) {
-        if (done.taken() != Taken.UNKNOWN) {
-            PolicyTaskMessage.Wanted want = wanted.remove(done.call());
-            if (want != null) {
-                want.done().accept(done.taken(), done.version());
-            }
+    private void receiveAsReplica(PolicyMessage message) {
+        if (message instanceof PolicyMessage.RaftEnvelope raft && raft.disk() == replica().self().disk()) {
+            replica().handle(raft.message(), nowMicros);
+        } else if (message instanceof PolicyMessage.LeaseRequest request) {
+            policyLeader.onLeaseRequest(request);
+        } else if (message instanceof PolicyMessage.ChangeRequest request) {
+            changeProposer.onChangeRequest(request);
         }
     }
 
-    @Override
-    public long tick(long nowUs) {
-        turnUs = nowUs;
-        long next = agenda.run(nowUs);
-        long memberAtUs = member == null ? Long.MAX_VALUE : tickMember(nowUs);
-        if (!wanted.isEmpty() && nowUs >= handInAtUs) {
-            handInAtUs = nowUs + place.terms().askUs() / 4;
-            wanted.forEach((call, want) -> post.send(leases.leader(), new PolicyMessage.Submit(place.self(), call,
-                    want.follows(), want.policy() == null ? "" : want.policy().digest(),
-                    want.policy() == null ? 0 : want.policy().parts().size())));
+    private void sendPart(PolicyMessage.PartRequest request) {
+        Optional<PolicyDocument> document = versions.find(request.digest())
+                .or(() -> replica() == null ? Optional.empty()
+                        : replica().machine().register().findDocument(request.digest()))
+                .or(() -> changeForwarder.findDocument(request.digest()));
+        List<String> parts = document.map(PolicyDocument::parts).orElse(List.of());
+        if (request.number() >= 0 && request.number() < parts.size()) {
+            transport.send(request.from(), new PolicyMessage.PartResponse(membership.self(), request.digest(),
+                    request.number(), parts.size(), parts.get(request.number())));
         }
-        next = Math.min(next, leases.tick(nowUs));
-        if (leading != null) {
-            next = Math.min(next, leading.tick(nowUs));
-        }
-        next = Math.min(next, agenda.run(nowUs));
-        next = Math.min(next, wanted.isEmpty() ? Long.MAX_VALUE : handInAtUs);
-        return Math.min(next, memberAtUs);
     }
 
-    /** A voter whose file has failed leads nothing until it is back. */
-    private long tickMember(long nowUs) {
-        long recoverAtUs = member.recover(nowUs);
-        if (voter() == null) {
-            leading = null;
+    @Override
+    public long tick(long tickMicros) {
+        nowMicros = tickMicros;
+        long next = scheduler.run(nowMicros);
+        next = Math.min(next, member == null ? Long.MAX_VALUE : tickMember());
+        changeForwarder.tick(leaseClient.leader(), nowMicros);
+        next = Math.min(next, leaseClient.tick(nowMicros));
+        if (policyLeader != null) {
+            changeProposer.tick();
+            next = Math.min(next, policyLeader.tick(nowMicros));
         }
-        member.restartIfStuck(nowUs);
-        return Math.min(recoverAtUs, member.join(nowUs));
+        next = Math.min(next, scheduler.run(nowMicros));
+        return Math.min(next, changeForwarder.nextTickMicros());
     }
 
-    private void joined(PolicyMessage.Joined joined) {
-        if (member != null) {
-            member.onJoined(joined.from(), joined.disk(), joined.group(), joined.member());
+    /** A voter whose storage has failed has no replica, and leads nothing, until the storage has recovered. */
+    private long tickMember() {
+        long recoverAtMicros = member.recover(nowMicros);
+        if (replica() == null) {
+            policyLeader = null;
+            changeProposer = null;
         }
+        member.restartIfStuck(nowMicros);
+        return Math.min(recoverAtMicros, member.join(nowMicros));
     }
 
     @Override
-    public void stop(long nowUs) {
+    public void stop(long stopMicros) {
         if (member != null) {
             member.stop();
         }
-        agenda.run(nowUs);
+        scheduler.run(stopMicros);
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyTaskMessage.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyTaskMessage.java
@@ -1,18 +1,22 @@
 package clovermill.controlplane.policystore;
 
 import clovermill.controlplane.policystore.decide.PolicyDocument;
-import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import java.util.function.BiConsumer;
 
-/** What an {@link PolicyStoreTask} takes: a letter from a fellow, or what this director's operators want. */
+/** An event for a {@link PolicyStoreTask}: a message of a director, or a request of this director's operators. */
 public sealed interface PolicyTaskMessage {
 
-    /** A letter has come. */
-    record Arrived(PolicyMessage letter) implements PolicyTaskMessage {}
+    /** A message has arrived. */
+    record MessageReceived(PolicyMessage message) implements PolicyTaskMessage {}
 
     /**
-     * Operators hand in a policy in place of version {@code follows}, or take back the change that brings it, where
-     * {@code policy} is null. {@code done} hears once what became of it, and the version; it must not wait.
+     * Operators request a change.
+     *
+     * @param baseVersion the version that the new policy replaces; for an abort, the version being introduced
+     * @param policy the new policy, or null to abort the transition under way
+     * @param onResult is called once with the result and the version; null stands for a full queue. Must not block
      */
-    record Wanted(long follows, PolicyDocument policy, BiConsumer<Taken, Long> done) implements PolicyTaskMessage {}
+    record ChangeRequested(long baseVersion, PolicyDocument policy, BiConsumer<ProposalResult, Long> onResult)
+            implements PolicyTaskMessage {}
 }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyView.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyView.java
@@ -5,24 +5,25 @@
 import java.util.Set;
 
 /**
- * What a director may act by, until its lease ends: the policy in force and, in a change, the one to come, of which
- * only what both allow. What the leader told of a change under way goes to operators only.
+ * The policy that a director may act by until its lease expires. In a transition only what both policies allow may be
+ * done. The last three components are for operators only.
  *
- * @param next null without a change
- * @param untilUs when the lease ends, on the director's clock
- * @param missing the directors that had not confirmed the step
- * @param leftUs how long the change may still wait for them
- * @param lastReason why the last change was taken back, or null
+ * @param step null before the first lease
+ * @param policy the policy in force; in a transition the previous one
+ * @param next the policy that a transition introduces, or null
+ * @param leaseExpiresAtMicros when the lease expires, on the director's clock
+ * @param unconfirmed the directors that have not confirmed the transition
+ * @param remainingMicros how long the transition may still wait for them
+ * @param lastAbortReason why the last transition was aborted, or null
  */
-public record PolicyView(PolicyTransition step, PolicyDocument policy, PolicyDocument next, long untilUs,
-        Set<Integer> missing, long leftUs,
-        String lastReason) {
+public record PolicyView(PolicyTransition step, PolicyDocument policy, PolicyDocument next, long leaseExpiresAtMicros,
+        Set<Integer> unconfirmed, long remainingMicros, String lastAbortReason) {
 
-    /** Nothing is known yet. */
+    /** Before the first lease. */
     public static final PolicyView NONE = new PolicyView(null, PolicyDocument.EMPTY, null, 0, Set.of(), 0, null);
 
-    /** Whether anything may be done by it at this moment: to be asked when an attempt is written. */
-    public boolean holds(long nowUs) {
-        return step != null && nowUs < untilUs;
+    /** Whether the lease is valid now; to be checked at the moment at which an attempt is written. */
+    public boolean isValid(long nowMicros) {
+        return step != null && nowMicros < leaseExpiresAtMicros;
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/Coordinator.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/Coordinator.java
@@ -1,67 +1,72 @@
 package clovermill.controlplane.policystore.decide;
 
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /**
- * Decides, at the voters' leader, when a change goes on or back. It goes on when nobody can act by an earlier step any
- * more: a director that has confirmed the step has given up what came before, and the lease of any other has run out
- * for certain. One director's no takes it back. Needs no memory of an earlier leader: what counts is when this voter
- * learned that the step was agreed.
+ * Decides, at the leader, when a transition completes or is aborted. It completes when no director can act by an
+ * earlier step: each has confirmed the transition, and so given up the previous step, or its lease has expired. One
+ * rejection aborts it. A new leader needs no state of the previous one: the wait counts from when this replica learned
+ * of the step.
  *
- * @param step the step that is looked after
- * @param knownUs when this voter learned of it
- * @param confirmed the directors that have confirmed it
- * @param no why a director refuses it, or null
+ * @param step the number of the observed step
+ * @param learnedAtMicros when this replica learned of it
+ * @param confirmed the directors that have confirmed it, with the id of the confirming process
+ * @param rejection why a director rejects it, or null
  */
-public record Coordinator(long step, long knownUs, Map<Integer, Long> confirmed, String no) {
+public record Coordinator(long step, long learnedAtMicros, Map<Integer, Long> confirmed, String rejection) {
 
-    /** Looks after nothing yet. */
+    /** Observes no step yet. */
     public static final Coordinator IDLE = new Coordinator(PolicyTransition.NONE, 0, Map.of(), null);
 
-    /** This voter has learned of a step. */
-    public Coordinator learned(PolicyTransition agreed, long nowUs) {
-        return agreed.number() == step ? this : new Coordinator(agreed.number(), nowUs, Map.of(), null);
+    /** Starts over where the agreed step is another one. */
+    public Coordinator observe(PolicyTransition agreed, long nowMicros) {
+        return agreed.number() == step ? this : new Coordinator(agreed.number(), nowMicros, Map.of(), null);
     }
 
-    /** How long the step has been known, on the clock that gave {@link #knownUs}. */
-    public long livedSince(MonotonicClock steady) {
-        return steady.lived() - knownUs;
+    /** How long the step has been known, on the clock that gave {@link #learnedAtMicros}. */
+    public long elapsedMicros(MonotonicClock clock) {
+        return clock.elapsedMicros() - learnedAtMicros;
     }
 
-    /** A process of a director, told apart by {@code boot}, has given up every step before {@code confirmedStep}. */
-    public Coordinator confirmed(int director, long boot, long confirmedStep) {
+    /** Records that a director process has given up every step before {@code confirmedStep}. */
+    public Coordinator confirm(int director, long processId, long confirmedStep) {
         if (confirmedStep != step || confirmed.containsKey(director)) {
             return this;
         }
         Map<Integer, Long> more = new TreeMap<>(confirmed);
-        more.put(director, boot);
-        return new Coordinator(step, knownUs, Map.copyOf(more), no);
+        more.put(director, processId);
+        return new Coordinator(step, learnedAtMicros, Map.copyOf(more), rejection);
     }
 
-    /** A director refuses a step. */
-    public Coordinator refused(long refusedStep, String reason) {
-        return refusedStep == step && no == null ? new Coordinator(step, knownUs, confirmed, reason) : this;
+    /** Records that a director rejects a step; the first reason is the one that is reported. */
+    public Coordinator reject(long rejectedStep, String reason) {
+        return rejectedStep == step && rejection == null ? new Coordinator(step, learnedAtMicros, confirmed, reason)
+                : this;
     }
 
     /**
-     * What is to be put into the log now, or null. {@code binding} if who has no lease does nothing that the change is
-     * about; else every director has to confirm, and one that stays away takes it back.
+     * The change to be appended to the log now, if any.
+     *
+     * @param enforcedByLease whether a director without a lease refuses everything that the two policies treat
+     *        differently; if not, every director has to confirm, and a silent one aborts the transition
      */
-    public PolicyChange due(PolicyRegister register, LeaseTiming terms, boolean binding, long nowUs) {
-        if (!register.step().both() || register.step().number() != step) {
-            return null;
+    public Optional<PolicyChange> nextChange(PolicyRegister register, LeaseTiming timing, boolean enforcedByLease,
+            long nowMicros) {
+        if (!register.step().inTransition() || register.step().number() != step) {
+            return Optional.empty();
         }
-        if (no != null) {
-            return new PolicyChange.Abort(step, no);
+        if (rejection != null) {
+            return Optional.of(new PolicyChange.Abort(step, rejection));
         }
-        if (confirmed.size() == terms.directors()) {
-            return new PolicyChange.Settle(step);
+        if (confirmed.size() == timing.directors()) {
+            return Optional.of(new PolicyChange.Complete(step));
         }
-        if (nowUs - knownUs < terms.outUs()) {
-            return null;
+        if (nowMicros - learnedAtMicros < timing.expiryWaitMicros()) {
+            return Optional.empty();
         }
-        return binding ? new PolicyChange.Settle(step)
-                : new PolicyChange.Abort(step, "not every director has confirmed it");
+        return Optional.of(enforcedByLease ? new PolicyChange.Complete(step)
+                : new PolicyChange.Abort(step, "not every director has confirmed it"));
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/LeaseHolder.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/LeaseHolder.java
@@ -4,57 +4,58 @@
 import java.util.TreeMap;
 
 /**
- * Whether one process of a director may act, and by which step: while its lease lasts. The lease counts from when it
- * was asked for, on the director's own clock; an answer counts only for a question of this process, and never takes it
- * back to an earlier step.
+ * The lease of one director process: whether it may act, and by which step. A lease runs from the moment of its
+ * request, on the director's own clock (Gray, Cheriton, 1989). A grant counts only for a request of this process, and
+ * never leads back to an earlier step.
  *
- * @param step what it acts by, or null before the first grant
- * @param untilUs when the lease ends
- * @param asked questions without an answer yet, by number: when each was sent
- * @param refused the step that it said no to, or {@link PolicyTransition#NONE}
+ * @param step the step in force here, or null before the first grant
+ * @param expiresAtMicros when the lease ends
+ * @param requests the send time of each unanswered request, by request number
+ * @param rejectedStep the step that this director has rejected, or {@link PolicyTransition#NONE}
  */
-public record LeaseHolder(PolicyTransition step, long untilUs, Map<Long, Long> asked, long refused) {
+public record LeaseHolder(PolicyTransition step, long expiresAtMicros, Map<Long, Long> requests, long rejectedStep) {
 
-    /** Knows nothing. */
+    /** No lease and no request. */
     public static final LeaseHolder EMPTY = new LeaseHolder(null, 0, Map.of(), PolicyTransition.NONE);
-    /** Questions that may be open; of more the oldest is forgotten, whose answer would give the shortest lease. */
-    private static final int MOST_ASKED = 16;
-
-    /** A question leaves now. */
-    public LeaseHolder asks(long question, long nowUs) {
-        TreeMap<Long, Long> open = new TreeMap<>(asked);
-        open.put(question, nowUs);
-        while (open.size() > MOST_ASKED) {
+    /** Beyond so many unanswered requests the oldest is dropped: its grant would give the shortest lease. */
+    private static final int MAX_REQUESTS = 16;
+
+    /** Records a request that is sent now. */
+    public LeaseHolder request(long requestId, long nowMicros) {
+        TreeMap<Long, Long> open = new TreeMap<>(requests);
+        open.put(requestId, nowMicros);
+        while (open.size() > MAX_REQUESTS) {
             open.pollFirstEntry();
         }
-        return new LeaseHolder(step, untilUs, Map.copyOf(open), refused);
+        return new LeaseHolder(step, expiresAtMicros, Map.copyOf(open), rejectedStep);
     }
 
-    /** Whether an answer to a question would change anything. */
-    public boolean awaits(long question, PolicyTransition granted) {
-        return asked.containsKey(question) && (step == null || granted.number() >= step.number())
-                && granted.number() != refused;
+    /** Whether a grant would be accepted. */
+    public boolean accepts(long requestId, PolicyTransition granted) {
+        return requests.containsKey(requestId) && (step == null || granted.number() >= step.number())
+                && granted.number() != rejectedStep;
     }
 
-    /** The answer to a question: the step that was agreed at some moment after it was asked. */
-    public LeaseHolder granted(long question, PolicyTransition granted, LeaseTiming terms) {
-        if (!awaits(question, granted)) {
+    /** Applies a grant: the step that was agreed at some moment after the request was sent. */
+    public LeaseHolder grant(long requestId, PolicyTransition granted, LeaseTiming timing) {
+        if (!accepts(requestId, granted)) {
             return this;
         }
-        TreeMap<Long, Long> open = new TreeMap<>(asked);
-        long sentUs = open.remove(question);
+        TreeMap<Long, Long> open = new TreeMap<>(requests);
+        long sentMicros = open.remove(requestId);
         boolean same = step != null && step.number() == granted.number();
-        long until = sentUs + terms.leaseUs();
-        return new LeaseHolder(granted, same ? Math.max(untilUs, until) : until, Map.copyOf(open), refused);
+        long expires = sentMicros + timing.leaseMicros();
+        return new LeaseHolder(granted, same ? Math.max(expiresAtMicros, expires) : expires, Map.copyOf(open),
+                rejectedStep);
     }
 
-    /** The step cannot be kept here: the lease on the one before runs out, as every no takes the change back. */
-    public LeaseHolder refuses(PolicyTransition bad) {
-        return new LeaseHolder(step, untilUs, asked, bad.number());
+    /** Rejects a step: the lease on the previous step expires, since one rejection aborts the transition. */
+    public LeaseHolder reject(PolicyTransition rejected) {
+        return new LeaseHolder(step, expiresAtMicros, requests, rejected.number());
     }
 
-    /** Whether anything may be done by the step at this moment. */
-    public boolean holds(long nowUs) {
-        return step != null && nowUs < untilUs;
+    /** Whether the lease is valid at this moment. */
+    public boolean isValid(long nowMicros) {
+        return step != null && nowMicros < expiresAtMicros;
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/LeaseTiming.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/LeaseTiming.java
@@ -1,25 +1,20 @@
 package clovermill.controlplane.policystore.decide;
 
 /**
- * The figures on which agreement rests, the same at all directors.
+ * The parameters of the lease protocol, equal at all directors.
  *
- * @param directors how many there are, numbered from 0
- * @param leaseUs how long a director may act by a step, from when it asked, on its own clock
- * @param askUs how often it asks
- * @param drift how much faster or slower than true time any clock may run, as a share
+ * @param directors the number of directors, numbered from 0
+ * @param leaseMicros how long a lease lasts from the moment of its request, on the holder's clock
+ * @param renewalMicros the interval between lease requests
+ * @param drift the largest deviation of a clock's rate from true time, as a fraction
  */
-public record LeaseTiming(int directors, long leaseUs, long askUs, double drift) {
+public record LeaseTiming(int directors, long leaseMicros, long renewalMicros, double drift) {
 
     /**
-     * After so long on any clock, counted from a moment after a step was agreed, no lease on an earlier step is left:
-     * it was asked for before, and lasts {@code leaseUs / (1 - drift)} of true time at the most.
+     * How long to wait, on any clock, from a moment after a step was agreed until no lease on an earlier step is left:
+     * such a lease was requested before, and lasts {@code leaseMicros / (1 - drift)} of true time at most.
      */
-    public long outUs() {
-        return (long) Math.ceil(leaseUs * (1 + drift) / (1 - drift)) + 1;
-    }
-
-    /** A bound on how long a change may be under way, from its agreement: leases run out, and the next look comes. */
-    public long longestUs() {
-        return outUs() + askUs;
+    public long expiryWaitMicros() {
+        return (long) Math.ceil(leaseMicros * (1 + drift) / (1 - drift)) + 1;
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/MonotonicClock.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/MonotonicClock.java
@@ -1,30 +1,31 @@
 package clovermill.controlplane.policystore.decide;
 
 /**
- * Time that was surely lived through: a clock that jumps ahead, or a process that was stopped, adds no more than a turn
- * may last. Who waits for others' leases to run out counts in it, as it can only run late. Not thread-safe.
+ * Elapsed time that never runs ahead of true time: a forward step of the clock, or a pause of the process, adds no more
+ * than one bounded step. The leader measures the expiry of other directors' leases with it, so an error can only make
+ * it wait longer. Not thread-safe.
  */
 public final class MonotonicClock {
 
-    private final long mostUs;
-    private long lastUs;
-    private long livedUs;
+    private final long maxStepMicros;
+    private long lastMicros;
+    private long elapsedMicros;
 
-    /** From a moment on; no turn counts for more than {@code mostUs}. */
-    public MonotonicClock(long nowUs, long mostUs) {
-        this.lastUs = nowUs;
-        this.mostUs = mostUs;
+    /** Starts at {@code nowMicros}; one call of {@link #advance} adds at most {@code maxStepMicros}. */
+    public MonotonicClock(long nowMicros, long maxStepMicros) {
+        this.lastMicros = nowMicros;
+        this.maxStepMicros = maxStepMicros;
     }
 
-    /** The time lived through up to this turn. */
-    public long at(long nowUs) {
-        livedUs += Math.max(0, Math.min(mostUs, nowUs - lastUs));
-        lastUs = nowUs;
-        return livedUs;
+    /** Advances to a reading of the underlying clock and returns the elapsed microseconds. */
+    public long advance(long nowMicros) {
+        elapsedMicros += Math.max(0, Math.min(maxStepMicros, nowMicros - lastMicros));
+        lastMicros = nowMicros;
+        return elapsedMicros;
     }
 
-    /** The time lived through up to the last turn. */
-    public long lived() {
-        return livedUs;
+    /** The elapsed microseconds at the last call of {@link #advance}. */
+    public long elapsedMicros() {
+        return elapsedMicros;
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/PolicyChange.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyChange.java
@@ -1,19 +1,25 @@
 package clovermill.controlplane.policystore.decide;
 
 /**
- * What the voters put into their log; each names what it follows, so that one that comes late or twice does nothing.
+ * An entry of the replicated log. Each names the version, step or part it follows, so that a late or repeated entry has
+ * no effect.
  */
 public sealed interface PolicyChange {
 
-    /** One more part of the text of a policy; the parts of one come one after another, the first begins it anew. */
-    record Part(String digest, int number, String text) implements PolicyChange {}
+    /**
+     * Appends a part to the draft of a policy's text. Parts come in order; part 0 starts a new draft.
+     *
+     * @param digest the digest of the complete text
+     * @param number the part's number, from 0
+     */
+    record AppendPart(String digest, int number, String text) implements PolicyChange {}
 
-    /** A policy whose parts are all there, in place of version {@code follows}. */
-    record Propose(long follows, String digest) implements PolicyChange {}
+    /** Starts the transition from {@code baseVersion} to the policy whose draft is complete. */
+    record Propose(long baseVersion, String digest) implements PolicyChange {}
 
-    /** Nobody can act by an earlier step any more: the new version stands alone. */
-    record Settle(long step) implements PolicyChange {}
+    /** Ends the transition {@code step} with the new version: no lease on an earlier step is left. */
+    record Complete(long step) implements PolicyChange {}
 
-    /** The change of a step is taken back. */
+    /** Ends the transition {@code step} with the previous version. */
     record Abort(long step, String reason) implements PolicyChange {}
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/PolicyDocument.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyDocument.java
@@ -6,25 +6,29 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** The text of a policy, in ASCII; {@code digest} is its SHA-256 in hex digits, by which everybody names it. */
+/**
+ * The text of a policy, in ASCII.
+ *
+ * @param digest its SHA-256 in hex digits, which names the text in messages and in the log
+ */
 public record PolicyDocument(String digest, String text) {
 
-    /** The empty policy, which binds nothing. */
+    /** The empty policy, which restricts nothing. */
     public static final PolicyDocument EMPTY = of("{}");
 
-    /** Letters of a part, as texts go through datagrams and the log. */
-    public static final int PART = 900;
+    /** Characters of a part, so that one fits a datagram and a log entry. */
+    public static final int PART_CHARS = 900;
 
-    /** The text in parts of up to {@link #PART} letters. */
+    /** The text in parts of up to {@link #PART_CHARS} characters. */
     public List<String> parts() {
         List<String> parts = new ArrayList<>();
-        for (int at = 0; at < text.length(); at += PART) {
-            parts.add(text.substring(at, Math.min(text.length(), at + PART)));
+        for (int start = 0; start < text.length(); start += PART_CHARS) {
+            parts.add(text.substring(start, Math.min(text.length(), start + PART_CHARS)));
         }
         return parts;
     }
 
-    /** The document of a text. */
+    /** The document of an ASCII text. */
     public static PolicyDocument of(String text) {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
--- a/src/main/java/clovermill/controlplane/policystore/decide/PolicyRegister.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyRegister.java
@@ -2,83 +2,91 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * What the voters agree on: the step, the policy in force, the one that is to come (null without a change), how the
- * last change ended, and the parts of a text that is still being put in. A log of changes gives the same register at
- * every voter.
+ * The replicated state: the same log of {@link PolicyChange}s gives the same register at every replica. Immutable.
+ *
+ * @param policy the policy in force; in a transition the previous one
+ * @param pending the policy that a transition introduces, or null without one
+ * @param lastChange how the last transition ended
+ * @param draft the text that is being received
  */
-public record PolicyRegister(PolicyTransition step, PolicyDocument policy, PolicyDocument pending, Ended last,
-        Draft draft) {
+public record PolicyRegister(PolicyTransition step, PolicyDocument policy, PolicyDocument pending,
+        LastChange lastChange, Draft draft) {
 
     /** The largest text of a policy, in parts. */
-    public static final int MOST_PARTS = 4096;
+    public static final int MAX_PARTS = 4096;
     private static final Draft NO_DRAFT = new Draft("", List.of());
     /** Before any change. */
-    public static final PolicyRegister FIRST = new PolicyRegister(PolicyTransition.FIRST, PolicyDocument.EMPTY, null,
-            new Ended(PolicyTransition.NONE, null),
-            NO_DRAFT);
+    public static final PolicyRegister INITIAL = new PolicyRegister(PolicyTransition.FIRST, PolicyDocument.EMPTY, null,
+            new LastChange(PolicyTransition.NONE, null), NO_DRAFT);
 
     /**
-     * The version whose change ended last, {@link PolicyTransition#NONE} before the first, and why it was taken back,
-     * or null.
+     * How the last transition ended.
+     *
+     * @param version the version it introduced, {@link PolicyTransition#NONE} before the first
+     * @param abortReason why it was aborted, or null if it completed
      */
-    public record Ended(long version, String reason) {}
+    public record LastChange(long version, String abortReason) {}
 
-    /** The parts of a text so far, by the digest of the whole. */
+    /** The parts received so far of the text with a digest. */
     public record Draft(String digest, List<String> parts) {}
 
-    /** What became of a proposal. */
-    public enum Taken { BEGUN, SAME, CONFLICT, UNKNOWN }
-
-    /** The register after a change. */
-    public PolicyRegister after(PolicyChange change) {
-        if (change instanceof PolicyChange.Part part) {
-            return new PolicyRegister(step, policy, pending, last, drafted(part));
+    /** The register after a log entry. */
+    public PolicyRegister apply(PolicyChange change) {
+        if (change instanceof PolicyChange.AppendPart part) {
+            return new PolicyRegister(step, policy, pending, lastChange, append(part));
         }
-        if (change instanceof PolicyChange.Propose propose && answer(propose) == Taken.BEGUN) {
-            return new PolicyRegister(step.propose(), policy, PolicyDocument.of(String.join("", draft.parts())), last,
-                    NO_DRAFT);
+        if (change instanceof PolicyChange.Propose propose && evaluate(propose) == ProposalResult.BEGUN) {
+            return new PolicyRegister(step.propose(), policy, PolicyDocument.of(String.join("", draft.parts())),
+                    lastChange, NO_DRAFT);
         }
-        if (change instanceof PolicyChange.Settle settle && step.both() && settle.step() == step.number()) {
-            return new PolicyRegister(step.settle(), pending, null, new Ended(step.next(), null), draft);
+        if (change instanceof PolicyChange.Complete complete && ends(complete.step())) {
+            return new PolicyRegister(step.complete(), pending, null, new LastChange(step.next(), null), draft);
         }
-        if (change instanceof PolicyChange.Abort abort && step.both() && abort.step() == step.number()) {
-            return new PolicyRegister(step.abort(), policy, null, new Ended(step.next(), abort.reason()), draft);
+        if (change instanceof PolicyChange.Abort abort && ends(abort.step())) {
+            return new PolicyRegister(step.abort(), policy, null, new LastChange(step.next(), abort.reason()), draft);
         }
         return this;
     }
 
-    private Draft drafted(PolicyChange.Part part) {
+    private boolean ends(long number) {
+        return step.inTransition() && number == step.number();
+    }
+
+    private Draft append(PolicyChange.AppendPart part) {
         boolean same = draft.digest().equals(part.digest());
         if (part.number() == 0 && !(same && !draft.parts().isEmpty())) {
             return new Draft(part.digest(), List.of(part.text()));
         }
-        if (!same || part.number() != draft.parts().size() || part.number() >= MOST_PARTS) {
-            return draft; // there already, or out of its turn
+        if (!same || part.number() != draft.parts().size() || part.number() >= MAX_PARTS) {
+            return draft; // a repeated part, or one out of order
         }
         List<String> parts = new ArrayList<>(draft.parts());
         parts.add(part.text());
         return new Draft(part.digest(), List.copyOf(parts));
     }
 
-    /** What a proposal would meet now: the same text again is one change, and of two that follow the same one wins. */
-    public Taken answer(PolicyChange.Propose propose) {
-        PolicyDocument newest = step.both() ? pending : policy;
+    /** The result that a proposal would have now; of two proposals on the same base version the first one wins. */
+    public ProposalResult evaluate(PolicyChange.Propose propose) {
+        PolicyDocument newest = step.inTransition() ? pending : policy;
         if (newest.digest().equals(propose.digest())) {
-            return Taken.SAME;
+            return ProposalResult.SAME;
         }
-        if (step.both() || propose.follows() != step.version()) {
-            return Taken.CONFLICT;
+        if (step.inTransition() || propose.baseVersion() != step.version()) {
+            return ProposalResult.CONFLICT;
         }
-        boolean whole = draft.digest().equals(propose.digest())
+        boolean complete = draft.digest().equals(propose.digest())
                 && PolicyDocument.of(String.join("", draft.parts())).digest().equals(propose.digest());
-        return whole ? Taken.BEGUN : Taken.UNKNOWN;
+        return complete ? ProposalResult.BEGUN : ProposalResult.UNKNOWN;
     }
 
-    /** A document that is in force or to come, by its digest, or null. */
-    public PolicyDocument document(String digest) {
-        return policy.digest().equals(digest) ? policy
-                : pending != null && pending.digest().equals(digest) ? pending : null;
+    /** The document with a digest, if it is in force or pending. */
+    public Optional<PolicyDocument> findDocument(String digest) {
+        if (policy.digest().equals(digest)) {
+            return Optional.of(policy);
+        }
+        return Optional.ofNullable(pending).filter(document -> document.digest().equals(digest));
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/PolicyTransition.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyTransition.java
@@ -1,22 +1,22 @@
 package clovermill.controlplane.policystore.decide;
 
 /**
- * A step of the policy: one version in force, or two of which only what both allow may be done. Numbers only grow; a
- * version has the number of the step that first brought it.
+ * One step of the policy's history: either one version in force, or a transition between two versions, in which only
+ * what both allow may be done. Step numbers only grow; a version has the number of the step that introduced it.
  *
- * @param number from 0
- * @param version what was in force before, or is in force alone
- * @param next what is to come, or {@link #NONE}
+ * @param number the step's number, from 0
+ * @param version the version in force; in a transition the one before it
+ * @param next the version that a transition introduces, or {@link #NONE}
  */
 public record PolicyTransition(long number, long version, long next) {
 
-    /** No version. */
+    /** No version, or no step. */
     public static final long NONE = -1;
     /** The first step: the empty policy. */
     public static final PolicyTransition FIRST = new PolicyTransition(0, 0, NONE);
 
-    /** Whether a change is under way. */
-    public boolean both() {
+    /** Whether two versions are in force side by side. */
+    public boolean inTransition() {
         return next != NONE;
     }
 
@@ -25,12 +25,12 @@
         return new PolicyTransition(number + 1, version, number + 1);
     }
 
-    /** The step in which the new version stands alone. */
-    PolicyTransition settle() {
+    /** The step in which only the new version is in force. */
+    PolicyTransition complete() {
         return new PolicyTransition(number + 1, next, NONE);
     }
 
-    /** The step in which the version before stands alone again. */
+    /** The step in which only the previous version is in force again. */
     PolicyTransition abort() {
         return new PolicyTransition(number + 1, version, NONE);
     }
--- a/src/main/java/clovermill/controlplane/policystore/decide/PolicyVersions.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyVersions.java
@@ -6,66 +6,68 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
 
 /**
- * The texts that a director has, and those that it is getting part by part. Bounded: what is not asked for any more is
- * forgotten by {@link #keep}. Not thread-safe.
+ * The policy texts that a director has, by digest, and those that it is fetching part by part. Bounded by {@link
+ * #retain} and {@link #MAX_INCOMPLETE}. Not thread-safe.
  */
 public final class PolicyVersions {
 
-    /** Of more texts that are still being got, the one begun first is forgotten, and got anew if it is asked for. */
-    static final int MOST_INCOMPLETE = 16;
+    /** Beyond so many incomplete texts the one that was begun first is dropped; it is fetched again if requested. */
+    static final int MAX_INCOMPLETE = 16;
 
-    private final Map<String, PolicyDocument> whole = new HashMap<>();
+    private final Map<String, PolicyDocument> complete = new HashMap<>();
     private final Map<String, String[]> incomplete = new LinkedHashMap<>();
 
-    /** Takes a whole text in. */
+    /** Adds a complete text. */
     public void add(PolicyDocument document) {
-        whole.put(document.digest(), document);
+        complete.put(document.digest(), document);
         incomplete.remove(document.digest());
     }
 
-    /** The whole text, or null. */
-    public PolicyDocument get(String digest) {
-        return whole.get(digest);
+    /** The complete text with a digest. */
+    public Optional<PolicyDocument> find(String digest) {
+        return Optional.ofNullable(complete.get(digest));
     }
 
-    /** Which parts of a text are to be asked for next, at most so many; none once it is whole. */
-    public List<Integer> wanted(String digest, int parts, int most) {
-        List<Integer> wanted = new ArrayList<>();
-        if (!whole.containsKey(digest) && parts > 0 && parts <= PolicyRegister.MOST_PARTS) {
-            String[] have = incomplete.computeIfAbsent(digest, key -> new String[parts]);
-            if (incomplete.size() > MOST_INCOMPLETE) {
+    /** The numbers of up to {@code limit} parts that are missing; none once the text is complete. */
+    public List<Integer> missingParts(String digest, int parts, int limit) {
+        List<Integer> missing = new ArrayList<>();
+        if (!complete.containsKey(digest) && parts > 0 && parts <= PolicyRegister.MAX_PARTS) {
+            String[] received = incomplete.computeIfAbsent(digest, key -> new String[parts]);
+            if (incomplete.size() > MAX_INCOMPLETE) {
                 incomplete.remove(incomplete.keySet().iterator().next());
             }
-            for (int i = 0; i < have.length && wanted.size() < most; i++) {
-                if (have[i] == null) {
-                    wanted.add(i);
+            for (int i = 0; i < received.length && missing.size() < limit; i++) {
+                if (received[i] == null) {
+                    missing.add(i);
                 }
             }
         }
-        return wanted;
+        return missing;
     }
 
-    /** Takes a part; one that nobody asked for, or that makes a text with another digest, is passed over. */
-    public void part(String digest, int number, String text) {
-        String[] have = incomplete.get(digest);
-        if (have == null || number < 0 || number >= have.length) {
+    /** Adds a part; one that was not requested is ignored, and parts that do not give the digest are discarded. */
+    public void addPart(String digest, int number, String text) {
+        String[] received = incomplete.get(digest);
+        if (received == null || number < 0 || number >= received.length) {
             return;
         }
-        have[number] = text;
-        if (Arrays.stream(have).allMatch(each -> each != null)) {
-            PolicyDocument document = PolicyDocument.of(String.join("", have));
+        received[number] = text;
+        if (Arrays.stream(received).allMatch(Objects::nonNull)) {
+            PolicyDocument document = PolicyDocument.of(String.join("", received));
             incomplete.remove(digest);
             if (document.digest().equals(digest)) {
-                whole.put(digest, document);
+                complete.put(digest, document);
             }
         }
     }
 
-    /** Forgets all texts but these. */
-    public void keep(List<String> digests) {
-        whole.keySet().retainAll(digests);
+    /** Drops all texts but these. */
+    public void retain(List<String> digests) {
+        complete.keySet().retainAll(digests);
         incomplete.keySet().retainAll(digests);
     }
 }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -15,7 +15,7 @@
 import clovermill.controlplane.placement.Placement;
 import clovermill.controlplane.policystore.PolicyStore;
 import clovermill.controlplane.policystore.PolicyStoreSettings;
-import clovermill.controlplane.policystore.PolicyStoreTask;
+import clovermill.controlplane.policystore.PolicyRules;
 import clovermill.controlplane.reload.ConfigReloader;
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.proxy.UsageListener;
@@ -105,7 +105,7 @@
                         clock, deadlines, ledger);
         UsageListener audit = fleet == null ? ledger : fleet;
         Placement placement = agreed == null ? null : new Placement(clock, settings, config.zones(), config.classes(),
-                agreed.allBound(), audit);
+                agreed.refusesAllWithoutLease(), audit);
         ProxyCore host = new ProxyCore(new RequestRouter(settings, config.seed()), settings, clock, deadlines, pool,
                 placement == null ? audit : placement, placement);
         EndpointRegistry roster = new EndpointRegistry(clock, pool, host, new OutageRegistry(), settings.originKind());
@@ -131,13 +131,15 @@
         }
         PolicyEndpoint[] policies = {null};
         accord = agreed == null ? null
-                : new PolicyStore(agreed, new PolicyStoreTask.Meaning(document -> placement.check(
+                : new PolicyStore(agreed, new PolicyRules(document -> placement.check(
                         document.text()), (one, other) -> placement.binding(one.text(), other.text())), clock,
                         loop::post,
                         view -> {
                             if (view.step() != null) {
-                                placement.holds(view.step().both() ? List.of(view.policy().text(), view.next().text())
-                                        : List.of(view.policy().text()), view.untilUs());
+                                placement.holds(
+                                        view.step().inTransition() ? List.of(view.policy().text(), view.next().text())
+                                                : List.of(view.policy().text()),
+                                        view.leaseExpiresAtMicros());
                             }
                             policies[0].holds(view);
                         });
--- a/src/main/java/clovermill/director/operations/PolicyEndpoint.java
+++ b/src/main/java/clovermill/director/operations/PolicyEndpoint.java
@@ -5,7 +5,7 @@
 import clovermill.controlplane.policystore.PolicyStore;
 import clovermill.controlplane.policystore.PolicyView;
 import clovermill.controlplane.policystore.decide.PolicyDocument;
-import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import clovermill.runtime.net.Clock;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.json.JsonWriteFeature;
@@ -45,15 +45,15 @@
         try {
             ObjectNode answer = JSON.createObjectNode().put("version", view.step().version())
                     .put("step", view.step().number()).put("lease_ms", Math.max(0,
-                            (view.untilUs() - clock.micros()) / 1000));
+                            (view.leaseExpiresAtMicros() - clock.micros()) / 1000));
             answer.set("policy", JSON.readTree(view.policy().text()));
-            if (view.step().both()) {
-                answer.put("next", view.step().next()).put("at_the_latest_ms", view.leftUs() / 1000);
-                answer.set("waits_for", JSON.valueToTree(view.missing()));
+            if (view.step().inTransition()) {
+                answer.put("next", view.step().next()).put("at_the_latest_ms", view.remainingMicros() / 1000);
+                answer.set("waits_for", JSON.valueToTree(view.unconfirmed()));
                 answer.set("next_policy", JSON.readTree(view.next().text()));
             }
-            if (view.lastReason() != null) {
-                answer.put("last_taken_back", view.lastReason());
+            if (view.lastAbortReason() != null) {
+                answer.put("last_taken_back", view.lastAbortReason());
             }
             return new AdminResponse(200, JSON.writeValueAsString(answer));
         } catch (JsonProcessingException impossible) {
@@ -74,7 +74,7 @@
             reply.accept(new AdminResponse(400, "body: {\"follows\": VERSION, \"policy\": {...}} is wanted"));
             return;
         }
-        accord.want(call.get("follows").asLong(),
+        accord.requestChange(call.get("follows").asLong(),
                 PolicyDocument.of(call.get("policy").toString().chars().allMatch(c -> c < 128)
                         ? call.get("policy").toString() : ascii(call.get("policy"))),
                 (taken, version) -> loop.execute(() -> reply.accept(answer(taken, version))));
@@ -88,19 +88,20 @@
         }
     }
 
-    private static AdminResponse answer(Taken taken, long version) {
+    private static AdminResponse answer(ProposalResult taken, long version) {
         return taken == null ? new AdminResponse(503, "too many calls wait for the voters")
-                : taken == Taken.CONFLICT ? new AdminResponse(409, "another change came first: version " + version)
+                : taken == ProposalResult.CONFLICT
+                        ? new AdminResponse(409, "another change came first: version " + version)
                 : new AdminResponse(202, "{\"version\":" + version + "}");
     }
 
     @Override
     public void drop(Consumer<AdminResponse> reply) {
-        if (view.step() == null || !view.step().both()) {
+        if (view.step() == null || !view.step().inTransition()) {
             reply.accept(new AdminResponse(409, "no change is under way"));
             return;
         }
-        accord.want(view.step().next(), null, (taken, version) -> loop.execute(() -> reply.accept(answer(taken,
+        accord.requestChange(view.step().next(), null, (taken, version) -> loop.execute(() -> reply.accept(answer(taken,
                 version))));
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
@@ -1,12 +1,13 @@
 package clovermill.simulation.emulator.policystore;
 
 import clovermill.controlplane.consensus.MemoryRaftStorage;
+import clovermill.controlplane.policystore.PolicyRules;
 import clovermill.controlplane.policystore.PolicyStoreTask;
 import clovermill.controlplane.policystore.PolicyTaskMessage;
 import clovermill.controlplane.policystore.PolicyView;
 import clovermill.controlplane.policystore.decide.LeaseTiming;
 import clovermill.controlplane.policystore.decide.PolicyDocument;
-import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import clovermill.controlplane.policystore.decide.PolicyTransition;
 import clovermill.simulation.emulator.world.World;
 import java.nio.charset.StandardCharsets;
@@ -45,7 +46,7 @@
     private final Case plan;
     private final World<PolicyTaskMessage> world;
     private final Random chance;
-    private final LeaseTiming terms;
+    private final LeaseTiming timing;
     private final List<MemoryRaftStorage> disks = new ArrayList<>();
     private final PolicyView[] views;
     private final long[] blindSinceUs;
@@ -60,8 +61,8 @@
 
     private PolicyFleet(Case plan, long seed) {
         this.plan = plan;
-        this.terms = new LeaseTiming(plan.directors(), 5 * SECOND_US, SECOND_US, 0.01);
-        this.world = new World<>(plan.directors(), terms.drift(), seed);
+        this.timing = new LeaseTiming(plan.directors(), 5 * SECOND_US, SECOND_US, 0.01);
+        this.world = new World<>(plan.directors(), timing.drift(), seed);
         this.chance = new Random(seed * 31 + 7);
         this.views = new PolicyView[plan.directors()];
         this.blindSinceUs = new long[plan.directors()];
@@ -80,10 +81,10 @@
         views[i] = PolicyView.NONE;
         List<Integer> voters = IntStream.range(0, plan.voters()).boxed().toList();
         Random own = new Random(world.random().nextLong());
-        world.machine(i).start(clock -> new PolicyStoreTask(new PolicyStoreTask.Place(i, voters, terms),
-                new PolicyStoreTask.Meaning(
+        world.machine(i).start(clock -> new PolicyStoreTask(new PolicyStoreTask.Membership(i, voters, timing),
+                new PolicyRules(
                         text -> i % 2 == 1 && text.text().contains(BAD) ? "it is bad" : null, (old, next) -> true),
-                (to, letter) -> world.send(i, to, new PolicyTaskMessage.Arrived(letter)), disks.get(i), own,
+                (to, message) -> world.send(i, to, new PolicyTaskMessage.MessageReceived(message)), disks.get(i), own,
                 view -> views[i] = view, clock));
     }
 
@@ -101,7 +102,7 @@
         }
         PolicyTransition step = views[0].step();
         boolean agreed = step != null && IntStream.range(0, plan.directors()).allMatch(i -> step.equals(views[i].step())
-                && views[i].holds(world.machine(i).clock()));
+                && views[i].isValid(world.machine(i).clock()));
         return new Figures(changes, settled, takenBack, faults, checker.broken(), checker.first(), commitMs,
                 blindUs / 1000, agreed, world.sent(), digest.getValue());
     }
@@ -123,7 +124,7 @@
         checker.moment();
         for (int i = 0; i < plan.directors(); i++) {
             World<PolicyTaskMessage>.Machine machine = world.machine(i);
-            boolean holds = machine.up() && views[i].holds(machine.clock());
+            boolean holds = machine.up() && views[i].isValid(machine.clock());
             if (holds) {
                 PolicyTransition step = views[i].step();
                 checker.acted(at, i, step.version(), step.next());
@@ -151,14 +152,14 @@
                     + ",\"fill\":\"" + "x".repeat(chance.nextInt(3000)) + "\"}";
             long calledUs = world.nowUs();
             PolicyDocument policy = PolicyDocument.of(text);
-            world.machine(at).hand(new PolicyTaskMessage.Wanted(step.version(), policy, (taken, version) -> {
+            world.machine(at).hand(new PolicyTaskMessage.ChangeRequested(step.version(), policy, (taken, version) -> {
                 note("wanted " + taken + " " + version);
-                if (taken == Taken.BEGUN || taken == Taken.SAME) {
+                if (taken == ProposalResult.BEGUN || taken == ProposalResult.SAME) {
                     follow(at, policy, calledUs);
                 }
             }));
             if (chance.nextInt(10) == 0) {
-                world.at(world.nowUs() + 200_000, () -> world.machine(at).hand(new PolicyTaskMessage.Wanted(
+                world.at(world.nowUs() + 200_000, () -> world.machine(at).hand(new PolicyTaskMessage.ChangeRequested(
                         views[at].step() == null ? 0 : views[at].step().next(), null, (taken, version) -> {})));
             }
         }
@@ -166,7 +167,7 @@
 
     private void follow(int at, PolicyDocument policy, long calledUs) {
         PolicyView view = views[at];
-        if (view.step() != null && !view.step().both() && view.policy().equals(policy)) {
+        if (view.step() != null && !view.step().inTransition() && view.policy().equals(policy)) {
             settled++;
             commitMs.add((world.nowUs() - calledUs) / 1000);
         } else if (world.nowUs() - calledUs < 60 * SECOND_US) {
--- a/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
@@ -5,7 +5,7 @@
 import clovermill.controlplane.consensus.FileRaftStorage;
 import clovermill.controlplane.policystore.decide.LeaseTiming;
 import clovermill.controlplane.policystore.decide.PolicyDocument;
-import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import clovermill.runtime.task.Task;
 import clovermill.simulation.emulator.world.World;
 import clovermill.storage.FaultyVolume;
@@ -29,16 +29,16 @@
 
     private static final long SECOND_US = 1_000_000;
     private static final int VOTERS = 3;
-    private static final LeaseTiming TERMS = new LeaseTiming(VOTERS, 5 * SECOND_US, SECOND_US, 0.01);
+    private static final LeaseTiming TIMING = new LeaseTiming(VOTERS, 5 * SECOND_US, SECOND_US, 0.01);
 
     @TempDir
     private Path folder;
-    private final World<PolicyTaskMessage> world = new World<>(VOTERS, TERMS.drift(), 1);
+    private final World<PolicyTaskMessage> world = new World<>(VOTERS, TIMING.drift(), 1);
     private final List<FaultyVolume> volumes = new ArrayList<>();
     private final List<FileRaftStorage> files = new ArrayList<>();
     private final PolicyStoreTask[] tasks = new PolicyStoreTask[VOTERS];
     private final PolicyView[] views = new PolicyView[VOTERS];
-    /** Raft's letters that a voter has sent while its file had failed. */
+    /** Raft messages sent by a voter while its file had failed. */
     private final Map<Integer, Integer> sentWhileFailed = new HashMap<>();
 
     @BeforeEach
@@ -63,22 +63,22 @@
         views[i] = PolicyView.NONE;
         world.machine(i).start(clock -> {
             tasks[i] = new PolicyStoreTask(
-                    new PolicyStoreTask.Place(i, IntStream.range(0, VOTERS).boxed().toList(), TERMS),
-                    new PolicyStoreTask.Meaning(text -> null, (old, next) -> true), (to, letter) -> send(i, to, letter),
+                    new PolicyStoreTask.Membership(i, IntStream.range(0, VOTERS).boxed().toList(), TIMING),
+                    new PolicyRules(text -> null, (old, next) -> true), (to, message) -> send(i, to, message),
                     files.get(i), new Random(i), view -> views[i] = view, clock);
             return repeating(tasks[i]);
         });
     }
 
-    /** Each letter comes several times before the task's next tick, as a link may have it and a busy thread too. */
+    /** Each message comes several times before the task's next tick, as a link may have it and a busy thread too. */
     private static Task<PolicyTaskMessage> repeating(PolicyStoreTask task) {
         return new Task<>() {
             @Override
-            public void on(PolicyTaskMessage mail, long nowUs) {
-                task.on(mail, nowUs);
-                if (mail instanceof PolicyTaskMessage.Arrived) {
-                    task.on(mail, nowUs);
-                    task.on(mail, nowUs);
+            public void on(PolicyTaskMessage event, long nowUs) {
+                task.on(event, nowUs);
+                if (event instanceof PolicyTaskMessage.MessageReceived) {
+                    task.on(event, nowUs);
+                    task.on(event, nowUs);
                 }
             }
 
@@ -94,14 +94,14 @@
         };
     }
 
-    private void send(int from, int to, PolicyMessage letter) {
-        if (letter instanceof PolicyMessage.Raft && files.get(from).failed()) {
+    private void send(int from, int to, PolicyMessage message) {
+        if (message instanceof PolicyMessage.RaftEnvelope && files.get(from).failed()) {
             sentWhileFailed.merge(from, 1, Integer::sum);
         }
-        world.send(from, to, new PolicyTaskMessage.Arrived(letter));
+        world.send(from, to, new PolicyTaskMessage.MessageReceived(message));
     }
 
-    private void pass(long seconds) {
+    private void runFor(long seconds) {
         world.run(world.nowUs() + seconds * SECOND_US);
     }
 
@@ -109,12 +109,13 @@
         return IntStream.range(0, VOTERS).filter(i -> tasks[i].leads()).findFirst().orElse(-1);
     }
 
-    /** Hands a policy in; returns what became of it, as far as it is known within some seconds. */
-    private Taken want(int at, PolicyDocument policy, long withinSeconds) {
-        Taken[] taken = {null};
+    /** Requests a change; returns its result, or null if there is none within some seconds. */
+    private ProposalResult requestChange(int at, PolicyDocument policy, long withinSeconds) {
+        ProposalResult[] taken = {null};
         world.machine(at).hand(
-                new PolicyTaskMessage.Wanted(views[at].step().version(), policy, (what, version) -> taken[0] = what));
-        pass(withinSeconds);
+                new PolicyTaskMessage.ChangeRequested(views[at].step().version(), policy,
+                        (what, version) -> taken[0] = what));
+        runFor(withinSeconds);
         return taken[0];
     }
 
@@ -123,86 +124,86 @@
         volumes.get(which).syncFails = !full && fails;
     }
 
-    private void allHold(PolicyDocument policy) {
+    private void assertInForceEverywhere(PolicyDocument policy) {
         assertThat(views).allSatisfy(view -> {
-            assertThat(view.holds(world.nowUs())).isTrue();
+            assertThat(view.isValid(world.nowUs())).isTrue();
             assertThat(view.policy()).isEqualTo(policy);
-            assertThat(view.step().both()).isFalse();
+            assertThat(view.step().inTransition()).isFalse();
         });
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aVoterWhoseDiskFailsForTenSecondsTakesNoPartAndComesBackByItself(boolean full) {
-        pass(5);
+    void givenADiskThatFailsForTenSecondsThenTheVoterIsSuspendedAndRecovers(boolean full) {
+        runFor(5);
         int failing = leader();
         assertThat(failing).isNotNegative();
         int other = (failing + 1) % VOTERS;
         fail(failing, full, true);
         PolicyDocument policy = PolicyDocument.of("{\"a\":1}");
-        assertThat(want(other, policy, 10)).isEqualTo(Taken.BEGUN);
+        assertThat(requestChange(other, policy, 10)).isEqualTo(ProposalResult.BEGUN);
         assertThat(files.get(failing).failed()).isTrue();
         assertThat(tasks[failing].leads()).isFalse();
         assertThat(leader()).isNotNegative();
         fail(failing, full, false);
-        pass(15);
+        runFor(15);
         assertThat(files.get(failing).failed()).isFalse();
         assertThat(sentWhileFailed).isEmpty();
-        allHold(policy);
+        assertInForceEverywhere(policy);
     }
 
-    /** With two of three disks gone nothing is agreed on; when they are back, what was agreed on before holds. */
+    /** A repeated vote request does not reveal a vote that could not be written. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void withoutAMajorityOfDisksNothingIsAcknowledgedAndNothingIsForgotten(boolean full) {
-        pass(5);
+    void givenAMinorityOfDisksThenNothingIsAcknowledgedAndNothingIsLost(boolean full) {
+        runFor(5);
         PolicyDocument first = PolicyDocument.of("{\"a\":1}");
-        assertThat(want(0, first, 10)).isEqualTo(Taken.BEGUN);
-        allHold(first);
+        assertThat(requestChange(0, first, 10)).isEqualTo(ProposalResult.BEGUN);
+        assertInForceEverywhere(first);
         fail(0, full, true);
         fail(1, full, true);
         PolicyDocument second = PolicyDocument.of("{\"a\":2}");
-        assertThat(want(2, second, 10)).isNull();
+        assertThat(requestChange(2, second, 10)).isNull();
         assertThat(views).allMatch(view -> view.policy().equals(first));
         fail(0, full, false);
         fail(1, full, false);
-        pass(20);
+        runFor(20);
         assertThat(sentWhileFailed).isEmpty();
-        allHold(second);
+        assertInForceEverywhere(second);
     }
 
-    /** The vote that could not be written is not told by the answer to the same question when that comes again. */
+    /** A repeated vote request does not reveal a vote that could not be written. */
     @Test
-    void aVoteThatCouldNotBeWrittenIsNotGiven() {
-        pass(5);
+    void whenAVoteCannotBeWrittenThenItIsNotSent() {
+        runFor(5);
         int leader = leader();
         int failing = (leader + 1) % VOTERS;
         fail(failing, false, true);
         world.machine(leader).kill();
-        pass(10);
+        runFor(10);
         assertThat(files.get(failing).failed()).isTrue();
         assertThat(sentWhileFailed).isEmpty();
         fail(failing, false, false);
-        pass(10);
+        runFor(10);
         assertThat(tasks[failing].leads() || tasks[3 - leader - failing].leads()).isTrue();
     }
 
-    /** Killed while its disk fails, a voter finds at its start what it had promised before. */
+    /** A voter that is killed while its disk fails restores at its start what it had written before. */
     @Test
-    void aVoterThatIsKilledWhileItsDiskFailsIsAVoterAgain() throws IOException {
-        pass(5);
+    void givenAKillWhileTheDiskFailsThenTheVoterRestoresItsState() throws IOException {
+        runFor(5);
         PolicyDocument first = PolicyDocument.of("{\"a\":1}");
-        assertThat(want(0, first, 10)).isEqualTo(Taken.BEGUN);
+        assertThat(requestChange(0, first, 10)).isEqualTo(ProposalResult.BEGUN);
         fail(1, true, true);
         PolicyDocument second = PolicyDocument.of("{\"a\":2}");
-        assertThat(want(0, second, 10)).isEqualTo(Taken.BEGUN);
+        assertThat(requestChange(0, second, 10)).isEqualTo(ProposalResult.BEGUN);
         assertThat(files.get(1).failed()).isTrue();
         world.machine(1).kill();
         files.get(1).close();
         fail(1, true, false);
         start(1);
         assertThat(files.get(1).restored()).isNotNull();
-        pass(15);
-        allHold(second);
+        runFor(15);
+        assertInForceEverywhere(second);
     }
 }
--- a/src/test/java/clovermill/controlplane/policystore/FileDiskTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FileRaftStorageTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class FileDiskTest {
+class FileRaftStorageTest {
 
     private final DefaultRaftModelFactory models = new DefaultRaftModelFactory();
     @TempDir
@@ -46,7 +46,7 @@
                 .setVotingMembers(List.of(new ReplicaId(0, 0), new ReplicaId(1, 0))).build());
         for (int i = 1; i <= 40; i++) {
             disk.persistLogEntries(List.of(models.createLogEntryBuilder().setIndex(i).setTerm(1)
-                    .setOperation(new PolicyChange.Part("d", i, "x".repeat(900))).build()));
+                    .setOperation(new PolicyChange.AppendPart("d", i, "x".repeat(900))).build()));
         }
         disk.truncateLogEntriesFrom(39);
         disk.persistAndFlushTerm(models.createRaftTermPersistentStateBuilder().setTerm(3)
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void whatWasPromisedIsThereAfterAStart() throws IOException {
+    void givenWrittenStateWhenOpenedThenItIsRestored() throws IOException {
         written().close();
         for (int starts = 0; starts < 2; starts++) {
             FileRaftStorage disk = opened();
@@ -67,17 +67,17 @@
     }
 
     @Test
-    void aTornTailIsCutAndDamageInTheMiddleIsALostDisk() throws IOException {
+    void givenATornTailThenItIsCutAndGivenDamageBeforeItThenNothingIsRestored() throws IOException {
         written().close();
         Path file = folder.resolve("votes");
-        byte[] whole = Files.readAllBytes(file);
-        Files.write(file, Arrays.copyOf(whole, whole.length - 3));
+        byte[] complete = Files.readAllBytes(file);
+        Files.write(file, Arrays.copyOf(complete, complete.length - 3));
         FileRaftStorage torn = opened();
         assertThat(torn.restored().getLogEntries()).hasSize(38);
         assertThat(torn.restored().getTermPersistentState().getTerm()).isZero();
         torn.close();
-        byte[] bad = whole.clone();
-        bad[whole.length / 3] ^= 1;
+        byte[] bad = complete.clone();
+        bad[complete.length / 3] ^= 1;
         Files.write(file, bad);
         FileRaftStorage damaged = opened();
         assertThat(damaged.restored()).isNull();
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void nothingIsThereAtFirstAndAfterItWasCleared() throws IOException {
+    void whenClearedThenNothingIsRestored() throws IOException {
         FileRaftStorage disk = written();
         disk.clear();
         assertThat(disk.restored()).isNull();
@@ -100,7 +100,7 @@
 
     /** The kernel may have dropped what a sync failed to write, and say nothing of it at the next sync. */
     @Test
-    void afterASyncThatFailedTheFileTakesNothingMoreUntilAllIsWrittenAnew() throws IOException {
+    void givenAFailedSyncThenWritesAreRefusedUntilAllIsRewritten() throws IOException {
         FaultyVolume volume = new FaultyVolume();
         FileRaftStorage disk = written(opened(volume));
         byte[] before = Files.readAllBytes(folder.resolve("votes"));
@@ -122,7 +122,7 @@
     /** While the disk is full or broken the old file stays as it was, whenever the process is killed. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whatWasPromisedBeforeAFaultIsThereHoweverOftenItIsTriedInVain(boolean full) throws IOException {
+    void givenADiskThatStaysFailedThenWhatWasWrittenBeforeIsRestored(boolean full) throws IOException {
         FaultyVolume volume = new FaultyVolume();
         FileRaftStorage disk = written(opened(volume));
         volume.room = full ? 20 : Long.MAX_VALUE;
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aClearingThatFailsIsMadeGoodWhenTheDiskIsBack() throws IOException {
+    void givenAFailedClearWhenTheDiskRecoversThenItIsCleared() throws IOException {
         FaultyVolume volume = new FaultyVolume();
         FileRaftStorage disk = written(opened(volume));
         volume.syncFails = true;
--- a/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
@@ -5,7 +5,7 @@
 
 import clovermill.controlplane.consensus.ReplicaId;
 import clovermill.controlplane.policystore.decide.PolicyChange;
-import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import clovermill.controlplane.policystore.decide.PolicyTransition;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import java.nio.ByteBuffer;
@@ -21,53 +21,55 @@
     private final PolicyMessageCodec from = new PolicyMessageCodec(1, KEY);
     private final PolicyMessageCodec to = new PolicyMessageCodec(2, KEY);
 
-    private static List<PolicyMessage> letters() {
-        return List.of(new PolicyMessage.Ask(1, 7, 8, -1, 3, "no such site"),
-                new PolicyMessage.Ask(1, 7, 8, 5, -1, null),
-                new PolicyMessage.Grant(1, 7, 8, new PolicyTransition(4, 2, 4), "aa", 1, "bb", 3,
+    private static List<PolicyMessage> messages() {
+        return List.of(new PolicyMessage.LeaseRequest(1, 7, 8, -1, 3, "no such site"),
+                new PolicyMessage.LeaseRequest(1, 7, 8, 5, -1, null),
+                new PolicyMessage.LeaseGrant(1, 7, 8, new PolicyTransition(4, 2, 4), "aa", 1, "bb", 3,
                         new TreeSet<>(Set.of(1, 900)), 5,
                         "late"),
-                new PolicyMessage.Elsewhere(1, -1, 3), new PolicyMessage.PartAsk(1, "ab", 2),
-                new PolicyMessage.Part(1, "ab", 2, 4, "text"),
-                new PolicyMessage.Submit(1, 9, 2, "ab", 4), new PolicyMessage.Submitted(1, 9, Taken.CONFLICT, 4),
-                new PolicyMessage.Join(1, 77, true), new PolicyMessage.Joined(1, 77, true, false));
+                new PolicyMessage.LeaderHint(1, -1, 3), new PolicyMessage.PartRequest(1, "ab", 2),
+                new PolicyMessage.PartResponse(1, "ab", 2, 4, "text"),
+                new PolicyMessage.ChangeRequest(1, 9, 2, "ab", 4),
+                new PolicyMessage.ChangeResponse(1, 9, ProposalResult.CONFLICT, 4),
+                new PolicyMessage.JoinRequest(1, 77, true), new PolicyMessage.JoinResponse(1, 77, true, false));
     }
 
     @Test
-    void everyLetterIsReadAsItWasWritten() throws Exception {
-        for (PolicyMessage letter : letters()) {
-            assertThat(to.read(from.write(2, letter))).isEqualTo(letter);
+    void givenEveryMessageWhenWrittenThenItIsReadBack() throws Exception {
+        for (PolicyMessage message : messages()) {
+            assertThat(to.read(from.write(2, message))).isEqualTo(message);
         }
     }
 
     @Test
-    void theVotersOwnAreReadAsTheyWereWritten() throws Exception {
+    void givenARaftMessageWhenWrittenThenItIsReadBack() throws Exception {
         var models = new DefaultRaftModelFactory();
-        var entry = models.createLogEntryBuilder().setIndex(5).setTerm(2).setOperation(new PolicyChange.Part("ab", 0,
-                "x")).build();
+        var entry =
+                models.createLogEntryBuilder().setIndex(5).setTerm(2).setOperation(new PolicyChange.AppendPart("ab", 0,
+                        "x")).build();
         var append = models.createAppendEntriesRequestBuilder().setGroupId(PolicyOperationCodec.GROUP)
                 .setSender(new ReplicaId(1, 0)).setTerm(2)
                 .setPreviousLogTerm(1).setPreviousLogIndex(4).setCommitIndex(3).setLogEntries(List.of(entry))
                 .setQuerySequenceNumber(6).setFlowControlSequenceNumber(7).build();
-        PolicyMessage read = to.read(from.write(2, new PolicyMessage.Raft(1, 3, append)));
-        assertThat(read.toString()).isEqualTo(new PolicyMessage.Raft(1, 3, append).toString());
+        PolicyMessage read = to.read(from.write(2, new PolicyMessage.RaftEnvelope(1, 3, append)));
+        assertThat(read.toString()).isEqualTo(new PolicyMessage.RaftEnvelope(1, 3, append).toString());
     }
 
     @Test
-    void whatIsForgedCutOrForAnotherIsNoLetter() {
+    void givenAForgedCutOrMisaddressedDatagramWhenReadThenItIsMalformed() {
         Random random = new Random(5);
-        for (PolicyMessage letter : letters()) {
-            byte[] good = from.write(2, letter).array();
+        for (PolicyMessage message : messages()) {
+            byte[] good = from.write(2, message).array();
             for (int i = 0; i < 50; i++) {
                 byte[] bad = good.clone();
                 bad[random.nextInt(bad.length)] ^= (byte) (1 << random.nextInt(8));
                 assertThatThrownBy(() -> to.read(ByteBuffer.wrap(bad)))
-                        .isInstanceOf(PolicyMessageCodec.BadLetter.class);
+                        .isInstanceOf(MalformedMessageException.class);
             }
             assertThatThrownBy(() -> to.read(ByteBuffer.wrap(good, 0, good.length - 1)))
-                    .isInstanceOf(PolicyMessageCodec.BadLetter.class);
+                    .isInstanceOf(MalformedMessageException.class);
             assertThatThrownBy(() -> new PolicyMessageCodec(3, KEY).read(ByteBuffer.wrap(good)))
-                    .isInstanceOf(PolicyMessageCodec.BadLetter.class);
+                    .isInstanceOf(MalformedMessageException.class);
         }
     }
 }
--- a/src/test/java/clovermill/controlplane/policystore/RecordedBytesTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/RecordedBytesTest.java
@@ -4,7 +4,7 @@
 
 import clovermill.controlplane.consensus.ReplicaId;
 import clovermill.controlplane.policystore.decide.PolicyChange;
-import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import clovermill.controlplane.policystore.decide.PolicyTransition;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import java.io.ByteArrayOutputStream;
@@ -27,27 +27,29 @@
     private static List<PolicyMessage> messages() {
         var models = new DefaultRaftModelFactory();
         var entry = models.createLogEntryBuilder().setIndex(5).setTerm(2)
-                .setOperation(new PolicyChange.Part("ab", 0, "x")).build();
+                .setOperation(new PolicyChange.AppendPart("ab", 0, "x")).build();
         var append = models.createAppendEntriesRequestBuilder().setGroupId(PolicyOperationCodec.GROUP)
                 .setSender(new ReplicaId(1, 0)).setTerm(2).setPreviousLogTerm(1).setPreviousLogIndex(4)
                 .setCommitIndex(3).setLogEntries(List.of(entry)).setQuerySequenceNumber(6)
                 .setFlowControlSequenceNumber(7).build();
-        return List.of(new PolicyMessage.Ask(1, 7, 8, -1, 3, "no such site"),
-                new PolicyMessage.Ask(1, 7, 8, 5, -1, null),
-                new PolicyMessage.Grant(1, 7, 8, new PolicyTransition(4, 2, 4), "aa", 1, "bb", 3,
+        return List.of(new PolicyMessage.LeaseRequest(1, 7, 8, -1, 3, "no such site"),
+                new PolicyMessage.LeaseRequest(1, 7, 8, 5, -1, null),
+                new PolicyMessage.LeaseGrant(1, 7, 8, new PolicyTransition(4, 2, 4), "aa", 1, "bb", 3,
                         new TreeSet<>(Set.of(1, 900)), 5, "late"),
-                new PolicyMessage.Elsewhere(1, -1, 3), new PolicyMessage.PartAsk(1, "ab", 2),
-                new PolicyMessage.Part(1, "ab", 2, 4, "text"), new PolicyMessage.Submit(1, 9, 2, "ab", 4),
-                new PolicyMessage.Submitted(1, 9, Taken.CONFLICT, 4), new PolicyMessage.Raft(1, 3, append),
-                new PolicyMessage.Join(1, 77, true), new PolicyMessage.Joined(1, 77, true, false));
+                new PolicyMessage.LeaderHint(1, -1, 3), new PolicyMessage.PartRequest(1, "ab", 2),
+                new PolicyMessage.PartResponse(1, "ab", 2, 4, "text"),
+                new PolicyMessage.ChangeRequest(1, 9, 2, "ab", 4),
+                new PolicyMessage.ChangeResponse(1, 9, ProposalResult.CONFLICT, 4),
+                new PolicyMessage.RaftEnvelope(1, 3, append),
+                new PolicyMessage.JoinRequest(1, 77, true), new PolicyMessage.JoinResponse(1, 77, true, false));
     }
 
     private static List<Object> entries() {
-        return List.of(new PolicyStateMachine.NewTerm(), new PolicyChange.Part("ab", 2, "text"),
-                new PolicyChange.Propose(3, "ab"), new PolicyChange.Settle(4), new PolicyChange.Abort(4, "late"),
-                new PolicyStateMachine.Head(new PolicyTransition(4, 2, 4), 2, "late", "ab"),
-                new PolicyStateMachine.Head(new PolicyTransition(4, 4, -1), 2, null, ""),
-                new PolicyStateMachine.Piece(2, "text"));
+        return List.of(new PolicyStateMachine.NewTerm(), new PolicyChange.AppendPart("ab", 2, "text"),
+                new PolicyChange.Propose(3, "ab"), new PolicyChange.Complete(4), new PolicyChange.Abort(4, "late"),
+                new PolicyStateMachine.SnapshotHeader(new PolicyTransition(4, 2, 4), 2, "late", "ab"),
+                new PolicyStateMachine.SnapshotHeader(new PolicyTransition(4, 4, -1), 2, null, ""),
+                new PolicyStateMachine.SnapshotPart(2, "text"));
     }
 
     @Test
--- a/src/test/java/clovermill/controlplane/policystore/decide/PolicyVersionsTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/PolicyVersionsTest.java
@@ -7,44 +7,44 @@
 
 class PolicyVersionsTest {
 
-    private final PolicyVersions library = new PolicyVersions();
+    private final PolicyVersions versions = new PolicyVersions();
     private final PolicyDocument text = PolicyDocument.of("x".repeat(2000));
 
     private void part(int number) {
-        library.part(text.digest(), number, text.parts().get(number));
+        versions.addPart(text.digest(), number, text.parts().get(number));
     }
 
     @Test
-    void aTextIsThereWhenAllItsPartsAreInWhateverOrder() {
-        assertThat(library.wanted(text.digest(), 3, 2)).containsExactly(0, 1);
+    void whenAllPartsHaveArrivedInAnyOrderThenTheTextIsComplete() {
+        assertThat(versions.missingParts(text.digest(), 3, 2)).containsExactly(0, 1);
         part(2);
         part(0);
-        assertThat(library.get(text.digest())).isNull();
-        assertThat(library.wanted(text.digest(), 3, 2)).containsExactly(1);
+        assertThat(versions.find(text.digest())).isEmpty();
+        assertThat(versions.missingParts(text.digest(), 3, 2)).containsExactly(1);
         part(1);
-        assertThat(library.get(text.digest())).isEqualTo(text);
-        library.keep(List.of());
-        assertThat(library.get(text.digest())).isNull();
+        assertThat(versions.find(text.digest())).contains(text);
+        versions.retain(List.of());
+        assertThat(versions.find(text.digest())).isEmpty();
     }
 
     @Test
-    void partsThatMakeAnotherTextAreNone() {
-        library.wanted(text.digest(), 1, 1);
-        library.part(text.digest(), 0, "forged");
-        assertThat(library.get(text.digest())).isNull();
-        assertThat(library.wanted(text.digest(), 1, 1)).containsExactly(0);
+    void whenPartsDoNotGiveTheDigestThenTheyAreDiscarded() {
+        versions.missingParts(text.digest(), 1, 1);
+        versions.addPart(text.digest(), 0, "forged");
+        assertThat(versions.find(text.digest())).isEmpty();
+        assertThat(versions.missingParts(text.digest(), 1, 1)).containsExactly(0);
     }
 
     @Test
-    void textsThatNobodyCompletesDoNotGather() {
-        library.wanted(text.digest(), 3, 3);
+    void givenTooManyIncompleteTextsThenTheFirstIsDropped() {
+        versions.missingParts(text.digest(), 3, 3);
         part(0);
-        for (int i = 0; i < PolicyVersions.MOST_INCOMPLETE; i++) {
-            library.wanted("other" + i, 1, 1);
+        for (int i = 0; i < PolicyVersions.MAX_INCOMPLETE; i++) {
+            versions.missingParts("other" + i, 1, 1);
         }
         part(1);
         part(2);
-        assertThat(library.get(text.digest())).isNull();
-        assertThat(library.wanted(text.digest(), 3, 3)).containsExactly(0, 1, 2);
+        assertThat(versions.find(text.digest())).isEmpty();
+        assertThat(versions.missingParts(text.digest(), 3, 3)).containsExactly(0, 1, 2);
     }
 }
--- a/src/test/java/clovermill/prove/capacity/StateProof.java
+++ b/src/test/java/clovermill/prove/capacity/StateProof.java
@@ -306,8 +306,8 @@
     /** A policy text of the greatest length that the register takes. */
     private void policies() throws Exception {
         double bytes =
-                Heap.heldBy(() -> PolicyDocument.of("x".repeat(PolicyRegister.MOST_PARTS * PolicyDocument.PART)));
-        file.add("policy", "", "", "largest", bytes / MB, 2, "MB", "one text of " + PolicyRegister.MOST_PARTS
+                Heap.heldBy(() -> PolicyDocument.of("x".repeat(PolicyRegister.MAX_PARTS * PolicyDocument.PART_CHARS)));
+        file.add("policy", "", "", "largest", bytes / MB, 2, "MB", "one text of " + PolicyRegister.MAX_PARTS
                 + " parts; a change holds two");
     }
 }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -9,10 +9,10 @@
 import clovermill.controlplane.placement.Placement;
 import clovermill.controlplane.policystore.PolicyStore;
 import clovermill.controlplane.policystore.PolicyStoreSettings;
-import clovermill.controlplane.policystore.PolicyStoreTask;
+import clovermill.controlplane.policystore.PolicyRules;
 import clovermill.controlplane.policystore.PolicyView;
 import clovermill.controlplane.policystore.decide.PolicyDocument;
-import clovermill.controlplane.policystore.decide.PolicyRegister.Taken;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
@@ -73,8 +73,8 @@
                 config.settings().answerSlackUs(), clock, deadlines, null);
         PolicyStoreSettings agreed = own.part("accord", PolicyStoreSettings.class).orElseThrow();
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
-                agreed.allBound(), null);
-        PolicyStoreTask.Meaning meaning = new PolicyStoreTask.Meaning(document -> placement.check(document.text()),
+                agreed.refusesAllWithoutLease(), null);
+        PolicyRules meaning = new PolicyRules(document -> placement.check(document.text()),
                 (one, other) -> placement.binding(one.text(), other.text()));
         accord = new PolicyStore(agreed, meaning, clock, loop::post, view -> observer.policy(number, view));
         DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
@@ -106,7 +106,7 @@
     }
 
     /** Hands in a policy as an operator at this director would. */
-    void propose(long follows, String policy, BiConsumer<Taken, Long> done) {
-        accord.want(follows, PolicyDocument.of(policy), done);
+    void propose(long follows, String policy, BiConsumer<ProposalResult, Long> done) {
+        accord.requestChange(follows, PolicyDocument.of(policy), done);
     }
 }
--- a/src/test/java/clovermill/prove/scale/HollowProcess.java
+++ b/src/test/java/clovermill/prove/scale/HollowProcess.java
@@ -130,7 +130,7 @@
 
     @Override
     public void policy(int director, PolicyView view) {
-        if (view.step() == null || view.step().both()) {
+        if (view.step() == null || view.step().inTransition()) {
             return;
         }
         synchronized (inForce) {
@@ -159,7 +159,7 @@
             }
             long spentNs = Math.max(0, threads.getThreadCpuTime(each.getThreadId()));
             String name = each.getThreadName();
-            boolean director = name.startsWith(HollowDirector.LOOP_THREAD) || name.startsWith("accord");
+            boolean director = name.startsWith(HollowDirector.LOOP_THREAD) || name.startsWith("policy-store");
             directorsNs += director ? spentNs : 0;
             ownNs += name.equals("main") || name.equals(TickProbe.NAME) ? spentNs : 0;
         }
--- a/src/test/java/clovermill/prove/scale/Snapshot.java
+++ b/src/test/java/clovermill/prove/scale/Snapshot.java
@@ -12,7 +12,7 @@
         double realLoadedNs, double realAccordNs, double twinsIdleNs, double twinsLoadedNs, double votersNs,
         ProcessTable.Cores cores, long droppedDatagrams, long linkFaults) {
 
-    private static final String ACCORD_THREAD = "accord";
+    private static final String ACCORD_THREAD = "policy-store";
 
     static Snapshot of(Cluster cluster, TickProbe probe) throws IOException {
         long processNs = 0;
