--- a/src/main/java/clovermill/simulation/emulator/policystore/InvariantChecker.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/InvariantChecker.java
@@ -3,55 +3,59 @@
 import java.util.TreeMap;
 
 /**
- * Sees what was done by which versions, in the order of true time, and knows nothing of how that came about. What
- * breaks the promise: something done by none of the versions that another thing of the same moment obeyed, or by
- * versions older than one that anything was done by alone.
+ * Checks the store's invariants from the outside: it is given which director acts by which versions, in the order of
+ * true time, and shares no code with what it checks. Violations: directors that act at the same moment without a common
+ * version, and a director that acts by versions older than one that was in force alone.
  */
 final class InvariantChecker {
 
     private final TreeMap<Integer, long[]> acting = new TreeMap<>();
-    private long highestAlone;
-    private long mixed;
-    private long back;
-    private String first;
+    private long newestAlone;
+    private long mixedMoments;
+    private long regressions;
+    private String firstViolation;
 
-    /** Forgets who did what at the moment before. */
-    void moment() {
+    /** Starts a new moment. */
+    void beginMoment() {
         acting.clear();
     }
 
-    /** A director did something by a version, or by what two versions allow. */
-    void acted(long atUs, int director, long version, long next) {
+    /** A director acts by a version, or by what two versions allow where {@code next} is one. */
+    void recordAction(long atMicros, int director, long version, long next) {
         long newest = Math.max(version, next);
-        if (newest < highestAlone) {
-            back++;
-            first = first == null ? "at " + atUs + " director " + director + " acted by " + version + "/" + next
-                    + " after " + highestAlone : first;
+        if (newest < newestAlone) {
+            regressions++;
+            firstViolation = firstViolation == null
+                    ? "at " + atMicros + " director " + director + " acted by " + version + "/" + next
+                            + " after " + newestAlone
+                    : firstViolation;
         }
         if (next < 0) {
-            highestAlone = Math.max(highestAlone, version);
+            newestAlone = Math.max(newestAlone, version);
         }
         acting.put(director, new long[] {version, next});
     }
 
-    /** The moment is over: whether one version was obeyed by all. */
-    void checkMoment(long atUs) {
+    /** Ends the moment: all that acted must have obeyed a common version. */
+    void endMoment(long atMicros) {
         long[] any = acting.isEmpty() ? null : acting.firstEntry().getValue();
-        if (any != null && !obeyed(any[0]) && !(any[1] >= 0 && obeyed(any[1]))) {
-            mixed++;
-            first = first == null ? "at " + atUs + " nothing that all obeyed" : first;
+        if (any != null && !isObeyedByAll(any[0]) && !(any[1] >= 0 && isObeyedByAll(any[1]))) {
+            mixedMoments++;
+            firstViolation = firstViolation == null ? "at " + atMicros + " no version that all obeyed" : firstViolation;
         }
     }
 
-    private boolean obeyed(long version) {
+    private boolean isObeyedByAll(long version) {
         return acting.values().stream().allMatch(each -> each[0] == version || each[1] == version);
     }
 
-    long broken() {
-        return mixed + back;
+    /** How many violations there were. */
+    long violations() {
+        return mixedMoments + regressions;
     }
 
-    String first() {
-        return first;
+    /** The first violation, or null. */
+    String firstViolation() {
+        return firstViolation;
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
@@ -7,8 +7,8 @@
 import clovermill.controlplane.policystore.PolicyView;
 import clovermill.controlplane.policystore.decide.LeaseTiming;
 import clovermill.controlplane.policystore.decide.PolicyDocument;
-import clovermill.controlplane.policystore.decide.ProposalResult;
 import clovermill.controlplane.policystore.decide.PolicyTransition;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import clovermill.simulation.emulator.world.World;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -18,180 +18,209 @@
 import java.util.zip.CRC32C;
 
 /**
- * Directors that hold one policy, on the emulated world: operators change it at any of them while processes die, stop,
- * lose disks, and links are lost and cut. An {@link InvariantChecker} sees what each does by which version. One seed
- * gives one run.
+ * A fleet of real {@link PolicyStoreTask}s on the emulated world. Operators change the policy at any director while
+ * processes are killed and paused, disks are lost, and links lose messages and are cut. An {@link InvariantChecker}
+ * observes which director acts by which version. A seed determines the run.
  */
 public final class PolicyFleet {
 
     /**
-     * A run: so many directors of which the first vote; an operator's change every so often; a fault every so often,
-     * until shortly before the end, which is calm.
+     * The parameters of a run. The last 30 seconds are without faults.
+     *
+     * @param voters how many of the directors vote, from number 0 on
+     * @param seconds the length of the run
+     * @param changeIntervalSeconds the mean interval between operators' changes; 0 for none
+     * @param faultIntervalSeconds the mean interval between faults; 0 for none
+     * @param loss the share of messages that are lost
      */
-    public record Case(int directors, int voters, int seconds, double changeEveryS, double faultEveryS, double loss) {}
+    public record Case(int directors, int voters, int seconds, double changeIntervalSeconds,
+            double faultIntervalSeconds, double loss) {}
 
     /**
-     * What was seen. {@code commitMs}: from an operator's call to its policy in force alone at the director that took
-     * it; {@code blindMs}: the longest that a director that was up had no lease in the calm at the end.
+     * The result of a run.
+     *
+     * @param violations how often an invariant was violated
+     * @param firstViolation a description, or null
+     * @param commitMillis from each operator's request to the policy alone in force at the director that received it
+     * @param maxLeaselessMillis the longest that a running director had no lease in the calm at the end
+     * @param agreed whether all directors hold a valid lease on the same step at the end
+     * @param sent how many messages were sent
+     * @param digest a checksum of all that was observed
      */
-    public record Figures(int changes, int settled, int takenBack, int faults, long broken, String first,
-            List<Long> commitMs, long blindMs, boolean agreed, long sent, long digest) {}
+    public record Figures(int changes, int completed, int aborted, int faults, long violations, String firstViolation,
+            List<Long> commitMillis, long maxLeaselessMillis, boolean agreed, long sent, long digest) {}
 
-    private static final long SECOND_US = 1_000_000;
-    private static final long LOOK_US = 10_000;
-    private static final long CALM_S = 30;
-    /** A policy that the directors with an odd number cannot keep. */
-    private static final String BAD = "bad";
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MILLI_MICROS = 1000;
+    private static final long LEASE_MICROS = 5 * SECOND_MICROS;
+    private static final double DRIFT = 0.01;
+    private static final long OBSERVATION_INTERVAL_MICROS = 10_000;
+    private static final long CALM_MICROS = 30 * SECOND_MICROS;
+    /** How long after the last fault every director must have a lease. */
+    private static final long RECOVERY_MICROS = 10 * SECOND_MICROS;
+    /** A change that is not in force after so long counts as aborted. */
+    private static final long CHANGE_TIMEOUT_MICROS = 60 * SECOND_MICROS;
+    private static final long MAX_FAULT_MICROS = 20 * SECOND_MICROS;
+    private static final long ABORT_DELAY_MICROS = 200_000;
+    private static final long LINK_DELAY_MICROS = 3000;
+    private static final long SLOW_LINK_DELAY_MICROS = 200_000;
+    private static final double LOSSY_LINK_LOSS = 0.4;
+    /** A word in a policy that directors with an odd number reject. */
+    private static final String REJECTED_WORD = "bad";
 
     private final Case plan;
     private final World<PolicyTaskMessage> world;
-    private final Random chance;
+    private final Random random;
     private final LeaseTiming timing;
     private final List<MemoryRaftStorage> disks = new ArrayList<>();
     private final PolicyView[] views;
-    private final long[] blindSinceUs;
+    private final long[] leaselessSinceMicros;
     private final InvariantChecker checker = new InvariantChecker();
     private final CRC32C digest = new CRC32C();
-    private final List<Long> commitMs = new ArrayList<>();
+    private final List<Long> commitMillis = new ArrayList<>();
     private int changes;
-    private int settled;
-    private int takenBack;
+    private int completed;
+    private int aborted;
     private int faults;
-    private long blindUs;
+    private long maxLeaselessMicros;
 
     private PolicyFleet(Case plan, long seed) {
         this.plan = plan;
-        this.timing = new LeaseTiming(plan.directors(), 5 * SECOND_US, SECOND_US, 0.01);
+        this.timing = new LeaseTiming(plan.directors(), LEASE_MICROS, SECOND_MICROS, DRIFT);
         this.world = new World<>(plan.directors(), timing.drift(), seed);
-        this.chance = new Random(seed * 31 + 7);
+        this.random = new Random(seed * 31 + 7);
         this.views = new PolicyView[plan.directors()];
-        this.blindSinceUs = new long[plan.directors()];
+        this.leaselessSinceMicros = new long[plan.directors()];
         for (int i = 0; i < plan.directors(); i++) {
             disks.add(i < plan.voters() ? new MemoryRaftStorage() : null);
             views[i] = PolicyView.NONE;
         }
     }
 
-    /** Plays a case. */
+    /** Runs a case with a seed. */
     public static Figures play(Case plan, long seed) {
         return new PolicyFleet(plan, seed).run();
     }
 
-    private void start(int i) {
+    private void startDirector(int i) {
         views[i] = PolicyView.NONE;
         List<Integer> voters = IntStream.range(0, plan.voters()).boxed().toList();
         Random own = new Random(world.random().nextLong());
         world.machine(i).start(clock -> new PolicyStoreTask(new PolicyStoreTask.Membership(i, voters, timing),
                 new PolicyRules(
-                        text -> i % 2 == 1 && text.text().contains(BAD) ? "it is bad" : null, (old, next) -> true),
+                        text -> i % 2 == 1 && text.text().contains(REJECTED_WORD) ? "rejected by an odd director"
+                                : null,
+                        (old, next) -> true),
                 (to, message) -> world.send(i, to, new PolicyTaskMessage.MessageReceived(message)), disks.get(i), own,
                 view -> views[i] = view, clock));
     }
 
     private Figures run() {
-        IntStream.range(0, plan.directors()).forEach(this::start);
-        world.links(plan.loss(), 3000);
-        long end = plan.seconds() * SECOND_US;
-        long calmFrom = end - CALM_S * SECOND_US;
-        every(plan.changeEveryS(), end - 10 * SECOND_US, this::change);
-        every(plan.faultEveryS(), calmFrom, this::fault);
-        world.at(calmFrom, this::calm);
-        for (long at = LOOK_US; at <= end; at += LOOK_US) {
+        IntStream.range(0, plan.directors()).forEach(this::startDirector);
+        world.links(plan.loss(), LINK_DELAY_MICROS);
+        long end = plan.seconds() * SECOND_MICROS;
+        long calmFrom = end - CALM_MICROS;
+        every(plan.changeIntervalSeconds(), end - 10 * SECOND_MICROS, this::requestChange);
+        every(plan.faultIntervalSeconds(), calmFrom, this::injectFault);
+        world.at(calmFrom, this::endFaults);
+        for (long at = OBSERVATION_INTERVAL_MICROS; at <= end; at += OBSERVATION_INTERVAL_MICROS) {
             world.run(at);
-            look(at, at > calmFrom + 10 * SECOND_US);
+            observe(at, at > calmFrom + RECOVERY_MICROS);
         }
         PolicyTransition step = views[0].step();
         boolean agreed = step != null && IntStream.range(0, plan.directors()).allMatch(i -> step.equals(views[i].step())
                 && views[i].isValid(world.machine(i).clock()));
-        return new Figures(changes, settled, takenBack, faults, checker.broken(), checker.first(), commitMs,
-                blindUs / 1000, agreed, world.sent(), digest.getValue());
+        return new Figures(changes, completed, aborted, faults, checker.violations(), checker.firstViolation(),
+                commitMillis,
+                maxLeaselessMicros / MILLI_MICROS, agreed, world.sent(), digest.getValue());
     }
 
-    private void every(double seconds, long until, Runnable what) {
+    private void every(double seconds, long until, Runnable action) {
         if (seconds > 0) {
-            long next = world.nowUs() + (long) (seconds * SECOND_US * (0.5 + chance.nextDouble()));
+            long next = world.nowUs() + (long) (seconds * SECOND_MICROS * (0.5 + random.nextDouble()));
             if (next < until) {
                 world.at(next, () -> {
-                    what.run();
-                    every(seconds, until, what);
+                    action.run();
+                    every(seconds, until, action);
                 });
             }
         }
     }
 
-    /** What everybody may do is done, and seen. */
-    private void look(long at, boolean calm) {
-        checker.moment();
+    /** Every director with a valid lease acts, and is observed. */
+    private void observe(long at, boolean calm) {
+        checker.beginMoment();
         for (int i = 0; i < plan.directors(); i++) {
             World<PolicyTaskMessage>.Machine machine = world.machine(i);
-            boolean holds = machine.up() && views[i].isValid(machine.clock());
-            if (holds) {
+            boolean leased = machine.up() && views[i].isValid(machine.clock());
+            if (leased) {
                 PolicyTransition step = views[i].step();
-                checker.acted(at, i, step.version(), step.next());
-                note(i + ":" + step + "@" + at);
+                checker.recordAction(at, i, step.version(), step.next());
+                addToDigest(i + ":" + step + "@" + at);
             }
-            blindSinceUs[i] = holds || !calm ? at : blindSinceUs[i];
-            blindUs = Math.max(blindUs, at - blindSinceUs[i]);
+            leaselessSinceMicros[i] = leased || !calm ? at : leaselessSinceMicros[i];
+            maxLeaselessMicros = Math.max(maxLeaselessMicros, at - leaselessSinceMicros[i]);
         }
-        checker.checkMoment(at);
+        checker.endMoment(at);
     }
 
-    private void note(String what) {
-        digest.update(what.getBytes(StandardCharsets.US_ASCII));
+    private void addToDigest(String event) {
+        digest.update(event.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** An operator calls at some director, sometimes at two at once, with what follows the version seen there. */
-    private void change() {
-        for (int calls = chance.nextInt(4) == 0 ? 2 : 1; calls > 0; calls--) {
-            int at = chance.nextInt(plan.directors());
+    /** Operators request a change at a random director, sometimes at two at once, on the version seen there. */
+    private void requestChange() {
+        for (int calls = random.nextInt(4) == 0 ? 2 : 1; calls > 0; calls--) {
+            int at = random.nextInt(plan.directors());
             PolicyTransition step = views[at].step();
             if (!world.machine(at).alive() || step == null) {
                 continue;
             }
-            String text = "{\"change\":" + ++changes + (chance.nextInt(6) == 0 ? ",\"" + BAD + "\":1" : "")
-                    + ",\"fill\":\"" + "x".repeat(chance.nextInt(3000)) + "\"}";
-            long calledUs = world.nowUs();
+            String text = "{\"change\":" + ++changes + (random.nextInt(6) == 0 ? ",\"" + REJECTED_WORD + "\":1" : "")
+                    + ",\"fill\":\"" + "x".repeat(random.nextInt(3000)) + "\"}";
+            long requestedMicros = world.nowUs();
             PolicyDocument policy = PolicyDocument.of(text);
             world.machine(at).hand(new PolicyTaskMessage.ChangeRequested(step.version(), policy, (taken, version) -> {
-                note("wanted " + taken + " " + version);
+                addToDigest("wanted " + taken + " " + version);
                 if (taken == ProposalResult.BEGUN || taken == ProposalResult.SAME) {
-                    follow(at, policy, calledUs);
+                    awaitCompletion(at, policy, requestedMicros);
                 }
             }));
-            if (chance.nextInt(10) == 0) {
-                world.at(world.nowUs() + 200_000, () -> world.machine(at).hand(new PolicyTaskMessage.ChangeRequested(
-                        views[at].step() == null ? 0 : views[at].step().next(), null, (taken, version) -> {})));
+            if (random.nextInt(10) == 0) {
+                world.at(world.nowUs() + ABORT_DELAY_MICROS,
+                        () -> world.machine(at).hand(new PolicyTaskMessage.ChangeRequested(
+                                views[at].step() == null ? 0 : views[at].step().next(), null, (taken, version) -> {})));
             }
         }
     }
 
-    private void follow(int at, PolicyDocument policy, long calledUs) {
+    private void awaitCompletion(int at, PolicyDocument policy, long requestedMicros) {
         PolicyView view = views[at];
         if (view.step() != null && !view.step().inTransition() && view.policy().equals(policy)) {
-            settled++;
-            commitMs.add((world.nowUs() - calledUs) / 1000);
-        } else if (world.nowUs() - calledUs < 60 * SECOND_US) {
-            world.at(world.nowUs() + LOOK_US, () -> follow(at, policy, calledUs));
+            completed++;
+            commitMillis.add((world.nowUs() - requestedMicros) / MILLI_MICROS);
+        } else if (world.nowUs() - requestedMicros < CHANGE_TIMEOUT_MICROS) {
+            world.at(world.nowUs() + OBSERVATION_INTERVAL_MICROS, () -> awaitCompletion(at, policy, requestedMicros));
         } else {
-            takenBack++;
+            aborted++;
         }
     }
 
-    private void fault() {
+    private void injectFault() {
         faults++;
-        int which = chance.nextInt(plan.directors());
+        int which = random.nextInt(plan.directors());
         World<PolicyTaskMessage>.Machine machine = world.machine(which);
-        long lastsUs = (long) (chance.nextDouble() * chance.nextDouble() * 20 * SECOND_US);
-        long until = world.nowUs() + lastsUs;
-        switch (chance.nextInt(8)) {
-            case 0, 1 -> kill(which, lastsUs, false);
-            case 2 -> kill(which, lastsUs, true);
-            case 3 -> machine.stop(lastsUs);
+        long durationMicros = (long) (random.nextDouble() * random.nextDouble() * MAX_FAULT_MICROS);
+        long until = world.nowUs() + durationMicros;
+        switch (random.nextInt(8)) {
+            case 0, 1 -> kill(which, durationMicros, false);
+            case 2 -> kill(which, durationMicros, true);
+            case 3 -> machine.stop(durationMicros);
             case 4 -> IntStream.range(0, plan.directors()).forEach(other -> cut(which, other, until, false));
             case 5 -> IntStream.range(0, plan.directors()).forEach(other -> cut(which, other, until, true));
             case 6 -> {
                 boolean[] side = new boolean[plan.directors()];
-                IntStream.range(0, side.length).forEach(i -> side[i] = chance.nextBoolean());
+                IntStream.range(0, side.length).forEach(i -> side[i] = random.nextBoolean());
                 for (int i = 0; i < side.length; i++) {
                     for (int j = 0; j < side.length; j++) {
                         if (side[i] && !side[j]) {
@@ -201,8 +230,8 @@
                 }
             }
             default -> {
-                world.links(0.4, 200_000);
-                world.at(until, () -> world.links(plan.loss(), 3000));
+                world.links(LOSSY_LINK_LOSS, SLOW_LINK_DELAY_MICROS);
+                world.at(until, () -> world.links(plan.loss(), LINK_DELAY_MICROS));
             }
         }
     }
@@ -216,34 +245,34 @@
         });
     }
 
-    /** Of the voters no more lose their disk than a group can bear at a time. */
-    private void kill(int which, long forUs, boolean losesDisk) {
+    /** Only voter 0 ever loses its disk: a majority must keep theirs. */
+    private void kill(int which, long durationMicros, boolean loseDisk) {
         if (!world.machine(which).alive()) {
             return;
         }
         world.machine(which).kill();
         views[which] = PolicyView.NONE;
-        if (losesDisk && which == 0 && disks.get(which) != null) {
+        if (loseDisk && which == 0 && disks.get(which) != null) {
             disks.get(which).clear();
         }
-        world.at(world.nowUs() + forUs, () -> {
+        world.at(world.nowUs() + durationMicros, () -> {
             if (!world.machine(which).alive()) {
-                start(which);
+                startDirector(which);
             }
         });
     }
 
-    private void calm() {
+    private void endFaults() {
         world.mend();
-        world.links(plan.loss(), 3000);
+        world.links(plan.loss(), LINK_DELAY_MICROS);
         for (int i = 0; i < plan.directors(); i++) {
             if (!world.machine(i).alive()) {
-                start(i);
+                startDirector(i);
             }
         }
     }
 
-    /** Seeds from, to; directors; voters; seconds: one line a run that breaks the promise, and one for all. */
+    /** Arguments: first seed, last seed (exclusive), directors, voters, seconds. Prints the figures of each run. */
     public static void main(String[] args) {
         Case plan = new Case(Integer.parseInt(args[2]), Integer.parseInt(args[3]), Integer.parseInt(args[4]), 3, 2,
                 0.01);
