--- a/src/main/java/clovermill/controlplane/consensus/FileRaftStorage.java
+++ b/src/main/java/clovermill/controlplane/consensus/FileRaftStorage.java
@@ -24,9 +24,9 @@
 import java.util.List;
 
 /**
- * A replica's state in a file of checksummed frames, synced before anything is acknowledged. At the start the frames are
- * replayed and written to a new file, which then replaces the old one. A torn tail was never acknowledged and is cut.
- * A file that is damaged elsewhere, or missing, is a lost disk: the former votes are unknown.
+ * A replica's state in a file of checksummed frames, synced before anything is acknowledged. At the start the frames
+ * are replayed and written to a new file, which then replaces the old one. A torn tail was never acknowledged and is
+ * cut. A file that is damaged elsewhere, or missing, is a lost disk: the former votes are unknown.
  *
  * <p>After a failed write or sync the file accepts no more, since a later sync may succeed without the pages that the
  * failed one has dropped (fsync(2)). {@link #recover} writes the complete state to a new file.
