--- a/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
@@ -58,22 +58,21 @@
                 .setCommitCountToTakeSnapshot(limits.snapshotEvery()).build();
         RaftReplica.Host host = new RaftReplica.Host(EventOperationCodec.GROUP, config, storage, scheduler, random,
                 (to, message) -> send(to.node(), new Packet.RaftPacket(to.disk(), message)));
-        RaftMember.Place place =
-                new RaftMember.Place(membership.self(), membership.replicas(), membership.timing().roundUs());
-        this.member = new RaftMember<>(place, storage, host,
+        RaftMember.Membership members = new RaftMember.Membership(membership.self(), membership.replicas(), membership.timing().roundUs());
+        this.member = new RaftMember<>(members, storage, host,
                 () -> new EventLogStateMachine(limits.log(), () -> random.nextLong() | 1), this::replicaStarted,
                 new JoinOutbox());
         member.restore();
     }
 
-    private final class JoinOutbox implements RaftMember.Outbox {
+    private final class JoinOutbox implements RaftMember.JoinTransport {
         @Override
-        public void join(int to, long disk, boolean empty) {
+        public void sendJoinRequest(int to, long disk, boolean empty) {
             send(to, new Packet.JoinRequest(disk, empty));
         }
 
         @Override
-        public void joined(int to, long disk, boolean group, boolean votes) {
+        public void sendJoinResponse(int to, long disk, boolean group, boolean votes) {
             send(to, new Packet.JoinResponse(disk, group, votes));
         }
     }
