--- a/src/main/java/clovermill/cli/Cli.java
+++ b/src/main/java/clovermill/cli/Cli.java
@@ -2,6 +2,7 @@
 
 import clovermill.config.settings.SettingsFile;
 import clovermill.director.Service;
+import clovermill.director.StartupException;
 import java.io.IOException;
 import java.nio.file.NoSuchFileException;
 import java.util.concurrent.Callable;
@@ -86,8 +87,8 @@
         private String file;
 
         @Override
-        public Integer call() throws IOException, Service.BadStart {
-            Service.rehearse(file);
+        public Integer call() throws IOException, StartupException {
+            Service.runForClassDataArchive(file);
             return 0;
         }
     }
@@ -106,7 +107,7 @@
         private CommandLine.Model.CommandSpec spec;
 
         @Override
-        public Integer call() throws SettingsFile.Fault, Service.BadStart {
+        public Integer call() throws SettingsFile.Fault, StartupException {
             Service.check(file, config);
             spec.commandLine().getOut().println(file + ": good");
             return 0;
--- a/src/main/java/clovermill/cli/Main.java
+++ b/src/main/java/clovermill/cli/Main.java
@@ -1,6 +1,7 @@
 package clovermill.cli;
 
 import clovermill.director.Service;
+import clovermill.director.StartupException;
 import clovermill.simulation.adapter.Adapter;
 import clovermill.simulation.adapter.MalformedInput;
 import java.io.FileDescriptor;
@@ -40,7 +41,7 @@
         try {
             Service.serve(settings);
             return 0;
-        } catch (Service.BadStart | IOException failure) {
+        } catch (StartupException | IOException failure) {
             return fault(failure.getMessage());
         }
     }
--- a/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
+++ b/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
@@ -60,14 +60,14 @@
     }
 
     /** The signal has come: reads the file now, and looks for changes for a while. */
-    public void signalled() {
+    public void reload() {
         watch.forget();
         untilUs = Math.max(untilUs, clock.micros() + SPAN_US);
         look();
     }
 
     /** The signal cannot come: looks for changes from now on. */
-    public void watchAlways() {
+    public void pollAlways() {
         untilUs = Long.MAX_VALUE;
         look();
     }
--- a/src/main/java/clovermill/controlplane/reload/Signals.java
+++ b/src/main/java/clovermill/controlplane/reload/Signals.java
@@ -4,56 +4,56 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Signals of POSIX as the JVM gives them. The one way to hear of them is a class that the compiler warns of, so
- * it is named at run time. A process may inherit a signal as ignored (nohup does that with SIGHUP); the JVM then
- * drops the registration of a handler without an error, which shows only in the handler it names as replaced.
+ * POSIX signals as the JVM delivers them. The only way to handle them is a class that the compiler warns of, so it is
+ * looked up at run time. A process may inherit a signal as ignored (nohup does that with SIGHUP); the JVM then drops
+ * the registration of a handler without an error, which shows only in the handler that it reports as replaced.
  */
 public final class Signals {
 
-    /** What became of a wish to hear a signal. */
-    public enum Hearing {
-        /** The task runs at each signal. */
-        HEARD,
-        /** Whoever started the process had the signal ignored; it will never come. */
+    /** Whether a signal reaches its handler. */
+    public enum Delivery {
+        /** The handler runs at each signal. */
+        DELIVERED,
+        /** The process was started with the signal ignored; it is never delivered. */
         IGNORED,
-        /** This JVM offers no signals of that name. */
+        /** This JVM does not handle a signal of that name. */
         UNAVAILABLE
     }
 
     private Signals() {}
 
-    /** Has {@code task} run, on a thread of the JVM, at each signal of that name (HUP, say). */
-    public static Hearing onSignal(String name, Runnable task) {
+    /** Runs {@code task}, on a thread of the JVM, at each signal of that name ({@code HUP}, for example). */
+    public static Delivery onSignal(String name, Runnable task) {
         return handle(name, task, false);
     }
 
-    /** Whether a signal could be heard; the handler in force stays. */
-    public static Hearing hearing(String name) {
+    /** Whether a signal would be delivered; the handler in force is left as it is. */
+    public static Delivery probe(String name) {
         return handle(name, () -> {}, true);
     }
 
-    private static Hearing handle(String name, Runnable task, boolean putBack) {
+    private static Delivery handle(String name, Runnable task, boolean restore) {
         try {
             Class<?> type = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object called = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
+            Object installed = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
                     (self, method, args) -> {
                         task.run();
                         return null;
                     });
             Object signal = type.getConstructor(String.class).newInstance(name);
-            Object replaced = type.getMethod("handle", type, handler).invoke(null, signal, called);
+            Object replaced = type.getMethod("handle", type, handler).invoke(null, signal, installed);
             if (replaced == handler.getField("SIG_IGN").get(null)) {
-                return Hearing.IGNORED;
+                return Delivery.IGNORED;
             }
-            if (putBack) {
+            if (restore) {
                 type.getMethod("handle", type, handler).invoke(null, signal, replaced);
             }
-            return Hearing.HEARD;
+            return Delivery.DELIVERED;
         } catch (InvocationTargetException | IllegalArgumentException refused) {
-            return Hearing.UNAVAILABLE; // an unknown name, or one that the JVM keeps for itself
+            return Delivery.UNAVAILABLE; // an unknown name, or one that the JVM reserves
         } catch (ReflectiveOperationException missing) {
-            return Hearing.UNAVAILABLE;
+            return Delivery.UNAVAILABLE;
         }
     }
 }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -2,224 +2,136 @@
 
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.controlplane.admin.AdminServer;
-import clovermill.controlplane.admin.decide.AdminService;
-import clovermill.controlplane.discovery.DiscoveryClient;
 import clovermill.controlplane.discovery.DiscoveryEvents;
-import clovermill.controlplane.discovery.EndpointRegistry;
-import clovermill.controlplane.gossip.GossipService;
-import clovermill.controlplane.gossip.GossipSettings;
-import clovermill.controlplane.handover.DescriptorShares;
-import clovermill.controlplane.outage.OutageMarks;
-import clovermill.controlplane.outage.OutageRegistry;
-import clovermill.controlplane.placement.Placement;
-import clovermill.controlplane.policystore.PolicyStore;
-import clovermill.controlplane.policystore.PolicyStoreSettings;
-import clovermill.controlplane.policystore.PolicyStoreTask;
 import clovermill.controlplane.reload.ConfigReloader;
-import clovermill.dataplane.proxy.ProxyCore;
-import clovermill.dataplane.proxy.UsageListener;
 import clovermill.dataplane.server.FrameServer;
-import clovermill.dataplane.upstream.UpstreamPool;
-import clovermill.director.operations.GossipedOutages;
-import clovermill.director.operations.HandoverCoordinator;
-import clovermill.director.operations.OperatorActions;
-import clovermill.director.operations.PolicyEndpoint;
 import clovermill.director.reload.SettingsReload;
 import clovermill.director.shutdown.GracefulShutdown;
-import clovermill.ledger.Ledger;
-import clovermill.ledger.LedgerSettings;
-import clovermill.routing.RequestRouter;
-import clovermill.routing.api.Settings;
-import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.Clock;
-import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
-import clovermill.storage.Volume;
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.file.Path;
-import java.util.List;
-import java.util.function.BooleanSupplier;
+import java.util.Optional;
 
-/** One director: its parts, wired together. */
+/** One director: its planes, wired together. All but {@link #listening} belongs to the thread that runs the loop. */
 final class Assembly {
 
-    /** Bodies may take this part of the heap; beliefs, open requests and what is read ahead share the rest. */
-    private static final int BODIES_PART = 4;
-    /** Idle connections are closed a little before the member does it, lest a request crosses that. */
-    private static final double IDLE_PART = 0.8;
-
-    private final EventLoop loop;
-    private final StartupRetry startup;
-    /** Whether a client may have been taken; read by the thread of the signals. */
-    private volatile boolean listening;
     /**
-     * A start uses up processor time ahead, of which the first requests are short then: without this pause all
-     * stood still for some 0.4 s, and the module took the late answers for members without room.
+     * How long a process settles before it reports ready, in microseconds. A start uses up processor time in advance;
+     * without the pause the first answers came up to 0.4 s late and the router took endpoints for overloaded.
      */
-    static final long SETTLE_US = 1_000_000;
-
-    /** How much longer than it settles a process waits for the command channel, which may be cut off. */
-    private static final long CATCH_UP_US = 1_000_000;
+    static final long SETTLE_MICROS = 1_000_000;
 
-    private final DiscoveryClient channel;
-    private final FrameServer front;
-    /** Null where this director never has more than one process. */
-    private final HandoverCoordinator sharing;
-    /** Null where operators call nowhere. */
-    private final AdminServer admin;
-    private final InetSocketAddress adminAddress;
-    private final GracefulShutdown departure;
+    private final StartupRetry startup;
+    private final Platform platform;
+    private final DirectorRuntime runtime;
+    private final UsageAccounting usage;
+    private final Optional<PolicyPlane> policy;
+    private final ControlPlane controlPlane;
+    private final FrameServer server;
+    private final GracefulShutdown shutdown;
     private final ConfigReloader reloader;
-    private final Ledger ledger;
-    /** Null where this director is no member of a fleet. */
-    private final GossipService fleet;
-    /** Null where no policy of the whole fleet is kept. */
-    private final PolicyStore accord;
+    /** Whether a client may have been accepted; read by the thread of the signals. */
+    private volatile boolean listening;
 
     /**
-     * Says that it is ready {@code settleUs} from now, once it is opened and its loop runs. Later
-     * configurations come from {@code file}; {@code kept} is null where no ledger is kept, {@code fleetSettings} where
-     * the director acts alone. What the machine refuses for a moment is tried again by {@code startup}.
+     * Wires a director that reports ready {@code settleMicros} from now, once {@link #open} was called and its loop
+     * runs.
+     *
+     * @param configFile where later configurations are read from
+     * @param startup tries again what the machine refuses for a moment
+     * @throws IOException if a socket, the selector or a folder cannot be opened
+     * @throws Json.Malformed if the endpoint list of the configuration cannot be used
+     * @throws IllegalArgumentException naming the subsystem's setting that cannot be used
      */
-    Assembly(Config config, Path file, Clock clock, long settleUs, LedgerSettings kept, GossipSettings fleetSettings,
-            PolicyStoreSettings agreed,
+    Assembly(Config config, Path configFile, Clock clock, long settleMicros, SubsystemSettings subsystems,
             Platform platform, StartupRetry startup) throws IOException, Json.Malformed {
-        Settings settings = config.settings();
-        DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
-        Deadlines deadlines = new Deadlines();
-        Budget budget = new Budget(Runtime.getRuntime().maxMemory() / BODIES_PART);
         this.startup = startup;
-        loop = startup.get("the selector", () -> new EventLoop(clock, deadlines));
-        Warmup.play(settings, known);
-        DescriptorShares shares = new DescriptorShares(config.sockets());
-        UpstreamPool pool = new UpstreamPool(loop, clock, deadlines, budget, new UpstreamPool.Limits(
-                config.streamsPerConnection(), shares.members(false), settings.dialTimeoutUs(),
-                (long) (IDLE_PART * config.connectionIdleUs())));
-        ledger = kept == null ? null : Ledger.open(kept, new Ledger.Director(config.name(), config.classes(),
-                settings.parentKind(), settings.originKind(), settings.allowed().maxOpen()), clock, deadlines,
-                loop::post, Volume.local());
-        fleet = fleetSettings == null ? null
-                : new GossipService(fleetSettings, config.classes(), settings.answerSlackUs(),
-                        clock, deadlines, ledger);
-        UsageListener audit = fleet == null ? ledger : fleet;
-        Placement placement = agreed == null ? null : new Placement(clock, settings, config.zones(), config.classes(),
-                agreed.allBound(), audit);
-        ProxyCore host = new ProxyCore(new RequestRouter(settings, config.seed()), settings, clock, deadlines, pool,
-                placement == null ? audit : placement, placement);
-        EndpointRegistry roster = new EndpointRegistry(clock, pool, host, new OutageRegistry(), settings.originKind());
-        roster.start(known);
-        channel = new DiscoveryClient(loop, clock, deadlines, config.channel(), new DiscoveryClient.Terms(
-                config.zones(), config.kinds(), settings.dialTimeoutUs(),
-                Math.min(settings.drainGraceUs(), settings.purgeNoticeUs())), known.cursor(), roster::apply);
-        long settledUs = clock.micros() + settleUs;
-        // What the configuration knows may be as old as the process that this one takes over from.
-        BooleanSupplier caughtUp = () -> platform.passed() == null || channel.heard()
-                || clock.micros() >= settledUs + CATCH_UP_US;
-        front = new FrameServer(loop, clock, deadlines, budget, host, settings, config.classes(),
-                new FrameServer.Terms(config.listen(), platform.passed(), shares.clients(false),
-                        () -> roster.known() && clock.micros() >= settledUs && caughtUp.getAsBoolean()));
-        sharing = HandoverCoordinator.open(platform.shared(), shares, clock, deadlines, roster, front, pool);
-        if (sharing != null) {
-            sharing.start();
+        this.platform = platform;
+        DiscoveryEvents startList = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
+        runtime = DirectorRuntime.open(clock, startup);
+        Warmup.run(config.settings(), startList);
+        usage = new UsageAccounting(config, subsystems, runtime);
+        policy = subsystems.policyStore().isEmpty() ? Optional.empty()
+                : Optional.of(new PolicyPlane(subsystems.policyStore().get(), config, runtime, usage.listener()));
+        DataPlane dataPlane = new DataPlane(config, runtime, usage, policy);
+        controlPlane = new ControlPlane(config, runtime, dataPlane, startList);
+        server = dataPlane.server(platform, controlPlane.readiness(platform, settleMicros));
+        controlPlane.startHandover(platform, dataPlane, server);
+        if (usage.gossip().isPresent()) {
+            controlPlane.replicateOutages(usage.gossip().get());
         }
-        OutageMarks marks = sharing == null ? OutageMarks.NONE : sharing.marks();
-        if (fleet != null) {
-            fleet.open(loop, new GossipedOutages(roster, marks, clock));
-            marks = new GossipedOutages.ReplicatedMarks(marks, fleet);
-        }
-        PolicyEndpoint[] policies = {null};
-        accord = agreed == null ? null
-                : new PolicyStore(agreed, new PolicyStoreTask.Meaning(document -> placement.check(
-                        document.text()), (one, other) -> placement.binding(one.text(), other.text())), clock,
-                        loop::post,
-                        view -> {
-                            if (view.step() != null) {
-                                placement.holds(view.step().both() ? List.of(view.policy().text(), view.next().text())
-                                        : List.of(view.policy().text()), view.untilUs());
-                            }
-                            policies[0].holds(view);
-                        });
-        policies[0] = accord == null ? null : new PolicyEndpoint(accord, clock, loop::post);
-        adminAddress = platform.admin();
-        admin = platform.admin() == null ? null : new AdminServer(loop, clock, deadlines, new AdminService(
-                new OperatorActions(roster, front, clock, marks, sharing == null ? () -> {} : sharing::catchUp),
-                policies[0]));
-        SettingsReload retuning = new SettingsReload(config, clock, deadlines, host, front, channel);
-        departure = new GracefulShutdown(loop, clock, deadlines, front, host, retuning::longestUs,
-                platform.passed() != null);
-        reloader = new ConfigReloader(file, clock, deadlines, config, retuning::take);
+        SettingsReload reload = new SettingsReload(config, clock, runtime.deadlines(), dataPlane.core(), server,
+                controlPlane.discovery());
+        shutdown = new GracefulShutdown(runtime.loop(), clock, runtime.deadlines(), server, dataPlane.core(),
+                reload::longestUs, platform.inheritedSocket().isPresent());
+        reloader = new ConfigReloader(configFile, clock, runtime.deadlines(), config, reload::take);
     }
 
+    /** The loop, to be run by the caller after {@link #open}. */
     EventLoop loop() {
-        return loop;
+        return runtime.loop();
     }
 
-    /** Listens, and asks for the list. The loop is to run from now on. */
+    /**
+     * Listens and starts discovery.
+     *
+     * @throws IOException if an address cannot be bound until the bound of the start is over
+     */
     void open() throws IOException {
-        if (accord != null) {
-            accord.start();
-        }
-        if (admin != null) {
-            startup.get("the operators' listening socket", () -> {
-                admin.open(adminAddress);
-                return admin;
-            });
+        policy.ifPresent(PolicyPlane::start);
+        if (platform.adminAddress().isPresent()) {
+            controlPlane.openAdminServer(platform.adminAddress().get(), server, policy, startup);
         }
         startup.get("the clients' listening socket", this::listen);
-        channel.start();
+        controlPlane.discovery().start();
     }
 
     private FrameServer listen() throws IOException {
         listening = true;
         try {
-            front.open();
-            return front;
+            server.open();
+            return server;
         } catch (IOException failure) {
             listening = false;
             throw failure;
         }
     }
 
-    /** Whether a client may have been taken. */
+    /** Whether a client may have been accepted; may be called on any thread. */
     boolean listening() {
         return listening;
     }
 
-    /** The port on which clients are taken. */
+    /** The port on which clients are accepted. */
     int port() {
-        return front.port();
+        return server.port();
     }
 
     /** The port on which operators call. */
     int adminPort() {
-        return admin.port();
+        return controlPlane.adminPort();
     }
 
-    /** Takes new configurations in. */
+    /** Applies new configurations. */
     ConfigReloader reloader() {
         return reloader;
     }
 
-    /** What is left to do after the loop has stopped. */
+    /**
+     * Closes what outlives the loop, after the loop has stopped.
+     *
+     * @throws IOException if the ledger cannot be closed
+     */
     void close() throws IOException {
-        if (sharing != null) {
-            sharing.close();
-        }
-        if (fleet != null) {
-            fleet.close();
-        }
-        if (accord != null) {
-            accord.close();
-        }
-        if (ledger != null) {
-            ledger.close();
-        }
+        controlPlane.close();
+        usage.closeGossip();
+        policy.ifPresent(PolicyPlane::close);
+        usage.closeLedger();
     }
 
-    /** Begins a planned end, after which the loop stops. */
-    void leave() {
-        departure.begin();
+    /** Begins the graceful shutdown, at the end of which the loop stops. */
+    void shutDown() {
+        shutdown.begin();
     }
 }
--- a/src/main/java/clovermill/director/ClassDataArchiveRun.java
+++ b/src/main/java/clovermill/director/ClassDataArchiveRun.java
@@ -4,9 +4,6 @@
 import clovermill.config.Json;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Connection;
-import clovermill.runtime.net.Deadlines;
-import clovermill.runtime.net.EventLoop;
-import clovermill.runtime.net.Listener;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -15,101 +12,59 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
+import java.util.Optional;
 
 /**
- * Part of the build, never of the service: plays a few requests against a whole director whose members are
- * all played here too, so that the classes and lambdas that serving needs go into the archive that the JVM
- * writes at exit. Loading them anew made the first seconds of a director on a shared core slow.
+ * Part of the build, never of the service: sends a few requests through a complete director whose endpoints and
+ * discovery are stand-ins in this process, so that the classes and lambdas that serving loads are in the archive that
+ * the JVM writes at exit. Without it, loading them slows down the first seconds of a director on a shared core.
  */
 final class ClassDataArchiveRun {
 
     private static final int REQUESTS = 20;
-    private static final long LONGEST_US = 20_000_000;
-    private static final Pattern WANT = Pattern.compile("want (\\S+) \\S+ \\d+\r\n");
-    private static final Pattern POLL = Pattern.compile("resume=(\\d+)&block");
+    private static final long TIMEOUT_MICROS = 20_000_000;
+    private static final long TURN_MILLIS = 1;
 
-    private final Assembly director;
     private int answered;
 
-    private ClassDataArchiveRun(Assembly director) {
-        this.director = director;
-    }
+    private ClassDataArchiveRun() {}
 
-    /** Plays against the configuration in a file; returns how many requests were answered. */
-    static int play(String file) throws IOException, Json.Malformed {
+    /**
+     * Runs the director of a configuration file, with all addresses replaced by those of the stand-ins.
+     *
+     * @return how many requests were answered
+     * @throws IOException if the file cannot be read or a loopback socket cannot be opened
+     * @throws Json.Malformed if the configuration cannot be used
+     */
+    static int run(String configFile) throws IOException, Json.Malformed {
         Clock clock = Clock.system();
-        try (Peers peers = new Peers(clock)) {
-            String text = Files.readString(Path.of(file)).replaceAll("\"(addr|channel)\":\"[^\"]*\"",
+        try (ArchiveRunPeers peers = new ArchiveRunPeers(clock)) {
+            String text = Files.readString(Path.of(configFile)).replaceAll("\"(addr|channel)\":\"[^\"]*\"",
                     "\"$1\":\"" + peers.address() + "\"");
-            Config config = Config.read(text, "127.0.0.1:0");
-            InetSocketAddress anywhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            Assembly director = new Assembly(config, Path.of(file), clock, 0, null, null, null,
-                    new Platform(null, anywhere, null), new StartupRetry(clock));
+            Platform platform = new Platform(Optional.empty(), Optional.of(loopback(0)), Optional.empty());
+            Assembly director = new Assembly(Config.read(text, "127.0.0.1:0"), Path.of(configFile), clock, 0,
+                    SubsystemSettings.NONE, platform, new StartupRetry(clock));
             director.open();
-            ClassDataArchiveRun rehearsal = new ClassDataArchiveRun(director);
-            InetSocketAddress front = new InetSocketAddress(InetAddress.getLoopbackAddress(), director.port());
-            director.loop().connect(front, rehearsal.new Client()::over);
-            director.loop().connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), director.adminPort()),
-                    Operator::new);
-            for (long endUs = clock.micros() + LONGEST_US; rehearsal.answered < REQUESTS && clock.micros() < endUs;) {
-                director.loop().turn(1);
-                peers.loop.turn(1);
-            }
-            return rehearsal.answered;
+            return new ClassDataArchiveRun().serve(director, peers, clock);
         }
     }
 
-    /** All members and the command channel, at one address: whoever asks is told what it asked for. */
-    private static final class Peers implements AutoCloseable {
-        final EventLoop loop;
-        private final Listener listener;
-
-        Peers(Clock clock) throws IOException {
-            loop = new EventLoop(clock, new Deadlines());
-            listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100, () -> {},
-                    Peer::new);
-        }
-
-        String address() {
-            return "127.0.0.1:" + listener.port();
-        }
-
-        @Override
-        public void close() {
-            listener.close();
+    private int serve(Assembly director, ArchiveRunPeers peers, Clock clock) throws IOException {
+        director.loop().connect(loopback(director.port()), new Client()::attach);
+        director.loop().connect(loopback(director.adminPort()), Operator::new);
+        long endMicros = clock.micros() + TIMEOUT_MICROS;
+        while (answered < REQUESTS && clock.micros() < endMicros) {
+            director.loop().turn(TURN_MILLIS);
+            peers.turn(TURN_MILLIS);
         }
+        return answered;
     }
 
-    private record Peer(Connection connection) implements Connection.Handler {
-
-        @Override
-        public void received(ByteBuffer data) {
-            String text = StandardCharsets.ISO_8859_1.decode(data).toString();
-            Matcher poll = POLL.matcher(text);
-            if (poll.find()) {
-                String body = "{\"cursor\":" + poll.group(1) + ",\"cmds\":[]}";
-                say("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            }
-            WANT.matcher(text).results()
-                    .forEach(want -> say(want.group(1) + " DONE etag=t,made=5,res=MISS,ttfb=1 5\r\nhello\r\n"));
-        }
-
-        private void say(String text) {
-            connection.send(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
-        }
-
-        @Override
-        public void ended() {
-            connection.close();
-        }
-
-        @Override
-        public void closed(IOException cause) {}
+    private static InetSocketAddress loopback(int port) {
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** Calls once. */
+    /** Makes one admin call. */
     private record Operator(Connection connection) implements Connection.Handler {
 
         @Override
@@ -131,39 +86,44 @@
         public void closed(IOException cause) {}
     }
 
-    /** Asks for one object after another, and for a write now and then. */
+    /** Requests one object after another; each fourth request is a write. */
     private final class Client implements Connection.Handler {
+        private static final int FRAME_CAPACITY = 1024;
+        private static final int LENGTH_BYTES = 4;
+        private static final int WRITE_INTERVAL = 4;
+
         private Connection connection;
 
-        Client over(Connection dialled) {
+        Client attach(Connection dialled) {
             connection = dialled;
             return this;
         }
 
         @Override
         public void connected() {
-            ask();
+            sendRequest();
         }
 
         @Override
         public void received(ByteBuffer data) {
             data.position(data.limit());
             answered++;
-            ask();
+            sendRequest();
         }
 
-        private void ask() {
+        private void sendRequest() {
             String id = String.format("%016x", answered);
-            boolean write = answered % 4 == 3;
+            boolean write = answered % WRITE_INTERVAL == WRITE_INTERVAL - 1;
             String[] fields = {"class", write ? "order" : "page", "id", id, "wait", "3000", "key", id, "seg", "0",
                 "kb", "4.5", "etag", "t0", "once", id};
-            ByteBuffer frame = ByteBuffer.allocate(1024).order(ByteOrder.LITTLE_ENDIAN).position(4);
+            ByteBuffer frame = ByteBuffer.allocate(FRAME_CAPACITY).order(ByteOrder.LITTLE_ENDIAN)
+                    .position(LENGTH_BYTES);
             frame.put((byte) 0).putInt(answered + 1).put((byte) (fields.length / 2));
             for (int i = 0; i < fields.length; i += 2) {
                 frame.put((byte) fields[i].length()).put(fields[i].getBytes(StandardCharsets.US_ASCII));
                 frame.putShort((short) fields[i + 1].length()).put(fields[i + 1].getBytes(StandardCharsets.US_ASCII));
             }
-            connection.send(frame.putInt(0, frame.position() - 4).flip());
+            connection.send(frame.putInt(0, frame.position() - LENGTH_BYTES).flip());
         }
 
         @Override
--- /dev/null
+++ b/src/main/java/clovermill/director/DataPlane.java
@@ -0,0 +1,65 @@
+package clovermill.director;
+
+import clovermill.config.Config;
+import clovermill.controlplane.handover.DescriptorShares;
+import clovermill.dataplane.proxy.ProxyCore;
+import clovermill.dataplane.proxy.UsageListener;
+import clovermill.dataplane.server.FrameServer;
+import clovermill.dataplane.upstream.UpstreamPool;
+import clovermill.routing.RequestRouter;
+import clovermill.routing.api.Settings;
+import java.net.InetSocketAddress;
+import java.util.Optional;
+import java.util.function.BooleanSupplier;
+
+/** The way of a request: server, proxy core with the router, upstream connection pool, and their descriptors. */
+final class DataPlane {
+
+    /** Our idle connections are closed before the endpoint closes them, so that no request crosses its close. */
+    private static final double IDLE_TIMEOUT_FACTOR = 0.8;
+
+    private final Config config;
+    private final DirectorRuntime runtime;
+    private final DescriptorShares descriptors;
+    private final UpstreamPool pool;
+    private final ProxyCore core;
+
+    /** Builds the router, the pool and the proxy core; {@code policy} and {@code usage} join the core if present. */
+    DataPlane(Config config, DirectorRuntime runtime, UsageAccounting usage, Optional<PolicyPlane> policy) {
+        this.config = config;
+        this.runtime = runtime;
+        this.descriptors = new DescriptorShares(config.sockets());
+        Settings settings = config.settings();
+        pool = new UpstreamPool(runtime.loop(), runtime.clock(), runtime.deadlines(), runtime.bodyBudget(),
+                new UpstreamPool.Limits(config.streamsPerConnection(), descriptors.members(false),
+                        settings.dialTimeoutUs(), (long) (IDLE_TIMEOUT_FACTOR * config.connectionIdleUs())));
+        RequestRouter router = new RequestRouter(settings, config.seed());
+        // The core's hot path tests for null: most directors have neither a listener nor bounds.
+        UsageListener listener = policy.isPresent() ? policy.get().placement() : usage.listener().orElse(null);
+        core = new ProxyCore(router, settings, runtime.clock(), runtime.deadlines(), pool, listener,
+                policy.isPresent() ? policy.get().placement() : null);
+    }
+
+    /** A server for the clients' connections, not yet open; it reports ready once {@code readiness} does. */
+    FrameServer server(Platform platform, BooleanSupplier readiness) {
+        InetSocketAddress address = config.listen();
+        return new FrameServer(runtime.loop(), runtime.clock(), runtime.deadlines(), runtime.bodyBudget(), core,
+                config.settings(), config.classes(), new FrameServer.Terms(address,
+                        platform.inheritedSocket().orElse(null), descriptors.clients(false), readiness));
+    }
+
+    /** How the process's descriptors are divided between clients and endpoints. */
+    DescriptorShares descriptors() {
+        return descriptors;
+    }
+
+    /** The connections to endpoints. */
+    UpstreamPool pool() {
+        return pool;
+    }
+
+    /** The open requests and their router. */
+    ProxyCore core() {
+        return core;
+    }
+}
--- a/src/main/java/clovermill/director/Platform.java
+++ b/src/main/java/clovermill/director/Platform.java
@@ -8,25 +8,40 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * What the platform gives a director besides its configuration. {@code passed} is the clients' listening socket, null
- * where the director opens its own; {@code admin} is where operators call, null for nowhere; {@code shared} is a
- * folder that all processes of this director see, null where there is but one process.
+ * What the platform gives a director besides its configuration.
+ *
+ * @param inheritedSocket the clients' listening socket; the director opens its own if empty
+ * @param adminAddress where operators call; there is no admin server if empty
+ * @param sharedFolder a folder that all processes of this director see; empty where there is only one process
  */
-record Platform(ServerSocketChannel passed, InetSocketAddress admin, Path shared) {
+record Platform(Optional<ServerSocketChannel> inheritedSocket, Optional<InetSocketAddress> adminAddress,
+        Optional<Path> sharedFolder) {
 
-    /** What the variables of the environment tell; the names stand in the operators' page on upgrades. */
+    private static final String ADMIN_VARIABLE = "BALANCER_ADMIN";
+    private static final String FOLDER_VARIABLE = "TMPDIR";
+    private static final String FOLDER_NAME = "clovermill";
+
+    /**
+     * Reads the environment's variables; source: the operators' page on upgrades.
+     *
+     * @throws IOException if the inherited socket that the environment names is not there
+     * @throws Json.Malformed if the admin address cannot be read
+     */
     static Platform read(Map<String, String> environment, Config config, StartupRetry startup)
             throws IOException, Json.Malformed {
-        String named = environment.get(InheritedSocket.VARIABLE);
-        if (named != null) {
-            startup.get("the passed socket", System::inheritedChannel); // kept by the JVM once it was had
+        String socketName = environment.get(InheritedSocket.VARIABLE);
+        if (socketName != null) {
+            startup.get("the passed socket", System::inheritedChannel); // the JVM caches it once this succeeds
         }
-        ServerSocketChannel passed = InheritedSocket.take(named);
-        String admin = environment.get("BALANCER_ADMIN");
-        String folder = environment.get("TMPDIR");
-        return new Platform(passed, admin == null ? config.admin() : Config.address(admin),
-                passed == null || folder == null ? null : Path.of(folder).resolve("clovermill"));
+        Optional<ServerSocketChannel> socket = Optional.ofNullable(InheritedSocket.take(socketName));
+        String admin = environment.get(ADMIN_VARIABLE);
+        InetSocketAddress adminAddress = admin == null ? config.admin() : Config.address(admin);
+        String folder = environment.get(FOLDER_VARIABLE);
+        Optional<Path> sharedFolder = socket.isEmpty() || folder == null ? Optional.empty()
+                : Optional.of(Path.of(folder).resolve(FOLDER_NAME));
+        return new Platform(socket, Optional.ofNullable(adminAddress), sharedFolder);
     }
 }
--- /dev/null
+++ b/src/main/java/clovermill/director/PolicyPlane.java
@@ -0,0 +1,69 @@
+package clovermill.director;
+
+import clovermill.config.Config;
+import clovermill.controlplane.placement.Placement;
+import clovermill.controlplane.policystore.PolicyStore;
+import clovermill.controlplane.policystore.PolicyStoreSettings;
+import clovermill.controlplane.policystore.PolicyStoreTask;
+import clovermill.controlplane.policystore.PolicyView;
+import clovermill.dataplane.proxy.UsageListener;
+import clovermill.director.operations.PolicyEndpoint;
+import java.io.IOException;
+import java.util.List;
+import java.util.Optional;
+
+/** The replicated policy of the fleet at this director: the store, the placement it enforces, the admin endpoint. */
+final class PolicyPlane {
+
+    private final Placement placement;
+    private final PolicyStore store;
+    private final PolicyEndpoint endpoint;
+
+    /**
+     * Opens the replica's socket and, for a voter, its storage. {@code next} follows the placement in the chain of
+     * usage listeners.
+     *
+     * @throws IOException if the socket or the storage cannot be opened
+     * @throws IllegalArgumentException naming the setting that cannot be used
+     */
+    PolicyPlane(PolicyStoreSettings settings, Config config, DirectorRuntime runtime, Optional<UsageListener> next)
+            throws IOException {
+        placement = new Placement(runtime.clock(), config.settings(), config.zones(), config.classes(),
+                settings.allBound(), next.orElse(null));
+        PolicyStoreTask.Meaning meaning = new PolicyStoreTask.Meaning(
+                document -> placement.check(document.text()),
+                (one, other) -> placement.binding(one.text(), other.text()));
+        store = new PolicyStore(settings, meaning, runtime.clock(), runtime.loop()::post, this::apply);
+        endpoint = new PolicyEndpoint(store, runtime.clock(), runtime.loop()::post);
+    }
+
+    /** Called on the loop's thread, first after {@link #start}. */
+    private void apply(PolicyView view) {
+        if (view.step() != null) {
+            List<String> policies = view.step().both() ? List.of(view.policy().text(), view.next().text())
+                    : List.of(view.policy().text());
+            placement.holds(policies, view.untilUs());
+        }
+        endpoint.holds(view);
+    }
+
+    /** Bounds each request's attempts and listens to usage. */
+    Placement placement() {
+        return placement;
+    }
+
+    /** Answers the admin calls about the policy. */
+    PolicyEndpoint endpoint() {
+        return endpoint;
+    }
+
+    /** Starts the replica's task. */
+    void start() {
+        store.start();
+    }
+
+    /** Stops the replica's task and closes its socket and storage. */
+    void close() {
+        store.close();
+    }
+}
--- a/src/main/java/clovermill/director/ProcessSignals.java
+++ b/src/main/java/clovermill/director/ProcessSignals.java
@@ -5,82 +5,85 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * The signals of this process, heard from its first moment on: SIGHUP would end the JVM. What comes before the director
- * is there is acted on when it is.
+ * The POSIX signals of this process: SIGHUP reloads the configuration, SIGTERM begins the graceful shutdown. Handlers
+ * are installed first of all, since the default of SIGHUP ends the JVM; a SIGHUP that comes before the director is
+ * built is applied once it is. Thread-safe.
  */
 final class ProcessSignals {
 
     private static final System.Logger LOG = System.getLogger(ProcessSignals.class.getName());
 
-    private final CountDownLatch left = new CountDownLatch(1);
-    private Signals.Hearing hearing;
+    private final CountDownLatch processEnded = new CountDownLatch(1);
+    private Signals.Delivery hangUpDelivery;
     private Assembly director;
-    private boolean hungUp;
-    private boolean over;
-    private int status = 1;
+    private boolean hangUpPending;
+    private boolean ended;
+    private int exitStatus = 1;
 
     private ProcessSignals() {}
 
-    static ProcessSignals hear() {
+    /** Installs the handlers. */
+    static ProcessSignals install() {
         ProcessSignals signals = new ProcessSignals();
-        signals.hearing = Signals.onSignal("HUP", signals::hangUp);
-        Runtime.getRuntime().addShutdownHook(new Thread(signals::leave, "departure"));
+        signals.hangUpDelivery = Signals.onSignal("HUP", signals::onHangUp);
+        Runtime.getRuntime().addShutdownHook(new Thread(signals::onTermination, "shutdown"));
         return signals;
     }
 
-    private synchronized void hangUp() {
+    private synchronized void onHangUp() {
         if (director == null) {
-            hungUp = true;
+            hangUpPending = true;
         } else {
-            director.loop().post(director.reloader()::signalled);
+            director.loop().post(director.reloader()::reload);
         }
     }
 
-    /** The JVM ends: by SIGTERM, which has the director leave first, or as the process has ended by itself. */
-    private void leave() {
+    /** The JVM's shutdown hook: runs at SIGTERM, and when the process ends by itself. */
+    private void onTermination() {
         synchronized (this) {
-            if (over) {
+            if (ended) {
                 return;
             }
             if (director == null || !director.listening()) {
-                Runtime.getRuntime().halt(0); // nothing has been taken yet, and the loop may not run for seconds
+                Runtime.getRuntime().halt(0); // no client was accepted, and the loop may not run for seconds
             }
-            director.loop().post(director::leave);
+            director.loop().post(director::shutDown);
         }
         try {
-            left.await();
+            processEnded.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        // Without this the status would be that of the signal; one that has left as asked gives 0.
-        Runtime.getRuntime().halt(status());
+        // Without this the status would be that of the signal; a completed shutdown gives 0.
+        Runtime.getRuntime().halt(exitStatus());
     }
 
-    private synchronized int status() {
-        return status;
+    private synchronized int exitStatus() {
+        return exitStatus;
     }
 
-    /** From now on signals are the director's; its loop must run, or {@link #ended} be called. */
-    synchronized void serves(Assembly served) {
-        director = served;
-        if (hungUp) {
-            director.loop().post(director.reloader()::signalled);
+    /** Passes signals to {@code started} from now on; its loop must run, or {@link #markEnded} be called. */
+    synchronized void passTo(Assembly started) {
+        director = started;
+        if (hangUpPending) {
+            director.loop().post(director.reloader()::reload);
         }
-        if (hearing != Signals.Hearing.HEARD) {
+        if (hangUpDelivery != Signals.Delivery.DELIVERED) {
             LOG.log(Level.WARNING, "SIGHUP is {0} in this process (nohup does that): the configuration file is"
-                    + " looked at for changes instead", hearing == Signals.Hearing.IGNORED ? "ignored" : "unavailable");
-            director.loop().post(director.reloader()::watchAlways);
+                    + " polled for changes instead",
+                    hangUpDelivery == Signals.Delivery.IGNORED ? "ignored" : "unavailable");
+            director.loop().post(director.reloader()::pollAlways);
         }
-        if (Signals.hearing("TERM") == Signals.Hearing.IGNORED) {
-            LOG.log(Level.WARNING, "SIGTERM is ignored in this process: it cannot be asked to leave, and what is"
-                    + " open when it is killed is lost");
+        if (Signals.probe("TERM") == Signals.Delivery.IGNORED) {
+            LOG.log(Level.WARNING, "SIGTERM is ignored in this process: it cannot be shut down gracefully, and requests"
+                    + " open when it is killed are lost");
         }
     }
 
-    /** The director has left, or never came to serve: nothing is waited for any more. */
-    synchronized void ended(boolean asAsked) {
-        over = true;
-        status = asAsked ? 0 : 1;
-        left.countDown();
+    /** The director has shut down ({@code completed}) or could not start; the shutdown hook stops waiting. */
+    synchronized void markEnded(boolean completed) {
+        ended = true;
+        exitStatus = completed ? 0 : 1;
+        processEnded.countDown();
     }
 }
--- /dev/null
+++ b/src/main/java/clovermill/director/Readiness.java
@@ -0,0 +1,41 @@
+package clovermill.director;
+
+import clovermill.controlplane.discovery.DiscoveryClient;
+import clovermill.controlplane.discovery.EndpointRegistry;
+import clovermill.runtime.net.Clock;
+import java.util.function.BooleanSupplier;
+
+/** Decides from when on a started process reports itself ready. */
+final class Readiness implements BooleanSupplier {
+
+    /** How much longer than it settles a successor process waits for discovery, which may be cut off. */
+    private static final long DISCOVERY_WAIT_MICROS = 1_000_000;
+
+    private final Clock clock;
+    private final EndpointRegistry registry;
+    private final DiscoveryClient discovery;
+    private final boolean successor;
+    private final long settledAtMicros;
+
+    /**
+     * Settles {@code settleMicros} from now. A {@code successor} takes over from a running process: the list in its
+     * configuration may be as old as that process, so it waits for discovery as well, up to a bound.
+     */
+    Readiness(Clock clock, EndpointRegistry registry, DiscoveryClient discovery, boolean successor,
+            long settleMicros) {
+        this.clock = clock;
+        this.registry = registry;
+        this.discovery = discovery;
+        this.successor = successor;
+        this.settledAtMicros = clock.micros() + settleMicros;
+    }
+
+    @Override
+    public boolean getAsBoolean() {
+        return registry.known() && clock.micros() >= settledAtMicros && upToDate();
+    }
+
+    private boolean upToDate() {
+        return !successor || discovery.heard() || clock.micros() >= settledAtMicros + DISCOVERY_WAIT_MICROS;
+    }
+}
--- a/src/main/java/clovermill/director/Service.java
+++ b/src/main/java/clovermill/director/Service.java
@@ -16,121 +16,143 @@
 import java.util.List;
 import java.util.Optional;
 
-/** One director as a process: its start from files, its signals and its end. */
+/** One director as a process: its start from files and the environment, its run and its end. */
 public final class Service {
 
-    /** A director that cannot be started as it was told; the message is one line that says why. */
-    public static final class BadStart extends Exception {
-
-        private static final long serialVersionUID = 1L;
-
-        BadStart(String message) {
-            super(message, null, false, false);
-        }
-    }
-
     private static final System.Logger LOG = System.getLogger(Service.class.getName());
+    private static final String CONFIG_VARIABLE = "BALANCER_CONFIG";
+    private static final String LISTEN_VARIABLE = "BALANCER_LISTEN";
 
     private Service() {}
 
-    /** Serves until it is asked to leave; {@code settings} names a file of our own settings, or is null. */
-    public static void serve(String settings) throws BadStart, IOException {
-        ProcessSignals signals = ProcessSignals.hear();
-        boolean left = false;
+    /**
+     * Serves clients until SIGTERM, then shuts down gracefully.
+     *
+     * @param settingsFile the settings of the optional subsystems, or null for none
+     * @throws StartupException if the environment, the configuration or the settings cannot be used
+     * @throws IOException if a socket or folder cannot be opened, or the ledger cannot be closed
+     */
+    public static void serve(String settingsFile) throws StartupException, IOException {
+        ProcessSignals signals = ProcessSignals.install();
+        boolean completed = false;
         try {
-            serve(settings, signals);
-            left = true;
+            run(Optional.ofNullable(settingsFile), signals);
+            completed = true;
         } finally {
-            signals.ended(left);
+            signals.markEnded(completed);
         }
     }
 
-    private static void serve(String settings, ProcessSignals signals) throws BadStart, IOException {
-        SettingsFile own = null;
-        LedgerSettings ledger = null;
-        GossipSettings fleet = null;
-        PolicyStoreSettings accord = null;
-        if (settings != null) {
-            try {
-                own = SettingsFile.read(settings);
-                Optional<LogSettings> log = own.part("log", LogSettings.class);
-                ledger = own.part("ledger", LedgerSettings.class).orElse(null);
-                fleet = own.part("fleet", GossipSettings.class).orElse(null);
-                accord = own.part("accord", PolicyStoreSettings.class).orElse(null);
-                log.ifPresent(StructuredLog::start);
-            } catch (SettingsFile.Fault fault) {
-                throw new BadStart(fault.getMessage());
-            }
+    private static void run(Optional<String> settingsFile, ProcessSignals signals)
+            throws StartupException, IOException {
+        SubsystemSettings subsystems = settingsFile.isEmpty() ? SubsystemSettings.NONE
+                : readSettings(settingsFile.get());
+        String configFile = System.getenv(CONFIG_VARIABLE);
+        if (configFile == null) {
+            throw new StartupException("the configuration: " + CONFIG_VARIABLE + " is not set");
         }
-        String file = System.getenv("BALANCER_CONFIG");
-        if (file == null) {
-            throw new BadStart("the configuration: BALANCER_CONFIG is not set");
+        try {
+            run(configFile, subsystems, signals);
+        } catch (Json.Malformed malformed) {
+            throw unusableConfiguration(malformed);
+        } catch (IllegalArgumentException invalid) {
+            throw new StartupException(settingsFile.orElse(null) + ": " + withPointer(invalid));
         }
+    }
+
+    /** Reads the settings and starts the structured log, if they configure one. */
+    private static SubsystemSettings readSettings(String settingsFile) throws StartupException {
         try {
-            Clock clock = Clock.system();
-            StartupRetry startup = new StartupRetry(clock);
-            Config config = load(file, startup);
-            Assembly director = new Assembly(config, Path.of(file), clock, Assembly.SETTLE_US, ledger, fleet,
-                    accord, Platform.read(System.getenv(), config, startup), startup);
-            signals.serves(director);
-            director.open();
-            LOG.log(Level.INFO, "{0} serves clients on {1}", config.name(), config.listen());
-            director.loop().run();
-            director.close();
-            LOG.log(Level.INFO, "{0} has left", config.name());
-        } catch (Json.Malformed bad) {
-            throw new BadStart("the configuration: " + bad.getMessage());
-        } catch (IllegalArgumentException bad) {
-            throw new BadStart(settings + ": " + placed(bad));
+            SettingsFile file = SettingsFile.read(settingsFile);
+            Optional<LogSettings> log = file.part("log", LogSettings.class);
+            SubsystemSettings subsystems = SubsystemSettings.read(file);
+            log.ifPresent(StructuredLog::start);
+            return subsystems;
+        } catch (SettingsFile.Fault fault) {
+            throw new StartupException(fault.getMessage());
         }
     }
 
-    /** The configuration; a file that is there and cannot be opened for a moment (EMFILE, EIO) is tried again. */
-    private static Config load(String file, StartupRetry startup) throws Json.Malformed {
-        return Config.load(() -> startup.get("the configuration", () -> Files.readString(Path.of(file))),
-                System.getenv("BALANCER_LISTEN"));
+    private static void run(String configFile, SubsystemSettings subsystems, ProcessSignals signals)
+            throws Json.Malformed, IOException {
+        Clock clock = Clock.system();
+        StartupRetry startup = new StartupRetry(clock);
+        Config config = load(configFile, startup);
+        Platform platform = Platform.read(System.getenv(), config, startup);
+        Assembly director = new Assembly(config, Path.of(configFile), clock, Assembly.SETTLE_MICROS, subsystems,
+                platform, startup);
+        signals.passTo(director);
+        director.open();
+        LOG.log(Level.INFO, "{0} serves clients on {1}", config.name(), config.listen());
+        director.loop().run();
+        director.close();
+        LOG.log(Level.INFO, "{0} has left", config.name());
     }
 
-    /** The place and the reason; what a subsystem does not place itself is the ledger's. */
-    private static String placed(IllegalArgumentException bad) {
-        return bad.getMessage().startsWith("/") ? bad.getMessage() : "/ledger: " + bad.getMessage();
+    /** Loads the configuration; an I/O error that may pass (EMFILE, EIO) is retried. */
+    private static Config load(String configFile, StartupRetry startup) throws Json.Malformed {
+        return Config.load(() -> startup.get("the configuration", () -> Files.readString(Path.of(configFile))),
+                System.getenv(LISTEN_VARIABLE));
     }
 
-    /** Part of the build: serves a few made-up requests with a director's configuration. */
-    public static void rehearse(String file) throws BadStart, IOException {
+    private static StartupException unusableConfiguration(Json.Malformed cause) {
+        return new StartupException("the configuration: " + cause.getMessage());
+    }
+
+    /** The JSON pointer and the reason; a message without a pointer comes from the ledger. */
+    private static String withPointer(IllegalArgumentException invalid) {
+        return invalid.getMessage().startsWith("/") ? invalid.getMessage() : "/ledger: " + invalid.getMessage();
+    }
+
+    /**
+     * Part of the build: serves a few generated requests with a director's configuration, so that the JVM can archive
+     * the classes that serving loads.
+     *
+     * @throws StartupException if the configuration cannot be used
+     * @throws IOException if it cannot be read, or a loopback socket cannot be opened
+     */
+    public static void runForClassDataArchive(String configFile) throws StartupException, IOException {
         try {
-            ClassDataArchiveRun.play(file);
-        } catch (Json.Malformed bad) {
-            throw new BadStart("the configuration: " + bad.getMessage());
+            ClassDataArchiveRun.run(configFile);
+        } catch (Json.Malformed malformed) {
+            throw unusableConfiguration(malformed);
         }
     }
 
     /**
-     * Checks a file of our own settings, with the classes of {@code config} if that is not null, or a director's
-     * configuration; throws what a start with it would say.
+     * Checks a settings file, or a director's configuration, as a start would.
+     *
+     * @param file the file to check
+     * @param configFile a configuration with the request classes that the settings name, or null
+     * @throws StartupException if the configuration cannot be used
+     * @throws SettingsFile.Fault if the settings cannot be used
      */
-    public static void check(String file, String config) throws BadStart, SettingsFile.Fault {
+    public static void check(String file, String configFile) throws StartupException, SettingsFile.Fault {
         try {
-            if (config == null && SettingsFile.isConfiguration(file)) {
+            if (configFile == null && SettingsFile.isConfiguration(file)) {
                 Config.load(file, null);
                 return;
             }
-            SettingsFile own = SettingsFile.read(file);
-            own.part("log", LogSettings.class);
-            Optional<LedgerSettings> ledger = own.part("ledger", LedgerSettings.class);
-            Optional<GossipSettings> fleet = own.part("fleet", GossipSettings.class);
-            List<String> classes = config == null ? null : Config.load(config, null).classes();
-            if (classes != null && ledger.isPresent()) {
-                ledger.get().check(classes);
-            }
-            if (fleet.isPresent()) {
-                fleet.get().check(classes);
-            }
-            own.part("accord", PolicyStoreSettings.class).ifPresent(PolicyStoreSettings::check);
-        } catch (Json.Malformed bad) {
-            throw new BadStart("the configuration: " + bad.getMessage());
-        } catch (IllegalArgumentException bad) {
-            throw new SettingsFile.Fault(file, "", placed(bad));
+            checkSettings(file, configFile);
+        } catch (Json.Malformed malformed) {
+            throw unusableConfiguration(malformed);
+        } catch (IllegalArgumentException invalid) {
+            throw new SettingsFile.Fault(file, "", withPointer(invalid));
+        }
+    }
+
+    private static void checkSettings(String file, String configFile) throws Json.Malformed, SettingsFile.Fault {
+        SettingsFile settings = SettingsFile.read(file);
+        settings.part("log", LogSettings.class);
+        Optional<LedgerSettings> ledger = settings.part("ledger", LedgerSettings.class);
+        Optional<GossipSettings> gossip = settings.part("fleet", GossipSettings.class);
+        List<String> classes = configFile == null ? null : Config.load(configFile, null).classes();
+        if (classes != null && ledger.isPresent()) {
+            ledger.get().check(classes);
+        }
+        if (gossip.isPresent()) {
+            gossip.get().check(classes);
         }
+        settings.part("accord", PolicyStoreSettings.class).ifPresent(PolicyStoreSettings::check);
     }
 }
--- /dev/null
+++ b/src/main/java/clovermill/director/StartupException.java
@@ -0,0 +1,11 @@
+package clovermill.director;
+
+/** A director cannot be started; the message is one line naming the file or variable and the reason. */
+public final class StartupException extends Exception {
+
+    private static final long serialVersionUID = 1L;
+
+    StartupException(String message) {
+        super(message, null, false, false);
+    }
+}
--- a/src/main/java/clovermill/director/StartupRetry.java
+++ b/src/main/java/clovermill/director/StartupRetry.java
@@ -11,47 +11,48 @@
 import java.util.function.LongConsumer;
 
 /**
- * Tries again what the machine may refuse for a moment while the process starts: a descriptor (EMFILE, ENFILE), memory
- * of the kernel (ENOBUFS, ENOMEM) or an address (EADDRINUSE, EADDRNOTAVAIL). Java tells these apart by the text of the
- * message only, so each I/O error is tried again but those that have a type of their own and last. One bound holds
- * for all resources of a start. Used by
- * the thread that starts the process, before its event loop runs.
+ * Retries what the machine may refuse for a moment while the process starts: a descriptor (EMFILE, ENFILE), kernel
+ * memory (ENOBUFS, ENOMEM) or an address (EADDRINUSE, EADDRNOTAVAIL). Java tells these apart only by the text of the
+ * message, so every I/O error is retried except those types that are known to be permanent. One bound holds for all
+ * resources of a start. Used by the thread that starts the process, before its event loop runs.
  */
 final class StartupRetry {
 
-    /** How long a start tries, in microseconds: a director is to be ready within 6 s on short days. */
+    /** How long a start retries: a director must be ready within 6 s on short days. */
     static final long BOUND_MICROS = 5_000_000;
-    /** Between two attempts, in microseconds. */
+    /** Between two attempts. */
     static final long PAUSE_MICROS = 50_000;
 
     private static final System.Logger LOG = System.getLogger(StartupRetry.class.getName());
 
     /** One attempt to get a resource. */
     interface Attempt<T> {
+
+        /** Returns the resource, or throws why it is not available. */
         T run() throws IOException;
     }
 
     private final Clock clock;
     private final LongConsumer pause;
-    private final long untilMicros;
+    private final long retryUntilMicros;
 
-    /** The bound begins now. */
+    /** A bound that begins now. */
     StartupRetry(Clock clock) {
         this(clock, micros -> LockSupport.parkNanos(micros * 1000));
     }
 
-    /** {@code pause} waits for so many microseconds. */
+    /** As above; {@code pause} waits for the microseconds it is given. */
     StartupRetry(Clock clock, LongConsumer pause) {
         this.clock = clock;
         this.pause = pause;
-        this.untilMicros = clock.micros() + BOUND_MICROS;
+        this.retryUntilMicros = clock.micros() + BOUND_MICROS;
     }
 
     /**
-     * Returns what the first attempt that succeeds gives.
+     * Returns the result of the first attempt that succeeds.
      *
-     * @param resource what is to be had, for the log
-     * @throws IOException the failure of the last attempt, once the bound is over
+     * @param resource the name of the resource in the log
+     * @throws IOException the failure of the last attempt, once the bound is over or if it is permanent
      */
     <T> T get(String resource, Attempt<T> attempt) throws IOException {
         boolean logged = false;
@@ -59,16 +60,16 @@
             try {
                 return attempt.run();
             } catch (IOException failure) {
-                long leftMicros = untilMicros - clock.micros();
-                if (leftMicros <= 0 || lasts(failure)) {
+                long remainingMicros = retryUntilMicros - clock.micros();
+                if (remainingMicros <= 0 || permanent(failure)) {
                     throw failure;
                 }
                 if (!logged) {
-                    LOG.log(Level.WARNING, "{0} cannot be had yet ({1}): tried again for {2} ms", resource,
-                            failure.getMessage(), Long.toString(leftMicros / 1000));
+                    LOG.log(Level.WARNING, "{0} is not available yet ({1}): retrying for {2} ms", resource,
+                            failure.getMessage(), Long.toString(remainingMicros / 1000));
                     logged = true;
                 }
-                pause.accept(Math.min(PAUSE_MICROS, leftMicros));
+                pause.accept(Math.min(PAUSE_MICROS, remainingMicros));
                 if (Thread.currentThread().isInterrupted()) {
                     throw new InterruptedIOException(resource + ": interrupted");
                 }
@@ -76,8 +77,8 @@
         }
     }
 
-    /** A file that is not there, is not to be read or holds no text will not be had a moment later. */
-    private static boolean lasts(IOException failure) {
+    /** A missing file, one without read permission or one that is not text stays so. */
+    private static boolean permanent(IOException failure) {
         return failure instanceof NoSuchFileException || failure instanceof AccessDeniedException
                 || failure instanceof CharacterCodingException;
     }
--- a/src/main/java/clovermill/director/Warmup.java
+++ b/src/main/java/clovermill/director/Warmup.java
@@ -15,47 +15,74 @@
 import clovermill.routing.api.Settings;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * Has a module that serves nobody decide on made-up requests before the first client comes, so that the code
- * of the decisions is compiled by then. Nothing leaves it, and its memory is dropped.
+ * Has the JVM compile the routing decisions before the first client connects: a router of its own decides on generated
+ * requests. No action is carried out, and the router is discarded.
  */
 final class Warmup {
 
-    /** The JVM's first compiler takes on a method after some 200 calls. */
+    /** The JVM's first compiler compiles a method after some 200 calls. */
     private static final int REQUESTS = 300;
-    private static final long STEP_US = 10_000;
+    /** Between two requests. */
+    private static final long INTERVAL_MICROS = 10_000;
+    private static final long ANSWER_MICROS = INTERVAL_MICROS / 2;
+    private static final long DEADLINE_MICROS = INTERVAL_MICROS * 100;
+    /** Of the generated requests' object keys. */
+    private static final int GROUPS = 50;
+    private static final int BYTES = 100;
 
-    private Warmup() {}
+    private final Settings settings;
+    private final RequestRouter router;
+    private final List<Action> actions = new ArrayList<>();
+    private int sent;
 
-    /** Returns how many requests were sent to a member. */
-    static int play(Settings settings, DiscoveryEvents known) {
-        RequestRouter module = new RequestRouter(settings, 0);
-        List<Member> members = new ArrayList<>();
-        for (DiscoveryEvents.Command command : known.list()) {
+    private Warmup(Settings settings) {
+        this.settings = settings;
+        this.router = new RequestRouter(settings, 0);
+    }
+
+    /** Routes the requests among the endpoints of {@code startList}; returns how many were sent to one. */
+    static int run(Settings settings, DiscoveryEvents startList) {
+        Warmup warmup = new Warmup(settings);
+        warmup.router.handle(1, new Members(ListScope.FULL, endpoints(startList)), warmup.actions::add);
+        for (int i = 1; i <= REQUESTS; i++) {
+            warmup.route(i);
+        }
+        return warmup.sent;
+    }
+
+    private static List<Member> endpoints(DiscoveryEvents startList) {
+        List<Member> endpoints = new ArrayList<>();
+        for (DiscoveryEvents.Command command : startList.list()) {
             if (command instanceof DiscoveryEvents.Nodes nodes) {
-                nodes.entries().forEach(entry -> members.add(entry.member()));
+                nodes.entries().forEach(entry -> endpoints.add(entry.member()));
             }
         }
-        int sent = 0;
-        List<Action> actions = new ArrayList<>();
-        module.handle(1, new Members(ListScope.FULL, members), actions::add);
-        for (int i = 1; i <= REQUESTS; i++) {
-            long now = i * STEP_US;
-            String id = Integer.toHexString(i);
-            module.handle(now, new Request(id, i % settings.classes().size(), 0, i % 50, 0, 0, 100, STEP_US * 100,
-                    false), actions::add);
-            for (Action action : List.copyOf(actions)) {
-                String member = action instanceof SendVia via ? via.member()
-                        : action instanceof Send plain ? plain.member() : null;
-                if (member != null) {
-                    sent++;
-                    module.handle(now + STEP_US / 2, new Outcome(id, 0, member, Result.OK, STEP_US / 2, true,
-                            i % 2 == 0 ? Note.HIT : Note.FILLED, 0, null), actions::add);
-                }
+        return endpoints;
+    }
+
+    /** One request, and a successful outcome for each attempt at it. */
+    private void route(int number) {
+        long nowMicros = number * INTERVAL_MICROS;
+        String id = Integer.toHexString(number);
+        router.handle(nowMicros, new Request(id, number % settings.classes().size(), 0, number % GROUPS, 0, 0, BYTES,
+                DEADLINE_MICROS, false), actions::add);
+        for (Action action : List.copyOf(actions)) {
+            Optional<String> endpoint = target(action);
+            if (endpoint.isPresent()) {
+                sent++;
+                Note note = number % 2 == 0 ? Note.HIT : Note.FILLED;
+                router.handle(nowMicros + ANSWER_MICROS, new Outcome(id, 0, endpoint.get(), Result.OK, ANSWER_MICROS,
+                        true, note, 0, null), actions::add);
             }
-            actions.clear();
         }
-        return sent;
+        actions.clear();
+    }
+
+    private static Optional<String> target(Action action) {
+        return action instanceof SendVia via ? Optional.of(via.member())
+                : action instanceof Send send ? Optional.of(send.member()) : Optional.empty();
     }
 }
--- a/src/test/java/clovermill/MainTest.java
+++ b/src/test/java/clovermill/MainTest.java
@@ -27,7 +27,7 @@
     @TempDir
     private Path folder;
 
-    private static final String NOT_YET = "WARNING the clients' listening socket cannot be had yet";
+    private static final String NOT_YET = "WARNING the clients' listening socket is not available yet";
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
     /** Starts a director by way of a shell, which may have signals ignored before. */
--- a/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
+++ b/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
@@ -57,7 +57,7 @@
                     }
                     taken.add(config.name());
                 });
-        reloader.watchAlways();
+        reloader.pollAlways();
         write("second-file");
         assertThatThrownBy(this::look).hasMessage("cannot be taken");
         write("the-third-of-all-files");
@@ -78,7 +78,7 @@
             return Files.readString(file);
         }, clock, deadlines, Config.load(file.toString(), null), config -> taken.add(config.name()));
         write("second-file");
-        reloader.signalled();
+        reloader.reload();
         for (int i = 0; i < 9; i++) {
             look();
         }
--- a/src/test/java/clovermill/director/ClassDataArchiveRunTest.java
+++ b/src/test/java/clovermill/director/ClassDataArchiveRunTest.java
@@ -6,9 +6,9 @@
 
 class ClassDataArchiveRunTest {
 
-    /** An archive from a rehearsal that reached nobody would lack the classes that serving needs. */
+    /** An archive from a run without answers would lack the classes that serving needs. */
     @Test
     void everyRequestIsAnswered() throws Exception {
-        assertThat(ClassDataArchiveRun.play("example/config.json")).isEqualTo(20);
+        assertThat(ClassDataArchiveRun.run("example/config.json")).isEqualTo(20);
     }
 }
--- a/src/test/java/clovermill/director/PlatformTest.java
+++ b/src/test/java/clovermill/director/PlatformTest.java
@@ -30,27 +30,27 @@
     /** The next process has another address of its own, with the configuration unchanged. */
     @Test
     void theAddressForOperatorsInTheEnvironmentStandsAboveTheConfiguration() throws Exception {
-        assertThat(read(Map.of(), config("127.0.0.1:4001")).admin())
-                .isEqualTo(new InetSocketAddress("127.0.0.1", 4001));
-        assertThat(read(Map.of("BALANCER_ADMIN", "127.0.0.1:4002"), config("127.0.0.1:4001")).admin())
-                .isEqualTo(new InetSocketAddress("127.0.0.1", 4002));
-        assertThat(read(Map.of("BALANCER_ADMIN", "127.0.0.1:4002"), config(null)).admin())
-                .isEqualTo(new InetSocketAddress("127.0.0.1", 4002));
+        assertThat(read(Map.of(), config("127.0.0.1:4001")).adminAddress())
+                .contains(new InetSocketAddress("127.0.0.1", 4001));
+        assertThat(read(Map.of("BALANCER_ADMIN", "127.0.0.1:4002"), config("127.0.0.1:4001")).adminAddress())
+                .contains(new InetSocketAddress("127.0.0.1", 4002));
+        assertThat(read(Map.of("BALANCER_ADMIN", "127.0.0.1:4002"), config(null)).adminAddress())
+                .contains(new InetSocketAddress("127.0.0.1", 4002));
         assertThatThrownBy(() -> read(Map.of("BALANCER_ADMIN", "somewhere"), config(null)))
                 .isInstanceOf(Json.Malformed.class);
     }
 
     @Test
     void aPlatformWithoutAnAddressForOperatorsHasNone() throws Exception {
-        assertThat(read(Map.of(), config(null)).admin()).isNull();
+        assertThat(read(Map.of(), config(null)).adminAddress()).isEmpty();
     }
 
     /** Only where a socket is passed does another process of the same director ever run. */
     @Test
     void nothingIsSharedWithoutAPassedSocket() throws Exception {
         Platform platform = read(Map.of("TMPDIR", "/nowhere"), config(null));
-        assertThat(platform.passed()).isNull();
-        assertThat(platform.shared()).isNull();
+        assertThat(platform.inheritedSocket()).isEmpty();
+        assertThat(platform.sharedFolder()).isEmpty();
         assertThatThrownBy(() -> read(Map.of("BALANCER_PASSED_SOCKET", "3"), config(null)))
                 .isInstanceOf(IOException.class).hasMessageContaining("BALANCER_PASSED_SOCKET=3");
     }
--- a/src/test/java/clovermill/director/Scenario.java
+++ b/src/test/java/clovermill/director/Scenario.java
@@ -24,6 +24,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.stream.Stream;
 
@@ -164,8 +165,12 @@
 
     private Assembly started(long settleUs, LedgerSettings ledger) throws Exception {
         Config config = Config.read(configuration(), null);
-        Assembly assembly = new Assembly(config, file(), clock, settleUs, ledger, null, null, new Platform(passed,
-                config.admin(), passed == null ? null : folder.resolve("shared")), new StartupRetry(clock));
+        Platform platform = new Platform(Optional.ofNullable(passed), Optional.ofNullable(config.admin()),
+                passed == null ? Optional.empty() : Optional.of(folder.resolve("shared")));
+        SubsystemSettings subsystems = new SubsystemSettings(Optional.ofNullable(ledger), Optional.empty(),
+                Optional.empty());
+        Assembly assembly = new Assembly(config, file(), clock, settleUs, subsystems, platform,
+                new StartupRetry(clock));
         assembly.open();
         return assembly;
     }
@@ -181,10 +186,10 @@
     private void signal(String what) throws IOException {
         String[] parts = what.split(" ", 2);
         switch (parts[0]) {
-            case "TERM" -> (previous != null ? previous : director).leave();
+            case "TERM" -> (previous != null ? previous : director).shutDown();
             case "BESIDE" -> Files.writeString(folder.resolve("shared").resolve("here-1"), parts[1]);
             case "ALONE" -> Files.delete(folder.resolve("shared").resolve("here-1"));
-            case "DEAF" -> director.reloader().watchAlways();
+            case "DEAF" -> director.reloader().pollAlways();
             default -> {
                 String text = parts.length > 1 ? parts[1] : "";
                 if (text.equals("-")) {
@@ -195,7 +200,7 @@
                             : text.startsWith("edit ") ? edited(text.substring(5)) : text);
                 }
                 if (parts[0].equals("HUP")) {
-                    director.reloader().signalled();
+                    director.reloader().reload();
                 }
             }
         }
--- a/src/test/java/clovermill/director/WarmupTest.java
+++ b/src/test/java/clovermill/director/WarmupTest.java
@@ -14,11 +14,11 @@
 
     /** The first requests must not meet code that was never run; an empty list must not stop the start. */
     @Test
-    void theModuleDecidesOnEveryRequestWhateverTheList() throws Exception {
+    void theRouterDecidesOnEveryRequestWhateverTheList() throws Exception {
         Config config = Config.read(Files.readString(Path.of("example/config.json")), null);
         DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
-        assertThat(Warmup.play(config.settings(), known)).isEqualTo(300);
+        assertThat(Warmup.run(config.settings(), known)).isEqualTo(300);
         DiscoveryEvents empty = DiscoveryEvents.read(Json.parse("{\"cursor\":0,\"cmds\":[]}"), List.of(), List.of());
-        assertThat(Warmup.play(config.settings(), empty)).isZero();
+        assertThat(Warmup.run(config.settings(), empty)).isZero();
     }
 }
