--- a/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
+++ b/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
@@ -3,6 +3,7 @@
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.server.ClientServer;
 import clovermill.director.shutdown.decide.ShutdownSequence;
+import clovermill.director.shutdown.decide.ShutdownSequence.Phase;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
@@ -11,64 +12,70 @@
 import java.util.function.LongSupplier;
 
 /**
- * A planned end: clients are told to go and served meanwhile, each connection is closed when nothing is open on it, and
- * the loop stops when none is left, so that no client finds a socket of a process that is about to end.
+ * Carries out a graceful shutdown: clients are notified and served meanwhile, each connection is closed once it is idle,
+ * and the loop stops when none is left, so that no client connects to a process that is about to end. On the loop's
+ * thread.
  */
 public final class GracefulShutdown {
 
     private static final System.Logger LOG = System.getLogger(GracefulShutdown.class.getName());
-    private static final long CHECK_US = 10_000;
+    private static final long CHECK_INTERVAL_MICROS = 10_000;
 
     private final EventLoop loop;
     private final Clock clock;
-    private final ClientServer front;
-    private final ProxyCore host;
-    private final LongSupplier longestUs;
-    private final boolean handsOver;
-    private final RecurringTask checking;
-    private ShutdownSequence farewell;
-    private boolean shut;
-    private boolean cut;
+    private final ClientServer server;
+    private final ProxyCore core;
+    private final LongSupplier longestDeadlineMicros;
+    private final boolean handover;
+    private final RecurringTask checks;
+    private ShutdownSequence sequence;
+    private boolean acceptingStopped;
+    private boolean cutOff;
 
-    /** {@code longestUs} gives the longest deadline of a request; {@code handsOver} where another process follows. */
-    public GracefulShutdown(EventLoop loop, Clock clock, Deadlines deadlines, ClientServer front, ProxyCore host,
-            LongSupplier longestUs,
-            boolean handsOver) {
-        this.longestUs = longestUs;
-        this.handsOver = handsOver;
+    /**
+     * A shutdown that has not begun.
+     *
+     * @param longestDeadlineMicros the longest deadline of a request under the settings in force
+     * @param handover whether another process takes over the listening socket
+     */
+    public GracefulShutdown(EventLoop loop, Clock clock, Deadlines deadlines, ClientServer server, ProxyCore core,
+            LongSupplier longestDeadlineMicros, boolean handover) {
         this.loop = loop;
         this.clock = clock;
-        this.front = front;
-        this.host = host;
-        this.checking = new RecurringTask(deadlines, clock, CHECK_US, this::check);
+        this.server = server;
+        this.core = core;
+        this.longestDeadlineMicros = longestDeadlineMicros;
+        this.handover = handover;
+        this.checks = new RecurringTask(deadlines, clock, CHECK_INTERVAL_MICROS, this::check);
     }
 
-    /** Begins the end; once is enough. */
+    /** Begins the shutdown; to be called once. */
     public void begin() {
-        farewell = new ShutdownSequence(clock.micros(), longestUs.getAsLong(), handsOver);
-        front.leave();
-        checking.start();
+        sequence = new ShutdownSequence(clock.micros(), longestDeadlineMicros.getAsLong(), handover);
+        server.leave();
+        checks.start();
     }
 
+    /** The flags are set before the calls: a call that fails must not be repeated at each check. */
     private void check() {
-        ShutdownSequence.Step step = farewell.at(clock.micros());
-        if (!shut && step.compareTo(ShutdownSequence.Step.ENDS_IDLE) >= 0) {
-            shut = true;
-            front.shut();
+        Phase phase = sequence.phase(clock.micros());
+        if (!acceptingStopped && phase.compareTo(Phase.CLOSING_IDLE) >= 0) {
+            acceptingStopped = true;
+            server.shut();
         }
-        if (step.compareTo(ShutdownSequence.Step.ANSWERS_ALL) >= 0) {
-            host.answerAll();
+        if (phase.compareTo(Phase.ANSWERING_ALL) >= 0) {
+            core.answerAll();
         }
-        if (!cut && step == ShutdownSequence.Step.CUTS_OFF) {
-            cut = true;
-            LOG.log(Level.WARNING, "clients that do not read are cut off, {0} ms after the signal to leave",
-                    Long.toString(farewell.mostUs() / 1000));
+        if (!cutOff && phase == Phase.CUTTING_OFF) {
+            cutOff = true;
+            LOG.log(Level.WARNING, "closing the connections of clients that do not read, {0} ms after SIGTERM",
+                    Long.toString(sequence.cutOffDelayMicros() / 1000));
         }
-        if (shut) {
-            front.part(step.compareTo(ShutdownSequence.Step.TURNS_AWAY) >= 0, cut);
+        if (acceptingStopped) {
+            server.part(phase.compareTo(Phase.REJECTING) >= 0, cutOff);
         }
-        if (front.empty() && (shut || handsOver)) {
-            checking.stop();
+        if (server.empty() && (acceptingStopped || handover)) {
+            checks.stop();
             loop.stop();
         }
     }
--- a/src/main/java/clovermill/director/shutdown/decide/ShutdownSequence.java
+++ b/src/main/java/clovermill/director/shutdown/decide/ShutdownSequence.java
@@ -1,64 +1,78 @@
 package clovermill.director.shutdown.decide;
 
 /**
- * Decides how far a planned end has come at each moment after the signal. The platform sends new connections for up to
- * 0.4 s after it, requests on open ones for 0.2 s more, and kills no sooner than the longest deadline of a request (or
- * 3 s) and 0.7 s later (the protocol page, "Figures"). Clients that were told to go may go on sending on a connection
- * for as long as it is open, so that a moment with nothing open anywhere may never come: each connection is brought to
- * its own. Pure; times in microseconds.
+ * Decides which phase a graceful shutdown is in at each moment after the signal. The platform sends new connections for
+ * up to 0.4 s after it, requests on open ones for 0.2 s more, and kills no sooner than the longest deadline of a
+ * request (or 3 s) plus 0.7 s later (the protocol page, "Figures"). Clients that were notified may go on sending on a
+ * connection for as long as it is open, so a moment at which nothing is open on any connection may never come: each
+ * connection is closed at its own idle moment. Pure; times in microseconds of the monotonic clock.
  */
 public final class ShutdownSequence {
 
-    /** What a front does with its clients; each step does all that the one before did. */
-    public enum Step {
-        /** Clients are told to go; all that comes is served. */
-        TOLD,
-        /** Takes no new connection, and ends each one in a turn in which nothing taken is open on it. */
-        ENDS_IDLE,
-        /** New requests are turned away at once, so that every connection comes to such a turn. */
-        TURNS_AWAY,
-        /** What is open gets its final answer now. */
-        ANSWERS_ALL,
-        /** What is left belongs to clients that do not read: it is cut off. */
-        CUTS_OFF
+    /** What the server does with its clients; each phase includes all that the one before did. */
+    public enum Phase {
+        /** Clients are notified of the shutdown; every request is still served. */
+        NOTIFIED,
+        /** Accepts no new connection, and closes each one in a turn in which no accepted request is open on it. */
+        CLOSING_IDLE,
+        /** Rejects new requests at once, so that every connection becomes idle. */
+        REJECTING,
+        /** Gives every open request its final answer now. */
+        ANSWERING_ALL,
+        /** Closes the connections that are left: their clients do not read. */
+        CUTTING_OFF
     }
 
-    private static final long LINGER_US = 700_000;
-    private static final long MOST_OPEN_US = 3_000_000;
-    /** From the last answers to the platform's kill: 0.4 s, of which writing them may take half. */
-    private static final long ANSWERS_BEFORE_KILL_US = 400_000;
-    private static final long CUT_BEFORE_KILL_US = 200_000;
-    /** How long a connection may take to come to an idle turn by itself. */
-    private static final long BY_ITSELF_US = 500_000;
+    /** From the end of the longest deadline to the platform's kill. */
+    private static final long KILL_MARGIN_MICROS = 700_000;
+    /** The platform counts no deadline as longer than this. */
+    private static final long MAX_DEADLINE_MICROS = 3_000_000;
+    /** From the last answers to the platform's kill: writing them may take half of it. */
+    private static final long ANSWERS_BEFORE_KILL_MICROS = 400_000;
+    private static final long CUT_OFF_BEFORE_KILL_MICROS = 200_000;
+    /** How long a connection may take to become idle without rejections. */
+    private static final long IDLE_WAIT_MICROS = 500_000;
 
-    private final long sinceUs;
-    private final long endsIdleUs;
-    private final long turnsAwayUs;
-    private final long answersAllUs;
-    private final long cutsOffUs;
+    private final long signalMicros;
+    private final long closingIdleMicros;
+    private final long rejectingMicros;
+    private final long answeringAllMicros;
+    private final long cuttingOffMicros;
 
     /**
-     * From a signal at {@code sinceUs}; requests are open for up to {@code longestUs}. Where another process takes
-     * over, clients get most of the time to go by themselves: a close that crosses a request costs there.
+     * Plans the phases.
+     *
+     * @param signalMicros when the signal came
+     * @param longestDeadlineMicros for how long a request may be open
+     * @param handover whether another process takes over; clients then get most of the time to close their connections
+     *     themselves, since a close that crosses a request loses it
      */
-    public ShutdownSequence(long sinceUs, long longestUs, boolean handsOver) {
-        this.sinceUs = sinceUs;
-        long killUs = sinceUs + Math.min(longestUs, MOST_OPEN_US) + LINGER_US;
-        answersAllUs = killUs - ANSWERS_BEFORE_KILL_US;
-        cutsOffUs = killUs - CUT_BEFORE_KILL_US;
-        endsIdleUs = handsOver ? Math.max(sinceUs, answersAllUs - 2 * BY_ITSELF_US)
-                : Math.min(sinceUs + LINGER_US, answersAllUs);
-        turnsAwayUs = endsIdleUs + Math.min(BY_ITSELF_US, (answersAllUs - endsIdleUs) / 2);
+    public ShutdownSequence(long signalMicros, long longestDeadlineMicros, boolean handover) {
+        this.signalMicros = signalMicros;
+        long killMicros = signalMicros + Math.min(longestDeadlineMicros, MAX_DEADLINE_MICROS) + KILL_MARGIN_MICROS;
+        answeringAllMicros = killMicros - ANSWERS_BEFORE_KILL_MICROS;
+        cuttingOffMicros = killMicros - CUT_OFF_BEFORE_KILL_MICROS;
+        closingIdleMicros = handover ? Math.max(signalMicros, answeringAllMicros - 2 * IDLE_WAIT_MICROS)
+                : Math.min(signalMicros + KILL_MARGIN_MICROS, answeringAllMicros);
+        rejectingMicros = closingIdleMicros + Math.min(IDLE_WAIT_MICROS, (answeringAllMicros - closingIdleMicros) / 2);
     }
 
-    /** The step at this moment. */
-    public Step at(long nowUs) {
-        return nowUs >= cutsOffUs ? Step.CUTS_OFF : nowUs >= answersAllUs ? Step.ANSWERS_ALL
-                : nowUs >= turnsAwayUs ? Step.TURNS_AWAY : nowUs >= endsIdleUs ? Step.ENDS_IDLE : Step.TOLD;
+    /** The phase at this moment. */
+    public Phase phase(long nowMicros) {
+        if (nowMicros >= cuttingOffMicros) {
+            return Phase.CUTTING_OFF;
+        }
+        if (nowMicros >= answeringAllMicros) {
+            return Phase.ANSWERING_ALL;
+        }
+        if (nowMicros >= rejectingMicros) {
+            return Phase.REJECTING;
+        }
+        return nowMicros >= closingIdleMicros ? Phase.CLOSING_IDLE : Phase.NOTIFIED;
     }
 
-    /** How long the whole end may take, from the signal. */
-    public long mostUs() {
-        return cutsOffUs - sinceUs;
+    /** From the signal to the last phase, in microseconds. */
+    public long cutOffDelayMicros() {
+        return cuttingOffMicros - signalMicros;
     }
 }
--- a/src/main/java/clovermill/director/shutdown/decide/package-info.java
+++ b/src/main/java/clovermill/director/shutdown/decide/package-info.java
@@ -1,2 +1,5 @@
-/** What the end of a director follows. Pure: no I/O, no clock, no thread. */
+/**
+ * The phases of a graceful shutdown, derived from the longest deadline and the platform's kill. Entry type:
+ * {@link clovermill.director.shutdown.decide.ShutdownSequence}. Pure: no I/O, no clock, no thread.
+ */
 package clovermill.director.shutdown.decide;
--- a/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
+++ b/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
@@ -10,32 +10,22 @@
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.ManualClock;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
 class GracefulShutdownTest {
 
-    private static final long STEP_US = 10_000;
-    private static final long LONGEST_US = 3_000_000;
+    private static final long STEP_MICROS = 10_000;
+    private static final long LONGEST_DEADLINE_MICROS = 3_000_000;
 
-    private long nowUs = 1_700_000_000_000_000L;
+    private final ManualClock clock = new ManualClock(1_700_000_000_000_000L);
     private final Deadlines deadlines = new Deadlines();
-    private final Clock clock = new Clock() {
-        @Override
-        public long micros() {
-            return nowUs;
-        }
 
-        @Override
-        public long unixMillis() {
-            return nowUs / 1000;
-        }
-    };
-
-    /** A front that fails the first time that connections are to end, and has one connection until it is cut off. */
-    private static final class FailingFront implements ClientServer {
-        private int partings;
+    /** A server whose first closing of idle connections fails; it has one connection until that is cut off. */
+    private static final class FailingServer implements ClientServer {
+        private int calls;
         private boolean empty;
 
         @Override
@@ -54,9 +44,9 @@
 
         @Override
         public void part(boolean turnAway, boolean cuttingOff) {
-            partings++;
+            calls++;
             empty = cuttingOff;
-            if (partings == 1) {
+            if (calls == 1) {
                 throw new IllegalStateException("the first connection cannot be ended");
             }
         }
@@ -67,7 +57,7 @@
         }
     }
 
-    private static ProxyCore host(Clock clock, Deadlines deadlines) throws Exception {
+    private static ProxyCore core(Clock clock, Deadlines deadlines) throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         Upstream nobody = new Upstream() {
@@ -85,24 +75,27 @@
         return new ProxyCore((atUs, event, out) -> {}, config.settings(), clock, deadlines, nobody);
     }
 
-    /** Otherwise the process would stay until the platform kills it, with what is open unanswered. */
+    /** Otherwise the process would stay until the platform kills it, with open requests unanswered. */
     @Test
-    void aStepThatFailsDoesNotKeepTheProcessFromEnding() throws Exception {
-        FailingFront front = new FailingFront();
-        GracefulShutdown departure = new GracefulShutdown(new EventLoop(clock, deadlines), clock, deadlines, front,
-                host(clock, deadlines), () -> LONGEST_US, false);
-        departure.begin();
+    void aFailingCheckDoesNotKeepTheProcessFromEnding() throws Exception {
+        FailingServer server = new FailingServer();
+        GracefulShutdown shutdown = new GracefulShutdown(new EventLoop(clock, deadlines), clock, deadlines, server,
+                core(clock, deadlines), () -> LONGEST_DEADLINE_MICROS, false);
+        shutdown.begin();
         assertThatThrownBy(() -> {
-            while (front.partings == 0) {
-                nowUs += STEP_US;
-                deadlines.sweep(nowUs);
+            while (server.calls == 0) {
+                pass();
             }
         }).hasMessage("the first connection cannot be ended");
-        for (long leftUs = LONGEST_US; leftUs > 0; leftUs -= STEP_US) {
-            nowUs += STEP_US;
-            deadlines.sweep(nowUs);
+        for (long remainingMicros = LONGEST_DEADLINE_MICROS; remainingMicros > 0; remainingMicros -= STEP_MICROS) {
+            pass();
         }
-        assertThat(front.empty).as("cut off before the platform kills").isTrue();
-        assertThat(deadlines.size()).as("the end is no longer looked after").isZero();
+        assertThat(server.empty).as("cut off before the platform kills").isTrue();
+        assertThat(deadlines.size()).as("no more checks are due").isZero();
+    }
+
+    private void pass() {
+        clock.passMicros(STEP_MICROS);
+        deadlines.sweep(clock.micros());
     }
 }
