--- a/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
+++ b/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
@@ -10,107 +10,123 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
 /**
- * Takes a new configuration from its file while requests are in flight. A signal opens a span of time in which
- * the file is looked at now and then, so that one that is replaced, half written or missing just then is still
- * taken; where the signal cannot come that span never ends. Runs on the loop, a look costs one call for the
- * file's attributes.
+ * Reloads the configuration file while requests are open. A signal opens a window in which the file is checked
+ * repeatedly, so that one that is being replaced, half written or missing at the signal is still applied; where the
+ * signal is not delivered the window never ends. A check costs one system call for the file's attributes. On the loop's
+ * thread.
  */
 public final class ConfigReloader {
 
+    /** Between two checks: an eighth of the time after which the rules count the new channel's events as received. */
+    static final long CHECK_INTERVAL_MICROS = 500_000;
+    /** After a signal: the rules count a new channel's events as received 4 s after it; a later file needs a new one. */
+    static final long WINDOW_MICROS = 4_000_000;
+
     private static final System.Logger LOG = System.getLogger(ConfigReloader.class.getName());
-    /** An eighth of the time after which what the new channel tells counts as told; see below. */
-    static final long LOOK_US = 500_000;
-    /** The rules count a new channel's events as told 4 s after the signal; what comes later needs a new one. */
-    static final long SPAN_US = 4_000_000;
 
     private final Path file;
     private final Config.Source source;
     private final Clock clock;
     private final Deadlines deadlines;
-    private final Taker taker;
+    private final Target target;
     private final ConfigWatch watch;
-    private Deadlines.Deadline next;
+    private Deadlines.Deadline nextCheck;
     private Config inForce;
-    private long untilUs;
+    private long windowEndMicros;
 
-    /** Takes over a new configuration. */
-    public interface Taker {
+    /** What a new configuration is applied to. */
+    @FunctionalInterface
+    public interface Target {
 
-        /** Takes a whole and usable configuration, or throws without having taken anything of it. */
-        void take(Config config) throws Json.Malformed;
+        /**
+         * Applies a complete and checked configuration.
+         *
+         * @throws Json.Malformed if it cannot be used; nothing of it is applied then
+         */
+        void apply(Config config) throws Json.Malformed;
     }
 
-    /** {@code taker} gets each configuration that is whole; the file as it is now counts as known. */
-    public ConfigReloader(Path file, Clock clock, Deadlines deadlines, Config inForce, Taker taker) {
-        this(file, () -> Files.readString(file), clock, deadlines, inForce, taker);
+    /** The file as it is now counts as read; it gave {@code inForce}. */
+    public ConfigReloader(Path file, Clock clock, Deadlines deadlines, Config inForce, Target target) {
+        this(file, () -> Files.readString(file), clock, deadlines, inForce, target);
     }
 
     /** As above, with the text of the file from {@code source}. */
-    ConfigReloader(Path file, Config.Source source, Clock clock, Deadlines deadlines, Config inForce, Taker taker) {
+    ConfigReloader(Path file, Config.Source source, Clock clock, Deadlines deadlines, Config inForce, Target target) {
         this.file = file;
         this.source = source;
         this.clock = clock;
         this.deadlines = deadlines;
         this.inForce = inForce;
-        this.taker = taker;
-        this.watch = new ConfigWatch(stamp());
+        this.target = target;
+        this.watch = new ConfigWatch(attributes());
     }
 
-    /** The signal has come: reads the file now, and looks for changes for a while. */
+    /** Reads the file now, and checks it for changes until the window ends. */
     public void reload() {
-        watch.forget();
-        untilUs = Math.max(untilUs, clock.micros() + SPAN_US);
-        look();
+        watch.forceRead();
+        windowEndMicros = Math.max(windowEndMicros, clock.micros() + WINDOW_MICROS);
+        check();
     }
 
-    /** The signal cannot come: looks for changes from now on. */
+    /** Checks the file for changes from now on: the signal is not delivered. */
     public void pollAlways() {
-        untilUs = Long.MAX_VALUE;
-        look();
+        windowEndMicros = Long.MAX_VALUE;
+        check();
     }
 
-    private void look() {
-        deadlines.cancel(next);
-        if (clock.micros() + LOOK_US <= untilUs) {
-            next = deadlines.add(clock.micros() + LOOK_US, this::look);
+    private void check() {
+        deadlines.cancel(nextCheck);
+        if (clock.micros() + CHECK_INTERVAL_MICROS <= windowEndMicros) {
+            scheduleCheck();
         }
-        ConfigWatch.Stamp seen = stamp();
-        if (watch.look(seen)) {
-            try {
-                Config read = Config.read(source.read(), null);
-                inForce.checkNext(read);
-                taker.take(read);
-                inForce = read;
-            } catch (Json.Malformed bad) {
-                warn(bad.getMessage());
-            } catch (CharacterCodingException noText) {
-                warn("the file can't be read: " + noText.getMessage());
-            } catch (IOException unreadable) {
-                watch.unread();
-                deadlines.cancel(next); // it is owed, however long ago the signal came
-                next = deadlines.add(clock.micros() + LOOK_US, this::look);
-                warn("the file can't be read: " + unreadable.getMessage());
-            }
-        } else if (seen == null) {
+        Optional<ConfigWatch.Attributes> found = attributes();
+        if (watch.shouldRead(found)) {
+            read();
+        } else if (found.isEmpty()) {
             warn("there is no such file");
         }
     }
 
+    private void read() {
+        try {
+            Config next = Config.read(source.read(), null);
+            inForce.checkNext(next);
+            target.apply(next);
+            inForce = next;
+        } catch (Json.Malformed malformed) {
+            warn(malformed.getMessage());
+        } catch (CharacterCodingException notText) {
+            warn("the file can't be read: " + notText.getMessage());
+        } catch (IOException unreadable) {
+            watch.readFailed();
+            deadlines.cancel(nextCheck);
+            scheduleCheck(); // also after the window: the change was signalled and is still to be applied
+            warn("the file can't be read: " + unreadable.getMessage());
+        }
+    }
+
+    private void scheduleCheck() {
+        nextCheck = deadlines.add(clock.micros() + CHECK_INTERVAL_MICROS, this::check);
+    }
+
     private void warn(String reason) {
-        if (watch.warns()) {
+        if (watch.shouldWarn()) {
             LOG.log(Level.WARNING, "the new configuration is not used: {0}: {1}", file, reason);
         }
     }
 
-    private ConfigWatch.Stamp stamp() {
+    private Optional<ConfigWatch.Attributes> attributes() {
         try {
-            BasicFileAttributes seen = Files.readAttributes(file, BasicFileAttributes.class);
-            return new ConfigWatch.Stamp(seen.fileKey(), seen.size(), seen.lastModifiedTime().to(TimeUnit.NANOSECONDS));
-        } catch (IOException gone) {
-            return null;
+            BasicFileAttributes found = Files.readAttributes(file, BasicFileAttributes.class);
+            return Optional.of(new ConfigWatch.Attributes(found.fileKey(), found.size(),
+                    found.lastModifiedTime().to(TimeUnit.NANOSECONDS)));
+        } catch (IOException missing) {
+            return Optional.empty();
         }
     }
 }
--- a/src/main/java/clovermill/controlplane/reload/ConfigWatch.java
+++ b/src/main/java/clovermill/controlplane/reload/ConfigWatch.java
@@ -1,55 +1,63 @@
 package clovermill.controlplane.reload;
 
+import java.util.Optional;
+
 /**
- * Decides when the configuration file is read and when what was read is worth a warning. It is told what the
- * file looks like from outside, again and again, and reads nothing itself.
+ * Decides when the configuration file is read and when a warning is logged, from the file's attributes at each check.
  *
- * <p>A file is read at the look that finds it changed, and once more at the next: a second write within the
- * file system's tick of time leaves the same stamp if the size is the same. One that cannot be used is warned of
- * only at that second reading, since it may have been half written at the first. Not thread-safe.
+ * <p>A file is read at the check that finds it changed, and once more at the next: a second write of the same size
+ * within one tick of the file system's time leaves the attributes as they are. An unusable file is logged only at that
+ * second reading, since it may have been half written at the first. Reads nothing itself. Not thread-safe.
  */
 final class ConfigWatch {
 
-    /** A file from outside: its identity (the inode, say), its size in bytes and its time in nanoseconds. */
-    record Stamp(Object identity, long size, long modifiedNs) {}
+    /**
+     * The attributes that a change shows in.
+     *
+     * @param identity which file it is (the inode, for example)
+     * @param sizeBytes its size
+     * @param modifiedNanos its modification time; compared for equality only
+     */
+    record Attributes(Object identity, long sizeBytes, long modifiedNanos) {}
 
-    private Stamp last;
+    private Optional<Attributes> last;
+    /** Whether the last attributes were seen twice. */
     private boolean settled = true;
     private boolean warned;
-    private int missed;
-    private int unread;
+    private int checksMissing;
+    private int readsFailed;
 
-    /** Takes the file of that look as known, without its being read. */
-    ConfigWatch(Stamp known) {
+    /** The file with these attributes counts as read; empty if there is none. */
+    ConfigWatch(Optional<Attributes> known) {
         this.last = known;
     }
 
-    /** Has the next look read the file in any case. */
-    void forget() {
-        last = null;
+    /** The next check reads the file in any case. */
+    void forceRead() {
+        last = Optional.empty();
         warned = false;
-        missed = 0;
-        unread = 0;
+        checksMissing = 0;
+        readsFailed = 0;
     }
 
-    /** What was to be read could not be read for now (no descriptor, say): the next look reads it again. */
-    void unread() {
+    /** The file could not be read for a moment (no descriptor, for example): the next check reads it again. */
+    void readFailed() {
         settled = false;
-        unread++;
+        readsFailed++;
     }
 
-    /** Whether the file is to be read now; {@code seen} is null where there is none. */
-    boolean look(Stamp seen) {
-        if (seen == null) {
-            missed++;
+    /** Whether the file is to be read at this check; {@code found} is empty where there is no file. */
+    boolean shouldRead(Optional<Attributes> found) {
+        if (found.isEmpty()) {
+            checksMissing++;
             return false;
         }
-        missed = 0;
-        if (!seen.equals(last)) {
-            last = seen;
+        checksMissing = 0;
+        if (!found.equals(last)) {
+            last = found;
             settled = false;
             warned = false;
-            unread = 0;
+            readsFailed = 0;
             return true;
         }
         boolean again = !settled;
@@ -57,11 +65,11 @@
         return again;
     }
 
-    /** After a reading that failed, or a look that found no file: whether to say so, once for each such state. */
-    boolean warns() {
-        boolean lasting = missed > 0 ? missed > 1 : settled || unread > 1;
-        boolean says = lasting && !warned;
+    /** After a failed reading, or a check that found no file: whether to log it, once for each such state. */
+    boolean shouldWarn() {
+        boolean lasting = checksMissing > 0 ? checksMissing > 1 : settled || readsFailed > 1;
+        boolean warn = lasting && !warned;
         warned |= lasting;
-        return says;
+        return warn;
     }
 }
--- a/src/main/java/clovermill/controlplane/reload/decide/RequestClassRegistry.java
+++ b/src/main/java/clovermill/controlplane/reload/decide/RequestClassRegistry.java
@@ -10,124 +10,126 @@
 import java.util.Map;
 
 /**
- * The classes of requests over the life of a process. A class keeps its number by its name, whatever place
- * configurations give it, so that what is open or was learned under a number stays true; a number is never used again.
+ * The request classes over the life of a process. A class keeps its number by its name, whatever position
+ * configurations give it, so that what is open or was learned under a number stays true; a number is never reused.
  *
- * <p>Clients follow a new configuration some time after the signal. Until then a class may do only what its old and its
- * new terms both allow, a request may be attempted only as often as both allow, and one that is dropped is still taken.
- * Not thread-safe.
+ * <p>Clients follow a new configuration some time after the signal. During this overlap a class may do only what both
+ * its old and its new terms allow, a request may be attempted only as often as both allow, and a class that was removed
+ * is still accepted. Pure; not thread-safe.
  */
 public final class RequestClassRegistry {
 
-    /** Clients name new classes 1.2 s after the signal; the rest is for what is on its way. */
-    public static final long OVERLAP_US = 2_000_000;
-    /** Names over the life of a process: the ledger keeps a number in a byte. A file that needs more is not taken. */
-    private static final int MOST = 255;
+    /** Clients use new classes from 1.2 s after the signal; the rest covers requests on their way. */
+    public static final long OVERLAP_MICROS = 2_000_000;
+    /** Names over the life of a process: the ledger stores a number in a byte. A file that needs more is not used. */
+    private static final int MAX_NAMES = 255;
 
+    /** By number. */
     private final List<String> names = new ArrayList<>();
+    /** The terms in force, by number. */
     private final List<RequestClass> terms = new ArrayList<>();
-    private List<String> wanted;
-    private Map<String, RequestClass> target = new LinkedHashMap<>();
-    private int attempts;
-    private int targetAttempts;
-    private long longestUs;
-    private long targetLongestUs;
-    private boolean overlaps;
-
-    /** The classes of the start, numbered as they stand, and how often a request may be attempted. */
-    public RequestClassRegistry(List<String> names, List<RequestClass> terms, int attempts) {
+    private List<String> configuredNames;
+    private Map<String, RequestClass> nextTerms = new LinkedHashMap<>();
+    private int maxAttempts;
+    private int nextMaxAttempts;
+    private long longestDeadlineMicros;
+    private long nextLongestDeadlineMicros;
+    private boolean overlapping;
+
+    /** The classes of the start, numbered in this order, and how often a request may be attempted. */
+    public RequestClassRegistry(List<String> names, List<RequestClass> terms, int maxAttempts) {
         this.names.addAll(names);
         this.terms.addAll(terms);
-        this.wanted = List.copyOf(names);
-        this.attempts = attempts;
-        this.targetAttempts = attempts;
-        this.longestUs = longest(terms);
-        this.targetLongestUs = longestUs;
+        this.configuredNames = List.copyOf(names);
+        this.maxAttempts = maxAttempts;
+        this.nextMaxAttempts = maxAttempts;
+        this.longestDeadlineMicros = longestDeadlineMicros(terms);
+        this.nextLongestDeadlineMicros = longestDeadlineMicros;
     }
 
     /** Whether there is a number left for each name that is new. */
-    public boolean hasRoomFor(List<String> newNames) {
-        return names.size() + newNames.stream().filter(name -> !names.contains(name)).count() <= MOST;
+    public boolean hasNumbersFor(List<String> nextNames) {
+        return names.size() + nextNames.stream().filter(name -> !names.contains(name)).count() <= MAX_NAMES;
     }
 
-    /** Takes new terms; until {@link #settle} both the old and the new ones bind. */
-    public void change(List<String> newNames, List<RequestClass> newTerms, int newAttempts) {
-        for (int i = 0; i < newNames.size(); i++) {
-            int number = names.indexOf(newNames.get(i));
+    /** Adds new terms; until {@link #completeChange} both the old and the new ones bind. */
+    public void beginChange(List<String> nextNames, List<RequestClass> newTerms, int newMaxAttempts) {
+        for (int i = 0; i < nextNames.size(); i++) {
+            int number = names.indexOf(nextNames.get(i));
             if (number < 0) {
-                names.add(newNames.get(i));
+                names.add(nextNames.get(i));
                 terms.add(newTerms.get(i));
             } else {
-                terms.set(number, both(terms.get(number), newTerms.get(i)));
+                terms.set(number, stricter(terms.get(number), newTerms.get(i)));
             }
-            target.put(newNames.get(i), newTerms.get(i));
+            nextTerms.put(nextNames.get(i), newTerms.get(i));
         }
-        wanted = List.copyOf(newNames);
-        attempts = Math.min(attempts, newAttempts);
-        targetAttempts = newAttempts;
-        longestUs = Math.min(longestUs, longest(newTerms));
-        targetLongestUs = longest(newTerms);
-        overlaps = true;
+        configuredNames = List.copyOf(nextNames);
+        maxAttempts = Math.min(maxAttempts, newMaxAttempts);
+        nextMaxAttempts = newMaxAttempts;
+        nextLongestDeadlineMicros = longestDeadlineMicros(newTerms);
+        longestDeadlineMicros = Math.min(longestDeadlineMicros, nextLongestDeadlineMicros);
+        overlapping = true;
     }
 
-    /** The overlap is over: only the new terms bind, and classes that were dropped are no longer taken. */
-    public void settle() {
-        target.forEach((name, each) -> terms.set(names.indexOf(name), each));
-        target = new LinkedHashMap<>();
-        attempts = targetAttempts;
-        longestUs = targetLongestUs;
-        overlaps = false;
+    /** Ends the overlap: only the new terms bind, and classes that were removed are no longer accepted. */
+    public void completeChange() {
+        nextTerms.forEach((name, each) -> terms.set(names.indexOf(name), each));
+        nextTerms = new LinkedHashMap<>();
+        maxAttempts = nextMaxAttempts;
+        longestDeadlineMicros = nextLongestDeadlineMicros;
+        overlapping = false;
     }
 
-    /** The terms in force by number, those of dropped classes too. */
-    public List<RequestClass> terms() {
+    /** The terms in force by number, those of removed classes included. */
+    public List<RequestClass> requestClasses() {
         return List.copyOf(terms);
     }
 
     /**
-     * The longest deadline of the classes that the configuration has, in microseconds; the shorter of both while they
-     * overlap. The platform's kill follows it, so a class that was dropped no longer counts, however long it was.
+     * The longest deadline of the configured classes, in microseconds; the shorter of both during an overlap. The
+     * platform's kill follows it, so a removed class does not count, however long its deadline was.
      */
-    public long longestDeadlineUs() {
-        return longestUs;
+    public long longestDeadlineMicros() {
+        return longestDeadlineMicros;
     }
 
-    private static long longest(List<RequestClass> of) {
-        return of.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
+    private static long longestDeadlineMicros(List<RequestClass> classes) {
+        return classes.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
     }
 
-    /** Names by number; null for those that are taken no more. */
-    public List<String> taken() {
-        List<String> result = new ArrayList<>(names);
-        result.replaceAll(name -> overlaps || wanted.contains(name) ? name : null);
-        return result;
+    /** Names by number; null for those that are no longer accepted. */
+    public List<String> acceptedNames() {
+        List<String> accepted = new ArrayList<>(names);
+        accepted.replaceAll(name -> overlapping || configuredNames.contains(name) ? name : null);
+        return accepted;
     }
 
-    /** What is allowed otherwise, with the attempts in force. */
-    public Permissions bounded(Permissions told) {
-        return new Permissions(told.straight(), told.joins(), told.cancelling(), told.secondCopies(), told.probes(),
-                told.peerMessages(), attempts, told.maxOpen(), told.maxRetryAfterUs());
+    /** The permissions with the number of attempts in force in place of their own. */
+    public Permissions withMaxAttempts(Permissions permissions) {
+        return new Permissions(permissions.straight(), permissions.joins(), permissions.cancelling(),
+                permissions.secondCopies(), permissions.probes(), permissions.peerMessages(), maxAttempts,
+                permissions.maxOpen(), permissions.maxRetryAfterUs());
     }
 
-    /** The new terms, with no more freedom to repeat than the old ones give, and the longer of both waits. */
-    private static RequestClass both(RequestClass old, RequestClass next) {
+    /** The new terms, with no more freedom to repeat than the old ones give, and the longer of both deadlines. */
+    private static RequestClass stricter(RequestClass old, RequestClass next) {
         Effect effect = old.effect().compareTo(next.effect()) > 0 ? old.effect() : next.effect();
         KeyScope scope = old.keyScope().compareTo(next.keyScope()) > 0 ? old.keyScope() : next.keyScope();
+        long freshMicros = Math.min(freshMicros(old), freshMicros(next));
         return new RequestClass(next.aimUs(), next.aimStretch(), Math.max(old.deadlineUs(), next.deadlineUs()),
-                next.worth(), next.lateWorth(), effect, scope, Math.min(window(old), window(next)), next.streamed(),
-                next.goesThrough(), next.inParts(), Math.min(fresh(old), fresh(next)) == Long.MAX_VALUE ? 0
-                        : Math.min(fresh(old), fresh(next)),
-                Math.min(old.usableAfterUs(), next.usableAfterUs()),
-                next.staleWorth());
+                next.worth(), next.lateWorth(), effect, scope, Math.min(windowMicros(old), windowMicros(next)),
+                next.streamed(), next.goesThrough(), next.inParts(), freshMicros == Long.MAX_VALUE ? 0 : freshMicros,
+                Math.min(old.usableAfterUs(), next.usableAfterUs()), next.staleWorth());
     }
 
-    /** Only a class whose repeats are recognised has a window that binds. */
-    private static long window(RequestClass each) {
-        return each.effect() == Effect.DEDUPLICATED ? each.windowUs() : Long.MAX_VALUE;
+    /** The deduplication window; it binds only a class whose repeats are recognised. */
+    private static long windowMicros(RequestClass requestClass) {
+        return requestClass.effect() == Effect.DEDUPLICATED ? requestClass.windowUs() : Long.MAX_VALUE;
     }
 
-    /** 0 stands for fresh until purged. */
-    private static long fresh(RequestClass each) {
-        return each.freshUs() == 0 ? Long.MAX_VALUE : each.freshUs();
+    /** How long a copy is fresh; the settings' 0 stands for until purged. */
+    private static long freshMicros(RequestClass requestClass) {
+        return requestClass.freshUs() == 0 ? Long.MAX_VALUE : requestClass.freshUs();
     }
 }
--- a/src/main/java/clovermill/controlplane/reload/decide/package-info.java
+++ b/src/main/java/clovermill/controlplane/reload/decide/package-info.java
@@ -1,2 +1,5 @@
-/** What a new configuration changes, and when; no input or output. */
+/**
+ * Which request classes are in force before, during and after a reload. Entry type:
+ * {@link clovermill.controlplane.reload.decide.RequestClassRegistry}. Pure: no I/O, no clock, no thread.
+ */
 package clovermill.controlplane.reload.decide;
--- a/src/main/java/clovermill/controlplane/reload/package-info.java
+++ b/src/main/java/clovermill/controlplane/reload/package-info.java
@@ -1,8 +1,10 @@
 /**
- * New configurations for a director in service. {@link clovermill.controlplane.reload.Signals} says whether a signal
- * can be heard at all; {@link clovermill.controlplane.reload.ConfigReloader} looks at the file on the loop, at SIGHUP
- * or
- * all the time where SIGHUP is ignored; {@link clovermill.controlplane.reload.ConfigWatch} decides, without I/O, when
- * a file is read and when an unusable one is worth a line in the log.
+ * Reloads the configuration of a running director.
+ *
+ * <p>Entry type: {@link clovermill.controlplane.reload.ConfigReloader}, which checks the file on the loop, after SIGHUP
+ * or all the time where SIGHUP is not delivered. {@link clovermill.controlplane.reload.Signals} tells which of the two
+ * holds. {@link clovermill.controlplane.reload.ConfigWatch} decides, without I/O, when the file is read and when an
+ * unusable one is logged; {@link clovermill.controlplane.reload.decide.RequestClassRegistry} decides which request
+ * classes are in force meanwhile.
  */
 package clovermill.controlplane.reload;
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -64,8 +64,8 @@
         SettingsReload reload = new SettingsReload(config, clock, runtime.deadlines(), dataPlane.core(), server,
                 controlPlane.discovery());
         shutdown = new GracefulShutdown(runtime.loop(), clock, runtime.deadlines(), server, dataPlane.core(),
-                reload::longestUs, platform.inheritedSocket().isPresent());
-        reloader = new ConfigReloader(configFile, clock, runtime.deadlines(), config, reload::take);
+                reload::longestDeadlineMicros, platform.inheritedSocket().isPresent());
+        reloader = new ConfigReloader(configFile, clock, runtime.deadlines(), config, reload::apply);
     }
 
     /** The loop, to be run by the caller after {@link #open}. */
--- a/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
+++ b/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
@@ -4,8 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import clovermill.config.Config;
-import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.ManualClock;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,19 +19,8 @@
     @TempDir
     private Path folder;
 
-    private long nowUs = 1_700_000_000_000_000L;
+    private final ManualClock clock = new ManualClock(1_700_000_000_000_000L);
     private final Deadlines deadlines = new Deadlines();
-    private final Clock clock = new Clock() {
-        @Override
-        public long micros() {
-            return nowUs;
-        }
-
-        @Override
-        public long unixMillis() {
-            return nowUs / 1000;
-        }
-    };
 
     private Path write(String name) throws Exception {
         Path file = folder.resolve("config.json");
@@ -40,50 +29,50 @@
         return file;
     }
 
-    private void look() {
-        nowUs += ConfigReloader.LOOK_US;
-        deadlines.sweep(nowUs);
+    private void passInterval() {
+        clock.passMicros(ConfigReloader.CHECK_INTERVAL_MICROS);
+        deadlines.sweep(clock.micros());
     }
 
-    /** Where SIGHUP cannot come nothing else would ever have a later file read. */
+    /** Where SIGHUP is not delivered nothing else would ever read a later file. */
     @Test
-    void aConfigurationThatCannotBeTakenDoesNotEndTheWatchOnItsFile() throws Exception {
+    void aConfigurationThatCannotBeAppliedDoesNotEndThePolling() throws Exception {
         Path file = write("first");
-        List<String> taken = new ArrayList<>();
+        List<String> applied = new ArrayList<>();
         ConfigReloader reloader =
                 new ConfigReloader(file, clock, deadlines, Config.load(file.toString(), null), config -> {
                     if (config.name().equals("second-file")) {
-                        throw new IllegalStateException("cannot be taken");
+                        throw new IllegalStateException("cannot be applied");
                     }
-                    taken.add(config.name());
+                    applied.add(config.name());
                 });
         reloader.pollAlways();
         write("second-file");
-        assertThatThrownBy(this::look).hasMessage("cannot be taken");
+        assertThatThrownBy(this::passInterval).hasMessage("cannot be applied");
         write("the-third-of-all-files");
-        look();
-        assertThat(taken).containsExactly("the-third-of-all-files");
+        passInterval();
+        assertThat(applied).containsExactly("the-third-of-all-files");
     }
 
-    /** The file stays as it is, so nothing but a further look would ever have it read. */
+    /** The file stays as it is, so only a further check reads it. */
     @Test
-    void aFileThatCannotBeReadForAWhileIsTakenAfterwards() throws Exception {
+    void aFileThatCannotBeReadForAWhileIsAppliedAfterwards() throws Exception {
         Path file = write("first");
-        List<String> taken = new ArrayList<>();
+        List<String> applied = new ArrayList<>();
         int[] failures = {10};
         ConfigReloader reloader = new ConfigReloader(file, () -> {
             if (failures[0]-- > 0) {
                 throw new IOException("Too many open files");
             }
             return Files.readString(file);
-        }, clock, deadlines, Config.load(file.toString(), null), config -> taken.add(config.name()));
+        }, clock, deadlines, Config.load(file.toString(), null), config -> applied.add(config.name()));
         write("second-file");
         reloader.reload();
         for (int i = 0; i < 9; i++) {
-            look();
+            passInterval();
         }
-        assertThat(taken).isEmpty();
-        look();
-        assertThat(taken).containsExactly("second-file");
+        assertThat(applied).isEmpty();
+        passInterval();
+        assertThat(applied).containsExactly("second-file");
     }
 }
