--- /dev/null
+++ b/src/main/java/clovermill/controlplane/admin/AdminRequestException.java
@@ -0,0 +1,18 @@
+package clovermill.controlplane.admin;
+
+/** A request that cannot be parsed; the message is the response's body. */
+final class AdminRequestException extends Exception {
+
+    private static final long serialVersionUID = 1L;
+    private final int status;
+
+    AdminRequestException(int status, String message) {
+        super(message, null, false, false);
+        this.status = status;
+    }
+
+    /** The status of HTTP that says why (RFC 9110, 15.5 and 15.6). */
+    int status() {
+        return status;
+    }
+}
--- a/src/main/java/clovermill/controlplane/admin/AdminRequestParser.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminRequestParser.java
@@ -5,93 +5,93 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
+import java.util.Optional;
+import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
 /**
- * Reads one request of HTTP/1.1 (RFC 9112), cut at whatever bytes: a request line, headers, and a body that is sized
- * or chunked. Whatever follows it is left alone, since a connection carries one call.
+ * Parses one request of HTTP/1.1 (RFC 9112) from buffers cut at any byte: a request line, headers, and a body that is
+ * sized or chunked. Bytes after it are ignored, since a connection carries one request.
  */
 final class AdminRequestParser {
 
-    /** A request that cannot be read, with the status that says why. */
-    static final class BadCall extends Exception {
+    private enum State { REQUEST_LINE, HEADERS, SIZED_BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, DONE }
 
-        private static final long serialVersionUID = 1L;
-        private final int status;
-
-        BadCall(int status, String message) {
-            super(message, null, false, false);
-            this.status = status;
-        }
-
-        int status() {
-            return status;
-        }
-    }
-
-    private enum State { LINE, HEADERS, SIZED, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, DONE }
-
-    /**
-     * A policy takes some kilobytes, other calls some hundred bytes; this is what a caller may make the director hold.
-     */
-    private static final int LARGEST_HEAD = 8192;
-    private static final int LARGEST_BODY = 1 << 17;
-    private static final Pattern LENGTH = Pattern.compile("[0-9]{1,9}");
-    private static final Pattern CHUNK_LENGTH = Pattern.compile("[0-9a-fA-F]{1,7}");
-    private static final Pattern LINE = Pattern.compile("([A-Za-z]+) +(/[^ ?#]*)([?][^ ]*)? +HTTP/1\\.[01] *");
+    private static final int MAX_HEAD_BYTES = 8192;
+    /** A policy takes some kilobytes, other calls some hundred bytes. */
+    private static final int MAX_BODY_BYTES = 1 << 17;
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,9}");
+    private static final Pattern CHUNK_SIZE = Pattern.compile("[0-9a-fA-F]{1,7}");
+    private static final Pattern REQUEST_LINE = Pattern.compile("([A-Za-z]+) +(/[^ ?#]*)([?][^ ]*)? +HTTP/1\\.[01] *");
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(128);
-    private State state = State.LINE;
+    private State state = State.REQUEST_LINE;
     private String method;
     private String path;
     private int headBytes;
-    private int left;
+    /** Bytes of the body, or of its current chunk, that are still to come. */
+    private int remainingBytes;
     private boolean chunked;
-    private boolean awaited;
+    private boolean continueExpected;
 
-    /** Takes bytes; returns the call once it is whole, else null. */
-    AdminRequest parse(ByteBuffer data) throws BadCall {
+    /**
+     * Consumes bytes.
+     *
+     * @return the request once it is complete
+     * @throws AdminRequestException if it cannot be parsed or is too long
+     */
+    Optional<AdminRequest> parse(ByteBuffer data) throws AdminRequestException {
         while (data.hasRemaining() && state != State.DONE) {
-            if (state == State.SIZED || state == State.CHUNK) {
-                byte[] part = new byte[Math.min(left, data.remaining())];
-                data.get(part);
-                body.write(part, 0, part.length);
-                left -= part.length;
-                if (left == 0) {
-                    state = state == State.SIZED ? State.DONE : State.CHUNK_END;
-                }
+            if (state == State.SIZED_BODY || state == State.CHUNK) {
+                readBody(data);
             } else {
-                byte next = data.get();
-                if (++headBytes > LARGEST_HEAD) {
-                    throw new BadCall(431, "the head is too long");
-                }
-                if (next != '\n') {
-                    line.write(next);
-                } else {
-                    String text = line.toString(StandardCharsets.ISO_8859_1);
-                    line.reset();
-                    line(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
-                }
+                readLine(data.get());
             }
         }
-        return state == State.DONE ? new AdminRequest(method, path, body.toString(StandardCharsets.UTF_8)) : null;
+        return state == State.DONE
+                ? Optional.of(new AdminRequest(method, path, body.toString(StandardCharsets.UTF_8)))
+                : Optional.empty();
+    }
+
+    private void readBody(ByteBuffer data) {
+        byte[] part = new byte[Math.min(remainingBytes, data.remaining())];
+        data.get(part);
+        body.write(part, 0, part.length);
+        remainingBytes -= part.length;
+        if (remainingBytes == 0) {
+            state = state == State.SIZED_BODY ? State.DONE : State.CHUNK_END;
+        }
+    }
+
+    private void readLine(byte next) throws AdminRequestException {
+        if (++headBytes > MAX_HEAD_BYTES) {
+            throw new AdminRequestException(431, "the head is too long");
+        }
+        if (next != '\n') {
+            line.write(next);
+            return;
+        }
+        String text = line.toString(StandardCharsets.ISO_8859_1);
+        line.reset();
+        parseLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
     }
 
-    /** Whether the caller waits to be asked for its body (RFC 9110, 10.1.1); true once. */
-    boolean waitsToSend() {
-        boolean waits = awaited && state != State.LINE && state != State.HEADERS && state != State.DONE;
-        awaited &= !waits;
-        return waits;
+    /** Whether the operator waits for 100 Continue before it sends the body (RFC 9110, 10.1.1); true at most once. */
+    boolean takeContinueExpected() {
+        boolean expected =
+                continueExpected && state != State.REQUEST_LINE && state != State.HEADERS && state != State.DONE;
+        continueExpected &= !expected;
+        return expected;
     }
 
-    private void line(String text) throws BadCall {
+    private void parseLine(String text) throws AdminRequestException {
         switch (state) {
-            case LINE -> {
-                if (!text.isEmpty()) { // an empty line before the request is let pass
-                    var words = LINE.matcher(text);
+            case REQUEST_LINE -> {
+                if (!text.isEmpty()) { // empty lines before the request are allowed (RFC 9112, 2.2)
+                    Matcher words = REQUEST_LINE.matcher(text);
                     if (!words.matches()) {
-                        throw new BadCall(400, "not a request of HTTP/1.1");
+                        throw new AdminRequestException(400, "not an HTTP/1.1 request");
                     }
                     method = words.group(1);
                     path = words.group(2);
@@ -100,22 +100,22 @@
             }
             case HEADERS -> {
                 if (text.isEmpty()) {
-                    state = chunked ? State.CHUNK_SIZE : left > 0 ? State.SIZED : State.DONE;
+                    state = chunked ? State.CHUNK_SIZE : remainingBytes > 0 ? State.SIZED_BODY : State.DONE;
                 } else {
-                    header(text);
+                    parseHeader(text);
                 }
             }
             case CHUNK_SIZE -> {
                 String size = text.split(";", 2)[0].strip();
-                if (!CHUNK_LENGTH.matcher(size).matches()) {
-                    throw new BadCall(400, "not a chunk");
+                if (!CHUNK_SIZE.matcher(size).matches()) {
+                    throw new AdminRequestException(400, "not a chunk");
                 }
-                left = bounded(Long.parseLong(size, 16));
-                state = left > 0 ? State.CHUNK : State.TRAILERS;
+                remainingBytes = checkedSize(Long.parseLong(size, 16));
+                state = remainingBytes > 0 ? State.CHUNK : State.TRAILERS;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new BadCall(400, "a chunk is longer than its size");
+                    throw new AdminRequestException(400, "a chunk is longer than its size");
                 }
                 state = State.CHUNK_SIZE;
             }
@@ -123,33 +123,34 @@
         }
     }
 
-    private void header(String text) throws BadCall {
-        int cut = text.indexOf(':');
-        if (cut < 1 || Character.isWhitespace(text.charAt(cut - 1)) || Character.isWhitespace(text.charAt(0))) {
-            throw new BadCall(400, "not a header");
+    private void parseHeader(String text) throws AdminRequestException {
+        int colon = text.indexOf(':');
+        if (colon < 1 || Character.isWhitespace(text.charAt(colon - 1)) || Character.isWhitespace(text.charAt(0))) {
+            throw new AdminRequestException(400, "not a header");
         }
-        String value = text.substring(cut + 1).strip();
-        switch (text.substring(0, cut).toLowerCase(Locale.ROOT)) {
+        String value = text.substring(colon + 1).strip();
+        switch (text.substring(0, colon).toLowerCase(Locale.ROOT)) {
             case "content-length" -> {
-                if (!LENGTH.matcher(value).matches() || left > 0 && left != Integer.parseInt(value)) {
-                    throw new BadCall(400, "Content-Length: not a length");
+                if (!CONTENT_LENGTH.matcher(value).matches()
+                        || remainingBytes > 0 && remainingBytes != Integer.parseInt(value)) {
+                    throw new AdminRequestException(400, "Content-Length: not a length");
                 }
-                left = bounded(Integer.parseInt(value));
+                remainingBytes = checkedSize(Integer.parseInt(value));
             }
             case "transfer-encoding" -> {
                 if (!value.equalsIgnoreCase("chunked")) {
-                    throw new BadCall(501, "Transfer-Encoding: only chunked is read");
+                    throw new AdminRequestException(501, "Transfer-Encoding: only chunked is read");
                 }
                 chunked = true;
             }
-            case "expect" -> awaited = value.equalsIgnoreCase("100-continue");
+            case "expect" -> continueExpected = value.equalsIgnoreCase("100-continue");
             default -> {}
         }
     }
 
-    private int bounded(long size) throws BadCall {
-        if (body.size() + size > LARGEST_BODY) {
-            throw new BadCall(413, "the body is too long");
+    private int checkedSize(long size) throws AdminRequestException {
+        if (body.size() + size > MAX_BODY_BYTES) {
+            throw new AdminRequestException(413, "the body is too long");
         }
         return (int) size;
     }
--- a/src/main/java/clovermill/controlplane/admin/AdminServer.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminServer.java
@@ -17,19 +17,20 @@
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashSet;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
-/** Listens where operators call, reads each connection's one call and writes its answer. */
+/** Accepts operators' connections, reads the one request of each and writes its response. On the loop's thread. */
 public final class AdminServer {
 
     private static final System.Logger LOG = System.getLogger(AdminServer.class.getName());
-    /** A call takes some milliseconds; one that is not whole by then is told so and let go. */
-    private static final long PATIENCE_US = 4_000_000;
-    /** So many callers may be connected; for a further one the caller that has been silent longest gives way. */
-    private static final int MOST_CALLERS = 16;
+    /** From the accept to the response; a request that is incomplete by then gets 408. */
+    private static final long TIMEOUT_MICROS = 4_000_000;
+    /** For one more connection the oldest one is closed. */
+    private static final int MAX_CONNECTIONS = 16;
 
-    /** RFC 9110, 15. */
-    private static final Map<Integer, String> PHRASES = Map.ofEntries(entry(200, "OK"), entry(202, "Accepted"),
+    /** Source: RFC 9110, 15. */
+    private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(entry(200, "OK"), entry(202, "Accepted"),
             entry(400, "Bad Request"), entry(404, "Not Found"), entry(405, "Method Not Allowed"),
             entry(408, "Request Timeout"), entry(409, "Conflict"), entry(413, "Content Too Large"),
             entry(431, "Request Header Fields Too Large"), entry(501, "Not Implemented"),
@@ -38,119 +39,128 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Deadlines deadlines;
-    private final AdminService desk;
-    private final Set<Caller> callers = new LinkedHashSet<>();
+    private final AdminService service;
+    private final Set<Exchange> exchanges = new LinkedHashSet<>();
     private Listener listener;
 
-    public AdminServer(EventLoop loop, Clock clock, Deadlines deadlines, AdminService desk) {
+    /** A server that does not listen yet. */
+    public AdminServer(EventLoop loop, Clock clock, Deadlines deadlines, AdminService service) {
         this.loop = loop;
         this.clock = clock;
         this.deadlines = deadlines;
-        this.desk = desk;
+        this.service = service;
     }
 
-    /** Takes calls from now on, until the process ends. */
+    /**
+     * Listens until the process ends.
+     *
+     * @throws IOException if the address cannot be bound
+     */
     public void open(InetSocketAddress address) throws IOException {
-        listener = loop.listenFirst(address, MOST_CALLERS, this::makeRoom, Caller::new);
+        listener = loop.listenFirst(address, MAX_CONNECTIONS, this::closeOldest, Exchange::new);
     }
 
-    /** The port that was bound. */
+    /** The port that is bound. */
     public int port() {
         return listener.port();
     }
 
-    private void makeRoom() {
-        callers.iterator().next().letGo("too many callers are connected");
+    private void closeOldest() {
+        exchanges.iterator().next().evict();
     }
 
-    /** One connection, and the one call that comes on it. */
-    private final class Caller implements Connection.Handler {
+    /** One connection with its one request. */
+    private final class Exchange implements Connection.Handler {
         private final Connection connection;
         private final AdminRequestParser parser = new AdminRequestParser();
-        private final Deadlines.Deadline patience;
-        private boolean asked;
-        private boolean answered;
+        private final Deadlines.Deadline timeout;
+        private boolean requested;
+        private boolean responded;
 
-        Caller(Connection connection) {
+        Exchange(Connection connection) {
             this.connection = connection;
-            this.patience = deadlines.add(clock.micros() + PATIENCE_US, this::overdue);
-            callers.add(this);
+            this.timeout = deadlines.add(clock.micros() + TIMEOUT_MICROS, this::timedOut);
+            exchanges.add(this);
         }
 
         @Override
         public void received(ByteBuffer data) {
-            if (asked || answered) {
-                data.position(data.limit());
-                return;
+            if (!requested && !responded) {
+                parse(data);
             }
+            data.position(data.limit());
+        }
+
+        private void parse(ByteBuffer data) {
             try {
-                AdminRequest call = parser.parse(data);
-                if (call != null) {
-                    asked = true;
-                    desk.answer(call, reply -> {
-                        LOG.log(call.method().equals("GET") ? Level.DEBUG : Level.INFO,
-                                "operators call {0} {1} {2}: {3}",
-                                call.method(), call.path(), call.body().replaceAll("\\p{Cntrl}", " "), reply.reason());
-                        if (!answered) {
-                            answer(reply);
-                        }
-                    });
-                } else if (parser.waitsToSend()) {
-                    say("HTTP/1.1 100 Continue\r\n\r\n");
+                Optional<AdminRequest> request = parser.parse(data);
+                if (request.isPresent()) {
+                    requested = true;
+                    service.handle(request.get(), response -> complete(request.get(), response));
+                } else if (parser.takeContinueExpected()) {
+                    send("HTTP/1.1 100 Continue\r\n\r\n");
                 }
-            } catch (AdminRequestParser.BadCall bad) {
-                answer(new AdminResponse(bad.status(), bad.getMessage()));
+            } catch (AdminRequestException refused) {
+                respond(new AdminResponse(refused.status(), refused.getMessage()));
+            }
+        }
+
+        /** The response is logged also where the operator got 504 before. */
+        private void complete(AdminRequest request, AdminResponse response) {
+            LOG.log(request.method().equals("GET") ? Level.DEBUG : Level.INFO, "operators call {0} {1} {2}: {3}",
+                    request.method(), request.path(), request.body().replaceAll("\\p{Cntrl}", " "), response.body());
+            if (!responded) {
+                respond(response);
             }
-            data.position(data.limit());
         }
 
-        private void answer(AdminResponse reply) {
-            answered = true;
-            String body = reply.reason() + "\n";
-            say("HTTP/1.1 " + reply.status() + " " + PHRASES.getOrDefault(reply.status(), "Error")
-                    + (reply.allow() == null ? "" : "\r\nAllow: " + reply.allow())
+        private void respond(AdminResponse response) {
+            responded = true;
+            String body = response.body() + "\n";
+            String allow = response.allowedMethods().isPresent() ? "\r\nAllow: " + response.allowedMethods().get() : "";
+            send("HTTP/1.1 " + response.status() + " " + REASON_PHRASES.getOrDefault(response.status(), "Error") + allow
                     + "\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: "
                     + body.getBytes(StandardCharsets.UTF_8).length + "\r\nConnection: close\r\n\r\n" + body);
             connection.closeWhenFlushed();
         }
 
-        private void say(String text) {
+        private void send(String text) {
             connection.send(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
         }
 
-        /** A caller that completes no call, or does not read its answer. */
-        private void overdue() {
-            if (answered) {
+        /** The request is incomplete, its response is late, or the response is not read. */
+        private void timedOut() {
+            if (responded) {
                 connection.close();
+            } else if (requested) {
+                respond(new AdminResponse(504, "the voters have not answered: GET /policy shows the result"));
             } else {
-                answer(asked
-                        ? new AdminResponse(504, "the voters have not answered: GET /policy tells what became of it")
-                        : new AdminResponse(408, "the call was not whole in time"));
+                respond(new AdminResponse(408, "the request was not complete in time"));
             }
         }
 
-        /** Gives its place to a caller that has just come. */
-        private void letGo(String reason) {
-            callers.remove(this);
-            if (answered) {
+        /** Closes this connection in favour of a new one. */
+        private void evict() {
+            exchanges.remove(this);
+            if (responded) {
                 connection.close();
             } else {
-                answer(new AdminResponse(503, reason));
+                respond(new AdminResponse(503, "too many callers are connected"));
             }
         }
 
-        /** A caller may close its side as soon as it has written its call, and still read. */
+        /** The operator has closed its sending side, which it may do right after a complete request. */
         @Override
         public void ended() {
-            if (!asked && !answered) {
-                answer(new AdminResponse(400, "the call ended early"));
+            if (!requested && !responded) {
+                respond(new AdminResponse(400, "the request ended early"));
             }
         }
 
         @Override
         public void closed(IOException cause) {
-            deadlines.cancel(patience);
-            callers.remove(this);
+            deadlines.cancel(timeout);
+            exchanges.remove(this);
         }
     }
 }
--- a/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
@@ -1,84 +1,105 @@
 package clovermill.controlplane.admin.decide;
 
 import clovermill.config.Json;
+import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Decides how the calls of operators are answered, and has done what they ask for. */
+/** Decides the response to each admin call, and has the director carry the call out. On the loop's thread. */
 public final class AdminService {
 
-    /** What can be asked of the director. */
+    /** The operations of a director. */
     public interface Director {
 
-        /** Whether this process can serve. */
+        /** Whether this process can serve clients. */
         boolean ready();
 
         /**
-         * Gives a cache nothing more until it is put back; once more changes nothing. False if no member has that id.
+         * Sends a cache no more requests until it is enabled; does nothing if it is disabled already.
+         *
+         * @return false if no endpoint has that id
          */
-        boolean takeOut(String id);
+        boolean disable(String id);
 
-        /** Gives a cache work again, however often it was taken out. False if no member has that id. */
-        boolean putBack(String id);
+        /**
+         * Lets a cache serve again, however often it was disabled.
+         *
+         * @return false if no endpoint has that id
+         */
+        boolean enable(String id);
     }
 
-    /** What can be asked about the one policy of the fleet; answers may come later. */
+    /** The operations on the replicated policy of the fleet; responses may come later. */
     public interface Policies {
 
-        /** What holds here. */
+        /** The policy in force at this director. */
         AdminResponse show();
 
-        /** A change. */
-        void put(String body, Consumer<AdminResponse> reply);
+        /** Proposes a change; {@code body} has the new policy and the version that it follows. */
+        void propose(String body, Consumer<AdminResponse> reply);
 
-        /** The change that is under way is to be taken back. */
-        void drop(Consumer<AdminResponse> reply);
+        /** Withdraws the change that is in progress. */
+        void withdraw(Consumer<AdminResponse> reply);
     }
 
     private final Director director;
-    private final Policies policies;
+    private final Optional<Policies> policies;
 
-    /** {@code policies} is null where this director takes no part in a policy. */
-    public AdminService(Director director, Policies policies) {
+    /** {@code policies} is empty where this director does not take part in a policy. */
+    public AdminService(Director director, Optional<Policies> policies) {
         this.director = director;
         this.policies = policies;
     }
 
-    /** The one answer to a call goes to {@code reply}, maybe later. */
-    public void answer(AdminRequest call, Consumer<AdminResponse> reply) {
-        switch (policies == null ? "" : call.method() + " " + call.path()) {
-            case "PUT /policy" -> policies.put(call.body(), reply);
-            case "DELETE /policy/pending" -> policies.drop(reply);
+    /** Passes exactly one response to {@code reply}, possibly later. */
+    public void handle(AdminRequest request, Consumer<AdminResponse> reply) {
+        if (policies.isPresent() && isPolicyPath(request.path())) {
+            handlePolicy(request, policies.get(), reply);
+        } else {
+            reply.accept(handle(request));
+        }
+    }
+
+    private static boolean isPolicyPath(String path) {
+        return path.equals("/policy") || path.equals("/policy/pending");
+    }
+
+    private static void handlePolicy(AdminRequest request, Policies policies, Consumer<AdminResponse> reply) {
+        switch (request.method() + " " + request.path()) {
+            case "PUT /policy" -> policies.propose(request.body(), reply);
+            case "DELETE /policy/pending" -> policies.withdraw(reply);
             case "GET /policy" -> reply.accept(policies.show());
-            default -> reply.accept(answer(call));
+            default -> reply.accept(AdminResponse.methodNotAllowed(
+                    request.path().equals("/policy") ? "GET, PUT" : "DELETE"));
         }
     }
 
-    private AdminResponse answer(AdminRequest call) {
-        return switch (policies == null && call.path().startsWith("/policy") ? "" : call.path()) {
-            case "/policy" -> wrongMethod("GET, PUT");
-            case "/policy/pending" -> wrongMethod("DELETE");
-            case "/ready" -> !call.method().equals("GET") ? wrongMethod("GET")
-                    : director.ready() ? new AdminResponse(200, "ready")
-                    : new AdminResponse(503, "this process cannot serve");
-            case "/caches/disable" -> !call.method().equals("PUT") ? wrongMethod("PUT") : change(call, true);
-            case "/caches/enable" -> !call.method().equals("PUT") ? wrongMethod("PUT") : change(call, false);
+    private AdminResponse handle(AdminRequest request) {
+        return switch (request.path()) {
+            case "/ready" -> request.method().equals("GET") ? readiness() : AdminResponse.methodNotAllowed("GET");
+            case "/caches/disable" -> request.method().equals("PUT") ? setDisabled(request, true)
+                    : AdminResponse.methodNotAllowed("PUT");
+            case "/caches/enable" -> request.method().equals("PUT") ? setDisabled(request, false)
+                    : AdminResponse.methodNotAllowed("PUT");
             default -> new AdminResponse(404, "no such call");
         };
     }
 
-    private static AdminResponse wrongMethod(String allow) {
-        return new AdminResponse(405, "this call is made with " + allow, allow);
+    private AdminResponse readiness() {
+        return director.ready() ? new AdminResponse(200, "ready")
+                : new AdminResponse(503, "this process cannot serve");
     }
 
-    private AdminResponse change(AdminRequest call, boolean out) {
+    private AdminResponse setDisabled(AdminRequest request, boolean disabled) {
         String id;
         try {
-            id = Json.string(Json.object(Json.parse(call.body())), "id");
+            id = Json.string(Json.object(Json.parse(request.body())), "id");
         } catch (Json.Malformed malformed) {
             return new AdminResponse(400, "body: " + malformed.getMessage());
         }
-        boolean known = out ? director.takeOut(id) : director.putBack(id);
-        return !known ? new AdminResponse(404, "id: no cache is known by that id")
-                : new AdminResponse(200, out ? "nothing more goes to it" : "it may serve again");
+        boolean known = disabled ? director.disable(id) : director.enable(id);
+        if (!known) {
+            return new AdminResponse(404, "id: no cache is known by that id");
+        }
+        return new AdminResponse(200, disabled ? "nothing more goes to it" : "it may serve again");
     }
 }
--- a/src/main/java/clovermill/controlplane/admin/decide/package-info.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/package-info.java
@@ -1,2 +1,5 @@
-/** What operators' calls are and how they are answered; no input or output. */
+/**
+ * The admin calls and their responses. Entry type: {@link clovermill.controlplane.admin.decide.AdminService}. Pure: no
+ * I/O, no clock, no thread.
+ */
 package clovermill.controlplane.admin.decide;
--- a/src/main/java/clovermill/controlplane/admin/package-info.java
+++ b/src/main/java/clovermill/controlplane/admin/package-info.java
@@ -1,5 +1,8 @@
 /**
- * The place where operators call: HTTP/1.1 with one call per connection, on the loop like all else. What a call
- * is answered is decided by {@link clovermill.controlplane.admin.decide.AdminService}; this package reads and writes.
+ * The HTTP/1.1 service on which operators call a director: readiness, caches taken out of service, the policy.
+ *
+ * <p>Entry type: {@link clovermill.controlplane.admin.AdminServer}, one request a connection.
+ * {@link clovermill.controlplane.admin.AdminRequestParser} parses the request,
+ * {@link clovermill.controlplane.admin.decide.AdminService} decides the response. Calls: docs/operate/service.md.
  */
 package clovermill.controlplane.admin;
--- a/src/main/java/clovermill/director/ControlPlane.java
+++ b/src/main/java/clovermill/director/ControlPlane.java
@@ -72,8 +72,9 @@
             StartupRetry startup) throws IOException {
         Runnable catchUp = handover.isPresent() ? handover.get()::catchUp : () -> {};
         OperatorActions actions = new OperatorActions(registry, server, runtime.clock(), outageMarks, catchUp);
+        Optional<AdminService.Policies> policies = policy.map(PolicyPlane::endpoint);
         AdminServer opened = new AdminServer(runtime.loop(), runtime.clock(), runtime.deadlines(),
-                new AdminService(actions, policy.isPresent() ? policy.get().endpoint() : null));
+                new AdminService(actions, policies));
         startup.get("the operators' listening socket", () -> {
             opened.open(address);
             return opened;
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public boolean takeOut(String id) {
+    public boolean disable(String id) {
         catchUp.run();
         if (!roster.knows(id)) {
             return false;
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public boolean putBack(String id) {
+    public boolean enable(String id) {
         catchUp.run();
         if (!roster.knows(id)) {
             return false;
--- a/src/main/java/clovermill/director/operations/PolicyEndpoint.java
+++ b/src/main/java/clovermill/director/operations/PolicyEndpoint.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void put(String body, Consumer<AdminResponse> reply) {
+    public void propose(String body, Consumer<AdminResponse> reply) {
         JsonNode call;
         try {
             call = JSON.readTree(body);
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public void drop(Consumer<AdminResponse> reply) {
+    public void withdraw(Consumer<AdminResponse> reply) {
         if (view.step() == null || !view.step().both()) {
             reply.accept(new AdminResponse(409, "no change is under way"));
             return;
--- a/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
+++ b/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
@@ -7,6 +7,7 @@
 import clovermill.routing.Splits;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,35 +20,36 @@
     private static final String CHUNKED = "\r\nPUT /x HTTP/1.1\nTransfer-Encoding: Chunked\n\n3;e=1\r\nabc\r\nA\r\n"
             + "0123456789\r\n0\r\nTrailer: t\r\n\r\n";
 
-    private static Splits.Parser parser(Consumer<String> told) {
+    private static Splits.Parser parser(Consumer<String> requests) {
         AdminRequestParser parser = new AdminRequestParser();
         return data -> {
-            AdminRequest call = parser.parse(data);
-            if (call != null && data.limit() > 0) {
-                told.accept(call.method() + " " + call.path() + " " + call.body());
+            Optional<AdminRequest> parsed = parser.parse(data);
+            if (parsed.isPresent() && data.limit() > 0) {
+                AdminRequest call = parsed.get();
+                requests.accept(call.method() + " " + call.path() + " " + call.body());
             }
         };
     }
 
-    private static AdminRequest parse(String text) throws Exception {
+    private static Optional<AdminRequest> parse(String text) throws Exception {
         return new AdminRequestParser().parse(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
     }
 
     @Test
-    void aCallIsTheSameWhereverItIsCut() throws Exception {
+    void aRequestIsTheSameWhereverItIsCut() throws Exception {
         for (int cut = 0; cut < SIZED.length(); cut++) {
             AdminRequestParser parser = new AdminRequestParser();
-            assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(0, cut).getBytes()))).isNull();
+            assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(0, cut).getBytes()))).isEmpty();
             assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(cut).getBytes())))
-                    .isEqualTo(new AdminRequest("PUT", "/caches/disable", "{\"id\":\"s\"}"));
+                    .contains(new AdminRequest("PUT", "/caches/disable", "{\"id\":\"s\"}"));
         }
         for (int cut = 0; cut < CHUNKED.length(); cut++) {
             AdminRequestParser parser = new AdminRequestParser();
-            assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(0, cut).getBytes()))).isNull();
+            assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(0, cut).getBytes()))).isEmpty();
             assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(cut).getBytes())))
-                    .isEqualTo(new AdminRequest("PUT", "/x", "abc0123456789"));
+                    .contains(new AdminRequest("PUT", "/x", "abc0123456789"));
         }
-        assertThat(parse("GET /ready HTTP/1.0\r\n\r\n")).isEqualTo(new AdminRequest("GET", "/ready", ""));
+        assertThat(parse("GET /ready HTTP/1.0\r\n\r\n")).contains(new AdminRequest("GET", "/ready", ""));
     }
 
     @ParameterizedTest
@@ -57,15 +59,15 @@
         "GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n", "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
         "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
         "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n"})
-    void whatCannotBeReadIsRefused(String text) {
-        assertThatThrownBy(() -> parse(text)).isInstanceOf(AdminRequestParser.BadCall.class);
+    void aMalformedRequestIsRejected(String text) {
+        assertThatThrownBy(() -> parse(text)).isInstanceOf(AdminRequestException.class);
     }
 
     @Test
-    void aHeadWithoutEndIsRefusedAndJunkIsNoFault() {
+    void anEndlessHeadIsRejectedAndRandomBytesDoNoHarm() {
         assertThatThrownBy(() -> parse("GET / HTTP/1.1\r\nA: " + "a".repeat(9000)))
-                .isInstanceOf(AdminRequestParser.BadCall.class);
-        Splits.junk(CHUNKED.getBytes(StandardCharsets.US_ASCII), AdminRequestParser.BadCall.class,
+                .isInstanceOf(AdminRequestException.class);
+        Splits.junk(CHUNKED.getBytes(StandardCharsets.US_ASCII), AdminRequestException.class,
                 AdminRequestParserTest::parser);
     }
 }
