--- a/src/main/java/clovermill/controlplane/placement/Placement.java
+++ b/src/main/java/clovermill/controlplane/placement/Placement.java
@@ -15,127 +15,153 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Predicate;
 
 /**
- * The policy in force at this director, as far as it says where data may be: turns away at once what it binds and
- * nobody may serve, and tells of any member whether an attempt may meet it at this very moment. On the loop's thread.
+ * Enforces the placement rules of the policy in force at this director: rejects at once a request that no endpoint may
+ * serve, and decides for each attempt, at the moment it is written, which endpoints it may use. On the loop's thread,
+ * but for {@link #rejection} and {@link #guardsAllDifferences}, which any thread may call.
  */
 public final class Placement implements UsageListener, Bounds {
 
-    /** A lease is back within a moment, or not for long. */
-    private static final long AFTER_MS = 200;
+    /** A lost lease is usually renewed within this time. */
+    private static final long LEASE_RETRY_AFTER_MILLIS = 200;
 
-    /** What holds here: two sets of rules in a change, of which both bind; null before anything is known. */
-    private record InForce(long untilUs, List<PlacementRules> rules) {}
+    /**
+     * The rules in force, until the lease ends.
+     *
+     * @param untilMicros the end of the lease, on this director's clock
+     * @param rules of one policy; of two during a change, both of which bind
+     */
+    private record InForce(long untilMicros, List<PlacementRules> rules) {}
 
     private final Clock clock;
     private final Settings settings;
     private final List<String> zones;
     private final List<String> classes;
-    private final boolean allBound;
+    private final boolean allGuarded;
     private final UsageListener next;
-    private final Map<String, Member> members = new HashMap<>();
-    private final Map<String, PlacementRules> read = new HashMap<>();
+    private final Map<String, Member> endpoints = new HashMap<>();
+    private final Map<String, PlacementRules> parsed = new HashMap<>();
+    /** Null until a policy is known; tested for each request. */
     private InForce inForce;
 
     /**
-     * {@code allBound} if nothing at all is served without a lease; {@code next} hears of all requests too, or null.
+     * Rejects everything until a policy is known.
+     *
+     * @param allGuarded whether no request at all is served without a lease
+     * @param next the next listener of the chain, or null
      */
-    public Placement(Clock clock, Settings settings, List<String> zones, List<String> classes, boolean allBound,
+    public Placement(Clock clock, Settings settings, List<String> zones, List<String> classes, boolean allGuarded,
             UsageListener next) {
         this.clock = clock;
         this.settings = settings;
         this.zones = zones;
         this.classes = classes;
-        this.allBound = allBound;
+        this.allGuarded = allGuarded;
         this.next = next;
     }
 
-    /** Why a policy cannot be kept here, or null. May be called on any thread. */
-    public String check(String text) {
+    /** Why this director cannot enforce a policy, with a JSON pointer; empty if it can. */
+    public Optional<String> rejection(String policy) {
         try {
-            PlacementRules.read(text, zones, classes);
-            return null;
-        } catch (Json.Malformed bad) {
-            return bad.getMessage();
+            PlacementRules.parse(policy, zones, classes);
+            return Optional.empty();
+        } catch (Json.Malformed malformed) {
+            return Optional.of(malformed.getMessage());
         }
     }
 
-    /** Whether who has no lease does nothing that differs between two policies. May be called on any thread. */
-    public boolean binding(String one, String other) {
+    /** Whether a director without a lease acts alike under two policies; false if one cannot be parsed. */
+    public boolean guardsAllDifferences(String one, String other) {
         try {
-            return allBound || PlacementRules.read(one, zones, classes)
-                    .guardsAllThatDiffers(PlacementRules.read(other, zones, classes));
-        } catch (Json.Malformed unreadable) {
+            return allGuarded || PlacementRules.parse(one, zones, classes)
+                    .guardsAllDifferences(PlacementRules.parse(other, zones, classes));
+        } catch (Json.Malformed malformed) {
             return false;
         }
     }
 
-    /** From now on these policies hold, until a time on this director's clock for what needs a lease. */
-    public void holds(List<String> policies, long untilUs) {
-        Map<String, PlacementRules> before = Map.copyOf(read);
-        read.clear();
-        List<PlacementRules> rules = policies.stream().map(text -> read.computeIfAbsent(text,
-                key -> before.containsKey(key) ? before.get(key) : parsed(key))).toList();
-        inForce = new InForce(untilUs, rules);
+    /**
+     * Enforces these policies from now on.
+     *
+     * @param untilMicros the end of the lease, on this director's clock
+     * @throws IllegalStateException if {@link #rejection} has a reason against one of them
+     */
+    public void enforce(List<String> policies, long untilMicros) {
+        Map<String, PlacementRules> before = Map.copyOf(parsed);
+        parsed.clear();
+        List<PlacementRules> rules = policies.stream().map(text -> parsed.computeIfAbsent(text,
+                key -> before.containsKey(key) ? before.get(key) : parseChecked(key))).toList();
+        inForce = new InForce(untilMicros, rules);
     }
 
-    private PlacementRules parsed(String text) {
+    private PlacementRules parseChecked(String policy) {
         try {
-            return PlacementRules.read(text, zones, classes);
-        } catch (Json.Malformed bad) {
-            throw new IllegalStateException("a policy that was not checked: " + bad.getMessage());
+            return PlacementRules.parse(policy, zones, classes);
+        } catch (Json.Malformed malformed) {
+            throw new IllegalStateException("a policy that was not checked: " + malformed.getMessage());
         }
     }
 
     @Override
-    public long turnsAway(ClientRequest ask) {
-        if (inForce == null || allBound && !leased()) {
-            return AFTER_MS;
+    public long turnsAway(ClientRequest request) {
+        if (nothingServed()) {
+            return LEASE_RETRY_AFTER_MILLIS;
         }
         for (PlacementRules rules : inForce.rules) {
-            PlacementRules.Rule rule = rules.of(ask.requestClass(), ask.group());
-            if (rule != null && (rule.guarded() && !leased() || !anywhere(ask))) {
-                return rule.guarded() && !leased() ? AFTER_MS : settings.allowed().maxRetryAfterUs() / 1000;
+            PlacementRules.Rule rule = rules.rule(request.requestClass(), request.group());
+            if (rule != null && rule.guarded() && !leaseHeld()) {
+                return LEASE_RETRY_AFTER_MILLIS;
+            }
+            if (rule != null && !anyEndpointAllowed(request)) {
+                return settings.allowed().maxRetryAfterUs() / 1000;
             }
         }
-        return next == null ? TAKEN : next.turnsAway(ask);
+        return next == null ? TAKEN : next.turnsAway(request);
     }
 
-    private boolean leased() {
-        return clock.micros() < inForce.untilUs;
+    private boolean nothingServed() {
+        return inForce == null || allGuarded && !leaseHeld();
     }
 
-    /** Whether any member that is up may serve a request. */
-    private boolean anywhere(ClientRequest ask) {
-        return members.values().stream().anyMatch(member -> member.availability() == Availability.HEALTHY
-                && allows(ask, member) && (member.zone() == settings.zone() || settings.allowed().straight()));
+    private boolean leaseHeld() {
+        return clock.micros() < inForce.untilMicros;
+    }
+
+    private boolean anyEndpointAllowed(ClientRequest request) {
+        return endpoints.values().stream().anyMatch(endpoint -> endpoint.availability() == Availability.HEALTHY
+                && allows(request, endpoint)
+                && (endpoint.zone() == settings.zone() || settings.allowed().straight()));
     }
 
     @Override
-    public Predicate<String> bind(ClientRequest ask) {
+    public Predicate<String> bind(ClientRequest request) {
         return id -> {
-            Member member = members.get(id);
-            return member != null && allows(ask, member);
+            Member endpoint = endpoints.get(id);
+            return endpoint != null && allows(request, endpoint);
         };
     }
 
-    private boolean allows(ClientRequest ask, Member member) {
-        if (inForce == null || allBound && !leased()) {
+    private boolean allows(ClientRequest request, Member endpoint) {
+        if (nothingServed()) {
             return false;
         }
         for (PlacementRules rules : inForce.rules) {
-            PlacementRules.Rule rule = rules.of(ask.requestClass(), ask.group());
-            boolean archive = member.kind() == settings.originKind();
-            if (rule != null && (rule.guarded() && !leased() || (archive ? !rule.archive()
-                    : !rule.zones().contains(member.zone())))) {
+            PlacementRules.Rule rule = rules.rule(request.requestClass(), request.group());
+            if (rule != null && (rule.guarded() && !leaseHeld() || !allows(rule, endpoint))) {
                 return false;
             }
         }
         return true;
     }
 
+    private boolean allows(PlacementRules.Rule rule, Member endpoint) {
+        boolean archive = endpoint.kind() == settings.originKind();
+        return archive ? rule.archive() : rule.zones().contains(endpoint.zone());
+    }
+
     @Override
     public void ended(UsageRecord usage) {
         if (next != null) {
@@ -144,19 +170,19 @@
     }
 
     @Override
-    public void members(Members news) {
-        if (news.scope() == ListScope.FULL || news.scope() == ListScope.REMEMBERED) {
-            members.clear();
+    public void members(Members change) {
+        if (change.scope() == ListScope.FULL || change.scope() == ListScope.REMEMBERED) {
+            endpoints.clear();
         }
-        for (Member member : news.members()) {
-            if (member.availability() == Availability.GONE) {
-                members.remove(member.id()); // ids are not used again, and would gather
+        for (Member endpoint : change.members()) {
+            if (endpoint.availability() == Availability.GONE) {
+                endpoints.remove(endpoint.id()); // ids are not reused, and would accumulate
             } else {
-                members.put(member.id(), member);
+                endpoints.put(endpoint.id(), endpoint);
             }
         }
         if (next != null) {
-            next.members(news);
+            next.members(change);
         }
     }
 }
--- a/src/main/java/clovermill/controlplane/placement/decide/PlacementRules.java
+++ b/src/main/java/clovermill/controlplane/placement/decide/PlacementRules.java
@@ -12,23 +12,22 @@
 
 /**
  * The {@code tenants} and {@code placement} of one policy, with the names of a director's zones and classes as numbers.
- * Who no rule names is not bound.
+ * A tenant without a rule is not restricted. Immutable.
  */
 public final class PlacementRules {
 
     /**
-     * Where a tenant's data may be.
+     * Where the data of one tenant may be.
      *
      * @param zones of caches and hubs, by number
-     * @param archive whether the archive may be asked past the hubs
-     * @param guarded whether nothing is served to it without a lease
+     * @param archive whether the archive may be asked, past the hubs
+     * @param guarded whether none of its requests is served without a lease
      */
     public record Rule(Set<Integer> zones, boolean archive, boolean guarded) {}
 
-    /** Binds nobody. */
-    public static final PlacementRules NONE = new PlacementRules(Map.of(), new TenantRules(List.of(), "", 0),
-            List.of());
-    private static final Set<String> MEMBERS = Set.of("tenants", "placement");
+    private static final Set<String> KNOWN_MEMBERS = Set.of("tenants", "placement");
+    /** {@link TenantRules.Rule#requestClass} for every class. */
+    private static final int EVERY_CLASS = -1;
 
     private final Map<String, Rule> rules;
     private final TenantRules tenants;
@@ -41,57 +40,70 @@
     }
 
     /**
-     * Reads the text of a policy.
+     * Parses the text of a policy.
      *
-     * @throws Json.Malformed with a JSON pointer and the reason if this director cannot keep it
+     * @throws Json.Malformed with a JSON pointer and the reason if this director cannot enforce it
      */
-    public static PlacementRules read(String text, List<String> zones, List<String> classes) throws Json.Malformed {
+    public static PlacementRules parse(String text, List<String> zones, List<String> classes) throws Json.Malformed {
         Map<?, ?> root = Json.object(Json.parse(text));
         for (Object member : root.keySet()) {
-            if (!MEMBERS.contains(member)) {
+            if (!KNOWN_MEMBERS.contains(member)) {
                 throw new Json.Malformed("/" + member + ": a member that this version does not know");
             }
         }
+        List<TenantRules.Rule> ranges = ranges(listOrEmpty(root, "tenants"), classes);
+        Map<String, Rule> rules = rules(listOrEmpty(root, "placement"), ranges, zones);
+        return new PlacementRules(rules, new TenantRules(ranges, "", classes.size()), ranges);
+    }
+
+    private static List<?> listOrEmpty(Map<?, ?> root, String member) throws Json.Malformed {
+        return root.get(member) == null ? List.of() : Json.list(root, member);
+    }
+
+    private static List<TenantRules.Rule> ranges(List<?> tenants, List<String> classes) throws Json.Malformed {
         List<TenantRules.Rule> ranges = new ArrayList<>();
-        Set<String> named = new HashSet<>();
-        List<?> listed = root.get("tenants") == null ? List.of() : Json.list(root, "tenants");
-        for (int i = 0; i < listed.size(); i++) {
-            ranges.add(range("/tenants/" + i, Json.object(listed.get(i)), classes));
-            named.add(ranges.get(i).tenant());
+        for (int i = 0; i < tenants.size(); i++) {
+            ranges.add(range("/tenants/" + i, Json.object(tenants.get(i)), classes));
         }
+        return ranges;
+    }
+
+    private static Map<String, Rule> rules(List<?> placement, List<TenantRules.Rule> ranges, List<String> zones)
+            throws Json.Malformed {
+        Set<String> tenants = new HashSet<>();
+        ranges.forEach(range -> tenants.add(range.tenant()));
         Map<String, Rule> rules = new HashMap<>();
-        List<?> placed = root.get("placement") == null ? List.of() : Json.list(root, "placement");
-        for (int i = 0; i < placed.size(); i++) {
-            Map<?, ?> each = Json.object(placed.get(i));
+        for (int i = 0; i < placement.size(); i++) {
+            Map<?, ?> each = Json.object(placement.get(i));
             String tenant = Json.string(each, "tenant");
-            if (!named.contains(tenant) || rules.put(tenant, rule("/placement/" + i, each, zones)) != null) {
+            if (!tenants.contains(tenant) || rules.put(tenant, rule("/placement/" + i, each, zones)) != null) {
                 throw new Json.Malformed("/placement/" + i + "/tenant: " + tenant + " is no tenant, or has two rules");
             }
         }
-        return new PlacementRules(rules, new TenantRules(ranges, "", classes.size()), ranges);
+        return rules;
     }
 
-    private static TenantRules.Rule range(String at, Map<?, ?> each, List<String> classes) throws Json.Malformed {
+    private static TenantRules.Rule range(String pointer, Map<?, ?> each, List<String> classes) throws Json.Malformed {
         String name = each.get("class") == null ? null : Json.string(each, "class");
         if (name != null && !classes.contains(name)) {
-            throw new Json.Malformed(at + "/class: no class is called " + name);
+            throw new Json.Malformed(pointer + "/class: no class is called " + name);
         }
         List<?> groups = each.get("groups") == null ? List.of(0.0, TenantRules.GROUPS - 1.0) : Json.list(each,
                 "groups");
         try {
-            return new TenantRules.Rule(Json.string(each, "tenant"), name == null ? -1 : classes.indexOf(name),
+            return new TenantRules.Rule(Json.string(each, "tenant"), name == null ? EVERY_CLASS : classes.indexOf(name),
                     ((Double) groups.get(0)).intValue(), ((Double) groups.get(1)).intValue());
         } catch (IllegalArgumentException | ClassCastException | IndexOutOfBoundsException bad) {
-            throw new Json.Malformed(at + "/groups: two groups are wanted, the first and the last");
+            throw new Json.Malformed(pointer + "/groups: two groups are wanted, the first and the last");
         }
     }
 
-    private static Rule rule(String at, Map<?, ?> each, List<String> zones) throws Json.Malformed {
+    private static Rule rule(String pointer, Map<?, ?> each, List<String> zones) throws Json.Malformed {
         Set<Integer> allowed = new HashSet<>();
         List<?> sites = Json.list(each, "sites");
         for (int i = 0; i < sites.size(); i++) {
             if (!zones.contains(sites.get(i))) {
-                throw new Json.Malformed(at + "/sites/" + i + ": no location is called " + sites.get(i));
+                throw new Json.Malformed(pointer + "/sites/" + i + ": no location is called " + sites.get(i));
             }
             allowed.add(zones.indexOf(sites.get(i)));
         }
@@ -99,20 +111,23 @@
                 Boolean.TRUE.equals(each.get("protected")));
     }
 
-    /** The rule that binds a request, or null. */
-    public Rule of(int requestClass, int group) {
+    /** The rule for a request, or null if it is not restricted: called for each attempt, so without an Optional. */
+    public Rule rule(int requestClass, int group) {
         return rules.isEmpty() ? null : rules.get(tenants.tenant(requestClass, group));
     }
 
     /**
-     * Whether who has no lease does nothing that differs between two policies: every rule that differs is guarded in
-     * both, and the tenants are the same.
+     * Whether a director without a lease serves the same requests in the same way under both policies: every rule that
+     * differs is guarded in both, and the tenants are the same.
      */
-    public boolean guardsAllThatDiffers(PlacementRules next) {
-        Set<String> names = new HashSet<>(rules.keySet());
-        names.addAll(next.rules.keySet());
-        return ranges.equals(next.ranges) && names.stream().allMatch(name -> Objects.equals(rules.get(name),
-                next.rules.get(name)) || guarded(name) && next.guarded(name));
+    public boolean guardsAllDifferences(PlacementRules next) {
+        Set<String> tenantNames = new HashSet<>(rules.keySet());
+        tenantNames.addAll(next.rules.keySet());
+        return ranges.equals(next.ranges) && tenantNames.stream().allMatch(tenant -> sameOrGuarded(next, tenant));
+    }
+
+    private boolean sameOrGuarded(PlacementRules next, String tenant) {
+        return Objects.equals(rules.get(tenant), next.rules.get(tenant)) || guarded(tenant) && next.guarded(tenant);
     }
 
     private boolean guarded(String tenant) {
--- a/src/main/java/clovermill/controlplane/placement/package-info.java
+++ b/src/main/java/clovermill/controlplane/placement/package-info.java
@@ -1,5 +1,9 @@
 /**
- * Keeps tenants' data within chosen sites: which members a request's attempts and fills may meet, by the one policy of
- * the fleet. The module is given the members allowed and knows no tenant; see {@code docs/design/placement.md}.
+ * Keeps tenants' data within chosen locations: which endpoints the attempts and fills of a request may use under the
+ * replicated policy of the fleet.
+ *
+ * <p>Entry type: {@link clovermill.controlplane.placement.Placement}, which enforces the rules that
+ * {@link clovermill.controlplane.placement.decide.PlacementRules} parses. The router gets the permitted endpoints and
+ * knows no tenant. Source: docs/design/placement.md.
  */
 package clovermill.controlplane.placement;
--- a/src/main/java/clovermill/director/PolicyPlane.java
+++ b/src/main/java/clovermill/director/PolicyPlane.java
@@ -31,8 +31,8 @@
         placement = new Placement(runtime.clock(), config.settings(), config.zones(), config.classes(),
                 settings.allBound(), next.orElse(null));
         PolicyStoreTask.Meaning meaning = new PolicyStoreTask.Meaning(
-                document -> placement.check(document.text()),
-                (one, other) -> placement.binding(one.text(), other.text()));
+                document -> placement.rejection(document.text()).orElse(null),
+                (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
         store = new PolicyStore(settings, meaning, runtime.clock(), runtime.loop()::post, this::apply);
         endpoint = new PolicyEndpoint(store, runtime.clock(), runtime.loop()::post);
     }
@@ -42,7 +42,7 @@
         if (view.step() != null) {
             List<String> policies = view.step().both() ? List.of(view.policy().text(), view.next().text())
                     : List.of(view.policy().text());
-            placement.holds(policies, view.untilUs());
+            placement.enforce(policies, view.untilUs());
         }
         endpoint.holds(view);
     }
--- a/src/test/java/clovermill/controlplane/placement/PlacementTest.java
+++ b/src/test/java/clovermill/controlplane/placement/PlacementTest.java
@@ -9,7 +9,7 @@
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
 import clovermill.routing.api.Members;
-import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.ManualClock;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -28,24 +28,14 @@
             + "\"sites\":[\"edge\",\"north\"],\"archive\":true,\"protected\":true}";
     private static final String LOOSE = "{\"tenant\":\"a\",\"sites\":[\"edge\"]}";
 
-    private long nowUs = 1000;
+    private final ManualClock clock = new ManualClock(1000);
     private Placement placement;
 
     @BeforeEach
     void directorOfTheEdge() throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
-        placement = new Placement(new Clock() {
-            @Override
-            public long micros() {
-                return nowUs;
-            }
-
-            @Override
-            public long unixMillis() {
-                return nowUs / 1000;
-            }
-        }, config.settings(), config.zones(), config.classes(), false, null);
+        placement = new Placement(clock, config.settings(), config.zones(), config.classes(), false, null);
         placement.members(new Members(ListScope.FULL, List.of(member("s-1", 1, 0), member("p-1", 0, 1),
                 member("o-1", 0, 2))));
     }
@@ -54,7 +44,7 @@
         return new Member(id, zone, kind, 0, Availability.HEALTHY, 1, 0);
     }
 
-    private static ClientRequest ask(int group) {
+    private static ClientRequest request(int group) {
         return new ClientRequest("00000000000000a1", 1, "page", "7f3a9c21e0b4d655", 0, group, 4, 1_000_000, false, null,
                 null,
                 new byte[0]);
@@ -65,95 +55,95 @@
     }
 
     @Test
-    void nothingIsServedBeforeAnythingIsKnownAndAllOfItWithoutRules() {
-        assertThat(placement.turnsAway(ask(0))).isPositive();
-        placement.holds(List.of("{}"), 0);
-        assertThat(placement.turnsAway(ask(0))).isEqualTo(UsageListener.TAKEN);
-        assertThat(placement.bind(ask(0)).test("s-1")).isTrue();
+    void nothingIsServedBeforeAPolicyIsKnownAndEverythingWithoutRules() {
+        assertThat(placement.turnsAway(request(0))).isPositive();
+        placement.enforce(List.of("{}"), 0);
+        assertThat(placement.turnsAway(request(0))).isEqualTo(UsageListener.TAKEN);
+        assertThat(placement.bind(request(0)).test("s-1")).isTrue();
     }
 
     @Test
-    void aRuleBindsTargetsAndSourcesAlikeAndOnlyItsTenant() {
-        placement.holds(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.bind(ask(9));
+    void aRuleRestrictsTargetsAndSourcesOfItsTenantOnly() {
+        placement.enforce(List.of(policy(EDGE)), 10_000);
+        Predicate<String> bound = placement.bind(request(9));
         assertThat(bound.test("s-1")).isTrue();
         assertThat(bound.test("p-1")).isFalse();
         assertThat(bound.test("o-1")).isFalse();
         assertThat(bound.test("s-unknown")).isFalse();
-        assertThat(placement.bind(ask(10)).test("p-1")).isTrue();
+        assertThat(placement.bind(request(10)).test("p-1")).isTrue();
     }
 
     @Test
-    void inAChangeOnlyWhatBothAllowAndWhatIsBoundFollowsWhileARequestIsOpen() {
-        placement.holds(List.of(policy(BOTH)), 10_000);
-        Predicate<String> bound = placement.bind(ask(0));
+    void duringAChangeOnlyWhatBothPoliciesAllowIsAllowedToOpenRequestsToo() {
+        placement.enforce(List.of(policy(BOTH)), 10_000);
+        Predicate<String> bound = placement.bind(request(0));
         assertThat(bound.test("p-1")).isTrue();
-        placement.holds(List.of(policy(BOTH), policy(EDGE)), 10_000);
+        placement.enforce(List.of(policy(BOTH), policy(EDGE)), 10_000);
         assertThat(bound.test("p-1")).isFalse();
         assertThat(bound.test("s-1")).isTrue();
-        placement.holds(List.of(policy(EDGE), policy(HUBS)), 10_000);
+        placement.enforce(List.of(policy(EDGE), policy(HUBS)), 10_000);
         assertThat(bound.test("s-1")).isFalse();
-        assertThat(placement.bind(ask(0)).test("o-1")).isFalse();
+        assertThat(placement.bind(request(0)).test("o-1")).isFalse();
     }
 
     @Test
-    void aLeaseThatRunsOutEndsAProtectedTenantAtThatMomentAndNoOther() {
-        placement.holds(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.bind(ask(0));
-        nowUs = 9_999;
+    void anExpiredLeaseStopsAGuardedTenantAtThatMomentAndNoOther() {
+        placement.enforce(List.of(policy(EDGE)), 10_000);
+        Predicate<String> bound = placement.bind(request(0));
+        clock.passMicros(8_999);
         assertThat(bound.test("s-1")).isTrue();
-        nowUs = 10_000;
+        clock.passMicros(1);
         assertThat(bound.test("s-1")).isFalse();
-        assertThat(placement.turnsAway(ask(0))).isPositive();
-        assertThat(placement.turnsAway(ask(10))).isEqualTo(UsageListener.TAKEN);
-        placement.holds(List.of(policy(LOOSE)), 10_000);
-        assertThat(placement.bind(ask(0)).test("s-1")).isTrue();
-        assertThat(placement.bind(ask(0)).test("p-1")).isFalse();
+        assertThat(placement.turnsAway(request(0))).isPositive();
+        assertThat(placement.turnsAway(request(10))).isEqualTo(UsageListener.TAKEN);
+        placement.enforce(List.of(policy(LOOSE)), 10_000);
+        assertThat(placement.bind(request(0)).test("s-1")).isTrue();
+        assertThat(placement.bind(request(0)).test("p-1")).isFalse();
     }
 
     @Test
-    void whereNobodyMayServeItIsTurnedAwayAtOnce() {
-        placement.holds(List.of(policy("{\"tenant\":\"a\",\"sites\":[]}")), 10_000);
-        assertThat(placement.turnsAway(ask(0))).isPositive();
-        placement.holds(List.of(policy(LOOSE)), 10_000);
-        assertThat(placement.turnsAway(ask(0))).isEqualTo(UsageListener.TAKEN);
+    void aRequestThatNoEndpointMayServeIsRejectedAtOnce() {
+        placement.enforce(List.of(policy("{\"tenant\":\"a\",\"sites\":[]}")), 10_000);
+        assertThat(placement.turnsAway(request(0))).isPositive();
+        placement.enforce(List.of(policy(LOOSE)), 10_000);
+        assertThat(placement.turnsAway(request(0))).isEqualTo(UsageListener.TAKEN);
         placement.members(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
                 0))));
-        assertThat(placement.turnsAway(ask(0))).isPositive();
+        assertThat(placement.turnsAway(request(0))).isPositive();
     }
 
     @Test
-    void aMemberThatIsGoneMayNotBeMet() {
-        placement.holds(List.of("{}"), 10_000);
+    void anEndpointThatIsGoneIsNotAllowed() {
+        placement.enforce(List.of("{}"), 10_000);
         placement.members(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.GONE, 1, 0))));
-        assertThat(placement.bind(ask(0)).test("s-1")).isFalse();
+        assertThat(placement.bind(request(0)).test("s-1")).isFalse();
     }
 
     @Test
-    void aCacheThatChangesItsZoneUnderTheSameIdIsJudgedByTheNewOne() {
-        placement.holds(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.bind(ask(0));
+    void aCacheThatChangesItsZoneUnderTheSameIdCountsInTheNewOne() {
+        placement.enforce(List.of(policy(EDGE)), 10_000);
+        Predicate<String> bound = placement.bind(request(0));
         placement.members(new Members(ListScope.CHANGES, List.of(member("s-1", 0, 0))));
         assertThat(bound.test("s-1")).isFalse();
     }
 
     @Test
-    void whatCannotBeKeptIsRefusedWithItsPlace() {
-        assertThat(placement.check(policy("{\"tenant\":\"a\",\"sites\":[\"edge\",\"moon\"]}")))
-                .isEqualTo("/placement/0/sites/1: no location is called moon");
-        assertThat(placement.check("{\"rota\":{}}")).startsWith("/rota: ");
-        assertThat(placement.check("{\"placement\":[{\"tenant\":\"x\",\"sites\":[]}]}"))
+    void aPolicyThatCannotBeEnforcedIsRejectedWithAPointer() {
+        assertThat(placement.rejection(policy("{\"tenant\":\"a\",\"sites\":[\"edge\",\"moon\"]}")))
+                .contains("/placement/0/sites/1: no location is called moon");
+        assertThat(placement.rejection("{\"rota\":{}}").orElseThrow()).startsWith("/rota: ");
+        assertThat(placement.rejection("{\"placement\":[{\"tenant\":\"x\",\"sites\":[]}]}").orElseThrow())
                 .startsWith("/placement/0/tenant: x");
-        assertThat(placement.check("{\"tenants\":[{\"tenant\":\"x\",\"groups\":[9,300]}]}"))
+        assertThat(placement.rejection("{\"tenants\":[{\"tenant\":\"x\",\"groups\":[9,300]}]}").orElseThrow())
                 .startsWith("/tenants/0/groups");
-        assertThat(placement.check(policy(EDGE))).isNull();
+        assertThat(placement.rejection(policy(EDGE))).isEmpty();
     }
 
     @Test
-    void onlyWhatIsProtectedBeforeAndAfterMayChangeWithoutEveryDirector() {
-        assertThat(placement.binding(policy(EDGE), policy(HUBS))).isTrue();
-        assertThat(placement.binding(policy(EDGE), policy(LOOSE))).isFalse();
-        assertThat(placement.binding(policy(EDGE), policy(""))).isFalse();
-        assertThat(placement.binding("{}", policy(EDGE))).isFalse();
+    void onlyRulesGuardedBeforeAndAfterMayDifferWithoutEveryDirector() {
+        assertThat(placement.guardsAllDifferences(policy(EDGE), policy(HUBS))).isTrue();
+        assertThat(placement.guardsAllDifferences(policy(EDGE), policy(LOOSE))).isFalse();
+        assertThat(placement.guardsAllDifferences(policy(EDGE), policy(""))).isFalse();
+        assertThat(placement.guardsAllDifferences("{}", policy(EDGE))).isFalse();
     }
 }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -74,8 +74,9 @@
         PolicyStoreSettings agreed = own.part("accord", PolicyStoreSettings.class).orElseThrow();
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
                 agreed.allBound(), null);
-        PolicyStoreTask.Meaning meaning = new PolicyStoreTask.Meaning(document -> placement.check(document.text()),
-                (one, other) -> placement.binding(one.text(), other.text()));
+        PolicyStoreTask.Meaning meaning =
+                new PolicyStoreTask.Meaning(document -> placement.rejection(document.text()).orElse(null),
+                        (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
         accord = new PolicyStore(agreed, meaning, clock, loop::post, view -> observer.policy(number, view));
         DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
         DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
