--- a/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
@@ -13,19 +13,11 @@
         /** Whether this process can serve clients. */
         boolean ready();
 
-        /**
-         * Sends a cache no more requests until it is enabled; does nothing if it is disabled already.
-         *
-         * @return false if no endpoint has that id
-         */
-        boolean disable(String id);
-
-        /**
-         * Lets a cache serve again, however often it was disabled.
-         *
-         * @return false if no endpoint has that id
-         */
-        boolean enable(String id);
+        /** Sends a cache no more requests until it is enabled; does nothing if it is disabled already. */
+        OutageCallResult disable(String id);
+
+        /** Lets a cache serve again, however often it was disabled. */
+        OutageCallResult enable(String id);
     }
 
     /** The operations on the replicated policy of the fleet; responses may come later. */
@@ -96,10 +88,12 @@
         } catch (Json.Malformed malformed) {
             return new AdminResponse(400, "body: " + malformed.getMessage());
         }
-        boolean known = disabled ? director.disable(id) : director.enable(id);
-        if (!known) {
-            return new AdminResponse(404, "id: no cache is known by that id");
-        }
-        return new AdminResponse(200, disabled ? "nothing more goes to it" : "it may serve again");
+        return switch (disabled ? director.disable(id) : director.enable(id)) {
+            case DONE -> new AdminResponse(200, disabled ? "nothing more goes to it" : "it may serve again");
+            case UNKNOWN_CACHE -> new AdminResponse(404, "id: no cache is known by that id");
+            case NOT_RECORDED -> new AdminResponse(503, disabled
+                    ? "nothing more goes to it for now, but the shared folder cannot be written: repeat the call"
+                    : "the shared folder cannot be written, so it stays out: repeat the call");
+        };
     }
 }
