--- a/src/main/java/clovermill/director/ControlPlane.java
+++ b/src/main/java/clovermill/director/ControlPlane.java
@@ -13,6 +13,7 @@
 import clovermill.director.operations.GossipedOutages;
 import clovermill.director.operations.HandoverCoordinator;
 import clovermill.director.operations.OperatorActions;
+import clovermill.director.operations.ReplicatedOutageMarks;
 import clovermill.routing.api.Settings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -49,8 +50,11 @@
 
     /** Watches for another process of this director, where the platform gives both a folder. */
     void startHandover(Platform platform, DataPlane dataPlane, FrameServer server) {
-        handover = Optional.ofNullable(HandoverCoordinator.open(platform.sharedFolder().orElse(null),
-                dataPlane.descriptors(), runtime.clock(), runtime.deadlines(), registry, server, dataPlane.pool()));
+        if (platform.sharedFolder().isEmpty()) {
+            return;
+        }
+        handover = HandoverCoordinator.open(platform.sharedFolder().get(), dataPlane.descriptors(), runtime.clock(),
+                runtime.deadlines(), registry, server, dataPlane.pool());
         if (handover.isPresent()) {
             handover.get().start();
             outageMarks = handover.get().marks();
@@ -60,7 +64,7 @@
     /** Opens the gossip socket and replicates outages over it from now on. */
     void replicateOutages(GossipService gossip) {
         gossip.open(runtime.loop(), new GossipedOutages(registry, outageMarks, runtime.clock()));
-        outageMarks = new GossipedOutages.ReplicatedMarks(outageMarks, gossip);
+        outageMarks = new ReplicatedOutageMarks(outageMarks, gossip);
     }
 
     /**
@@ -70,8 +74,8 @@
      */
     void openAdminServer(InetSocketAddress address, FrameServer server, Optional<PolicyPlane> policy,
             StartupRetry startup) throws IOException {
-        Runnable catchUp = handover.isPresent() ? handover.get()::catchUp : () -> {};
-        OperatorActions actions = new OperatorActions(registry, server, runtime.clock(), outageMarks, catchUp);
+        Runnable syncOutages = handover.isPresent() ? handover.get()::syncOutages : () -> {};
+        OperatorActions actions = new OperatorActions(registry, server, runtime.clock(), outageMarks, syncOutages);
         Optional<AdminService.Policies> policies = policy.map(PolicyPlane::endpoint);
         AdminServer opened = new AdminServer(runtime.loop(), runtime.clock(), runtime.deadlines(),
                 new AdminService(actions, policies));
--- a/src/main/java/clovermill/director/PolicyPlane.java
+++ b/src/main/java/clovermill/director/PolicyPlane.java
@@ -44,7 +44,7 @@
                     : List.of(view.policy().text());
             placement.enforce(policies, view.untilUs());
         }
-        endpoint.holds(view);
+        endpoint.update(view);
     }
 
     /** Bounds each request's attempts and listens to usage. */
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -13,93 +13,100 @@
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.nio.file.Path;
+import java.util.Optional;
 
 /**
- * What the processes of one director have in common while one takes over from the other: the outages that operators
- * have called for, and the descriptors. Each looks at their folder a few times a second.
+ * Coordinates two processes of one director while one takes over from the other: both apply the outages that operators
+ * set at either, and divide the descriptors. Each checks a folder that both see, several times a second.
  */
 public final class HandoverCoordinator {
 
     private static final System.Logger LOG = System.getLogger(HandoverCoordinator.class.getName());
-    /** A fifth of the time in which nothing more may go to a cache that was taken out at the other process. */
-    private static final long LOOK_US = 100_000;
+    /** A fifth of the time within which requests to a cache that was disabled at the other process must end. */
+    private static final long CHECK_INTERVAL_MICROS = 100_000;
 
     private final OutageFolder outages;
-    private final ProcessRegistry presence;
-    private final DescriptorShares shares;
+    private final ProcessRegistry processes;
+    private final DescriptorShares descriptors;
     private final Clock clock;
     private final Deadlines deadlines;
-    private final EndpointRegistry roster;
-    private final FrameServer front;
+    private final EndpointRegistry registry;
+    private final FrameServer server;
     private final UpstreamPool pool;
-    private ProcessRegistry.Others others = ProcessRegistry.Others.NONE;
+    private ProcessRegistry.Others otherProcess = ProcessRegistry.Others.NONE;
 
-    /** Shares by a folder; null if that is null, or, with a line in the log, if it cannot be used. */
-    public static HandoverCoordinator open(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines,
-            EndpointRegistry roster, FrameServer front, UpstreamPool pool) {
+    /**
+     * Joins the processes that share {@code folder}.
+     *
+     * @return empty, with a line in the log, if the folder cannot be used
+     */
+    public static Optional<HandoverCoordinator> open(Path folder, DescriptorShares descriptors, Clock clock,
+            Deadlines deadlines, EndpointRegistry registry, FrameServer server, UpstreamPool pool) {
         try {
-            return folder == null ? null
-                    : new HandoverCoordinator(folder, shares, clock, deadlines, roster, front, pool);
+            return Optional.of(new HandoverCoordinator(folder, descriptors, clock, deadlines, registry, server, pool));
         } catch (IOException unusable) {
             LOG.log(Level.WARNING, "TMPDIR cannot be used, so the next process will not know which caches are out: {0}",
                     unusable.toString());
-            return null;
+            return Optional.empty();
         }
     }
 
-    private HandoverCoordinator(Path folder, DescriptorShares shares, Clock clock, Deadlines deadlines,
-            EndpointRegistry roster, FrameServer front,
-            UpstreamPool pool) throws IOException {
+    private HandoverCoordinator(Path folder, DescriptorShares descriptors, Clock clock, Deadlines deadlines,
+            EndpointRegistry registry, FrameServer server, UpstreamPool pool) throws IOException {
         this.outages = new OutageFolder(folder, clock::micros);
-        this.presence = ProcessRegistry.ofThisProcess(folder);
-        this.shares = shares;
+        this.processes = ProcessRegistry.ofThisProcess(folder);
+        this.descriptors = descriptors;
         this.clock = clock;
         this.deadlines = deadlines;
-        this.roster = roster;
-        this.front = front;
+        this.registry = registry;
+        this.server = server;
         this.pool = pool;
     }
 
-    /** Where outages are marked. */
+    /** Records outages in the shared folder. */
     public OutageMarks marks() {
         return outages;
     }
 
-    /** Takes over which caches are out, after the marks of this process that could not be written are tried again. */
-    public void catchUp() {
+    /** Writes this process's marks that could not be written before, then applies those of the other process. */
+    public void syncOutages() {
         outages.retryPending();
         OutageFolder.Marks marks = outages.look();
         if (marks != null) {
-            roster.outages(marks.out(), marks.back());
+            registry.outages(marks.out(), marks.back());
         }
     }
 
-    /** Takes over what an earlier process left, and from then on what the other one marks. */
+    /** Starts the checks; the first applies what an earlier process has marked. */
     public void start() {
-        RecurringTask.start(deadlines, clock, LOOK_US, this::look);
+        RecurringTask.start(deadlines, clock, CHECK_INTERVAL_MICROS, this::check);
     }
 
-    private void look() {
-        catchUp();
-        presence.markReady(front.ready(), clock.micros());
-        ProcessRegistry.Others now = presence.look();
-        if (now != others) {
-            others = now;
-            boolean beside = now != ProcessRegistry.Others.NONE;
-            front.limit(shares.clients(beside));
-            pool.limit(shares.members(beside));
-            // Of a successor that ends before this process is asked to leave, the connections come here again.
-            front.accepting(now != ProcessRegistry.Others.SUCCESSOR);
-            LOG.log(Level.INFO, switch (now) {
-                case NONE -> "this process is alone again";
-                case BESIDE -> "another process of this director is here";
-                case SUCCESSOR -> "the next process of this director is ready and takes new connections";
-            });
+    private void check() {
+        syncOutages();
+        processes.markReady(server.ready(), clock.micros());
+        ProcessRegistry.Others found = processes.look();
+        if (found != otherProcess) {
+            otherProcess = found;
+            applyOtherProcess();
         }
     }
 
-    /** This process ends. */
+    private void applyOtherProcess() {
+        boolean besideAnother = otherProcess != ProcessRegistry.Others.NONE;
+        server.limit(descriptors.clients(besideAnother));
+        pool.limit(descriptors.members(besideAnother));
+        // If a successor ends before this process is asked to shut down, new connections are accepted here again.
+        server.accepting(otherProcess != ProcessRegistry.Others.SUCCESSOR);
+        LOG.log(Level.INFO, switch (otherProcess) {
+            case NONE -> "this process is alone again";
+            case BESIDE -> "another process of this director is here";
+            case SUCCESSOR -> "the next process of this director is ready and takes new connections";
+        });
+    }
+
+    /** Removes this process from the folder: it ends. */
     public void close() {
-        presence.leave();
+        processes.leave();
     }
 }
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -8,45 +8,54 @@
 import clovermill.runtime.net.Clock;
 
 /**
- * What operators can have done. A call to one process counts for its whole director: what the other one was told before
- * is taken over first, and what changes is marked before the answer. A yes is given only for what is recorded, since it
- * has to outlive this process. An outage that cannot be recorded is in force here all the same; a return is not.
+ * Carries out operators' calls. A call to one process counts for its whole director: outages marked by the other
+ * process are applied first, and a change is marked before the response. Success is reported only for what is recorded,
+ * since it must outlive this process. A disabled cache whose mark cannot be recorded is out at this process all the
+ * same; an enabled one stays out.
+ *
+ * @param registry the endpoints of this process
+ * @param server tells whether clients can be served
+ * @param marks records outages for other processes and, if configured, for peers
+ * @param syncOutages applies what the other process has marked
  */
-public record OperatorActions(EndpointRegistry roster, ClientServer front, Clock clock, OutageMarks marks,
-        Runnable catchUp)
-        implements AdminService.Director {
+public record OperatorActions(EndpointRegistry registry, ClientServer server, Clock clock, OutageMarks marks,
+        Runnable syncOutages) implements AdminService.Director {
 
     @Override
     public boolean ready() {
-        return front.ready();
+        return server.ready();
     }
 
     @Override
     public OutageCallResult disable(String id) {
-        catchUp.run();
-        if (!roster.knows(id)) {
+        syncOutages.run();
+        if (!registry.knows(id)) {
             return OutageCallResult.UNKNOWN_CACHE;
         }
-        if (!roster.isOut(id)) {
+        if (!registry.isOut(id)) {
             marks.takeOut(id);
-            roster.takeOut(id);
+            registry.takeOut(id);
         }
-        return marks.isRecorded(id) ? OutageCallResult.DONE : OutageCallResult.NOT_RECORDED;
+        return recorded(id);
     }
 
     @Override
     public OutageCallResult enable(String id) {
-        catchUp.run();
-        if (!roster.knows(id)) {
+        syncOutages.run();
+        if (!registry.knows(id)) {
             return OutageCallResult.UNKNOWN_CACHE;
         }
-        if (roster.isOut(id)) {
-            long stampMs = clock.unixMillis();
-            if (!marks.tryPutBack(id, stampMs)) {
+        if (registry.isOut(id)) {
+            long stampMillis = clock.unixMillis();
+            if (!marks.tryPutBack(id, stampMillis)) {
                 return OutageCallResult.NOT_RECORDED;
             }
-            roster.putBack(id, stampMs);
+            registry.putBack(id, stampMillis);
         }
+        return recorded(id);
+    }
+
+    private OutageCallResult recorded(String id) {
         return marks.isRecorded(id) ? OutageCallResult.DONE : OutageCallResult.NOT_RECORDED;
     }
 }
--- a/src/main/java/clovermill/director/operations/PolicyEndpoint.java
+++ b/src/main/java/clovermill/director/operations/PolicyEndpoint.java
@@ -15,26 +15,30 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 
-/** Operators' calls about the one policy: what holds, a change, taking a change back. On the loop's thread. */
+/**
+ * Answers operators' calls about the replicated policy: the policy in force, a change, the withdrawal of a change. On
+ * the loop's thread.
+ */
 public final class PolicyEndpoint implements AdminService.Policies {
 
     private static final JsonMapper JSON = JsonMapper.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
+    private static final int FIRST_NON_ASCII = 128;
 
-    private final PolicyStore accord;
+    private final PolicyStore store;
     private final Clock clock;
     private final Executor loop;
     private PolicyView view = PolicyView.NONE;
 
-    /** Answers come on {@code loop}. */
-    public PolicyEndpoint(PolicyStore accord, Clock clock, Executor loop) {
-        this.accord = accord;
+    /** Responses are passed on by {@code loop}. */
+    public PolicyEndpoint(PolicyStore store, Clock clock, Executor loop) {
+        this.store = store;
         this.clock = clock;
         this.loop = loop;
     }
 
-    /** What holds from now on. */
-    public void holds(PolicyView now) {
-        view = now;
+    /** The policy in force has changed, or its lease was renewed. */
+    public void update(PolicyView current) {
+        view = current;
     }
 
     @Override
@@ -43,64 +47,78 @@
             return new AdminResponse(503, "this director has not learned of the policy yet");
         }
         try {
-            ObjectNode answer = JSON.createObjectNode().put("version", view.step().version())
-                    .put("step", view.step().number()).put("lease_ms", Math.max(0,
-                            (view.untilUs() - clock.micros()) / 1000));
-            answer.set("policy", JSON.readTree(view.policy().text()));
-            if (view.step().both()) {
-                answer.put("next", view.step().next()).put("at_the_latest_ms", view.leftUs() / 1000);
-                answer.set("waits_for", JSON.valueToTree(view.missing()));
-                answer.set("next_policy", JSON.readTree(view.next().text()));
-            }
-            if (view.lastReason() != null) {
-                answer.put("last_taken_back", view.lastReason());
-            }
-            return new AdminResponse(200, JSON.writeValueAsString(answer));
+            return new AdminResponse(200, JSON.writeValueAsString(json(view, clock.micros())));
         } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException(impossible);
+            throw new IllegalStateException(impossible); // the store holds only policies that were parsed
         }
     }
 
+    private static ObjectNode json(PolicyView view, long nowMicros) throws JsonProcessingException {
+        ObjectNode json = JSON.createObjectNode().put("version", view.step().version())
+                .put("step", view.step().number())
+                .put("lease_ms", Math.max(0, (view.untilUs() - nowMicros) / 1000));
+        json.set("policy", JSON.readTree(view.policy().text()));
+        if (view.step().both()) {
+            json.put("next", view.step().next()).put("at_the_latest_ms", view.leftUs() / 1000);
+            json.set("waits_for", JSON.valueToTree(view.missing()));
+            json.set("next_policy", JSON.readTree(view.next().text()));
+        }
+        if (view.lastReason() != null) {
+            json.put("last_taken_back", view.lastReason());
+        }
+        return json;
+    }
+
     @Override
     public void propose(String body, Consumer<AdminResponse> reply) {
         JsonNode call;
         try {
             call = JSON.readTree(body);
-        } catch (JsonProcessingException bad) {
-            reply.accept(new AdminResponse(400, "body: " + bad.getOriginalMessage()));
+        } catch (JsonProcessingException malformed) {
+            reply.accept(new AdminResponse(400, "body: " + malformed.getOriginalMessage()));
             return;
         }
         if (call == null || !call.path("follows").isIntegralNumber() || !call.path("policy").isObject()) {
             reply.accept(new AdminResponse(400, "body: {\"follows\": VERSION, \"policy\": {...}} is wanted"));
             return;
         }
-        accord.want(call.get("follows").asLong(),
-                PolicyDocument.of(call.get("policy").toString().chars().allMatch(c -> c < 128)
-                        ? call.get("policy").toString() : ascii(call.get("policy"))),
-                (taken, version) -> loop.execute(() -> reply.accept(answer(taken, version))));
+        change(call.get("follows").asLong(), PolicyDocument.of(asciiText(call.get("policy"))), reply);
+    }
+
+    @Override
+    public void withdraw(Consumer<AdminResponse> reply) {
+        if (view.step() == null || !view.step().both()) {
+            reply.accept(new AdminResponse(409, "no change is under way"));
+            return;
+        }
+        change(view.step().next(), null, reply);
     }
 
-    private static String ascii(JsonNode policy) {
+    /** A null {@code policy} withdraws the change to version {@code follows}. */
+    private void change(long follows, PolicyDocument policy, Consumer<AdminResponse> reply) {
+        store.want(follows, policy,
+                (result, version) -> loop.execute(() -> reply.accept(response(result, version))));
+    }
+
+    /** The text as it is; with characters beyond ASCII escaped if there are any. */
+    private static String asciiText(JsonNode policy) {
+        String text = policy.toString();
+        if (text.chars().allMatch(character -> character < FIRST_NON_ASCII)) {
+            return text;
+        }
         try {
             return JSON.writeValueAsString(policy);
         } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException(impossible);
+            throw new IllegalStateException(impossible); // it was parsed from JSON
         }
     }
 
-    private static AdminResponse answer(Taken taken, long version) {
-        return taken == null ? new AdminResponse(503, "too many calls wait for the voters")
-                : taken == Taken.CONFLICT ? new AdminResponse(409, "another change came first: version " + version)
-                : new AdminResponse(202, "{\"version\":" + version + "}");
-    }
-
-    @Override
-    public void withdraw(Consumer<AdminResponse> reply) {
-        if (view.step() == null || !view.step().both()) {
-            reply.accept(new AdminResponse(409, "no change is under way"));
-            return;
+    /** A null {@code result} stands for a full queue. */
+    private static AdminResponse response(Taken result, long version) {
+        if (result == null) {
+            return new AdminResponse(503, "too many calls wait for the voters");
         }
-        accord.want(view.step().next(), null, (taken, version) -> loop.execute(() -> reply.accept(answer(taken,
-                version))));
+        return result == Taken.CONFLICT ? new AdminResponse(409, "another change came first: version " + version)
+                : new AdminResponse(202, "{\"version\":" + version + "}");
     }
 }
--- /dev/null
+++ b/src/main/java/clovermill/director/operations/ReplicatedOutageMarks.java
@@ -0,0 +1,39 @@
+package clovermill.director.operations;
+
+import clovermill.controlplane.gossip.GossipService;
+import clovermill.controlplane.outage.OutageMarks;
+
+/**
+ * Outage marks for the other process of this director that are also replicated to its peers.
+ *
+ * @param marks those of this director
+ * @param gossip replicates each mark
+ */
+public record ReplicatedOutageMarks(OutageMarks marks, GossipService gossip) implements OutageMarks {
+
+    @Override
+    public void takeOut(String id) {
+        marks.takeOut(id);
+        gossip.putOutage(id, true);
+    }
+
+    @Override
+    public void putBack(String id, long stampMillis) {
+        marks.putBack(id, stampMillis);
+        gossip.putOutage(id, false);
+    }
+
+    @Override
+    public boolean tryPutBack(String id, long stampMillis) {
+        boolean recorded = marks.tryPutBack(id, stampMillis);
+        if (recorded) {
+            gossip.putOutage(id, false);
+        }
+        return recorded;
+    }
+
+    @Override
+    public boolean isRecorded(String id) {
+        return marks.isRecorded(id);
+    }
+}
--- a/src/main/java/clovermill/director/operations/package-info.java
+++ b/src/main/java/clovermill/director/operations/package-info.java
@@ -1,2 +1,11 @@
-/** Operators' calls and the outages that peer directors replicate, passed to the parts that carry them out. */
+/**
+ * Carries out what operators ask of a director, at this process, at its other process and at peer directors.
+ *
+ * <p>{@link clovermill.director.operations.OperatorActions} and
+ * {@link clovermill.director.operations.PolicyEndpoint} are called by the admin service;
+ * {@link clovermill.director.operations.HandoverCoordinator} shares outages and descriptors between two processes of
+ * one director; {@link clovermill.director.operations.GossipedOutages} and
+ * {@link clovermill.director.operations.ReplicatedOutageMarks} share outages between peer directors. All on the loop's
+ * thread.
+ */
 package clovermill.director.operations;
