--- a/src/main/java/clovermill/controlplane/admin/AdminRequestParser.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminRequestParser.java
@@ -18,7 +18,7 @@
     private enum State { REQUEST_LINE, HEADERS, SIZED_BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, DONE }
 
     private static final int MAX_HEAD_BYTES = 8192;
-    /** A policy takes some kilobytes, other calls some hundred bytes. */
+    /** A policy has some kilobytes, other calls some hundred bytes. */
     private static final int MAX_BODY_BYTES = 1 << 17;
     private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,9}");
     private static final Pattern CHUNK_SIZE = Pattern.compile("[0-9a-fA-F]{1,7}");
--- a/src/main/java/clovermill/controlplane/admin/decide/OutageCallResult.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/OutageCallResult.java
@@ -1,10 +1,10 @@
 package clovermill.controlplane.admin.decide;
 
-/** What became of an operator's call that takes a cache out or puts it back. */
+/** The result of an operator's call that disables or enables a cache. */
 public enum OutageCallResult {
     /** In force, and recorded for the other processes of this director and for later starts. */
     DONE,
-    /** No member has that id. */
+    /** No endpoint has that id. */
     UNKNOWN_CACHE,
     /** It cannot be recorded now, so that the end of this process would undo it; the call may be repeated. */
     NOT_RECORDED
--- a/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
+++ b/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
@@ -23,7 +23,7 @@
 
     /** Between two checks: an eighth of the time after which the rules count the new channel's events as received. */
     static final long CHECK_INTERVAL_MICROS = 500_000;
-    /** After a signal: the rules count a new channel's events as received 4 s after it; a later file needs a new one. */
+    /** From a signal: the rules count a new channel's events as received 4 s after it. */
     static final long WINDOW_MICROS = 4_000_000;
 
     private static final System.Logger LOG = System.getLogger(ConfigReloader.class.getName());
--- a/src/main/java/clovermill/director/Service.java
+++ b/src/main/java/clovermill/director/Service.java
@@ -86,7 +86,7 @@
         LOG.log(Level.INFO, "{0} serves clients on {1}", config.name(), config.listen());
         director.loop().run();
         director.close();
-        LOG.log(Level.INFO, "{0} has left", config.name());
+        LOG.log(Level.INFO, "{0} has shut down", config.name());
     }
 
     /** Loads the configuration; an I/O error that may pass (EMFILE, EIO) is retried. */
--- a/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
+++ b/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
@@ -12,9 +12,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Carries out a graceful shutdown: clients are notified and served meanwhile, each connection is closed once it is idle,
- * and the loop stops when none is left, so that no client connects to a process that is about to end. On the loop's
- * thread.
+ * Carries out a graceful shutdown: clients are notified and served meanwhile, each connection is closed once it is
+ * idle, and the loop stops when no connection is open, so that no client connects to a process that is about to end. On
+ * the loop's thread.
  */
 public final class GracefulShutdown {
 
--- a/src/test/java/clovermill/MainTest.java
+++ b/src/test/java/clovermill/MainTest.java
@@ -297,7 +297,7 @@
             assertThat(isReady(port)).isTrue();
             steps.write('\n');
             steps.flush();
-            assertThat(until(lines, "first 0")).anyMatch(line -> line.endsWith("n1 has left"));
+            assertThat(until(lines, "first 0")).anyMatch(line -> line.endsWith("n1 has shut down"));
             assertThat(isReady(port)).isTrue();
             steps.write('\n');
             steps.flush();
--- a/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
@@ -23,7 +23,7 @@
                 0, 1);
     }
 
-    /** Whatever is added and removed: a name never gets another number, and after the overlap the last terms are in force. */
+    /** A name never gets another number, and after the overlap the last terms are in force. */
     @Property(tries = 200)
     void aNameKeepsItsNumber(
             @ForAll @Size(max = 12) List<@Size(min = 1, max = 5) List<@IntRange(max = 7) Integer>> changes) {
--- a/src/test/java/clovermill/director/LedgerScenarioTest.java
+++ b/src/test/java/clovermill/director/LedgerScenarioTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A whole director keeps its ledger: one record for each request, whatever its end. */
+/** A complete director writes its ledger: one record for each request, however it ends. */
 class LedgerScenarioTest {
 
     @TempDir
@@ -69,7 +69,7 @@
                 "expect o-1 want 00000000000000a4",
                 "send o-1 00000000000000a4 DONE etag=t,made=5 | done",
                 "expect c1 served 4",
-                // The id of an open request: it fails, and the first goes on.
+                // The id of an open request: it fails, and the first continues.
                 "send c1 request 5 class=page id=00000000000000a5 wait=1000 key=7f3a9c21e0b4d655 bucket=17",
                 "expect s-1 want 00000000000000a5",
                 "send s-1 00000000000000a5 DONE etag=t1,made=5,res=HIT | *7",
@@ -93,7 +93,7 @@
         assertThat(used.get(0xa5L).how()).isEqualTo(How.HIT);
     }
 
-    /** Guards the bill against bytes that never went out: a client that goes while a large answer is written. */
+    /** Guards the bill against bytes that never went out: a client that disconnects while a large answer is written. */
     @Test
     void anAnswerThatBreaksOffCountsWhatWasWritten() throws Exception {
         Collection<Entry.Used> used = byRequest(play(settings(null),
--- a/src/test/java/clovermill/director/Scenario.java
+++ b/src/test/java/clovermill/director/Scenario.java
@@ -29,7 +29,7 @@
 import java.util.stream.Stream;
 
 /**
- * Plays a scenario against a whole director on loopback sockets and a clock that only {@code wait} moves.
+ * Plays a scenario against a complete director on loopback sockets and a clock that only {@code wait} moves.
  *
  * <pre>
  * send c1 request 1 class=page ... | body     a frame from the client connection c1, which is opened if need be;
@@ -50,9 +50,9 @@
  *                                             whatever came before
  * expect s-1 want ID name=value !name         also never_mind ID, closed, nothing
  * expect channel resume=1                     at whatever party is polled; expect director stopped
- * expect director marked ready                in the folder that the processes share; starts: it takes no connections
+ * expect director marked ready                in the folder that the processes share; starts: it accepts no connections
  * close c1                                    in both directions; with half: only sending; with reset: by a reset
- * close s-1 listener                          takes no connections, they are refused; with deaf: they never come up
+ * close s-1 listener                          accepts no connections, they are refused; with deaf: they never come up
  * close c1 deaf                               reads nothing from now on, until: open c1
  * wait 400                                    milliseconds
  * step -3600000                               the wall clock by so many milliseconds; ${now} stays the true time
@@ -117,7 +117,7 @@
         final List<Link> links = new ArrayList<>();
         final Map<String, Link> asked = new HashMap<>();
 
-        /** Takes over what has arrived; a newer connection stands in for one that has ended. */
+        /** Reads what has arrived; a newer connection stands in for one that has ended. */
         void poll() throws IOException {
             if (listener == null && deaf) {
                 return; // a client that reads nothing any more
@@ -393,7 +393,8 @@
         boolean silence = what.equals("nothing");
         boolean closing = what.equals("closed");
         for (int i = 0; i < (silence ? 20 : TURNS) && (got == null || !silence && !matches(what, got)); i++) {
-            got = closing ? null : party.operator ? told(party.link) : party.listener == null ? heard(party.link)
+            got = closing ? null : party.operator ? httpResponse(party.link)
+                    : party.listener == null ? clientFrame(party.link)
                     : asked(party, what);
             if (got == null && party.ended() && (party.listener == null || closing)
                     || got != null && party.listener == null) {
@@ -457,7 +458,7 @@
     }
 
     /** An answer of HTTP: its status, and its body behind a bar. */
-    private static String told(Link link) {
+    private static String httpResponse(Link link) {
         String text = new String(link.read, StandardCharsets.US_ASCII);
         int end = text.indexOf("\r\n\r\n");
         if (end < 0 || !link.ended && !text.contains(" 100 ")) {
@@ -468,7 +469,7 @@
         return answer.split(" ")[1] + " | " + answer.substring(end + 4).strip();
     }
 
-    private static String heard(Link link) {
+    private static String clientFrame(Link link) {
         ByteBuffer bytes = ByteBuffer.wrap(link.read).order(ByteOrder.LITTLE_ENDIAN);
         if (bytes.remaining() < 4 || bytes.remaining() < 4 + bytes.getInt(0)) {
             return null;
@@ -531,8 +532,8 @@
         if (passed != null) {
             passed.close();
         }
-        try (Stream<Path> left = Files.walk(folder)) {
-            for (Path each : left.sorted(Comparator.reverseOrder()).toList()) {
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path each : paths.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(each);
             }
         }
--- a/src/test/java/clovermill/director/ScenarioTest.java
+++ b/src/test/java/clovermill/director/ScenarioTest.java
@@ -26,8 +26,8 @@
     @Test
     void aClientThatNeverPausesIsBroughtToAMomentWithNothingOpen() throws Exception {
         List<String> lines = new ArrayList<>();
-        int told = 10;
-        int turnedAway = told + 120;
+        int signalled = 10;
+        int turnedAway = signalled + 120;
         for (int i = 1; i <= turnedAway + 4; i++) {
             lines.add("send c1 request " + i + " class=page id=" + id(i) + " wait=3000 key=7f3a9c21e0b4d655");
             lines.add(i <= turnedAway ? "expect s-1 want " + id(i) : "expect c1 refused " + i + " after=1");
@@ -36,7 +36,7 @@
                 lines.add("send s-1 " + id(i - 4) + " DONE etag=t1,made=5 | hello");
                 lines.add("expect c1 served " + (i - 4) + " | hello");
             }
-            if (i == told) {
+            if (i == signalled) {
                 lines.addAll(List.of("send director TERM", "expect c1 leaving 0"));
             }
         }
