--- a/src/test/java/clovermill/MainTest.java
+++ b/src/test/java/clovermill/MainTest.java
@@ -27,7 +27,7 @@
     @TempDir
     private Path folder;
 
-    private static final String NOT_YET = "WARNING the clients' listening socket cannot be had yet";
+    private static final String NOT_YET = "WARNING the clients' listening socket is not available yet";
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
     /** Starts a director by way of a shell, which may have signals ignored before. */
@@ -297,7 +297,7 @@
             assertThat(isReady(port)).isTrue();
             steps.write('\n');
             steps.flush();
-            assertThat(until(lines, "first 0")).anyMatch(line -> line.endsWith("n1 has left"));
+            assertThat(until(lines, "first 0")).anyMatch(line -> line.endsWith("n1 has shut down"));
             assertThat(isReady(port)).isTrue();
             steps.write('\n');
             steps.flush();
--- a/src/test/java/clovermill/director/operations/OperatorActionsTest.java
+++ b/src/test/java/clovermill/director/operations/OperatorActionsTest.java
@@ -21,6 +21,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -51,12 +52,13 @@
                 + "\"state\":\"ready\",\"weight\":6,\"started_ms\":0}]}}]}";
         registry.apply(DiscoveryEventParser.parse(Json.parse(list), config.zones(), config.kinds()));
         marks = new OutageFolder(folder, clock::micros);
-        service = new AdminService(new OperatorActions(registry, null, clock, marks, marks::retryPending), null);
+        service = new AdminService(new OperatorActions(registry, null, clock, marks, marks::retryPending),
+                Optional.empty());
     }
 
     private int call(String path, String id) {
         List<AdminResponse> answers = new ArrayList<>();
-        service.answer(new AdminRequest("PUT", path, "{\"id\":\"" + id + "\"}"), answers::add);
+        service.handle(new AdminRequest("PUT", path, "{\"id\":\"" + id + "\"}"), answers::add);
         assertThat(answers).hasSize(1);
         return answers.get(0).status();
     }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -75,9 +75,10 @@
                 config.settings().answerSlackUs(), clock, deadlines, null);
         PolicyStoreSettings agreed = own.part("accord", PolicyStoreSettings.class).orElseThrow();
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
-                agreed.refusesAllWithoutLease(), null);
-        PolicyRules meaning = new PolicyRules(document -> placement.check(document.text()),
-                (one, other) -> placement.binding(one.text(), other.text()));
+                agreed.allBound(), null);
+        PolicyStoreTask.Meaning meaning =
+                new PolicyStoreTask.Meaning(document -> placement.rejection(document.text()).orElse(null),
+                        (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
         accord = new PolicyStore(agreed, meaning, clock, loop::post, view -> observer.policy(number, view));
         DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
         DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
