--- a/src/main/java/clovermill/controlplane/admin/AdminServer.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminServer.java
@@ -57,7 +57,7 @@
      * @throws IOException if the address cannot be bound
      */
     public void open(InetSocketAddress address) throws IOException {
-        listener = loop.listenFirst(address, MAX_CONNECTIONS, this::closeOldest, Exchange::new);
+        listener = loop.listenWithPriority(address, MAX_CONNECTIONS, this::closeOldest, Exchange::new);
     }
 
     /** The port that is bound. */
--- a/src/main/java/clovermill/controlplane/placement/Placement.java
+++ b/src/main/java/clovermill/controlplane/placement/Placement.java
@@ -106,7 +106,7 @@
     }
 
     @Override
-    public long turnsAway(ClientRequest request) {
+    public long retryAfterMillis(ClientRequest request) {
         if (nothingServed()) {
             return LEASE_RETRY_AFTER_MILLIS;
         }
@@ -119,7 +119,7 @@
                 return settings.allowed().maxRetryAfterUs() / 1000;
             }
         }
-        return next == null ? TAKEN : next.turnsAway(request);
+        return next == null ? ADMITTED : next.retryAfterMillis(request);
     }
 
     private boolean nothingServed() {
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public Predicate<String> bind(ClientRequest request) {
+    public Predicate<String> allowedMembers(ClientRequest request) {
         return id -> {
             Member endpoint = endpoints.get(id);
             return endpoint != null && allows(request, endpoint);
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public void members(Members change) {
+    public void membersChanged(Members change) {
         if (change.scope() == ListScope.FULL || change.scope() == ListScope.REMEMBERED) {
             endpoints.clear();
         }
@@ -182,7 +182,7 @@
             }
         }
         if (next != null) {
-            next.members(change);
+            next.membersChanged(change);
         }
     }
 }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -2,6 +2,7 @@
 
 import clovermill.config.Config;
 import clovermill.config.Json;
+import clovermill.controlplane.discovery.DiscoveryEventParser;
 import clovermill.controlplane.discovery.DiscoveryEvents;
 import clovermill.controlplane.reload.ConfigReloader;
 import clovermill.dataplane.server.FrameServer;
@@ -48,7 +49,7 @@
             Platform platform, StartupRetry startup) throws IOException, Json.Malformed {
         this.startup = startup;
         this.platform = platform;
-        DiscoveryEvents startList = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
+        DiscoveryEvents startList = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
         runtime = DirectorRuntime.open(clock, startup);
         Warmup.run(config.settings(), startList);
         usage = new UsageAccounting(config, subsystems, runtime);
--- a/src/main/java/clovermill/director/ControlPlane.java
+++ b/src/main/java/clovermill/director/ControlPlane.java
@@ -5,6 +5,7 @@
 import clovermill.controlplane.admin.decide.AdminService;
 import clovermill.controlplane.discovery.DiscoveryClient;
 import clovermill.controlplane.discovery.DiscoveryEvents;
+import clovermill.controlplane.discovery.DiscoverySettings;
 import clovermill.controlplane.discovery.EndpointRegistry;
 import clovermill.controlplane.gossip.GossipService;
 import clovermill.controlplane.outage.OutageMarks;
@@ -35,10 +36,10 @@
         Settings settings = config.settings();
         registry = new EndpointRegistry(runtime.clock(), dataPlane.pool(), dataPlane.core(), new OutageRegistry(),
                 settings.originKind());
-        registry.start(startList);
-        DiscoveryClient.Terms terms = new DiscoveryClient.Terms(config.zones(), config.kinds(),
+        registry.applyInitial(startList);
+        DiscoverySettings discoverySettings = new DiscoverySettings(config.zones(), config.kinds(),
                 settings.dialTimeoutUs(), Math.min(settings.drainGraceUs(), settings.purgeNoticeUs()));
-        discovery = new DiscoveryClient(runtime.loop(), runtime.clock(), runtime.deadlines(), config.channel(), terms,
+        discovery = new DiscoveryClient(runtime.loop(), runtime.clock(), runtime.deadlines(), config.channel(), discoverySettings,
                 startList.cursor(), registry::apply);
     }
 
--- a/src/main/java/clovermill/director/DataPlane.java
+++ b/src/main/java/clovermill/director/DataPlane.java
@@ -31,7 +31,7 @@
         this.descriptors = new DescriptorShares(config.sockets());
         Settings settings = config.settings();
         pool = new UpstreamPool(runtime.loop(), runtime.clock(), runtime.deadlines(), runtime.bodyBudget(),
-                new UpstreamPool.Limits(config.streamsPerConnection(), descriptors.members(false),
+                new UpstreamPool.Limits(config.streamsPerConnection(), descriptors.endpointConnections(false),
                         settings.dialTimeoutUs(), (long) (IDLE_TIMEOUT_FACTOR * config.connectionIdleUs())));
         RequestRouter router = new RequestRouter(settings, config.seed());
         // The core's hot path tests for null: most directors have neither a listener nor bounds.
@@ -44,8 +44,8 @@
     FrameServer server(Platform platform, BooleanSupplier readiness) {
         InetSocketAddress address = config.listen();
         return new FrameServer(runtime.loop(), runtime.clock(), runtime.deadlines(), runtime.bodyBudget(), core,
-                config.settings(), config.classes(), new FrameServer.Terms(address,
-                        platform.inheritedSocket().orElse(null), descriptors.clients(false), readiness));
+                config.settings(), config.classes(), new FrameServer.Options(address,
+                        platform.inheritedSocket().orElse(null), descriptors.clientConnections(false), readiness));
     }
 
     /** How the process's descriptors are divided between clients and endpoints. */
--- a/src/main/java/clovermill/director/PolicyPlane.java
+++ b/src/main/java/clovermill/director/PolicyPlane.java
@@ -2,9 +2,9 @@
 
 import clovermill.config.Config;
 import clovermill.controlplane.placement.Placement;
+import clovermill.controlplane.policystore.PolicyRules;
 import clovermill.controlplane.policystore.PolicyStore;
 import clovermill.controlplane.policystore.PolicyStoreSettings;
-import clovermill.controlplane.policystore.PolicyStoreTask;
 import clovermill.controlplane.policystore.PolicyView;
 import clovermill.dataplane.proxy.UsageListener;
 import clovermill.director.operations.PolicyEndpoint;
@@ -29,20 +29,20 @@
     PolicyPlane(PolicyStoreSettings settings, Config config, DirectorRuntime runtime, Optional<UsageListener> next)
             throws IOException {
         placement = new Placement(runtime.clock(), config.settings(), config.zones(), config.classes(),
-                settings.allBound(), next.orElse(null));
-        PolicyStoreTask.Meaning meaning = new PolicyStoreTask.Meaning(
+                settings.refusesAllWithoutLease(), next.orElse(null));
+        PolicyRules rules = new PolicyRules(
                 document -> placement.rejection(document.text()).orElse(null),
                 (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
-        store = new PolicyStore(settings, meaning, runtime.clock(), runtime.loop()::post, this::apply);
+        store = new PolicyStore(settings, rules, runtime.clock(), runtime.loop()::post, this::apply);
         endpoint = new PolicyEndpoint(store, runtime.clock(), runtime.loop()::post);
     }
 
     /** Called on the loop's thread, first after {@link #start}. */
     private void apply(PolicyView view) {
         if (view.step() != null) {
-            List<String> policies = view.step().both() ? List.of(view.policy().text(), view.next().text())
+            List<String> policies = view.step().inTransition() ? List.of(view.policy().text(), view.next().text())
                     : List.of(view.policy().text());
-            placement.enforce(policies, view.untilUs());
+            placement.enforce(policies, view.leaseExpiresAtMicros());
         }
         endpoint.update(view);
     }
--- a/src/main/java/clovermill/director/Readiness.java
+++ b/src/main/java/clovermill/director/Readiness.java
@@ -32,10 +32,10 @@
 
     @Override
     public boolean getAsBoolean() {
-        return registry.known() && clock.micros() >= settledAtMicros && upToDate();
+        return registry.hasEndpoints() && clock.micros() >= settledAtMicros && upToDate();
     }
 
     private boolean upToDate() {
-        return !successor || discovery.heard() || clock.micros() >= settledAtMicros + DISCOVERY_WAIT_MICROS;
+        return !successor || discovery.hasAnswered() || clock.micros() >= settledAtMicros + DISCOVERY_WAIT_MICROS;
     }
 }
--- a/src/main/java/clovermill/director/Warmup.java
+++ b/src/main/java/clovermill/director/Warmup.java
@@ -57,9 +57,9 @@
 
     private static List<Member> endpoints(DiscoveryEvents startList) {
         List<Member> endpoints = new ArrayList<>();
-        for (DiscoveryEvents.Command command : startList.list()) {
-            if (command instanceof DiscoveryEvents.Nodes nodes) {
-                nodes.entries().forEach(entry -> endpoints.add(entry.member()));
+        for (DiscoveryEvent event : startList.events()) {
+            if (event instanceof EndpointListChanged list) {
+                list.endpoints().forEach(endpoint -> endpoints.add(endpoint.member()));
             }
         }
         return endpoints;
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -34,7 +34,7 @@
     private final EndpointRegistry registry;
     private final FrameServer server;
     private final UpstreamPool pool;
-    private ProcessRegistry.Others otherProcess = ProcessRegistry.Others.NONE;
+    private OtherProcess otherProcess = OtherProcess.NONE;
 
     /**
      * Joins the processes that share {@code folder}.
@@ -72,10 +72,7 @@
     /** Writes this process's marks that could not be written before, then applies those of the other process. */
     public void syncOutages() {
         outages.retryPending();
-        OutageFolder.Marks marks = outages.look();
-        if (marks != null) {
-            registry.outages(marks.out(), marks.back());
-        }
+        outages.readIfChanged().ifPresent(snapshot -> registry.mergeOutages(snapshot.out(), snapshot.back()));
     }
 
     /** Starts the checks; the first applies what an earlier process has marked. */
@@ -85,8 +82,8 @@
 
     private void check() {
         syncOutages();
-        processes.markReady(server.ready(), clock.micros());
-        ProcessRegistry.Others found = processes.look();
+        processes.markReady(server.isReady(), clock.micros());
+        OtherProcess found = processes.findOther();
         if (found != otherProcess) {
             otherProcess = found;
             applyOtherProcess();
@@ -94,20 +91,20 @@
     }
 
     private void applyOtherProcess() {
-        boolean besideAnother = otherProcess != ProcessRegistry.Others.NONE;
-        server.limit(descriptors.clients(besideAnother));
-        pool.limit(descriptors.members(besideAnother));
+        boolean besideAnother = otherProcess != OtherProcess.NONE;
+        server.setMaxConnections(descriptors.clientConnections(besideAnother));
+        pool.limit(descriptors.endpointConnections(besideAnother));
         // If a successor ends before this process is asked to shut down, new connections are accepted here again.
-        server.accepting(otherProcess != ProcessRegistry.Others.SUCCESSOR);
+        server.setAccepting(otherProcess != OtherProcess.SUCCESSOR);
         LOG.log(Level.INFO, switch (otherProcess) {
             case NONE -> "this process is alone again";
-            case BESIDE -> "another process of this director is here";
+            case PRESENT -> "another process of this director is here";
             case SUCCESSOR -> "the next process of this director is ready and takes new connections";
         });
     }
 
     /** Removes this process from the folder: it ends. */
     public void close() {
-        processes.leave();
+        processes.deregister();
     }
 }
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -23,13 +23,13 @@
 
     @Override
     public boolean ready() {
-        return server.ready();
+        return server.isReady();
     }
 
     @Override
     public OutageCallResult disable(String id) {
         syncOutages.run();
-        if (!registry.knows(id)) {
+        if (!registry.isKnownCache(id)) {
             return OutageCallResult.UNKNOWN_CACHE;
         }
         if (!registry.isOut(id)) {
@@ -42,7 +42,7 @@
     @Override
     public OutageCallResult enable(String id) {
         syncOutages.run();
-        if (!registry.knows(id)) {
+        if (!registry.isKnownCache(id)) {
             return OutageCallResult.UNKNOWN_CACHE;
         }
         if (registry.isOut(id)) {
--- a/src/main/java/clovermill/director/operations/PolicyEndpoint.java
+++ b/src/main/java/clovermill/director/operations/PolicyEndpoint.java
@@ -56,15 +56,15 @@
     private static ObjectNode json(PolicyView view, long nowMicros) throws JsonProcessingException {
         ObjectNode json = JSON.createObjectNode().put("version", view.step().version())
                 .put("step", view.step().number())
-                .put("lease_ms", Math.max(0, (view.untilUs() - nowMicros) / 1000));
+                .put("lease_ms", Math.max(0, (view.leaseExpiresAtMicros() - nowMicros) / 1000));
         json.set("policy", JSON.readTree(view.policy().text()));
-        if (view.step().both()) {
-            json.put("next", view.step().next()).put("at_the_latest_ms", view.leftUs() / 1000);
-            json.set("waits_for", JSON.valueToTree(view.missing()));
+        if (view.step().inTransition()) {
+            json.put("next", view.step().next()).put("at_the_latest_ms", view.remainingMicros() / 1000);
+            json.set("waits_for", JSON.valueToTree(view.unconfirmed()));
             json.set("next_policy", JSON.readTree(view.next().text()));
         }
-        if (view.lastReason() != null) {
-            json.put("last_taken_back", view.lastReason());
+        if (view.lastAbortReason() != null) {
+            json.put("last_taken_back", view.lastAbortReason());
         }
         return json;
     }
@@ -87,7 +87,7 @@
 
     @Override
     public void withdraw(Consumer<AdminResponse> reply) {
-        if (view.step() == null || !view.step().both()) {
+        if (view.step() == null || !view.step().inTransition()) {
             reply.accept(new AdminResponse(409, "no change is under way"));
             return;
         }
@@ -96,7 +96,7 @@
 
     /** A null {@code policy} withdraws the change to version {@code follows}. */
     private void change(long follows, PolicyDocument policy, Consumer<AdminResponse> reply) {
-        store.want(follows, policy,
+        store.requestChange(follows, policy,
                 (result, version) -> loop.execute(() -> reply.accept(response(result, version))));
     }
 
@@ -114,11 +114,11 @@
     }
 
     /** A null {@code result} stands for a full queue. */
-    private static AdminResponse response(Taken result, long version) {
+    private static AdminResponse response(ProposalResult result, long version) {
         if (result == null) {
             return new AdminResponse(503, "too many calls wait for the voters");
         }
-        return result == Taken.CONFLICT ? new AdminResponse(409, "another change came first: version " + version)
+        return result == ProposalResult.CONFLICT ? new AdminResponse(409, "another change came first: version " + version)
                 : new AdminResponse(202, "{\"version\":" + version + "}");
     }
 }
--- a/src/main/java/clovermill/director/reload/SettingsReload.java
+++ b/src/main/java/clovermill/director/reload/SettingsReload.java
@@ -54,7 +54,7 @@
         if (!classes.hasNumbersFor(next.classes())) {
             throw new Json.Malformed("settings.request-classes: more names than one process can tell apart");
         }
-        discovery.move(next.channel());
+        discovery.reconnectTo(next.channel());
         warnOfStartOnlyChanges(next);
         if (next.settings().equals(inForce.settings()) && next.classes().equals(inForce.classes())) {
             return;
@@ -95,8 +95,8 @@
     private void applySettings() {
         Settings settings = baseSettings.with(classes.requestClasses(),
                 classes.withMaxAttempts(baseSettings.allowed()));
-        core.retune(settings);
-        server.retune(classes.acceptedNames(), settings);
+        core.reload(settings);
+        server.reload(classes.acceptedNames(), settings);
     }
 
     /** The longest deadline of a request under the configuration in force, in microseconds. */
--- a/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
+++ b/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
@@ -52,7 +52,7 @@
     /** Begins the shutdown; to be called once. */
     public void begin() {
         sequence = new ShutdownSequence(clock.micros(), longestDeadlineMicros.getAsLong(), handover);
-        server.leave();
+        server.announceShutdown();
         checks.start();
     }
 
@@ -61,10 +61,10 @@
         Phase phase = sequence.phase(clock.micros());
         if (!acceptingStopped && phase.compareTo(Phase.CLOSING_IDLE) >= 0) {
             acceptingStopped = true;
-            server.shut();
+            server.stopAccepting();
         }
         if (phase.compareTo(Phase.ANSWERING_ALL) >= 0) {
-            core.answerAll();
+            core.answerOpenRequests();
         }
         if (!cutOff && phase == Phase.CUTTING_OFF) {
             cutOff = true;
@@ -72,9 +72,9 @@
                     Long.toString(sequence.cutOffDelayMicros() / 1000));
         }
         if (acceptingStopped) {
-            server.part(phase.compareTo(Phase.REJECTING) >= 0, cutOff);
+            server.closeConnections(phase.compareTo(Phase.REJECTING) >= 0, cutOff);
         }
-        if (server.empty() && (acceptingStopped || handover)) {
+        if (server.isEmpty() && (acceptingStopped || handover)) {
             checks.stop();
             loop.stop();
         }
--- a/src/test/java/clovermill/controlplane/placement/PlacementTest.java
+++ b/src/test/java/clovermill/controlplane/placement/PlacementTest.java
@@ -36,7 +36,7 @@
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         placement = new Placement(clock, config.settings(), config.zones(), config.classes(), false, null);
-        placement.members(new Members(ListScope.FULL, List.of(member("s-1", 1, 0), member("p-1", 0, 1),
+        placement.membersChanged(new Members(ListScope.FULL, List.of(member("s-1", 1, 0), member("p-1", 0, 1),
                 member("o-1", 0, 2))));
     }
 
@@ -56,74 +56,74 @@
 
     @Test
     void nothingIsServedBeforeAPolicyIsKnownAndEverythingWithoutRules() {
-        assertThat(placement.turnsAway(request(0))).isPositive();
+        assertThat(placement.retryAfterMillis(request(0))).isPositive();
         placement.enforce(List.of("{}"), 0);
-        assertThat(placement.turnsAway(request(0))).isEqualTo(UsageListener.TAKEN);
-        assertThat(placement.bind(request(0)).test("s-1")).isTrue();
+        assertThat(placement.retryAfterMillis(request(0))).isEqualTo(UsageListener.ADMITTED);
+        assertThat(placement.allowedMembers(request(0)).test("s-1")).isTrue();
     }
 
     @Test
     void aRuleRestrictsTargetsAndSourcesOfItsTenantOnly() {
         placement.enforce(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.bind(request(9));
+        Predicate<String> bound = placement.allowedMembers(request(9));
         assertThat(bound.test("s-1")).isTrue();
         assertThat(bound.test("p-1")).isFalse();
         assertThat(bound.test("o-1")).isFalse();
         assertThat(bound.test("s-unknown")).isFalse();
-        assertThat(placement.bind(request(10)).test("p-1")).isTrue();
+        assertThat(placement.allowedMembers(request(10)).test("p-1")).isTrue();
     }
 
     @Test
     void duringAChangeOnlyWhatBothPoliciesAllowIsAllowedToOpenRequestsToo() {
         placement.enforce(List.of(policy(BOTH)), 10_000);
-        Predicate<String> bound = placement.bind(request(0));
+        Predicate<String> bound = placement.allowedMembers(request(0));
         assertThat(bound.test("p-1")).isTrue();
         placement.enforce(List.of(policy(BOTH), policy(EDGE)), 10_000);
         assertThat(bound.test("p-1")).isFalse();
         assertThat(bound.test("s-1")).isTrue();
         placement.enforce(List.of(policy(EDGE), policy(HUBS)), 10_000);
         assertThat(bound.test("s-1")).isFalse();
-        assertThat(placement.bind(request(0)).test("o-1")).isFalse();
+        assertThat(placement.allowedMembers(request(0)).test("o-1")).isFalse();
     }
 
     @Test
     void anExpiredLeaseStopsAGuardedTenantAtThatMomentAndNoOther() {
         placement.enforce(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.bind(request(0));
+        Predicate<String> bound = placement.allowedMembers(request(0));
         clock.passMicros(8_999);
         assertThat(bound.test("s-1")).isTrue();
         clock.passMicros(1);
         assertThat(bound.test("s-1")).isFalse();
-        assertThat(placement.turnsAway(request(0))).isPositive();
-        assertThat(placement.turnsAway(request(10))).isEqualTo(UsageListener.TAKEN);
+        assertThat(placement.retryAfterMillis(request(0))).isPositive();
+        assertThat(placement.retryAfterMillis(request(10))).isEqualTo(UsageListener.ADMITTED);
         placement.enforce(List.of(policy(LOOSE)), 10_000);
-        assertThat(placement.bind(request(0)).test("s-1")).isTrue();
-        assertThat(placement.bind(request(0)).test("p-1")).isFalse();
+        assertThat(placement.allowedMembers(request(0)).test("s-1")).isTrue();
+        assertThat(placement.allowedMembers(request(0)).test("p-1")).isFalse();
     }
 
     @Test
     void aRequestThatNoEndpointMayServeIsRejectedAtOnce() {
         placement.enforce(List.of(policy("{\"tenant\":\"a\",\"sites\":[]}")), 10_000);
-        assertThat(placement.turnsAway(request(0))).isPositive();
+        assertThat(placement.retryAfterMillis(request(0))).isPositive();
         placement.enforce(List.of(policy(LOOSE)), 10_000);
-        assertThat(placement.turnsAway(request(0))).isEqualTo(UsageListener.TAKEN);
-        placement.members(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
+        assertThat(placement.retryAfterMillis(request(0))).isEqualTo(UsageListener.ADMITTED);
+        placement.membersChanged(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
                 0))));
-        assertThat(placement.turnsAway(request(0))).isPositive();
+        assertThat(placement.retryAfterMillis(request(0))).isPositive();
     }
 
     @Test
     void anEndpointThatIsGoneIsNotAllowed() {
         placement.enforce(List.of("{}"), 10_000);
-        placement.members(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.GONE, 1, 0))));
-        assertThat(placement.bind(request(0)).test("s-1")).isFalse();
+        placement.membersChanged(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.GONE, 1, 0))));
+        assertThat(placement.allowedMembers(request(0)).test("s-1")).isFalse();
     }
 
     @Test
     void aCacheThatChangesItsZoneUnderTheSameIdCountsInTheNewOne() {
         placement.enforce(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.bind(request(0));
-        placement.members(new Members(ListScope.CHANGES, List.of(member("s-1", 0, 0))));
+        Predicate<String> bound = placement.allowedMembers(request(0));
+        placement.membersChanged(new Members(ListScope.CHANGES, List.of(member("s-1", 0, 0))));
         assertThat(bound.test("s-1")).isFalse();
     }
 
--- a/src/test/java/clovermill/director/WarmupTest.java
+++ b/src/test/java/clovermill/director/WarmupTest.java
@@ -5,6 +5,7 @@
 import clovermill.config.Config;
 import clovermill.config.Json;
 import clovermill.controlplane.discovery.DiscoveryEventParser;
+import clovermill.controlplane.discovery.DiscoveryEventParser;
 import clovermill.controlplane.discovery.DiscoveryEvents;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,9 +18,9 @@
     @Test
     void theRouterDecidesOnEveryRequestWhateverTheList() throws Exception {
         Config config = Config.read(Files.readString(Path.of("example/config.json")), null);
-        DiscoveryEvents known = DiscoveryEvents.read(config.known(), config.zones(), config.kinds());
+        DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
         assertThat(Warmup.run(config.settings(), known)).isEqualTo(300);
-        DiscoveryEvents empty = DiscoveryEvents.read(Json.parse("{\"cursor\":0,\"cmds\":[]}"), List.of(), List.of());
+        DiscoveryEvents empty = DiscoveryEventParser.parse(Json.parse("{\"cursor\":0,\"cmds\":[]}"), List.of(), List.of());
         assertThat(Warmup.run(config.settings(), empty)).isZero();
     }
 }
--- a/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
+++ b/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
@@ -46,7 +46,7 @@
         public void stopAccepting() {}
 
         @Override
-        public void part(boolean turnAway, boolean cuttingOff) {
+        public void closeConnections(boolean turnAway, boolean cuttingOff) {
             calls++;
             empty = cuttingOff;
             if (calls == 1) {
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -75,11 +75,10 @@
                 config.settings().answerSlackUs(), clock, deadlines, null);
         PolicyStoreSettings agreed = own.part("accord", PolicyStoreSettings.class).orElseThrow();
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
-                agreed.allBound(), null);
-        PolicyStoreTask.Meaning meaning =
-                new PolicyStoreTask.Meaning(document -> placement.rejection(document.text()).orElse(null),
-                        (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
-        accord = new PolicyStore(agreed, meaning, clock, loop::post, view -> observer.policy(number, view));
+                agreed.refusesAllWithoutLease(), null);
+        PolicyRules rules = new PolicyRules(document -> placement.rejection(document.text()).orElse(null),
+                (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
+        accord = new PolicyStore(agreed, rules, clock, loop::post, view -> observer.policy(number, view));
         DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
         DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
                 new DiscoverySettings(config.zones(), config.kinds(), config.settings().dialTimeoutUs(),
