--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # The flags that keep the whole process within 192 MB stand in the deploy file's run command.
 RUN = $(shell sed -n 's/^run = "\(.*\)"$$/\1/p' deploy/balancer.toml)
 
-.PHONY: sites prove-scale prove-accord prove-accord-sim build test lint run run-ledger toy clean prove-ledger prove-upgrade prove-spread prove-fleet-limits prove-request-path prove-state prove-limits-at-size capacity-page prove-event-log-sim prove-faults format
+.PHONY: sites prove-scale prove-accord prove-accord-sim build test lint run run-ledger toy clean prove-ledger prove-upgrade prove-spread prove-fleet-limits prove-request-path prove-state prove-limits-at-size capacity-page prove-event-log-sim prove-faults format architecture
 
 build:
 	sh deploy/build.sh
@@ -12,6 +12,10 @@
 lint:
 	mvn -B -ntp -q checkstyle:check
 
+# Renders the picture of docs/ARCHITECTURE.md; needs Debian's graphviz.
+architecture:
+	dot -Tsvg docs/architecture.dot -o docs/architecture.svg
+
 # Lays all Java sources out as formatter.xml says.
 format:
 	mvn -B -ntp -q formatter:format
--- a/src/main/java/clovermill/routing/load/package-info.java
+++ b/src/main/java/clovermill/routing/load/package-info.java
@@ -6,6 +6,6 @@
  * much an endpoint can hold). Both are pure decision classes: no I/O, clock or thread, times in microseconds passed in,
  * randomness passed in. The routing decisions ask them through {@code CapacityEstimator} and choose among homes and
  * copies. {@link clovermill.simulation.emulator} shows the outcome in a fleet of any size; the reasons are in
- * {@code docs/design/spread.md}.
+ * {@code docs/design/load-sharing.md}.
  */
 package clovermill.routing.load;
