--- a/src/main/java/clovermill/config/Json.java
+++ b/src/main/java/clovermill/config/Json.java
@@ -20,6 +20,7 @@
 
         private static final long serialVersionUID = 1L;
 
+        /** {@code message} is one line that names the field and the reason. */
         public Malformed(String message) {
             super(message, null, false, false);
         }
--- a/src/main/java/clovermill/config/settings/SettingsFile.java
+++ b/src/main/java/clovermill/config/settings/SettingsFile.java
@@ -28,6 +28,7 @@
 
         private static final long serialVersionUID = 1L;
 
+        /** {@code pointer} is the JSON pointer of the value at fault, empty for the whole file. */
         public Fault(String file, String pointer, String reason) {
             super(file + ": " + (pointer.isEmpty() ? "" : pointer + ": ") + reason, null, false, false);
         }
--- a/src/main/java/clovermill/controlplane/gossip/decide/RateLimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/RateLimitShare.java
@@ -50,6 +50,7 @@
     private double demand;
     private long demandUs;
 
+    /** A share that begins at {@code nowUs}, monotonic microseconds. */
     public RateLimitShare(Terms terms, long nowUs) {
         this.terms = terms;
         this.startedUs = nowUs;
--- a/src/main/java/clovermill/ledger/LogReader.java
+++ b/src/main/java/clovermill/ledger/LogReader.java
@@ -50,6 +50,7 @@
     private final LogFormat format = new LogFormat();
     private LogHeader header;
 
+    /** Reads the segments of a ledger folder; nothing is opened yet. */
     public LogReader(LedgerFolder folder) {
         this.folder = folder;
     }
--- a/src/main/java/clovermill/ledger/decide/Entry.java
+++ b/src/main/java/clovermill/ledger/decide/Entry.java
@@ -5,6 +5,7 @@
 /** What the log holds, in the order of {@code seq}, which counts from 1 in each epoch without a hole. */
 public sealed interface Entry {
 
+    /** The sequence number within the epoch, from 1. */
     long seq();
 
     /**
--- a/src/main/java/clovermill/ledger/decide/Missed.java
+++ b/src/main/java/clovermill/ledger/decide/Missed.java
@@ -18,6 +18,7 @@
     private final long periodMs;
     private final Map<Accounts.Key, Entry.Gap> gaps = new LinkedHashMap<>();
 
+    /** Counts for at most {@code most} accounts apart, by periods of {@code periodMs} milliseconds. */
     public Missed(int most, long periodMs) {
         this.most = most;
         this.periodMs = periodMs;
--- a/src/main/java/clovermill/ledger/decide/Totals.java
+++ b/src/main/java/clovermill/ledger/decide/Totals.java
@@ -18,6 +18,7 @@
 
     private final long[] sums;
 
+    /** All sums are 0. */
     public Totals() {
         this(new long[SUMS.length]);
     }
@@ -63,6 +64,7 @@
         sums[sum.ordinal()] += value;
     }
 
+    /** One sum: a number of requests, attempts or bytes, as its name says. */
     public long get(Sum sum) {
         return sums[sum.ordinal()];
     }
--- a/src/main/java/clovermill/ledger/export/Exporter.java
+++ b/src/main/java/clovermill/ledger/export/Exporter.java
@@ -39,6 +39,7 @@
     private final RandomGenerator random;
     private final HttpClient client;
 
+    /** {@code random} spreads the pauses between attempts at a receiver. */
     public Exporter(LedgerFolder folder, LedgerSettings.Export terms, Volume volume, RandomGenerator random) {
         this.folder = folder;
         this.terms = terms;
--- a/src/test/java/clovermill/DocumentedNamesTest.java
+++ b/src/test/java/clovermill/DocumentedNamesTest.java
@@ -21,7 +21,8 @@
 
     private static final Path SOURCES = Path.of("src/main/java/clovermill");
     /** A type in backticks, maybe behind its package and before a method. */
-    private static final Pattern TYPE = Pattern.compile("`(?:[a-z]+\\.)*([A-Z][A-Za-z]*[a-z][A-Za-z]*)(?:\\.[a-z]\\w*)?`");
+    private static final Pattern TYPE = Pattern.compile(
+            "`(?:[a-z]+\\.)*([A-Z][A-Za-z]*[a-z][A-Za-z]*)(?:\\.[a-z]\\w*)?`");
     /** A package of two or more parts in backticks. */
     private static final Pattern PACKAGE = Pattern.compile("`([a-z]+(?:\\.[a-z]+)+)`");
     /** A row of the runbook: its second cell is the log line. */
--- a/src/test/java/clovermill/prove/DirectorProcess.java
+++ b/src/test/java/clovermill/prove/DirectorProcess.java
@@ -113,6 +113,7 @@
         return root.resolve("n" + number + ".log");
     }
 
+    /** A port of the loopback interface that nobody listens on just now. */
     public static int free() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return free.getLocalPort();
--- a/src/test/java/clovermill/prove/StandIns.java
+++ b/src/test/java/clovermill/prove/StandIns.java
@@ -52,6 +52,7 @@
         thread.start();
     }
 
+    /** The address as host and port. */
     public String address() {
         return "127.0.0.1:" + listener.port();
     }
--- a/src/test/java/clovermill/routing/Splits.java
+++ b/src/test/java/clovermill/routing/Splits.java
@@ -15,6 +15,7 @@
 
     /** A parser that may refuse its input. */
     public interface Parser {
+        /** Takes the next bytes; throws where they cannot be read. */
         void parse(ByteBuffer data) throws Exception;
     }
 
