--- a/src/main/java/clovermill/simulation/emulator/world/World.java
+++ b/src/main/java/clovermill/simulation/emulator/world/World.java
@@ -17,6 +17,14 @@
  */
 public final class World<M> {
 
+    private static final double MAX_CLOCK_OFFSET_US = 1e8;
+    private static final double DUPLICATE_RATE = 0.02;
+    private static final long LOOPBACK_DELAY_US = 10;
+    private static final long MIN_DELAY_US = 50;
+    private static final long MIN_TICK_INTERVAL_US = 100;
+    /** The maximum latency, in addition to the minimum, until {@link #links} sets another. */
+    private static final long INITIAL_MAX_DELAY_US = 2000;
+
     private record Event(long atUs, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -37,7 +45,7 @@
         private Machine(int number, double drift) {
             this.number = number;
             this.pace = 1 + drift * (2 * random.nextDouble() - 1);
-            this.offsetUs = (long) (random.nextDouble() * 1e8);
+            this.offsetUs = (long) (random.nextDouble() * MAX_CLOCK_OFFSET_US);
         }
 
         /** This machine's clock. */
@@ -104,7 +112,7 @@
             }
             long next = task.tick(clock());
             long afterUs = next == Long.MAX_VALUE ? Long.MAX_VALUE / 4 : (long) Math.ceil((next - clock()) / pace) + 1;
-            long atUs = nowUs + Math.max(100, afterUs);
+            long atUs = nowUs + Math.max(MIN_TICK_INTERVAL_US, afterUs);
             if (atUs < nextTickUs || nextTickUs <= nowUs) {
                 nextTickUs = atUs;
                 at(atUs, () -> {
@@ -124,7 +132,7 @@
     private long nowUs;
     private long order;
     private double loss;
-    private long maxDelayUs = 2000;
+    private long maxDelayUs = INITIAL_MAX_DELAY_US;
     private long sent;
 
     /** So many machines, whose clocks drift by up to {@code drift}. */
@@ -185,9 +193,9 @@
     public void send(int from, int to, M message) {
         sent++;
         boolean loopback = from == to;
-        int copies = loopback ? 1 : random.nextDouble() < loss ? 0 : random.nextDouble() < 0.02 ? 2 : 1;
+        int copies = loopback ? 1 : random.nextDouble() < loss ? 0 : random.nextDouble() < DUPLICATE_RATE ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long latencyUs = loopback ? 10 : 50 + (long) (random.nextDouble() * maxDelayUs);
+            long latencyUs = loopback ? LOOPBACK_DELAY_US : MIN_DELAY_US + (long) (random.nextDouble() * maxDelayUs);
             at(nowUs + latencyUs, () -> {
                 if (loopback || !cutLinks.contains(from * machines.size() + to)) {
                     Machine machine = machines.get(to);
