--- a/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
@@ -58,7 +58,8 @@
                 .setCommitCountToTakeSnapshot(limits.snapshotEvery()).build();
         RaftReplica.Host host = new RaftReplica.Host(EventOperationCodec.GROUP, config, storage, scheduler, random,
                 (to, message) -> send(to.node(), new Packet.RaftPacket(to.disk(), message)));
-        RaftMember.Membership members = new RaftMember.Membership(membership.self(), membership.replicas(), membership.timing().roundUs());
+        RaftMember.Membership members =
+                new RaftMember.Membership(membership.self(), membership.replicas(), membership.timing().roundUs());
         this.member = new RaftMember<>(members, storage, host,
                 () -> new EventLogStateMachine(limits.log(), () -> random.nextLong() | 1), this::replicaStarted,
                 new JoinOutbox());
--- a/src/main/java/clovermill/director/ControlPlane.java
+++ b/src/main/java/clovermill/director/ControlPlane.java
@@ -39,7 +39,8 @@
         registry.applyInitial(startList);
         DiscoverySettings discoverySettings = new DiscoverySettings(config.zones(), config.kinds(),
                 settings.dialTimeoutUs(), Math.min(settings.drainGraceUs(), settings.purgeNoticeUs()));
-        discovery = new DiscoveryClient(runtime.loop(), runtime.clock(), runtime.deadlines(), config.channel(), discoverySettings,
+        discovery = new DiscoveryClient(runtime.loop(), runtime.clock(), runtime.deadlines(), config.channel(),
+                discoverySettings,
                 startList.cursor(), registry::apply);
     }
 
--- a/src/main/java/clovermill/director/operations/PolicyEndpoint.java
+++ b/src/main/java/clovermill/director/operations/PolicyEndpoint.java
@@ -118,7 +118,8 @@
         if (result == null) {
             return new AdminResponse(503, "too many calls wait for the voters");
         }
-        return result == ProposalResult.CONFLICT ? new AdminResponse(409, "another change came first: version " + version)
+        return result == ProposalResult.CONFLICT
+                ? new AdminResponse(409, "another change came first: version " + version)
                 : new AdminResponse(202, "{\"version\":" + version + "}");
     }
 }
--- a/src/test/java/clovermill/controlplane/placement/PlacementTest.java
+++ b/src/test/java/clovermill/controlplane/placement/PlacementTest.java
@@ -107,15 +107,17 @@
         assertThat(placement.retryAfterMillis(request(0))).isPositive();
         placement.enforce(List.of(policy(LOOSE)), 10_000);
         assertThat(placement.retryAfterMillis(request(0))).isEqualTo(UsageListener.ADMITTED);
-        placement.membersChanged(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
-                0))));
+        placement.membersChanged(
+                new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
+                        0))));
         assertThat(placement.retryAfterMillis(request(0))).isPositive();
     }
 
     @Test
     void anEndpointThatIsGoneIsNotAllowed() {
         placement.enforce(List.of("{}"), 10_000);
-        placement.membersChanged(new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.GONE, 1, 0))));
+        placement.membersChanged(
+                new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.GONE, 1, 0))));
         assertThat(placement.allowedMembers(request(0)).test("s-1")).isFalse();
     }
 
--- a/src/test/java/clovermill/director/WarmupTest.java
+++ b/src/test/java/clovermill/director/WarmupTest.java
@@ -20,7 +20,8 @@
         Config config = Config.read(Files.readString(Path.of("example/config.json")), null);
         DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
         assertThat(Warmup.run(config.settings(), known)).isEqualTo(300);
-        DiscoveryEvents empty = DiscoveryEventParser.parse(Json.parse("{\"cursor\":0,\"cmds\":[]}"), List.of(), List.of());
+        DiscoveryEvents empty =
+                DiscoveryEventParser.parse(Json.parse("{\"cursor\":0,\"cmds\":[]}"), List.of(), List.of());
         assertThat(Warmup.run(config.settings(), empty)).isZero();
     }
 }
