--- a/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
@@ -9,9 +9,7 @@
 import clovermill.controlplane.eventlog.decide.ReplicaFeed;
 import io.microraft.RaftConfig;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Deque;
-import java.util.List;
 import java.util.Random;
 import java.util.function.Function;
 
@@ -24,10 +22,6 @@
 
     /** Raft entries in one message; most hold one event, and all must fit a UDP datagram. */
     private static final int APPEND_BATCH_ENTRIES = 16;
-    /** Reads queued for the leader; at one more the oldest is dropped, and its replica asks again next round. */
-    private static final int MAX_PENDING_READS = 64;
-
-    private record Read(int from, long number) {}
 
     private final EventLogTask.Membership membership;
     private final EventLogTask.ReplicaLimits limits;
@@ -39,8 +33,7 @@
     private final Deque<Packet> loopback = new ArrayDeque<>();
     /** Null until the replica takes part in a group. */
     private ReplicaFeed feed;
-    private List<Read> pendingReads = new ArrayList<>();
-    private boolean reading;
+    private final HeadReads headReads = new HeadReads(this::sendMessage);
     private long proofRound;
     private long proofRoundStartUs;
     private long nextProofRoundUs;
@@ -80,7 +73,7 @@
 
     private void replicaStarted(RaftReplica<EventLogStateMachine> replica) {
         feed = new ReplicaFeed(membership.timing(), limits.feed(), replica.machine().log(), nowUs);
-        reading = false;
+        headReads.restart();
     }
 
     boolean leads() {
@@ -175,7 +168,7 @@
         @Override
         public void readIndex(EventLogMessage.ReadIndex read) {
             if (leads()) {
-                enqueue(new Read(from, read.number()));
+                headReads.add(member::replica, from, read.number());
             }
         }
 
@@ -205,36 +198,6 @@
         });
     }
 
-    private void enqueue(Read read) {
-        if (pendingReads.size() >= MAX_PENDING_READS) {
-            pendingReads.remove(0);
-        }
-        pendingReads.add(read);
-        readHead();
-    }
-
-    /** One query at a time; reads that arrive meanwhile are answered by the next, which starts after their arrival. */
-    private void readHead() {
-        if (reading || pendingReads.isEmpty()) {
-            return;
-        }
-        List<Read> batch = pendingReads;
-        pendingReads = new ArrayList<>();
-        reading = true;
-        RaftReplica<EventLogStateMachine> queried = member.replica();
-        queried.query(new EventLogStateMachine.ReadHead(), head -> {
-            if (queried != member.replica()) {
-                return;
-            }
-            reading = false;
-            if (head != null) {
-                batch.forEach(read -> sendMessage(read.from(),
-                        new EventLogMessage.ReadIndexAnswer(read.number(), (Long) head)));
-            }
-            readHead();
-        });
-    }
-
     private void sendMessage(int to, EventLogMessage message) {
         send(to, new Packet.EventLogPacket(message));
     }
@@ -273,15 +236,19 @@
         member.restartIfStuck(now);
         long next = member.join(now);
         if (member.replica() != null) {
-            if (now >= nextProofRoundUs) {
-                startProofRound();
-            }
-            feed.tick(now).forEach(this::sendPush);
-            next = Math.min(next, Math.min(nextProofRoundUs, feed.nextUs()));
+            next = Math.min(next, runFeed(now));
         }
         return Math.min(next, scheduler.run(now));
     }
 
+    private long runFeed(long now) {
+        if (now >= nextProofRoundUs) {
+            startProofRound();
+        }
+        feed.tick(now).forEach(this::sendPush);
+        return Math.min(nextProofRoundUs, feed.nextUs());
+    }
+
     /** Asks the leader, possibly this replica, for the head; an unanswered read of the round before is abandoned. */
     private void startProofRound() {
         nextProofRoundUs = nowUs + membership.timing().roundUs();
--- a/src/main/java/clovermill/simulation/emulator/GossipFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/GossipFleet.java
@@ -157,7 +157,7 @@
             Packet packet = packets.poll();
             Peer to = peers.get(packet.to);
             if (to.member != null && linked(packet.message.from(), packet.to)) {
-                send(to, to.member.receive(packet.message, to.clock()));
+                send(to.member.receive(packet.message, to.clock()));
             }
         }
     }
@@ -166,7 +166,7 @@
         for (Peer peer : peers) {
             if (peer.member != null && nowUs >= peer.nextTickUs) {
                 peer.nextTickUs += INTERVAL_US;
-                send(peer, peer.member.tick(peer.clock()));
+                send(peer.member.tick(peer.clock()));
             }
         }
     }
@@ -202,7 +202,7 @@
     }
 
     /** Every message takes a time of its own, so that they overtake one another; some are lost and some come twice. */
-    private void send(Peer from, List<OutgoingMessage> messages) {
+    private void send(List<OutgoingMessage> messages) {
         for (OutgoingMessage each : messages) {
             int copies = random.nextDouble() < scenario.loss() ? 0 : random.nextDouble() < DUPLICATE_RATE ? 2 : 1;
             for (int i = 0; i < copies; i++) {
@@ -218,7 +218,7 @@
         if (peer.member != null) {
             String key = "cache/s-" + entries.size();
             peer.member.put(key, true);
-            send(peer, peer.member.tick(peer.clock()));
+            send(peer.member.tick(peer.clock()));
             entries.add(new PutEntry(key, nowUs));
         }
     }
--- a/src/main/java/clovermill/simulation/emulator/world/World.java
+++ b/src/main/java/clovermill/simulation/emulator/world/World.java
@@ -34,7 +34,6 @@
 
     /** A machine. Messages that reach it while it is stopped wait; those that reach it while it is down are lost. */
     public final class Machine {
-        private final int number;
         private final double pace;
         private final long offsetUs;
         private Task<M> task;
@@ -42,8 +41,7 @@
         private long stoppedUntilUs;
         private long nextTickUs = Long.MAX_VALUE;
 
-        private Machine(int number, double drift) {
-            this.number = number;
+        private Machine(double drift) {
             this.pace = 1 + drift * (2 * random.nextDouble() - 1);
             this.offsetUs = (long) (random.nextDouble() * MAX_CLOCK_OFFSET_US);
         }
@@ -139,7 +137,7 @@
     public World(int count, double drift, long seed) {
         this.random = new Random(seed);
         for (int i = 0; i < count; i++) {
-            machines.add(new Machine(i, drift));
+            machines.add(new Machine(drift));
         }
     }
 
--- a/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
+++ b/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
@@ -39,14 +39,16 @@
     void aRequestIsTheSameWhereverItIsCut() throws Exception {
         for (int cut = 0; cut < SIZED.length(); cut++) {
             AdminRequestParser parser = new AdminRequestParser();
-            assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(0, cut).getBytes()))).isEmpty();
-            assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(cut).getBytes())))
+            assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(0, cut).getBytes(StandardCharsets.US_ASCII))))
+                    .isEmpty();
+            assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(cut).getBytes(StandardCharsets.US_ASCII))))
                     .contains(new AdminRequest("PUT", "/caches/disable", "{\"id\":\"s\"}"));
         }
         for (int cut = 0; cut < CHUNKED.length(); cut++) {
             AdminRequestParser parser = new AdminRequestParser();
-            assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(0, cut).getBytes()))).isEmpty();
-            assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(cut).getBytes())))
+            assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(0, cut).getBytes(StandardCharsets.US_ASCII))))
+                    .isEmpty();
+            assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(cut).getBytes(StandardCharsets.US_ASCII))))
                     .contains(new AdminRequest("PUT", "/x", "abc0123456789"));
         }
         assertThat(parse("GET /ready HTTP/1.0\r\n\r\n")).contains(new AdminRequest("GET", "/ready", ""));
--- a/src/test/java/clovermill/controlplane/eventlog/PacketCodecTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/PacketCodecTest.java
@@ -13,6 +13,7 @@
 import clovermill.controlplane.eventlog.decide.Subject;
 import clovermill.controlplane.eventlog.decide.TruncatedPrefix;
 import io.microraft.model.impl.DefaultRaftModelFactory;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -21,7 +22,7 @@
 
 class PacketCodecTest {
 
-    private static final byte[] KEY = "0123456789abcdef".getBytes();
+    private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
     private static final Event EVENT = new Event(new Subject(Kind.GROUP_PURGE, -5), 1L << 40, "why");
     private final PacketCodec from = new PacketCodec(1, 9, KEY, 70);
     private final PacketCodec to = new PacketCodec(2, 9, KEY, 71);
--- a/src/test/java/clovermill/controlplane/eventlog/decide/EventLogTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/EventLogTest.java
@@ -93,7 +93,7 @@
         copy.restore(log.state(), log.entries(), log.openSessions());
         assertThat(copy).isEqualTo(log);
         for (int i = 40; i < 80; i++) {
-            long session = 1 + random.nextInt(3);
+            long session = 1L + random.nextInt(3);
             Event event = event(random.nextInt(9), i);
             assertThat(copy.append(session, i, List.of(event))).isEqualTo(log.append(session, i, List.of(event)));
         }
--- a/src/test/java/clovermill/controlplane/eventlog/decide/FollowerTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/FollowerTest.java
@@ -164,7 +164,7 @@
         int proven = 0;
         for (long now = 0; now < 40_000; now += 20) {
             if (random.nextInt(8) == 0) {
-                long sequence = all.size() + 1;
+                long sequence = all.size() + 1L;
                 all.add(new Appended(new Entry(sequence, new Event(new Subject(Kind.OBJECT_PURGE, random.nextInt(30)),
                         sequence)), now));
             }
--- a/src/test/java/clovermill/controlplane/gossip/GossipCodecTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/GossipCodecTest.java
@@ -7,6 +7,7 @@
 import clovermill.controlplane.gossip.decide.GossipMessage;
 import clovermill.controlplane.gossip.decide.ReplicatedEntry;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.util.Arrays;
 import java.util.HexFormat;
@@ -51,7 +52,8 @@
 
     @Test
     void aMessageWithAnotherKeyOrForAnotherDirectorIsRefused() {
-        assertThatThrownBy(() -> new GossipCodec(4, "another key here".getBytes()).read(one.write(4, FULL)))
+        assertThatThrownBy(() -> new GossipCodec(4, "another key here".getBytes(StandardCharsets.US_ASCII))
+                .read(one.write(4, FULL)))
                 .isInstanceOf(InvalidMessageException.class).hasMessageContaining("not signed");
         assertThatThrownBy(() -> new GossipCodec(5, KEY).read(one.write(4, FULL)))
                 .isInstanceOf(InvalidMessageException.class).hasMessageContaining("another director");
--- a/src/test/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShareTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShareTest.java
@@ -82,7 +82,7 @@
             }
             // The first two are asked for much, the others for little; all within their time by their own clock.
             int to = random.nextInt(8) > 0 ? random.nextInt(2) : 2 + random.nextInt(2);
-            long length = 1 + random.nextInt(3_000_000);
+            long length = 1L + random.nextInt(3_000_000);
             long here = (long) (now * pace[to]);
             if (all.get(to).admit(here, here + length)) {
                 open.add(new long[] {to, now + (long) (random.nextInt((int) length) / pace[to])});
--- a/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
@@ -5,10 +5,11 @@
 
 import clovermill.controlplane.consensus.ReplicaId;
 import clovermill.controlplane.policystore.decide.PolicyChange;
-import clovermill.controlplane.policystore.decide.ProposalResult;
 import clovermill.controlplane.policystore.decide.PolicyTransition;
+import clovermill.controlplane.policystore.decide.ProposalResult;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
@@ -17,7 +18,7 @@
 
 class PolicyMessageCodecTest {
 
-    private static final byte[] KEY = "0123456789abcdef".getBytes();
+    private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
     private final PolicyMessageCodec from = new PolicyMessageCodec(1, KEY);
     private final PolicyMessageCodec to = new PolicyMessageCodec(2, KEY);
 
--- a/src/test/java/clovermill/controlplane/policystore/decide/StepSearch.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/StepSearch.java
@@ -88,7 +88,7 @@
         }
         List<Director> sorted = new ArrayList<>(w.directors);
         sorted.sort(Comparator.comparing(this::number));
-        long counts = ((w.observedStep * 4 - w.learnedAtMicros) * 4 + w.proposed) * 4 + w.aborts * 2 + w.crashes;
+        long counts = ((w.observedStep * 4 - w.learnedAtMicros) * 4 + w.proposed) * 4 + w.aborts * 2L + w.crashes;
         List<Object> key = new ArrayList<>(List.of(w.register.step(), w.before, counts, highest));
         sorted.forEach(director -> key.add(number(director)));
         if (seen.add(key)) {
--- a/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
@@ -32,7 +32,7 @@
         List<String> numbers = new ArrayList<>(List.of("c0"));
         for (int i = 0; i < changes.size(); i++) {
             List<String> names = changes.get(i).stream().distinct().map(n -> "c" + n).toList();
-            long deadlineUs = 1000 + i;
+            long deadlineUs = 1000L + i;
             classes.beginChange(names, names.stream().map(n -> with(Effect.IDEMPOTENT, deadlineUs, 0, 0)).toList(),
                     1 + i);
             names.stream().filter(n -> !numbers.contains(n)).forEach(numbers::add);
--- a/src/test/java/clovermill/director/WarmupTest.java
+++ b/src/test/java/clovermill/director/WarmupTest.java
@@ -5,7 +5,6 @@
 import clovermill.config.Config;
 import clovermill.config.Json;
 import clovermill.controlplane.discovery.DiscoveryEventParser;
-import clovermill.controlplane.discovery.DiscoveryEventParser;
 import clovermill.controlplane.discovery.DiscoveryEvents;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -163,7 +163,7 @@
         List<LogRecord> told = new ArrayList<>();
         Handler handler = new StreamHandler() {
             @Override
-            public void publish(LogRecord line) {
+            public synchronized void publish(LogRecord line) {
                 told.add(line);
             }
         };
@@ -193,7 +193,7 @@
     void aDiskThatFillsUpInTheMiddleOfARecordLosesNothing() throws Exception {
         Ledger ledger = open();
         for (int round = 0; round < 5; round++) {
-            disk.room = 200 + 37 * round;
+            disk.room = 200 + 37L * round;
             for (int i = 0; i < 50; i++) {
                 use(ledger, 10);
             }
--- a/src/test/java/clovermill/prove/scale/ScaleProof.java
+++ b/src/test/java/clovermill/prove/scale/ScaleProof.java
@@ -3,6 +3,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.time.LocalDate;
 import java.util.ArrayList;
@@ -112,7 +113,8 @@
             return System.getProperty("revision");
         }
         Process git = new ProcessBuilder("git", "describe", "--always", "--dirty=+changes").start();
-        try (BufferedReader out = new BufferedReader(new InputStreamReader(git.getInputStream()))) {
+        try (BufferedReader out = new BufferedReader(new InputStreamReader(git.getInputStream(),
+                StandardCharsets.UTF_8))) {
             String line = out.readLine();
             return line == null ? "unknown" : line;
         }
--- a/src/test/java/clovermill/routing/BoundRequestTest.java
+++ b/src/test/java/clovermill/routing/BoundRequestTest.java
@@ -44,7 +44,8 @@
                 actions::add);
         for (int i = 0; i < 40; i++) {
             String id = String.format("%016x", i);
-            policy.handle(i * 10_000, new Request(id, 1, 0, seed + i % 3, 0, 0, 4, 1_000_000, false, allowed::contains),
+            policy.handle(i * 10_000L,
+                    new Request(id, 1, 0, seed + i % 3, 0, 0, 4, 1_000_000, false, allowed::contains),
                     actions::add);
             for (int attempt = 0; attempt < 8; attempt++) {
                 Action last = actions.get(actions.size() - 1);
