--- a/src/test/java/clovermill/DocumentedNamesTest.java
+++ b/src/test/java/clovermill/DocumentedNamesTest.java
@@ -61,6 +61,33 @@
         }
     }
 
+    /** Each term of acceptance names the tests and scenarios that show it. */
+    @Test
+    void eachTestOfTheTermsOfAcceptanceExists() throws IOException {
+        String page = Files.readString(Path.of("docs/design/race-conditions.md"));
+        String terms = page.substring(page.indexOf("## Terms of acceptance"), page.indexOf("## No test"));
+        List<String> named = Pattern.compile("`([A-Za-z][A-Za-z0-9.-]*)`").matcher(terms).results()
+                .map(found -> found.group(1)).filter(name -> !name.endsWith(".md")).toList();
+        assertThat(named).hasSizeGreaterThan(30);
+        for (String name : named) {
+            String[] parts = name.split("\\.");
+            if (Character.isUpperCase(name.charAt(0))) {
+                assertThat(testSource(parts[0])).as(name).contains(
+                        parts.length > 1 ? "void " + parts[1] + "(" : parts[0]);
+            } else {
+                assertThat(Path.of("src/test/resources/scenarios", name + ".txt")).isRegularFile();
+            }
+        }
+    }
+
+    private static String testSource(String type) throws IOException {
+        try (Stream<Path> files = Files.walk(Path.of("src/test/java"))) {
+            Path file = files.filter(each -> each.endsWith(type + ".java")).findFirst().orElseThrow(
+                    () -> new AssertionError("no test " + type));
+            return Files.readString(file);
+        }
+    }
+
     private static Set<String> simpleNames() throws IOException {
         try (Stream<Path> files = Files.walk(SOURCES)) {
             return files.map(file -> file.getFileName().toString()).filter(name -> name.endsWith(".java"))
