--- a/src/main/java/clovermill/cli/Cli.java
+++ b/src/main/java/clovermill/cli/Cli.java
@@ -31,13 +31,13 @@
     static CommandLine line() {
         return new CommandLine(new Cli()).setCaseInsensitiveEnumValuesAllowed(true)
                 .setExecutionExceptionHandler((failure, line, parsed) -> {
-                    line.getErr().println("clovermill: " + told(failure));
+                    line.getErr().println("clovermill: " + message(failure));
                     return CommandLine.ExitCode.SOFTWARE;
                 });
     }
 
     /** One line for a person. */
-    private static String told(Exception failure) {
+    private static String message(Exception failure) {
         return failure.getMessage() == null ? failure.toString()
                 : failure instanceof NoSuchFileException missing
                         ? "there is no " + missing.getFile()
--- a/src/main/java/clovermill/config/Config.java
+++ b/src/main/java/clovermill/config/Config.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 
 /**
- * What a director is told at its start. {@code known} holds the command channel's events so far in its own
+ * What a director is given at its start. {@code known} holds the command channel's events so far in its own
  * form, {@code admin} is null where operators call nowhere, {@code settings} what the module sees, and the lists the
  * names of classes, zones and kinds.
  */
@@ -27,11 +27,11 @@
     @FunctionalInterface
     public interface Source {
 
-        /** The whole text. */
+        /** The complete text. */
         String read() throws IOException;
     }
 
-    /** Reads a file; whatever is wrong with it is told in one line. */
+    /** Reads a file; whatever is wrong with it is reported in one line. */
     public static Config load(String file, String listen) throws Json.Malformed {
         return load(() -> Files.readString(Path.of(file)), listen);
     }
@@ -74,8 +74,8 @@
                 address(Json.string(root, "channel")), seed(Json.string(root, "seed")),
                 (int) Json.number(Json.object(root, "limits"), "sockets"), Json.object(root, "known"), read, classes,
                 names(settings, "zones"), names(settings, "kinds"),
-                (int) whole(pairs.getOrDefault("policy-limits.streams-per-conn", "1")),
-                whole(pairs.getOrDefault("policy-limits.conn-idle-us", "" + DEFAULT_IDLE_US)),
+                (int) integer(pairs.getOrDefault("policy-limits.streams-per-conn", "1")),
+                integer(pairs.getOrDefault("policy-limits.conn-idle-us", "" + DEFAULT_IDLE_US)),
                 Shape.of(root));
     }
 
@@ -101,7 +101,7 @@
             try {
                 return new InetSocketAddress(text.substring(0, cut), Integer.parseInt(text.substring(cut + 1)));
             } catch (IllegalArgumentException e) {
-                // told below
+                // reported below
             }
         }
         throw new Json.Malformed("not an address: " + text);
@@ -115,7 +115,7 @@
         }
     }
 
-    private static long whole(String text) throws Json.Malformed {
+    private static long integer(String text) throws Json.Malformed {
         try {
             return Math.max(1, (long) Double.parseDouble(text));
         } catch (NumberFormatException e) {
--- a/src/main/java/clovermill/config/SettingsReader.java
+++ b/src/main/java/clovermill/config/SettingsReader.java
@@ -24,7 +24,7 @@
         this.values = values;
     }
 
-    /** Reads the settings; a value that should be a number and is none is told as a malformed one. */
+    /** Reads the settings; a value that should be a number and is none is reported as malformed. */
     public static Settings read(Map<String, String> values) throws Json.Malformed {
         try {
             return new SettingsReader(values).settings();
@@ -40,10 +40,10 @@
         ColdRule parentCold = new ColdRule(decimal(family + "parent-cold-from", cold.from()),
                 micros(family + "upper-cold-us"), decimal(family + "parent-limit-factor", cold.multiple()),
                 cold.windowUs());
-        return new Settings(whole("position", 0), whole("fleet-size", 1), whole("zone", 0), classes(),
+        return new Settings(integer("position", 0), integer("fleet-size", 1), integer("zone", 0), classes(),
                 wholes(family + "crew-by-zone"), wholes(family + "attached-to"),
-                whole(family + "upper-kind", -1),
-                whole(family + "root-kind", -1), decimal(family + "pace-kb-per-s", 0),
+                integer(family + "upper-kind", -1),
+                integer(family + "root-kind", -1), decimal(family + "pace-kb-per-s", 0),
                 !"none".equals(values.getOrDefault("weight-source", "none")),
                 word(family + "peers-fill", Siblings.NONE, Map.of("none", Siblings.NONE, "location",
                         Siblings.LOCATION,
@@ -55,7 +55,7 @@
                 micros("policy-limits.dial-timeout-us"), "on_request".equals(values.get("registry-mode")),
                 micros("rules.must-ask-in-us"), decimal(family + "root-fall-multiple", 0),
                 micros(family + "origin-fall-us"),
-                number(item(list(family + "zone-link-kb-per-s"), whole("zone", 0)), 0), permissions(family));
+                number(item(list(family + "zone-link-kb-per-s"), integer("zone", 0)), 0), permissions(family));
     }
 
     private Permissions permissions(String family) {
@@ -63,7 +63,7 @@
         return new Permissions(bool(family + "straight"), bool(family + "shares-fills"),
                 bool(limits + "cancelling"),
                 bool(limits + "second-copies"), bool(limits + "probes"), bool(limits + "peers"),
-                whole(limits + "max-attempts", Integer.MAX_VALUE), whole(limits + "max-open",
+                integer(limits + "max-attempts", Integer.MAX_VALUE), integer(limits + "max-open",
                         Integer.MAX_VALUE),
                 bool(limits + "retry-after") ? micros(limits + "max-retry-after-us") : 0);
     }
@@ -75,7 +75,7 @@
         String[] parts = list("family-info.in-parts");
         String[] stale = list("family-info.stale-earns");
         List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < whole("request-classes.count", 0); i++) {
+        for (int i = 0; i < integer("request-classes.count", 0); i++) {
             String at = "request-classes." + i + ".";
             classes.add(new RequestClass(micros(at + "aim-us"), decimal(at + "aim-stretch", 0),
                     micros(at + "deadline-us"), decimal(at + "value", 1), decimal(at + "late-worth", 0),
@@ -118,7 +118,7 @@
         return value.equals("true") || value.equals("1");
     }
 
-    private int whole(String key, int absent) {
+    private int integer(String key, int absent) {
         return (int) number(values.getOrDefault(key, ""), absent);
     }
 
--- a/src/main/java/clovermill/routing/CapacityEstimator.java
+++ b/src/main/java/clovermill/routing/CapacityEstimator.java
@@ -82,7 +82,7 @@
 
     /**
      * Learns from the time of an answer that came, or is late: of the target where it was a hit, otherwise of the
-     * source and the link. What the source's known load explains tells nothing of the link.
+     * source and the link. What the source's known load explains is no evidence about the link.
      */
     void recordPace(Attempt attempt, boolean filled, long elapsedUs) {
         if (!attempt.request().isPaceBound()) {
@@ -132,7 +132,7 @@
 
     /**
      * Whether an endpoint, its pace shared among all that it holds, would answer within a share of the latency target;
-     * the more of its load is other directors' and so only guessed, the more of the margin of HANDOVER_SHARE is kept.
+     * the more of its load is other directors' and so only guessed, the more of HANDOVER_SHARE is reserved.
      */
     boolean canAnswerWithin(double share, Endpoint endpoint, PendingRequest pending) {
         double ownShare = (endpoint.inFlight.current() + 1) / (load(endpoint) + 1);
--- a/src/main/java/clovermill/routing/EndpointSet.java
+++ b/src/main/java/clovermill/routing/EndpointSet.java
@@ -13,7 +13,7 @@
 /** The listed endpoints by role. Bounded by the list of members. */
 final class EndpointSet {
 
-    /** Is told of an endpoint that has started anew, and when, in microseconds. */
+    /** Notified of an endpoint that has restarted, with the time of its start in microseconds. */
     @FunctionalInterface
     interface StartListener {
         void onStart(Endpoint endpoint, long startedUs);
@@ -63,12 +63,12 @@
         takenOut = ids;
     }
 
-    /** Takes over a list of members, whole or changes only. */
-    void update(Members news, StartListener listener) {
-        if (news.scope() == ListScope.FULL || news.scope() == ListScope.REMEMBERED) {
+    /** Applies a full list of members, or changes to it. */
+    void update(Members update, StartListener listener) {
+        if (update.scope() == ListScope.FULL || update.scope() == ListScope.REMEMBERED) {
             byId.values().forEach(endpoint -> endpoint.listed = false);
         }
-        for (Member member : news.members()) {
+        for (Member member : update.members()) {
             update(byId.computeIfAbsent(member.id(), Endpoint::new), member, listener);
         }
         byId.values().removeIf(endpoint -> !endpoint.listed && endpoint.inFlight.current() == 0);
--- a/src/main/java/clovermill/routing/OriginLoadShedder.java
+++ b/src/main/java/clovermill/routing/OriginLoadShedder.java
@@ -26,7 +26,7 @@
         return context.random.nextDouble() < failureShare.valueAt(context.nowUs);
     }
 
-    /** Learns from an outcome, if it tells of the origin, which may be null. */
+    /** Learns from an outcome, if it concerns the origin, which may be null. */
     void observe(Attempt attempt, Outcome outcome, boolean filled, Endpoint origin) {
         if (tellsOfOrigin(attempt, outcome, filled, origin)) {
             long tookUs = outcome.elapsedUs();
--- a/src/main/java/clovermill/routing/PendingRequest.java
+++ b/src/main/java/clovermill/routing/PendingRequest.java
@@ -59,7 +59,7 @@
                 || attemptsSent >= Math.min(maxAttempts, settings.allowed().maxAttempts());
     }
 
-    /** Whether the answer is so large that its time tells of the pace of endpoints. */
+    /** Whether the answer is so large that its time is a measure of the endpoints' throughput. */
     boolean isPaceBound() {
         return 2 * serviceUs >= requestClass.aimUs();
     }
--- a/src/main/java/clovermill/routing/api/FetchMembers.java
+++ b/src/main/java/clovermill/routing/api/FetchMembers.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** Asks for the whole list of members once. */
+/** Requests the full list of members once. */
 public record FetchMembers() implements Action {}
--- a/src/main/java/clovermill/routing/api/Watch.java
+++ b/src/main/java/clovermill/routing/api/Watch.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** Subscribes to news of the members, or unsubscribes. */
+/** Subscribes to updates of the member list, or unsubscribes. */
 public record Watch(boolean on) implements Action {}
--- a/src/main/java/clovermill/routing/stats/DecayingRate.java
+++ b/src/main/java/clovermill/routing/stats/DecayingRate.java
@@ -19,7 +19,7 @@
     /**
      * Lets time pass.
      *
-     * @param totalWeight the weight of the whole group
+     * @param totalWeight the weight of the entire group
      * @param availableWeight the weight of what could have served since the last call; asked only where it is used
      */
     public void advance(long nowUs, double totalWeight, DoubleSupplier availableWeight) {
--- a/src/main/java/clovermill/storage/SegmentWriter.java
+++ b/src/main/java/clovermill/storage/SegmentWriter.java
@@ -53,13 +53,13 @@
 
     /** Sees to it that a frame of such a size may stand at the present place. */
     private void place(int size) throws IOException {
-        int room = Frames.BLOCK - (int) ((flushed + fill) % Frames.BLOCK);
-        if (room < size) {
-            if (fill + room > GATHERED) {
+        int space = Frames.BLOCK - (int) ((flushed + fill) % Frames.BLOCK);
+        if (space < size) {
+            if (fill + space > GATHERED) {
                 flush();
             }
-            Arrays.fill(gathered, fill, fill + room, (byte) 0);
-            fill += room;
+            Arrays.fill(gathered, fill, fill + space, (byte) 0);
+            fill += space;
         }
         if (fill + size > GATHERED) {
             flush();
