--- a/src/main/java/clovermill/routing/stats/HashRing.java
+++ b/src/main/java/clovermill/routing/stats/HashRing.java
@@ -1,12 +1,14 @@
 package clovermill.routing.stats;
 
 import java.util.ArrayList;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
+import java.util.stream.LongStream;
 
 /**
  * A consistent-hash ring (Karger et al., 1997): each member has virtual nodes in proportion to its weight. The ring is
@@ -18,19 +20,40 @@
     private static final int VIRTUAL_NODES = 100;
 
     private final TreeMap<Long, T> virtualNodes = new TreeMap<>();
+    /** How many virtual nodes each member has. */
+    private Map<T, Long> counts = new LinkedHashMap<>();
 
-    /** Replaces all members. */
+    /**
+     * Replaces all members. Costs time for those whose number of virtual nodes changes: a list of some hundred members
+     * that tells its changes one by one would otherwise have all of them hashed each time.
+     */
     public void setMembers(List<T> members, Function<T, String> id, ToDoubleFunction<T> weight) {
         double totalWeight = members.stream().mapToDouble(weight).sum();
-        virtualNodes.clear();
+        Map<T, Long> wanted = new LinkedHashMap<>();
         for (T member : members) {
-            long count = Math.max(1,
-                    Math.round(VIRTUAL_NODES * weight.applyAsDouble(member) * members.size() / totalWeight));
-            long seed = hash(id.apply(member));
-            for (int i = 0; i < count; i++) {
-                virtualNodes.put(mix(seed + i), member);
-            }
+            wanted.put(member, Math.max(1,
+                    Math.round(VIRTUAL_NODES * weight.applyAsDouble(member) * members.size() / totalWeight)));
         }
+        // Removed first: a member may have the id, and so the points, of one that has gone.
+        counts.forEach((member, count) -> {
+            long kept = wanted.getOrDefault(member, 0L);
+            if (kept < count) {
+                points(id.apply(member), kept, count).forEach(point -> virtualNodes.remove(point, member));
+            }
+        });
+        wanted.forEach((member, count) -> {
+            long present = counts.getOrDefault(member, 0L);
+            if (present < count) {
+                points(id.apply(member), present, count).forEach(point -> virtualNodes.put(point, member));
+            }
+        });
+        counts = wanted;
+    }
+
+    /** The points of a member's virtual nodes from one number to before another. */
+    private static LongStream points(String id, long from, long to) {
+        long seed = hash(id);
+        return LongStream.range(from, to).map(number -> mix(seed + number));
     }
 
     /** The first member clockwise from a point that is accepted, or null; each member is tested at most once. */
