--- a/src/main/java/clovermill/cache/CachePool.java
+++ b/src/main/java/clovermill/cache/CachePool.java
@@ -6,19 +6,20 @@
 import clovermill.host.Upstream;
 import clovermill.net.Budget;
 import clovermill.net.Clock;
+import clovermill.net.Connection;
 import clovermill.net.Deadlines.Deadline;
 import clovermill.net.Deadlines;
 import clovermill.net.EventLoop;
+import clovermill.net.SocketErrors;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.StringJoiner;
+import java.util.function.Function;
 import java.util.function.Predicate;
 
 /** The connections to all members, known by their ids, and the requests in the lines protocol. */
@@ -32,20 +33,32 @@
     /** A single member gets this part of all connections at most. */
     private static final int MEMBER_PART = 8;
 
+    /** Dials an address, as {@link EventLoop#connect}. */
+    interface Dialer {
+        Connection connect(InetSocketAddress address, Function<Connection, Connection.Handler> handlers)
+                throws IOException;
+    }
+
     private static final Exchange NONE = () -> false;
 
-    private final EventLoop loop;
+    private final Dialer dialer;
     private final Clock clock;
     private final Deadlines deadlines;
     private final Budget budget;
     private final Limits limits;
     private final Map<String, Peer> peers = new HashMap<>();
+    /** Each holds a request, so there are no more than requests in progress. */
+    private final Set<DelayedDial> delayed = new LinkedHashSet<>();
     private int bound;
     private int dialled;
     private long probes;
 
     public CachePool(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, Limits limits) {
-        this.loop = loop;
+        this(loop::connect, clock, deadlines, budget, limits);
+    }
+
+    CachePool(Dialer dialer, Clock clock, Deadlines deadlines, Budget budget, Limits limits) {
+        this.dialer = dialer;
         this.clock = clock;
         this.deadlines = deadlines;
         this.budget = budget;
@@ -110,13 +123,20 @@
             withdraw(peer.getValue(), each -> itself || each.isFilledFrom(members),
                     itself ? Result.UNCONNECTED : Result.NOT_SENT);
         }
+        withdrawDelayed(each -> members.contains(each.member()) || each.isFilledFrom(members));
     }
 
     /** Withdraws what is queued for these objects: it would take a copy from before their purge. */
     public void withdraw(Predicate<Ask> purged) {
         for (Peer peer : List.copyOf(peers.values())) {
-            withdraw(peer, each -> each.ask != null && purged.test(each.ask), Result.NOT_SENT);
+            withdraw(peer, each -> each.isFor(purged), Result.NOT_SENT);
         }
+        withdrawDelayed(each -> each.isFor(purged));
+    }
+
+    private void withdrawDelayed(Predicate<CacheRequest> which) {
+        List.copyOf(delayed).stream().filter(each -> which.test(each.request()))
+                .forEach(each -> each.end(Result.NOT_SENT));
     }
 
     private static void withdraw(Peer peer, Predicate<CacheExchange> which, Result result) {
@@ -128,24 +148,24 @@
     @Override
     public Exchange send(Order order, Ending ending) {
         Ask ask = order.ask();
-        String head = "want " + ask.id() + " " + fields(order) + " " + ask.body().length + "\r\n";
-        return send(order.member(), ask.id(), ask, order.source(), ask.body().length == 0
-                ? List.of(text(head + "\r\n"))
-                : List.of(text(head), ByteBuffer.wrap(ask.body()), text("\r\n")), ending);
+        long dueUs = clock.micros() + order.timeoutUs();
+        return send(new CacheRequest(order.member(), ask.id(), ask, order.source(), dueUs,
+                leftUs -> RequestLine.want(order, leftUs), ending));
     }
 
     @Override
     public void probe(String member, Ending ending) {
         String tag = "p" + probes++;
         Deadline[] timeout = new Deadline[1];
-        List<ByteBuffer> line = List.of(text("there " + tag + "\r\n"));
-        Exchange exchange = send(member, tag, null, null, line, (result, note, waited, answer) -> {
+        Ending probed = (result, note, waited, answer) -> {
             deadlines.cancel(timeout[0]);
             if (answer != null) {
                 answer.body().close();
             }
             ending.ended(result, note, waited, null);
-        });
+        };
+        Exchange exchange = send(new CacheRequest(member, tag, null, null, Long.MAX_VALUE,
+                leftUs -> RequestLine.there(tag), probed));
         timeout[0] = deadlines.add(clock.micros() + limits.dialUs(), () -> {
             if (exchange != NONE) {
                 exchange.giveUp();
@@ -162,22 +182,43 @@
         }
     }
 
-    private Exchange send(String member, String id, Ask ask, String source, List<ByteBuffer> request,
-            Ending ending) {
-        Peer peer = peers.get(member);
+    private Exchange send(CacheRequest request) {
+        Exchange exchange = trySend(request);
+        if (exchange != null) {
+            return exchange;
+        }
+        return new DelayedDial(this, request, clock.micros() + limits.dialUs() - DelayedDial.PAUSE_US);
+    }
+
+    /** Sends a request, or ends it; null where this machine could not dial for the moment, which is no end. */
+    Exchange trySend(CacheRequest request) {
+        Peer peer = peers.get(request.member());
         CacheConnection connection;
         try {
-            connection = peer == null ? null : connectionFor(peer, id);
-        } catch (IOException refused) {
-            ending.ended(Result.UNCONNECTED, Note.NONE, 0, null);
+            connection = peer == null ? null : connectionFor(peer, request.id());
+        } catch (IOException failure) {
+            if (!SocketErrors.isOfPeer(failure)) {
+                return null;
+            }
+            request.ending().ended(Result.UNCONNECTED, Note.NONE, 0, null);
             return NONE;
         }
         if (connection == null) {
             // No such member any more, or a limit on this side: that speaks against no member.
-            ending.ended(Result.NOT_SENT, Note.NONE, 0, null);
+            request.ending().ended(Result.NOT_SENT, Note.NONE, 0, null);
             return NONE;
         }
-        return connection.send(id, ask, source, request, ending);
+        return connection.send(request);
+    }
+
+    /** It waits for a further dial, during which it may be withdrawn. */
+    void delays(DelayedDial waiting) {
+        delayed.add(waiting);
+    }
+
+    /** It waits for no further dial. */
+    void dialled(DelayedDial waiting) {
+        delayed.remove(waiting);
     }
 
     /**
@@ -206,13 +247,24 @@
         if (few || inUse >= most || dialled >= bound) {
             return best;
         }
-        loop.connect(peer.address, connection -> {
+        try {
+            dial(peer);
+        } catch (IOException failure) {
+            if (best == null) {
+                throw failure;
+            }
+            return best;
+        }
+        return best != null ? best : peer.connections.get(peer.connections.size() - 1);
+    }
+
+    private void dial(Peer peer) throws IOException {
+        dialer.connect(peer.address, connection -> {
             CacheConnection added = new CacheConnection(this, connection, budget);
             peer.connections.add(added);
             return added;
         });
         dialled++;
-        return best != null ? best : peer.connections.get(peer.connections.size() - 1);
     }
 
     void closed(CacheConnection connection) {
@@ -228,6 +280,10 @@
         return deadlines.add(clock.micros() + limits.idleUs(), expired);
     }
 
+    Deadline deadline(long delayUs, Runnable expired) {
+        return deadlines.add(clock.micros() + delayUs, expired);
+    }
+
     long now() {
         return clock.micros();
     }
@@ -240,47 +296,4 @@
     void cancel(Deadline deadline) {
         deadlines.cancel(deadline);
     }
-
-    private static ByteBuffer text(String text) {
-        return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
-    }
-
-    private static String fields(Order order) {
-        Ask ask = order.ask();
-        StringJoiner fields = new StringJoiner(",");
-        fields.add("kind=" + ask.className()).add("obj=" + ask.object()).add("seg=" + ask.part());
-        fields.add("ms=" + Math.max(1, order.timeoutUs() / 1000));
-        if (ask.token() != null) {
-            fields.add("token=" + ask.token());
-        }
-        if (order.source() != null) {
-            fields.add("src=" + order.source());
-        }
-        if (order.rank() > 0) {
-            fields.add("keep=" + order.rank());
-        }
-        if (order.maxAgeUs() > 0) {
-            fields.add("maxage=" + Math.max(1, order.maxAgeUs() / 1000));
-        }
-        StringJoiner flags = new StringJoiner("+");
-        if (order.join()) {
-            flags.add("join");
-        }
-        if (order.heldOnly()) {
-            flags.add("held");
-        }
-        if (order.parentKeepsNone()) {
-            flags.add("nocopy");
-        }
-        if (order.renew()) {
-            flags.add("renew");
-        }
-        if (flags.length() > 0) {
-            fields.add("flags=" + flags);
-        }
-        if (ask.have() != null) {
-            fields.add("have=" + ask.have());
-        }
-        return fields.toString();
-    }
 }
