--- a/src/main/java/clovermill/admin/decide/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** What operators' calls are and how they are answered; no input or output. */
-package clovermill.admin.decide;
--- /dev/null
+++ b/src/main/java/clovermill/controlplane/admin/AdminServer.java
@@ -0,0 +1,166 @@
+package clovermill.controlplane.admin;
+
+import static java.util.Map.entry;
+
+import clovermill.controlplane.admin.decide.AdminRequest;
+import clovermill.controlplane.admin.decide.AdminResponse;
+import clovermill.controlplane.admin.decide.AdminService;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.Listener;
+import java.io.IOException;
+import java.lang.System.Logger.Level;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
+/** Accepts operators' connections, reads the one request of each and writes its response. On the loop's thread. */
+public final class AdminServer {
+
+    private static final System.Logger LOG = System.getLogger(AdminServer.class.getName());
+    /** From the accept to the response; a request that is incomplete by then gets 408. */
+    private static final long TIMEOUT_MICROS = 4_000_000;
+    /** For one more connection the oldest one is closed. */
+    private static final int MAX_CONNECTIONS = 16;
+
+    /** Source: RFC 9110, 15. */
+    private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(entry(200, "OK"), entry(202, "Accepted"),
+            entry(400, "Bad Request"), entry(404, "Not Found"), entry(405, "Method Not Allowed"),
+            entry(408, "Request Timeout"), entry(409, "Conflict"), entry(413, "Content Too Large"),
+            entry(431, "Request Header Fields Too Large"), entry(501, "Not Implemented"),
+            entry(503, "Service Unavailable"), entry(504, "Gateway Timeout"));
+
+    private final EventLoop loop;
+    private final Clock clock;
+    private final Deadlines deadlines;
+    private final AdminService service;
+    private final Set<Exchange> exchanges = new LinkedHashSet<>();
+    private Listener listener;
+
+    /** A server that does not listen yet. */
+    public AdminServer(EventLoop loop, Clock clock, Deadlines deadlines, AdminService service) {
+        this.loop = loop;
+        this.clock = clock;
+        this.deadlines = deadlines;
+        this.service = service;
+    }
+
+    /**
+     * Listens until the process ends.
+     *
+     * @throws IOException if the address cannot be bound
+     */
+    public void open(InetSocketAddress address) throws IOException {
+        listener = loop.listenWithPriority(address, MAX_CONNECTIONS, this::closeOldest, Exchange::new);
+    }
+
+    /** The port that is bound. */
+    public int port() {
+        return listener.port();
+    }
+
+    private void closeOldest() {
+        exchanges.iterator().next().evict();
+    }
+
+    /** One connection with its one request. */
+    private final class Exchange implements Connection.Handler {
+        private final Connection connection;
+        private final AdminRequestParser parser = new AdminRequestParser();
+        private final Deadlines.Deadline timeout;
+        private boolean requested;
+        private boolean responded;
+
+        Exchange(Connection connection) {
+            this.connection = connection;
+            this.timeout = deadlines.add(clock.micros() + TIMEOUT_MICROS, this::timedOut);
+            exchanges.add(this);
+        }
+
+        @Override
+        public void received(ByteBuffer data) {
+            if (!requested && !responded) {
+                parse(data);
+            }
+            data.position(data.limit());
+        }
+
+        private void parse(ByteBuffer data) {
+            try {
+                Optional<AdminRequest> request = parser.parse(data);
+                if (request.isPresent()) {
+                    requested = true;
+                    service.handle(request.get(), response -> complete(request.get(), response));
+                } else if (parser.takeContinueExpected()) {
+                    send("HTTP/1.1 100 Continue\r\n\r\n");
+                }
+            } catch (AdminRequestException refused) {
+                respond(new AdminResponse(refused.status(), refused.getMessage()));
+            }
+        }
+
+        /** The response is logged also where the operator got 504 before. */
+        private void complete(AdminRequest request, AdminResponse response) {
+            LOG.log(request.method().equals("GET") ? Level.DEBUG : Level.INFO, "operators call {0} {1} {2}: {3}",
+                    request.method(), request.path(), request.body().replaceAll("\\p{Cntrl}", " "), response.body());
+            if (!responded) {
+                respond(response);
+            }
+        }
+
+        private void respond(AdminResponse response) {
+            responded = true;
+            String body = response.body() + "\n";
+            String allow = response.allowedMethods().isPresent() ? "\r\nAllow: " + response.allowedMethods().get() : "";
+            send("HTTP/1.1 " + response.status() + " " + REASON_PHRASES.getOrDefault(response.status(), "Error") + allow
+                    + "\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: "
+                    + body.getBytes(StandardCharsets.UTF_8).length + "\r\nConnection: close\r\n\r\n" + body);
+            connection.closeWhenFlushed();
+        }
+
+        private void send(String text) {
+            connection.send(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+        }
+
+        /** The request is incomplete, its response is late, or the response is not read. */
+        private void timedOut() {
+            if (responded) {
+                connection.close();
+            } else if (requested) {
+                respond(new AdminResponse(504, "the voters have not answered: GET /policy shows the result"));
+            } else {
+                respond(new AdminResponse(408, "the request was not complete in time"));
+            }
+        }
+
+        /** Closes this connection in favour of a new one. */
+        private void evict() {
+            exchanges.remove(this);
+            if (responded) {
+                connection.close();
+            } else {
+                respond(new AdminResponse(503, "too many callers are connected"));
+            }
+        }
+
+        /** The operator has closed its sending side, which it may do right after a complete request. */
+        @Override
+        public void ended() {
+            if (!requested && !responded) {
+                respond(new AdminResponse(400, "the request ended early"));
+            }
+        }
+
+        @Override
+        public void closed(IOException cause) {
+            deadlines.cancel(timeout);
+            exchanges.remove(this);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/clovermill/controlplane/consensus/RaftMember.java
@@ -0,0 +1,230 @@
+package clovermill.controlplane.consensus;
+
+import io.microraft.model.message.RaftMessage;
+import io.microraft.persistence.RestoredRaftState;
+import java.io.UncheckedIOException;
+import java.lang.System.Logger.Level;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+
+/**
+ * The membership of one process in a Raft group, across restarts. It restores its replica from its storage. Without
+ * stored state it asks the other processes: where none has a group either it bootstraps one, else it joins under a new
+ * identity, since its former votes are unknown. While its storage has failed it is suspended: it sends and answers
+ * nothing, and restores its replica once all state has been rewritten. Not thread-safe.
+ *
+ * @param <M> the state machine
+ */
+public final class RaftMember<M extends ReplicatedStateMachine> {
+
+    /** Sends the messages of processes that join; any may be lost. */
+    public interface JoinTransport {
+        /** Requests admission of a new disk; or, if {@code empty}, asks whether a group exists. */
+        void sendJoinRequest(int to, long disk, boolean empty);
+
+        /** Answers whether the sender has a group, and whether the requester's disk votes in it. */
+        void sendJoinResponse(int to, long disk, boolean hasGroup, boolean isVoter);
+    }
+
+    /**
+     * The processes of a group, and which of them this one is.
+     *
+     * @param self this process's number
+     * @param nodes the numbers of all processes, the same list everywhere
+     * @param joinRetryMicros the interval between join requests
+     */
+    public record Membership(int self, List<Integer> nodes, long joinRetryMicros) {}
+
+    private static final System.Logger LOG = System.getLogger(RaftMember.class.getName());
+    /** The interval between attempts to recover the storage. */
+    private static final long RECOVER_RETRY_MICROS = 1_000_000;
+
+    private final Membership membership;
+    private final RaftStorage storage;
+    private final RaftReplica.Host host;
+    private final Supplier<M> stateMachines;
+    private final Consumer<RaftReplica<M>> onReplicaCreated;
+    private final JoinTransport joinTransport;
+    /** Whether each other process has a group, as far as they have answered. */
+    private final Map<Integer, Boolean> groups = new HashMap<>();
+    private RaftReplica<M> replica;
+    private boolean admitted = true;
+    private long nextJoinMicros;
+    private boolean suspended;
+    private long nextRecoverMicros;
+
+    /**
+     * A member without a replica; see {@link #restore}.
+     *
+     * @param stateMachines makes a fresh state machine for each replica
+     * @param onReplicaCreated is called with each replica before it starts
+     */
+    public RaftMember(Membership membership, RaftStorage storage, RaftReplica.Host host, Supplier<M> stateMachines,
+            Consumer<RaftReplica<M>> onReplicaCreated, JoinTransport joinTransport) {
+        this.membership = membership;
+        this.storage = storage;
+        this.host = new RaftReplica.Host(host.group(), host.config(), host.store(), host.scheduler(), host.random(),
+                (to, message) -> sendIfDurable(to, message, host));
+        this.stateMachines = stateMachines;
+        this.onReplicaCreated = onReplicaCreated;
+        this.joinTransport = joinTransport;
+    }
+
+    /** State that could not be written must not be acknowledged, not even by a later message. */
+    private void sendIfDurable(ReplicaId to, RaftMessage message, RaftReplica.Host owner) {
+        if (!storage.failed()) {
+            owner.send().accept(to, message);
+        }
+    }
+
+    /** Starts a replica from the storage, if that has any state. */
+    public void restore() {
+        RestoredRaftState restored = storage.restored();
+        if (restored != null) {
+            startReplica((ReplicaId) restored.getLocalEndpointPersistentState().getLocalEndpoint(), restored);
+        }
+    }
+
+    private void startReplica(ReplicaId self, RestoredRaftState restored) {
+        List<ReplicaId> replicas = membership.nodes().stream().map(node -> new ReplicaId(node, 0)).toList();
+        replica = new RaftReplica<>(self, replicas, restored, stateMachines.get(), host);
+        onReplicaCreated.accept(replica);
+        replica.start();
+    }
+
+    /** The replica, or null before there is one. */
+    public RaftReplica<M> replica() {
+        return replica;
+    }
+
+    /** Whether it has a replica that votes, as far as it knows. */
+    public boolean votes() {
+        return replica != null && admitted;
+    }
+
+    /** Whether its replica is the leader, as far as it knows. */
+    public boolean leads() {
+        return replica != null && replica.leads();
+    }
+
+    /** Restarts from the storage a replica that follows a silent leader; see {@link RaftReplica#isStuck}. */
+    public void restartIfStuck(long nowMicros) {
+        if (replica != null && replica.isStuck(nowMicros)) {
+            replica.stop();
+            startReplica(replica.self(), storage.restored());
+        }
+    }
+
+    /**
+     * Suspends this member when its storage has failed, and resumes it when all state has been rewritten; to be called
+     * at each tick. Returns when it is due next, or {@link Long#MAX_VALUE} while the storage works.
+     */
+    public long recover(long nowMicros) {
+        if (!storage.failed() && !suspended) {
+            return Long.MAX_VALUE;
+        }
+        if (!suspended) {
+            suspend(nowMicros);
+        } else if (nowMicros >= nextRecoverMicros) {
+            nextRecoverMicros = nowMicros + RECOVER_RETRY_MICROS;
+            if (storage.recover()) {
+                suspended = false;
+                LOG.log(Level.INFO, "replica {0} resumed: its storage is writable and has been rewritten",
+                        Integer.toString(membership.self()));
+                restore();
+                return Long.MAX_VALUE;
+            }
+        }
+        return nextRecoverMicros;
+    }
+
+    /** Recovery is not tried at once: writes that the replica has still queued must fail. */
+    private void suspend(long nowMicros) {
+        suspended = true;
+        nextRecoverMicros = nowMicros + RECOVER_RETRY_MICROS;
+        LOG.log(Level.WARNING, "replica {0} suspended: its storage cannot be written",
+                Integer.toString(membership.self()));
+        stop();
+        replica = null;
+    }
+
+    /** Sends join requests, if they are due; returns when the next are, or {@link Long#MAX_VALUE}. */
+    public long join(long nowMicros) {
+        if (replica != null && admitted || isSuspended()) {
+            return Long.MAX_VALUE;
+        }
+        if (nowMicros >= nextJoinMicros) {
+            nextJoinMicros = nowMicros + membership.joinRetryMicros();
+            long disk = replica == null ? 0 : replica.self().disk();
+            membership.nodes().stream().filter(each -> each != membership.self())
+                    .forEach(each -> joinTransport.sendJoinRequest(each, disk, replica == null));
+            bootstrapIfAllEmpty();
+        }
+        return replica != null && admitted ? Long.MAX_VALUE : nextJoinMicros;
+    }
+
+    /** A process without state bootstraps a group only where all others have answered that they have none either. */
+    private void bootstrapIfAllEmpty() {
+        Set<Integer> others = new HashSet<>(membership.nodes());
+        others.remove(membership.self());
+        if (replica == null && groups.keySet().containsAll(others) && !groups.containsValue(true)) {
+            startReplica(new ReplicaId(membership.self(), 0), null);
+        }
+    }
+
+    private boolean isSuspended() {
+        return suspended || storage.failed();
+    }
+
+    /** Handles a join request; not answered while suspended, as it is unknown then whether a group exists. */
+    public void onJoin(int from, long disk, boolean empty) {
+        if (isSuspended()) {
+            return;
+        }
+        boolean hasGroup = replica != null && replica.hasCommitted();
+        boolean isVoter = replica != null && replica.isVoter(new ReplicaId(from, disk));
+        if (!empty && !isVoter && leads()) {
+            replica.admit(new ReplicaId(from, disk));
+        }
+        joinTransport.sendJoinResponse(from, disk, hasGroup, isVoter);
+    }
+
+    /** Handles the answer to a join request. */
+    public void onJoined(int from, long disk, boolean hasGroup, boolean isVoter) {
+        if (isSuspended()) {
+            return;
+        }
+        if (replica == null) {
+            groups.put(from, hasGroup);
+            if (hasGroup) {
+                joinUnderNewIdentity();
+            }
+        } else if (isVoter && disk == replica.self().disk()) {
+            admitted = true;
+        }
+    }
+
+    /** The former votes are lost: it starts as a learner, and votes under a new identity only. */
+    private void joinUnderNewIdentity() {
+        try {
+            storage.clear();
+        } catch (UncheckedIOException failure) {
+            LOG.log(Level.DEBUG, "the storage could not be cleared; retried after its recovery", failure);
+            return;
+        }
+        startReplica(new ReplicaId(membership.self(), host.random().nextLong() >>> 1 | 1), null);
+        admitted = false;
+    }
+
+    /** Stops the replica. */
+    public void stop() {
+        if (replica != null) {
+            replica.stop();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogStateMachine.java
@@ -0,0 +1,125 @@
+package clovermill.controlplane.eventlog;
+
+import clovermill.controlplane.consensus.ReplicatedStateMachine;
+import clovermill.controlplane.eventlog.decide.Entry;
+import clovermill.controlplane.eventlog.decide.Event;
+import clovermill.controlplane.eventlog.decide.EventLog;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+
+/**
+ * The log as Raft's replicated state machine: the same operations in the same order give the same log on each replica.
+ */
+final class EventLogStateMachine implements ReplicatedStateMachine {
+
+    /** An operation that Raft's log carries, or a query. */
+    sealed interface Operation {
+        /** Applies it; returns its result. */
+        Object applyTo(EventLog log);
+    }
+
+    /** The first entry of a leader's term; that of the first term assigns the log's id. */
+    record NewTerm(long logId) implements Operation {
+        @Override
+        public Object applyTo(EventLog log) {
+            log.assignId(logId);
+            return log.head();
+        }
+    }
+
+    /** Opens a client's session; its result is the session's number. */
+    record OpenSession() implements Operation {
+        @Override
+        public Object applyTo(EventLog log) {
+            return log.openSession();
+        }
+    }
+
+    /** Appends events; its result is an {@link EventLog.AppendResult}. */
+    record Append(long session, long call, List<Event> events) implements Operation {
+        @Override
+        public Object applyTo(EventLog log) {
+            return log.append(session, call, events);
+        }
+    }
+
+    /** A query for the last sequence number; never in Raft's log. */
+    record ReadHead() implements Operation {
+        @Override
+        public Object applyTo(EventLog log) {
+            return log.head();
+        }
+    }
+
+    /** The first chunk of a snapshot. */
+    record SnapshotHead(EventLog.LogState head) {}
+
+    /** A chunk with some entries. */
+    record SnapshotEntries(List<Entry> entries) {}
+
+    /** A chunk with some sessions. */
+    record SnapshotSessions(List<EventLog.Session> sessions) {}
+
+    /** Entries or sessions in one chunk, so that it fits a datagram with the longest details too. */
+    private static final int CHUNK_SIZE = 14;
+
+    private final EventLog log;
+    private final LongSupplier logIds;
+    private boolean applied;
+
+    /** {@code logIds} draws the id of a new log, a random number but never 0. */
+    EventLogStateMachine(EventLog.Bounds bounds, LongSupplier logIds) {
+        this.log = new EventLog(bounds);
+        this.logIds = logIds;
+    }
+
+    EventLog log() {
+        return log;
+    }
+
+    @Override
+    public boolean hasApplied() {
+        return applied;
+    }
+
+    @Override
+    public Object runOperation(long commitIndex, Object operation) {
+        applied = true;
+        return ((Operation) operation).applyTo(log);
+    }
+
+    @Override
+    public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
+        chunks.accept(new SnapshotHead(log.state()));
+        forEachChunk(log.entries(), some -> chunks.accept(new SnapshotEntries(some)));
+        forEachChunk(log.openSessions(), some -> chunks.accept(new SnapshotSessions(some)));
+    }
+
+    private static <T> void forEachChunk(List<T> all, Consumer<List<T>> chunk) {
+        for (int from = 0; from < all.size(); from += CHUNK_SIZE) {
+            chunk.accept(List.copyOf(all.subList(from, Math.min(all.size(), from + CHUNK_SIZE))));
+        }
+    }
+
+    @Override
+    public void installSnapshot(long commitIndex, List<Object> chunks) {
+        applied = true;
+        List<Entry> entries = new ArrayList<>();
+        List<EventLog.Session> sessions = new ArrayList<>();
+        for (Object chunk : chunks) {
+            if (chunk instanceof SnapshotEntries some) {
+                entries.addAll(some.entries());
+            } else if (chunk instanceof SnapshotSessions some) {
+                sessions.addAll(some.sessions());
+            }
+        }
+        log.restore(((SnapshotHead) chunks.get(0)).head(), entries, sessions);
+    }
+
+    @Override
+    public Object getNewTermOperation() {
+        return new NewTerm(logIds.getAsLong());
+    }
+}
--- /dev/null
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Follower.java
@@ -0,0 +1,180 @@
+package clovermill.controlplane.eventlog.decide;
+
+import clovermill.controlplane.eventlog.decide.EventLogMessage.Batch;
+import clovermill.controlplane.eventlog.decide.EventLogMessage.Follow;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Random;
+
+/**
+ * A director's position in the log: follows one replica, applies each range once and in order, and fails over to
+ * another replica when the one followed times out or cannot prove its log. As the position is a sequence number of the
+ * log, not of a connection, a failover leaves no gap and repeats nothing. Times are microseconds. Not thread-safe.
+ */
+public final class Follower {
+
+    /** A message for a replica. */
+    public record Request(int replica, Follow follow) {}
+
+    /** Counters since the start: events applied, gaps, events repeated, failovers, truncated prefixes applied. */
+    public record Counts(long applied, long gaps, long repeated, long failovers, long truncations) {}
+
+    private final EventLogTiming timing;
+    private final long incarnation;
+    /** The replicas in the order of failover, the home replica first; drawn for each director. */
+    private final List<Integer> replicaOrder;
+    private final FreshnessLease freshness;
+    private final long returnHomeAfterUs;
+    private int replicaIndex;
+    private long requestId;
+    private long logId;
+    private long position;
+    private long lastResponseUs;
+    private long followedSinceUs;
+    private long nextRequestUs;
+    private boolean acknowledgementDue;
+    private long gaps;
+    private long repeated;
+    private long failovers;
+    private long applied;
+    private long truncations;
+
+    /**
+     * A follower that knows nothing yet.
+     *
+     * @param replicas all replicas by number; the one at {@code self} modulo their count is followed first
+     * @param incarnation a random number drawn at this start of the process
+     */
+    public Follower(EventLogTiming timing, int self, List<Integer> replicas, long incarnation, Random random,
+            long nowUs) {
+        this.timing = timing;
+        this.incarnation = incarnation;
+        this.freshness = new FreshnessLease(timing);
+        List<Integer> shuffled = new ArrayList<>(replicas);
+        Integer home = shuffled.remove(self % replicas.size());
+        Collections.shuffle(shuffled, random);
+        shuffled.add(0, home);
+        this.replicaOrder = List.copyOf(shuffled);
+        this.returnHomeAfterUs = (long) (timing.homeUs() * (0.75 + 0.5 * random.nextDouble()));
+        this.lastResponseUs = nowUs;
+        this.followedSinceUs = nowUs;
+        this.nextRequestUs = nowUs;
+    }
+
+    /** The replica that it follows. */
+    public int replica() {
+        return replicaOrder.get(replicaIndex);
+    }
+
+    /** All up to this sequence number has been applied. */
+    public long position() {
+        return position;
+    }
+
+    /** The lease on the completeness of this copy. */
+    public FreshnessLease freshness() {
+        return freshness;
+    }
+
+    /** The counters so far. */
+    public Counts counts() {
+        return new Counts(applied, gaps, repeated, failovers, truncations);
+    }
+
+    /**
+     * Applies a batch; returns the deliveries, in order. A batch of any replica counts, as all replicas hold the same
+     * log; one for another incarnation of this director is ignored.
+     */
+    public List<Delivery> receive(int from, Batch batch, long nowUs) {
+        if (batch.incarnation() != incarnation || batch.logId() == 0) {
+            return List.of();
+        }
+        List<Delivery> deliveries = new ArrayList<>();
+        if (batch.logId() != logId) {
+            switchLog(batch.logId(), deliveries);
+        }
+        if (from == replica()) {
+            lastResponseUs = nowUs;
+        }
+        applyRange(batch.range(), deliveries);
+        freshness.responseReceived(batch.requestId(), batch.provenHead(), batch.proofAgeUs(), nowUs);
+        freshness.applied(position);
+        return deliveries;
+    }
+
+    private void switchLog(long id, List<Delivery> deliveries) {
+        if (logId != 0) {
+            deliveries.add(new Delivery.LogReplaced(id));
+            freshness.reset();
+        }
+        logId = id;
+        position = 0;
+    }
+
+    private void applyRange(LogRange range, List<Delivery> deliveries) {
+        if (range.from() > position) {
+            gaps++;
+            acknowledgementDue = true; // the replica sends again from the position acknowledged
+            return;
+        }
+        if (range.to() <= position) {
+            repeated += range.entries().size();
+            acknowledgementDue |= range.to() > range.from();
+            return;
+        }
+        if (range.truncatedPrefix() != null && range.truncatedPrefix().sequence() > position) {
+            deliveries.add(new Delivery.Truncated(range.truncatedPrefix()));
+            truncations++;
+        }
+        for (Entry entry : range.entries()) {
+            if (entry.sequence() > position) {
+                deliveries.add(new Delivery.Applied(entry));
+                applied++;
+            }
+        }
+        position = range.to();
+        freshness.incompleteUntil(range.completeAt());
+        acknowledgementDue = true;
+    }
+
+    /** The message to send now, or null. */
+    public Request tick(long nowUs) {
+        selectReplica(nowUs);
+        if (nowUs >= nextRequestUs) {
+            nextRequestUs = nowUs + timing.heartbeatUs();
+            return request(true, nowUs);
+        }
+        return acknowledgementDue ? request(false, nowUs) : null;
+    }
+
+    /** When {@link #tick} is to be called again. */
+    public long nextUs(long nowUs) {
+        return acknowledgementDue ? nowUs : Math.min(nextRequestUs, lastResponseUs + timing.silentUs());
+    }
+
+    private Request request(boolean wantsAnswer, long nowUs) {
+        acknowledgementDue = false;
+        freshness.requestSent(++requestId, nowUs);
+        return new Request(replica(), new Follow(incarnation, requestId, logId, position, wantsAnswer));
+    }
+
+    private void selectReplica(long nowUs) {
+        boolean silent = nowUs - lastResponseUs >= timing.silentUs();
+        boolean settled = nowUs - followedSinceUs >= timing.silentUs();
+        boolean unproven = settled && nowUs - freshness.replicaAsOfUs() > timing.stalenessUs() / 2;
+        if (silent || unproven) {
+            failovers++;
+            switchTo((replicaIndex + 1) % replicaOrder.size(), nowUs);
+        } else if (replicaIndex != 0 && nowUs - followedSinceUs >= returnHomeAfterUs) {
+            switchTo(0, nowUs);
+        }
+    }
+
+    private void switchTo(int next, long nowUs) {
+        replicaIndex = next;
+        lastResponseUs = nowUs;
+        followedSinceUs = nowUs;
+        nextRequestUs = nowUs;
+    }
+}
--- a/src/main/java/clovermill/fleet/Fleet.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipService.java
@@ -1,19 +1,19 @@
-package clovermill.fleet;
-
-import clovermill.CacheRouter.Members;
-import clovermill.fleet.decide.FleetMember.Outgoing;
-import clovermill.fleet.decide.FleetMember;
-import clovermill.fleet.decide.LimitShare;
-import clovermill.fleet.decide.Message;
-import clovermill.fleet.decide.ReplicatedEntry;
-import clovermill.host.Ask;
-import clovermill.host.Audit;
-import clovermill.host.Usage;
-import clovermill.net.Clock;
-import clovermill.net.Datagrams;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.net.RecurringTask;
+package clovermill.controlplane.gossip;
+
+import clovermill.controlplane.gossip.decide.GossipMember.OutgoingMessage;
+import clovermill.controlplane.gossip.decide.GossipMember;
+import clovermill.controlplane.gossip.decide.GossipMessage;
+import clovermill.controlplane.gossip.decide.LimitShare;
+import clovermill.controlplane.gossip.decide.ReplicatedEntry;
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.UsageListener;
+import clovermill.dataplane.proxy.UsageRecord;
+import clovermill.routing.api.Members;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Datagrams;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
+import clovermill.runtime.net.RecurringTask;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -24,12 +24,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * This director as a member of its fleet: owns the UDP socket and the {@link FleetMember}, calls it once an interval,
+ * This director as a member of its fleet: owns the UDP socket and the {@link GossipMember}, calls it once an interval,
  * and refuses requests beyond the fleet's limits. All on the loop's thread.
  */
-public final class Fleet implements Audit {
+public final class GossipService implements UsageListener {
 
-    private static final System.Logger LOG = System.getLogger(Fleet.class.getName());
+    private static final System.Logger LOG = System.getLogger(GossipService.class.getName());
     /** Ignored datagrams are logged at most this often. */
     private static final long LOG_INTERVAL_US = 10_000_000;
     private static final String CACHE_PREFIX = "cache/";
@@ -39,63 +39,63 @@
 
     private final Clock clock;
     private final Deadlines deadlines;
-    private final FleetMember.Membership membership;
-    private final FleetMember member;
-    private final MessageCodec codec;
+    private final GossipMember.GroupMembership membership;
+    private final GossipMember member;
+    private final GossipCodec codec;
     private final List<InetSocketAddress> addresses;
-    private final List<FleetSettings.Limit> limits;
+    private final List<GossipSettings.Limit> limits;
     private final long slackUs;
-    private final Audit next;
+    private final UsageListener next;
     private Datagrams socket;
     private BiConsumer<String, Boolean> outageHandler = (id, out) -> {};
-    private boolean waitsForSocket;
+    private boolean waitingForSocket;
     private long ignored;
     private long lastLoggedUs = Long.MIN_VALUE / 2;
 
     /**
-     * {@code next} is told of all requests too, and asked first; null for none. A request has ended {@code slackUs}
-     * after its client has given up, at the latest.
+     * {@code next} is asked first about each request, and sees all that end; null for none. A request has
+     * ended {@code slackUs} after its client has given up, at the latest.
      */
-    public Fleet(FleetSettings settings, List<String> classes, long slackUs, Clock clock, Deadlines deadlines,
-            Audit next) {
+    public GossipService(GossipSettings settings, List<String> classes, long slackUs, Clock clock, Deadlines deadlines,
+            UsageListener next) {
         settings.check(classes);
         this.clock = clock;
         this.deadlines = deadlines;
         this.next = next;
         this.membership = settings.membership();
         this.addresses = settings.addresses();
-        this.codec = new MessageCodec(membership.self(), settings.key());
+        this.codec = new GossipCodec(membership.self(), settings.key());
         this.limits = settings.limits();
         this.slackUs = slackUs;
-        this.member = new FleetMember(membership, settings.shares(clock.micros()), new SecureRandom(), this::updated,
+        this.member = new GossipMember(membership, settings.shares(clock.micros()), new SecureRandom(), this::updated,
                 clock.micros());
     }
 
     /**
-     * Binds the socket and gossips from now on; {@code onOutage} is called with each cache that a peer took out
-     * (true) or put back. While another process of this director has the socket, this one retries, and admits no more
-     * than the reserved part that the other never lends.
+     * Binds the socket and gossips from now on; {@code onOutage} is called with each cache that a peer disabled
+     * (true) or enabled again. While another process of this director has the socket, this one retries, and admits no
+     * more than the reserved part that the other never lends.
      */
     public void open(EventLoop loop, BiConsumer<String, Boolean> onOutage) {
         outageHandler = onOutage;
         try {
             socket = loop.datagrams(addresses.get(membership.self()), this::receive);
             RecurringTask.start(deadlines, clock, membership.intervalUs(), this::tick);
-        } catch (IOException taken) {
-            if (!waitsForSocket) {
+        } catch (IOException bindFailed) {
+            if (!waitingForSocket) {
                 LOG.log(Level.WARNING, "{0} is not free ({1}): this process sends its peers nothing until it is",
-                        addresses.get(membership.self()), taken.getMessage());
+                        addresses.get(membership.self()), bindFailed.getMessage());
             }
-            waitsForSocket = true;
+            waitingForSocket = true;
             member.restart(clock.micros());
             deadlines.add(clock.micros() + membership.intervalUs(), () -> open(loop, onOutage));
         }
     }
 
-    /** Replicates to all directors that operators took a cache out here, or put it back. */
+    /** Replicates to all directors that operators disabled a cache here, or enabled it again. */
     public void putOutage(String id, boolean out) {
         String key = CACHE_PREFIX + id;
-        boolean fits = key.getBytes(StandardCharsets.UTF_8).length <= MessageCodec.MAX_KEY_BYTES;
+        boolean fits = key.getBytes(StandardCharsets.UTF_8).length <= GossipCodec.MAX_KEY_BYTES;
         if (fits && member.put(key, out)) {
             send(member.tick(clock.micros()));
         } else if (!fits || member.isSet(key) != out) {
@@ -117,8 +117,8 @@
         send(member.tick(clock.micros()));
     }
 
-    private void send(List<Outgoing> messages) {
-        for (Outgoing each : socket == null ? List.<Outgoing>of() : messages) {
+    private void send(List<OutgoingMessage> messages) {
+        for (OutgoingMessage each : socket == null ? List.<OutgoingMessage>of() : messages) {
             socket.send(codec.write(each.to(), each.message()), addresses.get(each.to()));
         }
     }
@@ -126,12 +126,12 @@
     private void receive(ByteBuffer datagram) {
         long before = member.ignored();
         try {
-            Message message = codec.read(datagram);
+            GossipMessage message = codec.read(datagram);
             send(member.receive(message, clock.micros()));
             if (member.ignored() > before) {
                 ignore("of no member of the fleet, replayed or of an earlier start");
             }
-        } catch (MessageCodec.BadMessage bad) {
+        } catch (GossipCodec.InvalidMessageException bad) {
             ignore(bad.getMessage());
         }
     }
@@ -145,12 +145,12 @@
     }
 
     @Override
-    public long turnsAway(Ask ask) {
-        long first = next == null ? TAKEN : next.turnsAway(ask);
+    public long retryAfterMillis(ClientRequest ask) {
+        long first = next == null ? ADMITTED : next.retryAfterMillis(ask);
         long now = clock.micros();
-        for (int i = 0; first == TAKEN && i < limits.size(); i++) {
+        for (int i = 0; first == ADMITTED && i < limits.size(); i++) {
             LimitShare share = member.share(i);
-            if (counts(limits.get(i), ask) && !share.admit(now, now + ask.waitUs() + slackUs)) {
+            if (appliesTo(limits.get(i), ask) && !share.admit(now, now + ask.remainingMicros() + slackUs)) {
                 release(ask, i);
                 double perMs = limits.get(i).open() == null ? share.amount(now) / 1000 : 1.0 / MAX_RETRY_AFTER_MS;
                 return (long) Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, 1 / perMs));
@@ -159,16 +159,18 @@
         return first;
     }
 
-    /** A request that was admitted under the first so many limits has ended, or never began. */
-    private void release(Ask ask, int count) {
+    /**
+     * Releases a request from the first {@code count} limits that admitted it: it has ended, or another rejected it.
+     */
+    private void release(ClientRequest ask, int count) {
         for (int i = 0; i < count; i++) {
-            if (counts(limits.get(i), ask)) {
+            if (appliesTo(limits.get(i), ask)) {
                 member.share(i).release();
             }
         }
     }
 
-    private static boolean counts(FleetSettings.Limit limit, Ask ask) {
+    private static boolean appliesTo(GossipSettings.Limit limit, ClientRequest ask) {
         return (limit.requestClass() == null || limit.requestClass().equals(ask.className()))
                 && (limit.groups() == null || ask.group() >= limit.groups().get(0)
                         && ask.group() <= limit.groups().get(1))
@@ -176,19 +178,19 @@
     }
 
     @Override
-    public void ended(Usage usage) {
+    public void requestEnded(UsageRecord usage) {
         if (usage.admitted()) {
-            release(usage.ask(), limits.size());
+            release(usage.request(), limits.size());
         }
         if (next != null) {
-            next.ended(usage);
+            next.requestEnded(usage);
         }
     }
 
     @Override
-    public void members(Members news) {
+    public void membersChanged(Members change) {
         if (next != null) {
-            next.members(news);
+            next.membersChanged(change);
         }
     }
 
--- a/src/main/java/clovermill/fleet/FleetSettings.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipSettings.java
@@ -1,10 +1,10 @@
-package clovermill.fleet;
+package clovermill.controlplane.gossip;
 
-import clovermill.fleet.decide.FleetMember;
-import clovermill.fleet.decide.LeasedOpen;
-import clovermill.fleet.decide.LeasedRate;
-import clovermill.fleet.decide.LimitShare;
-import clovermill.net.Peers;
+import clovermill.controlplane.gossip.decide.ConcurrencyLimitShare;
+import clovermill.controlplane.gossip.decide.GossipMember;
+import clovermill.controlplane.gossip.decide.LimitShare;
+import clovermill.controlplane.gossip.decide.RateLimitShare;
+import clovermill.runtime.net.Peers;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -14,20 +14,25 @@
  * The fleet's part of our settings: the addresses of all directors in the same order everywhere, which of them this
  * one is, the key, how often they send, and the limits. What is absent has its default.
  */
-public record FleetSettings(List<String> directors, int self, @JsonProperty("key_file") String keyFile,
+public record GossipSettings(List<String> directors, int self, @JsonProperty("key_file") String keyFile,
         @JsonProperty("interval_ms") Long intervalMs, Integer fanout, @JsonProperty("term_ms") Long termMs,
         @JsonProperty("burst_ms") Long burstMs, Double drift, List<Limit> limits) {
 
     /**
      * A limit on all directors together: requests by second, or requests open at once. It counts those of a class, of
-     * a range of groups (a tenant's), or only clients' repeats, as far as it says so; else every request.
+     * a range of groups (a tenant's), or only clients' repeats, where these are given; otherwise every request.
      */
     public record Limit(String name, @JsonProperty("class") String requestClass, List<Integer> groups, boolean repeats,
             @JsonProperty("per_second") Double perSecond, Integer open) {}
 
     private static final long MAX_TERM_MS = 60_000;
 
-    /** Checks what no schema can; an {@link IllegalArgumentException} says which field and why. */
+    /**
+     * Checks what the schema cannot.
+     *
+     * @param classes the names of all request classes, or null if they are unknown
+     * @throws IllegalArgumentException if a value cannot be used; the message names the field and the reason
+     */
     public void check(List<String> classes) {
         if (directors == null || directors.size() < 2 || self < 0 || self >= directors.size()) {
             throw new IllegalArgumentException("/fleet/self: " + self + " is no index of the directors");
@@ -50,6 +55,7 @@
         }
     }
 
+    /** The limits in their order, empty if none are given. */
     @Override
     public List<Limit> limits() {
         return limits == null ? List.of() : limits;
@@ -59,8 +65,9 @@
         return intervalMs == null ? 200 : intervalMs;
     }
 
-    FleetMember.Membership membership() {
-        return new FleetMember.Membership(self, directors.size(), interval() * 1000, fanout == null ? 4 : fanout);
+    /** This director's place in the group. */
+    GossipMember.GroupMembership membership() {
+        return new GossipMember.GroupMembership(self, directors.size(), interval() * 1000, fanout == null ? 4 : fanout);
     }
 
     /** This director's shares of the limits, in their order. */
@@ -71,17 +78,22 @@
         List<LimitShare> shares = new ArrayList<>();
         for (Limit limit : limits()) {
             shares.add(limit.open != null
-                    ? new LeasedOpen(new LeasedOpen.Terms(limit.open, directors.size(), termUs, maxDrift), self, nowUs)
-                    : new LeasedRate(new LeasedRate.Terms(limit.perSecond, directors.size(), burstS, termUs, maxDrift),
+                    ? new ConcurrencyLimitShare(
+                            new ConcurrencyLimitShare.Parameters(limit.open, directors.size(), termUs, maxDrift), self,
+                            nowUs)
+                    : new RateLimitShare(
+                            new RateLimitShare.Parameters(limit.perSecond, directors.size(), burstS, termUs, maxDrift),
                             nowUs));
         }
         return shares;
     }
 
+    /** The addresses of all directors, in their order. */
     List<InetSocketAddress> addresses() {
         return Peers.addresses("/fleet", directors);
     }
 
+    /** The fleet's key for signatures. */
     byte[] key() {
         return Peers.key("/fleet", keyFile);
     }
--- a/src/main/java/clovermill/fleet/decide/LimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/LimitShare.java
@@ -1,7 +1,7 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 /**
- * One director's share of a limit that the whole fleet keeps: its own part, less what it has lent, plus what it has
+ * One director's share of a limit on the fleet: its own part, less what it has lent, plus what it has
  * borrowed, each under a lease of a fixed term. An amount counts requests a second or open requests, as the limit
  * does.
  */
@@ -25,7 +25,7 @@
     /** Lends up to so much; what it returns counts as lent from now on, whether the answer arrives or not. */
     double lend(double requested, long nowUs);
 
-    /** Takes a loan that was requested at {@code requestedUs} of this clock, unless its lease has expired. */
+    /** Accepts a loan that was requested at {@code requestedUs} of this clock, unless its lease has expired. */
     void borrow(double granted, long requestedUs, long nowUs);
 
     /** Assumes that another process may still use and lend this share: what may be lent is withheld for a term. */
--- /dev/null
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyVersions.java
@@ -0,0 +1,73 @@
+package clovermill.controlplane.policystore.decide;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+
+/**
+ * The policy texts that a director has, by digest, and those that it is fetching part by part. Bounded by {@link
+ * #retain} and {@link #MAX_INCOMPLETE}. Not thread-safe.
+ */
+public final class PolicyVersions {
+
+    /** Beyond so many incomplete texts the one that was begun first is dropped; it is fetched again if requested. */
+    static final int MAX_INCOMPLETE = 16;
+
+    private final Map<String, PolicyDocument> complete = new HashMap<>();
+    private final Map<String, String[]> incomplete = new LinkedHashMap<>();
+
+    /** Adds a complete text. */
+    public void add(PolicyDocument document) {
+        complete.put(document.digest(), document);
+        incomplete.remove(document.digest());
+    }
+
+    /** The complete text with a digest. */
+    public Optional<PolicyDocument> find(String digest) {
+        return Optional.ofNullable(complete.get(digest));
+    }
+
+    /** The numbers of up to {@code limit} parts that are missing; none once the text is complete. */
+    public List<Integer> missingParts(String digest, int parts, int limit) {
+        List<Integer> missing = new ArrayList<>();
+        if (!complete.containsKey(digest) && parts > 0 && parts <= PolicyRegister.MAX_PARTS) {
+            String[] received = incomplete.computeIfAbsent(digest, key -> new String[parts]);
+            if (incomplete.size() > MAX_INCOMPLETE) {
+                incomplete.remove(incomplete.keySet().iterator().next());
+            }
+            for (int i = 0; i < received.length && missing.size() < limit; i++) {
+                if (received[i] == null) {
+                    missing.add(i);
+                }
+            }
+        }
+        return missing;
+    }
+
+    /** Adds a part; one that was not requested is ignored, and parts that do not give the digest are discarded. */
+    public void addPart(String digest, int number, String text) {
+        String[] received = incomplete.get(digest);
+        if (received == null || number < 0 || number >= received.length) {
+            return;
+        }
+        received[number] = text;
+        if (Arrays.stream(received).allMatch(Objects::nonNull)) {
+            PolicyDocument document = PolicyDocument.of(String.join("", received));
+            incomplete.remove(digest);
+            if (document.digest().equals(digest)) {
+                complete.put(digest, document);
+            }
+        }
+    }
+
+    /** Drops all texts but these. */
+    public void retain(List<String> digests) {
+        complete.keySet().retainAll(digests);
+        incomplete.keySet().retainAll(digests);
+    }
+}
--- /dev/null
+++ b/src/main/java/clovermill/dataplane/server/FrameParser.java
@@ -0,0 +1,150 @@
+package clovermill.dataplane.server;
+
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.ProtocolException;
+import java.nio.ByteBuffer;
+import java.nio.ByteOrder;
+import java.util.Arrays;
+
+/**
+ * Incremental parser of frames: a little-endian length, a type, a stream number, and the payload. The buffer grows with
+ * the bytes that arrive and is charged to the budget; a frame for which there is no memory can be skipped.
+ */
+final class FrameParser {
+
+    /** Gets complete frames. */
+    interface Sink {
+        /** A frame; the payload is valid during the call. Returns false to stop the parser after this frame. */
+        boolean frame(int type, long stream, ByteBuffer payload) throws ProtocolException;
+    }
+
+    /** Gets the header of each skipped frame when all of it has arrived. */
+    interface SkipListener {
+        void skipped(int type, long stream) throws ProtocolException;
+    }
+
+    /** The length field. */
+    private static final int LENGTH_BYTES = 4;
+    /** Type and stream number; the length counts them. */
+    private static final int TYPE_AND_STREAM_BYTES = 5;
+    private static final int HEADER_BYTES = LENGTH_BYTES + TYPE_AND_STREAM_BYTES;
+    private static final int MAX_LENGTH = 262_144;
+    /** Not charged to the budget. */
+    private static final int INITIAL_BUFFER_BYTES = 1024;
+
+    private final Budget budget;
+    private final Sink sink;
+    private final SkipListener skipListener;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    private int filled;
+    private boolean awaitsMemory;
+    private boolean skipping;
+
+    FrameParser(Budget budget, Sink sink, SkipListener skipListener) {
+        this.budget = budget;
+        this.sink = sink;
+        this.skipListener = skipListener;
+    }
+
+    /**
+     * Reads {@code data} to its end, or to the frame after which the sink stops, or to where the budget has no memory
+     * for a large frame. Fails on a length out of range, or as the sink does.
+     */
+    void parse(ByteBuffer data) throws ProtocolException {
+        awaitsMemory = false;
+        while (data.hasRemaining()) {
+            int frameBytes = filled < LENGTH_BYTES ? LENGTH_BYTES : LENGTH_BYTES + length();
+            int count = Math.min(frameBytes - filled, data.remaining());
+            if (skipping) {
+                skip(data, count, frameBytes);
+                continue;
+            }
+            if (!ensureCapacity(filled + count, frameBytes)) {
+                awaitsMemory = true;
+                return;
+            }
+            data.get(buffer, filled, count);
+            filled += count;
+            if (isComplete(frameBytes) && !emit(frameBytes)) {
+                return;
+            }
+        }
+    }
+
+    /** Grows the buffer with the bytes that have arrived: a length alone must not allocate memory. */
+    private boolean ensureCapacity(int needed, int frameBytes) {
+        if (needed <= buffer.length) {
+            return true;
+        }
+        int capacity = Math.min(frameBytes, Math.max(2 * buffer.length, needed));
+        if (!budget.take(capacity - buffer.length)) {
+            return false;
+        }
+        buffer = Arrays.copyOf(buffer, capacity);
+        return true;
+    }
+
+    private boolean isComplete(int frameBytes) {
+        return filled == frameBytes && filled > LENGTH_BYTES;
+    }
+
+    private boolean emit(int frameBytes) throws ProtocolException {
+        filled = 0;
+        ByteBuffer frame = ByteBuffer.wrap(buffer, LENGTH_BYTES, frameBytes - LENGTH_BYTES)
+                .order(ByteOrder.LITTLE_ENDIAN);
+        int type = frame.get() & 0xff;
+        long stream = frame.getInt() & 0xffffffffL;
+        boolean proceed = sink.frame(type, stream, frame);
+        releaseBuffer();
+        return proceed;
+    }
+
+    /** Skips the rest of the frame that waits for memory, and releases its buffer. */
+    void skipFrame() {
+        skipping = true;
+        awaitsMemory = false;
+        releaseBuffer();
+    }
+
+    /** Stores the header alone. */
+    private void skip(ByteBuffer data, int count, int frameBytes) throws ProtocolException {
+        int stored = Math.max(0, Math.min(count, HEADER_BYTES - filled));
+        data.get(buffer, Math.min(filled, HEADER_BYTES), stored);
+        data.position(data.position() + count - stored);
+        filled += count;
+        if (isComplete(frameBytes)) {
+            filled = 0;
+            skipping = false;
+            ByteBuffer header =
+                    ByteBuffer.wrap(buffer, LENGTH_BYTES, TYPE_AND_STREAM_BYTES).order(ByteOrder.LITTLE_ENDIAN);
+            skipListener.skipped(header.get() & 0xff, header.getInt() & 0xffffffffL);
+        }
+    }
+
+    /** Whether a frame waits until the budget has memory for it. */
+    boolean awaitsMemory() {
+        return awaitsMemory;
+    }
+
+    /** Whether a part of a frame has been read. */
+    boolean isMidFrame() {
+        return filled > 0;
+    }
+
+    /** The one place where the memory of a large frame is returned. The header of a skipped frame stays readable. */
+    void releaseBuffer() {
+        int charged = buffer.length - INITIAL_BUFFER_BYTES;
+        if (charged > 0) {
+            buffer = Arrays.copyOf(buffer, INITIAL_BUFFER_BYTES);
+            budget.give(charged);
+        }
+    }
+
+    private int length() throws ProtocolException {
+        int length = ByteBuffer.wrap(buffer).order(ByteOrder.LITTLE_ENDIAN).getInt();
+        if (length < TYPE_AND_STREAM_BYTES || length > MAX_LENGTH) {
+            throw new ProtocolException("a frame of " + (length & 0xffffffffL) + " bytes");
+        }
+        return length;
+    }
+}
--- /dev/null
+++ b/src/main/java/clovermill/dataplane/server/HeldFrames.java
@@ -0,0 +1,136 @@
+package clovermill.dataplane.server;
+
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.Timeout;
+import java.nio.ByteBuffer;
+import java.util.ArrayDeque;
+import java.util.Iterator;
+import java.util.List;
+import java.util.function.Consumer;
+
+/**
+ * Queue of the frames of a client that is throttled. They are read nevertheless, so that cancellations and the end of
+ * the connection are seen behind them; the queue is bounded by bytes and by the number of frames read meanwhile.
+ */
+final class HeldFrames {
+
+    /**
+     * A held frame.
+     *
+     * @param arrivedMicros when it arrived, in microseconds of the clock
+     * @param answerByMicros when its request must have been answered; {@link Long#MAX_VALUE} if it has no deadline
+     */
+    record Frame(int type, long stream, byte[] payload, long arrivedMicros, long answerByMicros) {}
+
+    /** Some hundreds of requests without a body; clients usually have at most 32 open. */
+    private static final int MAX_BYTES = 1 << 16;
+    /** Charged for each frame in addition to its payload. */
+    private static final int FRAME_OVERHEAD_BYTES = 64;
+    /** Frames read while the client is throttled, cancelled ones included, before reading pauses. */
+    private static final int MAX_FRAMES_READ = 1000;
+
+    private final Budget budget;
+    private final Clock clock;
+    private final Timeout expiry;
+    private final Consumer<Frame> expired;
+    private final ArrayDeque<Frame> frames = new ArrayDeque<>();
+    private long expiryMicros = Long.MAX_VALUE;
+    private int bytes;
+    private int framesRead;
+
+    /** {@code expired} gets each frame whose time is over; it has been removed by then. */
+    HeldFrames(Budget budget, Clock clock, Deadlines deadlines, Consumer<Frame> expired) {
+        this.budget = budget;
+        this.clock = clock;
+        this.expired = expired;
+        this.expiry = new Timeout(clock, deadlines, this::expire);
+    }
+
+    private void expire() {
+        for (Frame frame : List.copyOf(frames)) {
+            if (frame.answerByMicros() <= clock.micros() && frames.remove(frame)) {
+                release(frame);
+                expired.accept(frame);
+            }
+        }
+        scheduleExpiry();
+    }
+
+    private void scheduleExpiry() {
+        expiryMicros = frames.stream().mapToLong(Frame::answerByMicros).min().orElse(Long.MAX_VALUE);
+        if (expiryMicros != Long.MAX_VALUE) {
+            expiry.setAt(expiryMicros);
+        }
+    }
+
+    /** Adds a copy of a frame; false if the budget has no memory for it. Times as in {@link Frame}. */
+    boolean add(int type, long stream, ByteBuffer payload, long arrivedMicros, long answerByMicros) {
+        int size = payload.remaining() + FRAME_OVERHEAD_BYTES;
+        if (!budget.take(size)) {
+            return false;
+        }
+        byte[] copy = new byte[payload.remaining()];
+        payload.get(copy);
+        frames.add(new Frame(type, stream, copy, arrivedMicros, answerByMicros));
+        bytes += size;
+        if (answerByMicros < expiryMicros) {
+            expiryMicros = answerByMicros;
+            expiry.setAt(answerByMicros);
+        }
+        return true;
+    }
+
+    /** Counts a frame that was read while the client is throttled. */
+    void countRead() {
+        framesRead++;
+    }
+
+    /** Whether reading must pause. */
+    boolean isFull() {
+        return bytes >= MAX_BYTES || framesRead >= MAX_FRAMES_READ;
+    }
+
+    boolean isEmpty() {
+        return frames.isEmpty();
+    }
+
+    /** Removes the request of a stream; false if none is held. */
+    boolean remove(long stream) {
+        for (Iterator<Frame> each = frames.iterator(); each.hasNext();) {
+            Frame frame = each.next();
+            if (frame.type() == Frames.REQUEST && frame.stream() == stream) {
+                each.remove();
+                release(frame);
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Removes the eldest frame, or returns null and resets the count of frames read. */
+    Frame poll() {
+        Frame next = frames.poll();
+        if (next != null) {
+            release(next);
+        } else {
+            framesRead = 0;
+        }
+        return next;
+    }
+
+    private void release(Frame frame) {
+        int size = frame.payload().length + FRAME_OVERHEAD_BYTES;
+        bytes -= size;
+        budget.give(size);
+    }
+
+    /** Removes all frames. */
+    void close() {
+        expiry.close();
+        while (poll() != null) {
+            continue;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/clovermill/dataplane/server/RequestReader.java
@@ -0,0 +1,135 @@
+package clovermill.dataplane.server;
+
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.routing.api.Effect;
+import clovermill.routing.api.RequestClass;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.regex.Pattern;
+
+/** Parses and validates the fields of a client's request. */
+final class RequestReader {
+
+    /** The protocol's largest body of a write. */
+    private static final int MAX_BODY_BYTES = 48_000;
+    private static final int MAX_PART = 65_535;
+    private static final int MAX_GROUP = 255;
+    /** No part takes so many times longer to send than clients of its class wait at most. */
+    private static final int MAX_SENDING_RATIO = 4;
+    /** The margin is at most this fraction (1/n) of the client's wait. */
+    private static final int MARGIN_DIVISOR = 16;
+    private static final Pattern NUMBER = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
+
+    private final Map<String, Integer> classIndices = new HashMap<>();
+    private final long marginMicros;
+    private List<RequestClass> requestClasses = List.of();
+    private double paceKbPerS;
+
+    /** {@code marginMicros} is subtracted from the time that a client waits, for the transfer of its answer. */
+    RequestReader(long marginMicros) {
+        this.marginMicros = marginMicros;
+    }
+
+    /** Sets the classes; a name is null if its class is not accepted any more. Pace in kilobytes a second. */
+    void reload(List<String> names, List<RequestClass> newClasses, double newPaceKbPerS) {
+        classIndices.clear();
+        for (int i = 0; i < names.size(); i++) {
+            if (names.get(i) != null) {
+                classIndices.put(names.get(i), i);
+            }
+        }
+        requestClasses = newClasses;
+        paceKbPerS = newPaceKbPerS;
+    }
+
+    /**
+     * Builds a request after every field has been checked. A cache closes a connection with all its exchanges on one
+     * malformed line, and a value out of range would distort the statistics.
+     */
+    ClientRequest read(Map<String, String> fields, byte[] body) throws BadRequestException {
+        String className = required(fields, "class");
+        Integer index = classIndices.get(className);
+        if (index == null) {
+            throw new BadRequestException("unknown class");
+        }
+        RequestClass requestClass = requestClasses.get(index);
+        String idempotencyKey = plainWord(fields.get("once"));
+        if (idempotencyKey == null && requestClass.effect() == Effect.DEDUPLICATED) {
+            throw new BadRequestException("once is missing");
+        }
+        long waitMicros = waitMicros(fields, requestClass);
+        double maxKb = paceKbPerS > 0
+                ? MAX_SENDING_RATIO * requestClass.deadlineUs() / 1e6 * paceKbPerS
+                : Integer.MAX_VALUE;
+        String retry = fields.getOrDefault("retry", "0");
+        if (waitMicros == 0 || body.length > MAX_BODY_BYTES || !retry.equals("0") && !retry.equals("1")) {
+            throw new BadRequestException("out of range");
+        }
+        return new ClientRequest(hex(required(fields, "id")), index, className, hex(required(fields, "key")),
+                integer(fields.getOrDefault("seg", "0"), MAX_PART),
+                integer(fields.getOrDefault("bucket", "0"), MAX_GROUP),
+                number(fields.getOrDefault("kb", "0"), maxKb), withoutMargin(waitMicros),
+                retry.equals("1"), idempotencyKey, plainWord(fields.get("etag")), body);
+    }
+
+    /** Time until a request must have been answered, in microseconds; {@link Long#MAX_VALUE} if it is invalid. */
+    long answerWithinMicros(Map<String, String> fields) {
+        Integer index = classIndices.get(fields.get("class"));
+        try {
+            return index == null ? Long.MAX_VALUE : withoutMargin(waitMicros(fields, requestClasses.get(index)));
+        } catch (BadRequestException invalid) {
+            return Long.MAX_VALUE; // rejected as invalid when it is processed
+        }
+    }
+
+    private long withoutMargin(long waitMicros) {
+        return waitMicros - Math.min(marginMicros, waitMicros / MARGIN_DIVISOR);
+    }
+
+    private static long waitMicros(Map<String, String> fields, RequestClass requestClass) throws BadRequestException {
+        return (long) (number(required(fields, "wait"), requestClass.deadlineUs() / 1000.0) * 1000);
+    }
+
+    private static String required(Map<String, String> fields, String name) throws BadRequestException {
+        String value = fields.get(name);
+        if (value == null) {
+            throw new BadRequestException(name + " is missing");
+        }
+        return value;
+    }
+
+    private static String hex(String value) throws BadRequestException {
+        if (value.length() != 16 || !value.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
+            throw new BadRequestException("not 16 hexadecimal digits");
+        }
+        return value;
+    }
+
+    /** Rejects characters that would end a word or a line of the protocol spoken to the caches. */
+    private static String plainWord(String value) throws BadRequestException {
+        if (value == null || value.isEmpty()) {
+            return null;
+        }
+        if (value.length() > 200 || !value.chars().allMatch(c -> c > ' ' && c < 127 && c != ',' && c != '=')) {
+            throw new BadRequestException("not a plain word");
+        }
+        return value;
+    }
+
+    private static int integer(String value, int max) throws BadRequestException {
+        double number = number(value, max);
+        if (number != Math.rint(number)) {
+            throw new BadRequestException("not an integer");
+        }
+        return (int) number;
+    }
+
+    private static double number(String value, double max) throws BadRequestException {
+        double number = NUMBER.matcher(value).matches() ? Double.parseDouble(value) : Double.NaN;
+        if (number <= max) {
+            return number;
+        }
+        throw new BadRequestException("not a number in range");
+    }
+}
--- /dev/null
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -0,0 +1,298 @@
+package clovermill.dataplane.upstream;
+
+import clovermill.config.LoadReports;
+import clovermill.dataplane.proxy.UpstreamResponse;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Result;
+import clovermill.runtime.net.Body;
+import clovermill.runtime.net.Budget;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines.Deadline;
+import clovermill.runtime.net.ProtocolException;
+import clovermill.runtime.net.SocketErrors;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Predicate;
+import java.util.stream.Stream;
+
+/**
+ * One connection to a member. It owns its exchanges and ends each of them: by its response, or when the connection is
+ * closed.
+ */
+final class UpstreamConnection implements Connection.Handler {
+
+    private static final System.Logger LOG = System.getLogger(UpstreamConnection.class.getName());
+
+    private final UpstreamPool pool;
+    private final Connection connection;
+    private final ResponseParser parser;
+    private final Budget budget;
+    private final Map<String, UpstreamExchange> openById = new HashMap<>();
+    private final SendQueue sendQueue;
+    private final RecentIds recentIds = new RecentIds();
+    private final ResponseWatchdog watchdog;
+    /** Cancelled exchanges of which a part is written and a part is not. */
+    private final List<UpstreamExchange> partlyWritten = new ArrayList<>(1);
+    private Deadline dialOrIdleTimeout;
+    private boolean connected;
+    private boolean retired;
+    private boolean closed;
+    /** When the first request was written after the last received byte; 0 if none was. */
+    private long unansweredSinceMicros;
+
+    UpstreamConnection(UpstreamPool pool, Connection connection, Budget budget) {
+        this.pool = pool;
+        this.connection = connection;
+        this.budget = budget;
+        this.parser = new ResponseParser(budget, this::handleResponse);
+        this.watchdog = new ResponseWatchdog(pool, connection, parser);
+        this.sendQueue = new SendQueue(pool, connection, this::endExpired);
+        this.dialOrIdleTimeout = pool.addDialTimeout(connection::close);
+    }
+
+    boolean isRetired() {
+        return retired;
+    }
+
+    boolean isConnected() {
+        return connected;
+    }
+
+    int openExchanges() {
+        return openById.size();
+    }
+
+    /** Whether a request may be sent here: no response to another request with its id may still arrive. */
+    boolean accepts(String id, int maxStreams) {
+        return !retired && openById.size() < maxStreams && !openById.containsKey(id)
+                && !recentIds.contains(id, pool.nowMicros());
+    }
+
+    /** Whether queued requests wait only for the end of this turn. */
+    boolean waitsOnlyForFlush() {
+        return connected && connection.isWriteIdle();
+    }
+
+    UpstreamExchange send(CacheRequest request) {
+        UpstreamExchange exchange = new UpstreamExchange(this, request);
+        if (connected) {
+            pool.cancel(dialOrIdleTimeout);
+        }
+        openById.put(exchange.id, exchange);
+        sendQueue.add(exchange);
+        // The bound within which drains and purges take effect: a request must not begin later than a dial may take.
+        exchange.beginTimeout = pool.addDialTimeout(() -> withdraw(exchange, Result.UNCONNECTED));
+        connection.requestFlush();
+        return exchange;
+    }
+
+    /** Ends the matching queued exchanges with {@code result}; matching ones that are partly written must not go on. */
+    void withdraw(Predicate<UpstreamExchange> matches, Result result) {
+        sendQueue.snapshot().stream().filter(matches).forEach(exchange -> withdraw(exchange, result));
+        unwrittenCandidates().filter(matches).forEach(UpstreamExchange::revoke);
+    }
+
+    private void withdraw(UpstreamExchange exchange, Result result) {
+        if (sendQueue.remove(exchange)) {
+            openById.remove(exchange.id, exchange);
+            pool.cancel(exchange.beginTimeout);
+            exchange.end(result, Note.NONE, 0, null);
+            updateAfterEnd();
+        }
+    }
+
+    private Stream<UpstreamExchange> unwrittenCandidates() {
+        return Stream.concat(openById.values().stream(), partlyWritten.stream());
+    }
+
+    /** Ends a request whose time is over, or which is not wanted any more, before it begins. */
+    private void endExpired(UpstreamExchange exchange) {
+        pool.cancel(exchange.beginTimeout);
+        openById.remove(exchange.id, exchange);
+        exchange.end(Result.NOT_SENT, Note.NONE, 0, null);
+    }
+
+    /** Cancels an exchange; its listener is not called any more. */
+    void cancel(UpstreamExchange exchange) {
+        if (openById.remove(exchange.id, exchange)) {
+            pool.cancel(exchange.beginTimeout);
+            sendQueue.remove(exchange);
+            if (exchange.begun()) {
+                cancelBegun(exchange);
+            }
+            updateAfterEnd();
+        }
+    }
+
+    private void cancelBegun(UpstreamExchange exchange) {
+        if (!exchange.isWritten()) {
+            partlyWritten.add(exchange);
+        }
+        recentIds.addCancelled(exchange.id);
+        connection.send(RequestLine.neverMind(exchange.id));
+        // A machine that vanished or hangs resets no connection: one that was silent for a dial's time is not reused.
+        boolean silent = unansweredSinceMicros > 0 && pool.hasDialTimePassed(unansweredSinceMicros);
+        if (silent || recentIds.isFull()) {
+            retire();
+        }
+        if (parser.isReading(exchange.id)) {
+            watchdog.closeUnlessProgressing(exchange.id);
+        }
+    }
+
+    /** Accepts no new requests; closes once no exchange is open. */
+    void retire() {
+        retired = true;
+        updateAfterEnd();
+    }
+
+    void closeIfIdle() {
+        if (openById.isEmpty()) {
+            connection.close();
+        }
+    }
+
+    /** Closes a retired connection, or starts the idle timeout, once no exchange is open. */
+    private void updateAfterEnd() {
+        if (closed || !openById.isEmpty()) {
+            return;
+        }
+        if (retired) {
+            connection.closeWhenFlushed();
+        } else if (connected) {
+            pool.cancel(dialOrIdleTimeout);
+            dialOrIdleTimeout = pool.addIdleTimeout(connection::close);
+        }
+    }
+
+    @Override
+    public void connected() {
+        pool.cancel(dialOrIdleTimeout);
+        connected = true;
+        updateAfterEnd();
+    }
+
+    /** Requests begin only here, at the end of a turn: those cancelled by a response read in this turn never begin. */
+    @Override
+    public void flushing() {
+        partlyWritten.removeIf(UpstreamExchange::isWritten);
+        long nowMicros = pool.nowMicros();
+        if (connection.queuedBytes() > 0 && unwrittenCandidates().anyMatch(each -> each.mustStop(nowMicros))) {
+            connection.close(); // queued bytes cannot be withdrawn one by one
+            return;
+        }
+        if (connected && !sendQueue.isEmpty()) {
+            sendQueue.beginBatch(nowMicros);
+            updateAfterEnd();
+        }
+    }
+
+    @Override
+    public void writeBlocked() {
+        sendQueue.retractUnwritten();
+        endBatch();
+    }
+
+    @Override
+    public void flushed() {
+        endBatch();
+        if (!sendQueue.isEmpty()) {
+            connection.requestFlush();
+        }
+    }
+
+    private void endBatch() {
+        if (sendQueue.endBatch() && unansweredSinceMicros == 0) {
+            unansweredSinceMicros = pool.nowMicros();
+        }
+    }
+
+    @Override
+    public void received(ByteBuffer data) throws IOException {
+        watchdog.recordReceived();
+        unansweredSinceMicros = 0;
+        parser.parse(data);
+        if (parser.awaitsBudget()) {
+            connection.pause();
+            budget.await(connection::resume);
+        }
+        watchdog.watch();
+    }
+
+    private void handleResponse(String id, String word, Map<String, String> fields, Body body)
+            throws ProtocolException {
+        UpstreamExchange exchange = openById.get(id);
+        if (exchange == null || !exchange.begun()) { // late, a second copy, or of an unknown id
+            recentIds.removeCancelled(id);
+            body.close();
+            return;
+        }
+        Result result;
+        try {
+            result = ResponseFields.result(word);
+        } catch (ProtocolException malformed) {
+            body.close();
+            throw malformed;
+        }
+        Note note = ResponseFields.note(fields.get("res"));
+        long waitedMicros = ResponseFields.micros(fields.get("ttfb"));
+        openById.remove(id);
+        recentIds.addAnswered(id, pool.nowMicros());
+        unansweredSinceMicros = openById.isEmpty() ? 0 : watchdog.lastReceivedMicros();
+        reportLoad(exchange, fields.get("gauges"));
+        exchange.end(result, note, waitedMicros, response(result, word, fields, body));
+        updateAfterEnd();
+    }
+
+    /** The response for the listener, which owns the body; null, with the body closed, for any result but OK. */
+    private static UpstreamResponse response(Result result, String word, Map<String, String> fields, Body body) {
+        if (result == Result.OK) {
+            return new UpstreamResponse(body, word.equals("KEEP"), fields.get("etag"));
+        }
+        body.close();
+        return null;
+    }
+
+    /** Passes a load report on; an unreadable one is ignored, its response stays valid. */
+    private static void reportLoad(UpstreamExchange exchange, String gauges) {
+        if (gauges == null) {
+            return;
+        }
+        try {
+            exchange.listener.loadReported(LoadReports.read(gauges, ";"));
+        } catch (NumberFormatException unreadable) {
+            LOG.log(System.Logger.Level.DEBUG, "unreadable load report: {0}", gauges);
+        }
+    }
+
+    @Override
+    public void ended() {
+        connection.close();
+    }
+
+    /**
+     * Ends all open exchanges: a request that was not written completely was not processed, another one may have been.
+     * Only a failed or slow dial counts against the member, since a reset may come at any time.
+     */
+    @Override
+    public void closed(IOException cause) {
+        closed = true;
+        retired = true;
+        pool.cancel(dialOrIdleTimeout);
+        watchdog.close();
+        pool.connectionClosed(this);
+        parser.close();
+        sendQueue.clear();
+        boolean dialFailed = !connected && (cause == null || SocketErrors.isOfPeer(cause));
+        Result unwritten = dialFailed ? Result.UNCONNECTED : Result.NOT_SENT;
+        while (!openById.isEmpty()) {
+            UpstreamExchange exchange = openById.remove(openById.keySet().iterator().next());
+            pool.cancel(exchange.beginTimeout);
+            exchange.end(exchange.isWritten() ? Result.BROKEN : unwritten, Note.NONE, 0, null);
+        }
+    }
+}
--- a/src/main/java/clovermill/director/leave/decide/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** What the end of a director follows. Pure: no I/O, no clock, no thread. */
-package clovermill.director.leave.decide;
--- a/src/main/java/clovermill/director/leave/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** A planned end: clients go, connections end one by one. */
-package clovermill.director.leave;
--- a/src/main/java/clovermill/director/operate/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Operators' calls and the outages that peer directors replicate, passed to the parts that carry them out. */
-package clovermill.director.operate;
--- /dev/null
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -0,0 +1,110 @@
+package clovermill.director.operations;
+
+import clovermill.controlplane.discovery.EndpointRegistry;
+import clovermill.controlplane.handover.DescriptorShares;
+import clovermill.controlplane.handover.OtherProcess;
+import clovermill.controlplane.handover.ProcessRegistry;
+import clovermill.controlplane.outage.OutageFolder;
+import clovermill.controlplane.outage.OutageMarks;
+import clovermill.dataplane.server.FrameServer;
+import clovermill.dataplane.upstream.UpstreamPool;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.RecurringTask;
+import java.io.IOException;
+import java.lang.System.Logger.Level;
+import java.nio.file.Path;
+import java.util.Optional;
+
+/**
+ * Coordinates two processes of one director while one takes over from the other: both apply the outages that operators
+ * set at either, and divide the descriptors. Each checks a folder that both see, several times a second.
+ */
+public final class HandoverCoordinator {
+
+    private static final System.Logger LOG = System.getLogger(HandoverCoordinator.class.getName());
+    /** A fifth of the time within which requests to a cache that was disabled at the other process must end. */
+    private static final long CHECK_INTERVAL_MICROS = 100_000;
+
+    private final OutageFolder outages;
+    private final ProcessRegistry processes;
+    private final DescriptorShares descriptors;
+    private final Clock clock;
+    private final Deadlines deadlines;
+    private final EndpointRegistry registry;
+    private final FrameServer server;
+    private final UpstreamPool pool;
+    private OtherProcess otherProcess = OtherProcess.NONE;
+
+    /**
+     * Joins the processes that share {@code folder}.
+     *
+     * @return empty, with a line in the log, if the folder cannot be used
+     */
+    public static Optional<HandoverCoordinator> open(Path folder, DescriptorShares descriptors, Clock clock,
+            Deadlines deadlines, EndpointRegistry registry, FrameServer server, UpstreamPool pool) {
+        try {
+            return Optional.of(new HandoverCoordinator(folder, descriptors, clock, deadlines, registry, server, pool));
+        } catch (IOException unusable) {
+            LOG.log(Level.WARNING, "TMPDIR cannot be used, so the next process will not know which caches are out: {0}",
+                    unusable.toString());
+            return Optional.empty();
+        }
+    }
+
+    private HandoverCoordinator(Path folder, DescriptorShares descriptors, Clock clock, Deadlines deadlines,
+            EndpointRegistry registry, FrameServer server, UpstreamPool pool) throws IOException {
+        this.outages = new OutageFolder(folder, clock::micros);
+        this.processes = ProcessRegistry.ofThisProcess(folder);
+        this.descriptors = descriptors;
+        this.clock = clock;
+        this.deadlines = deadlines;
+        this.registry = registry;
+        this.server = server;
+        this.pool = pool;
+    }
+
+    /** Records outages in the shared folder. */
+    public OutageMarks marks() {
+        return outages;
+    }
+
+    /** Writes this process's marks that could not be written before, then applies those of the other process. */
+    public void syncOutages() {
+        outages.retryPending();
+        outages.readIfChanged().ifPresent(snapshot -> registry.mergeOutages(snapshot.out(), snapshot.back()));
+    }
+
+    /** Starts the checks; the first applies what an earlier process has marked. */
+    public void start() {
+        RecurringTask.start(deadlines, clock, CHECK_INTERVAL_MICROS, this::check);
+    }
+
+    private void check() {
+        syncOutages();
+        processes.markReady(server.isReady(), clock.micros());
+        OtherProcess found = processes.findOther();
+        if (found != otherProcess) {
+            otherProcess = found;
+            applyOtherProcess();
+        }
+    }
+
+    private void applyOtherProcess() {
+        boolean besideAnother = otherProcess != OtherProcess.NONE;
+        server.setMaxConnections(descriptors.clientConnections(besideAnother));
+        pool.limit(descriptors.endpointConnections(besideAnother));
+        // If a successor ends before this process is asked to shut down, new connections are accepted here again.
+        server.setAccepting(otherProcess != OtherProcess.SUCCESSOR);
+        LOG.log(Level.INFO, switch (otherProcess) {
+            case NONE -> "this process is alone again";
+            case PRESENT -> "another process of this director is here";
+            case SUCCESSOR -> "the next process of this director is ready and takes new connections";
+        });
+    }
+
+    /** Removes this process from the folder: it ends. */
+    public void close() {
+        processes.deregister();
+    }
+}
--- /dev/null
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -0,0 +1,61 @@
+package clovermill.director.operations;
+
+import clovermill.controlplane.admin.decide.AdminService;
+import clovermill.controlplane.admin.decide.OutageCallResult;
+import clovermill.controlplane.discovery.EndpointRegistry;
+import clovermill.controlplane.outage.OutageMarks;
+import clovermill.dataplane.server.ClientServer;
+import clovermill.runtime.net.Clock;
+
+/**
+ * Carries out operators' calls. A call to one process counts for its whole director: outages marked by the other
+ * process are applied first, and a change is marked before the response. Success is reported only for what is recorded,
+ * since it must outlive this process. A disabled cache whose mark cannot be recorded is out at this process all the
+ * same; an enabled one stays out.
+ *
+ * @param registry the endpoints of this process
+ * @param server tells whether clients can be served
+ * @param marks records outages for other processes and, if configured, for peers
+ * @param syncOutages applies what the other process has marked
+ */
+public record OperatorActions(EndpointRegistry registry, ClientServer server, Clock clock, OutageMarks marks,
+        Runnable syncOutages) implements AdminService.Director {
+
+    @Override
+    public boolean ready() {
+        return server.isReady();
+    }
+
+    @Override
+    public OutageCallResult disable(String id) {
+        syncOutages.run();
+        if (!registry.isKnownCache(id)) {
+            return OutageCallResult.UNKNOWN_CACHE;
+        }
+        if (!registry.isOut(id)) {
+            marks.takeOut(id);
+            registry.takeOut(id);
+        }
+        return recorded(id);
+    }
+
+    @Override
+    public OutageCallResult enable(String id) {
+        syncOutages.run();
+        if (!registry.isKnownCache(id)) {
+            return OutageCallResult.UNKNOWN_CACHE;
+        }
+        if (registry.isOut(id)) {
+            long stampMillis = clock.unixMillis();
+            if (!marks.tryPutBack(id, stampMillis)) {
+                return OutageCallResult.NOT_RECORDED;
+            }
+            registry.putBack(id, stampMillis);
+        }
+        return recorded(id);
+    }
+
+    private OutageCallResult recorded(String id) {
+        return marks.isRecorded(id) ? OutageCallResult.DONE : OutageCallResult.NOT_RECORDED;
+    }
+}
--- a/src/main/java/clovermill/director/retune/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** New settings, taken while requests are in flight. */
-package clovermill.director.retune;
--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -1,25 +1,25 @@
 package clovermill.ledger;
 
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.host.Ask;
-import clovermill.host.Audit;
-import clovermill.host.Usage;
+import clovermill.config.tenants.TenantRules;
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.UsageListener;
+import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.ledger.decide.Allowances;
 import clovermill.ledger.decide.Backlog;
 import clovermill.ledger.decide.Closing;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.How;
 import clovermill.ledger.decide.Missed;
-import clovermill.tenants.TenantRules;
 import clovermill.ledger.decide.Timeline;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.net.RecurringTask;
-import clovermill.store.FolderLock;
-import clovermill.store.Volume;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.RecurringTask;
+import clovermill.storage.FolderLock;
+import clovermill.storage.Volume;
 import com.dynatrace.hash4j.hashing.HashStream64;
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.io.IOException;
@@ -40,7 +40,7 @@
  * writer does not take is counted exactly and written as a gap later, or the tenant's requests are turned away,
  * as the settings say for each tenant. {@link #open} blocks, before anything is served.
  */
-public final class Ledger implements Audit, AutoCloseable {
+public final class Ledger implements UsageListener, AutoCloseable {
 
     /** What the director tells of itself. {@code kinds} are the numbers of the member kinds parent and origin. */
     public record Director(String instance, List<String> classes, int parentKind, int originKind, int maxOpen) {}
@@ -59,7 +59,7 @@
     private final Clock clock;
     private final Deadlines deadlines;
     private final FolderLock lock;
-    private final Stage stage;
+    private final StagingArea stage;
     private final LedgerWriter writer;
     private final TenantRules rules;
     private final Timeline timeline;
@@ -78,7 +78,7 @@
     private boolean gathering;
 
     private Ledger(LedgerSettings settings, Director director, Clock clock, Deadlines deadlines, FolderLock lock,
-            Stage stage, LedgerWriter writer, LedgerStart start, long throughMs, Map<String, Double> shares) {
+            StagingArea stage, LedgerWriter writer, LedgerStart start, long throughMs, Map<String, Double> shares) {
         this.settings = settings;
         this.director = director;
         this.clock = clock;
@@ -93,7 +93,7 @@
         this.closings = start.closings();
         this.allowances = new Allowances(settings.allowances(director.classes()), shares, settings.periodMs());
         start.open().forEach((key, totals) -> allowances.known(key.period(), key.tenant(), totals));
-        this.backlog = new Backlog(Stage.pages(), 1 + director.maxOpen() * ENTRY_BYTES * Stage.pages()
+        this.backlog = new Backlog(StagingArea.pages(), 1 + director.maxOpen() * ENTRY_BYTES * StagingArea.pages()
                 / (settings.queueKb() << 10));
         this.missed = new Missed(MOST_MISSED, settings.periodMs());
         this.refusers = Set.copyOf(settings.refuseWhenFull());
@@ -114,13 +114,13 @@
         FolderLock lock = FolderLock.take(folder.writerLock());
         try {
             Path staged = staged(settings, identity);
-            Rescue.run(folder, identity, staged, volume);
+            StagingRecovery.run(folder, identity, staged, volume);
             long epoch = folder.nextEpoch(volume);
             LedgerStart start = LedgerStart.of(folder, limited);
             long nowMs = Math.max(clock.unixMillis(), start.lastMs());
             long throughMs = start.throughMs() != Long.MIN_VALUE ? start.throughMs()
                     : Math.floorDiv(nowMs, settings.periodMs()) * settings.periodMs();
-            Stage stage = new Stage(staged, identity.folder(), epoch, settings.queueKb() << 10);
+            StagingArea stage = new StagingArea(staged, identity.folder(), epoch, settings.queueKb() << 10);
             LedgerWriter writer = new LedgerWriter(folder, volume, stage, new LogHeader(identity.folder(), instance,
                     epoch, 1, 1, nowMs, throughMs, start.closings(), settings.periodMs(), director.classes()),
                     new LedgerWriter.Terms(settings.syncMs(), settings.syncKb() << 10,
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void members(Members news) {
+    public void membersChanged(Members news) {
         for (Member member : news.members()) {
             kinds.put(member.id(), member.kind());
         }
@@ -158,40 +158,40 @@
     }
 
     @Override
-    public long turnsAway(Ask ask) {
+    public long retryAfterMillis(ClientRequest ask) {
         String tenant = rules.tenant(ask.requestClass(), ask.group());
         if (refusers.contains(tenant)
                 && (backlog.refuses(stage.used()) || writer.failing() || !missed.isEmpty())) {
             return settings.retryMs();
         }
         if (allowances.isEmpty()) {
-            return TAKEN;
+            return ADMITTED;
         }
         long nowMs = timeline.at(clock.micros() / 1000);
         long afterMs = allowances.turnsAway(tenant, ask.requestClass(), nowMs);
         if (afterMs == Allowances.ALLOWED) {
             allowances.taken(tenant, nowMs);
-            return TAKEN;
+            return ADMITTED;
         }
         return afterMs;
     }
 
     @Override
-    public void ended(Usage usage) {
-        Ask ask = usage.ask();
+    public void requestEnded(UsageRecord usage) {
+        ClientRequest ask = usage.request();
         String tenant = rules.tenant(ask.requestClass(), ask.group());
-        long takenMs = timeline.at(usage.takenUs() / 1000);
+        long takenMs = timeline.at(usage.receivedMicros() / 1000);
         if (usage.admitted()) {
-            allowances.ended(tenant, takenMs, usage.written(), timeline.at(usage.endedUs() / 1000));
+            allowances.ended(tenant, takenMs, usage.writtenBytes(), timeline.at(usage.endedMicros() / 1000));
         }
         How how = how(usage);
         // What a joined fill brought is counted with the request that began it.
-        int fromOrigin = how == How.ORIGIN ? usage.size() : 0;
+        int fromOrigin = how == How.ORIGIN ? usage.bodyBytes() : 0;
         int fromParent = how == How.PARENT || how == How.ORIGIN && passed(usage, director.parentKind())
-                ? usage.size() : 0;
-        Entry.Used used = new Entry.Used(seq + 1, takenMs, clock.unixMillis(), usage.endedUs(),
+                ? usage.bodyBytes() : 0;
+        Entry.Used used = new Entry.Used(seq + 1, takenMs, clock.unixMillis(), usage.endedMicros(),
                 HexFormat.fromHexDigitsToLong(ask.id()), tryKey(ask), tenant, ask.requestClass(), usage.end(), how,
-                usage.attempts(), ask.repeat(), usage.written(), fromParent, fromOrigin);
+                usage.attempts(), ask.repeat(), usage.writtenBytes(), fromParent, fromOrigin);
         if (missed.isEmpty() && owed.isEmpty() && stage.offer(used)) {
             seq++;
             gather();
@@ -201,7 +201,7 @@
         }
     }
 
-    private boolean passed(Usage usage, int kind) {
+    private boolean passed(UsageRecord usage, int kind) {
         return kind(usage.member()) == kind || kind(usage.source()) == kind;
     }
 
@@ -210,7 +210,7 @@
     }
 
     /** By what the answer's note says and where it was asked for. */
-    private How how(Usage usage) {
+    private How how(UsageRecord usage) {
         if (usage.member() == null) {
             return How.NONE;
         }
@@ -233,9 +233,9 @@
     }
 
     /** The same for all tries of one request: by its idempotency key, or by what is asked for. */
-    private long tryKey(Ask ask) {
+    private long tryKey(ClientRequest ask) {
         hash.reset();
-        return ask.token() != null ? hash.putString(ask.token()).getAsLong()
+        return ask.idempotencyKey() != null ? hash.putString(ask.idempotencyKey()).getAsLong()
                 : hash.putString(ask.object()).putInt(ask.part()).putInt(ask.requestClass()).getAsLong();
     }
 
@@ -245,7 +245,7 @@
             owed.poll();
         }
         // Not before half of the pages are free: otherwise each record that fits would make a gap of its own.
-        if (owed.isEmpty() && !missed.isEmpty() && stage.used() <= Stage.pages() / 2) {
+        if (owed.isEmpty() && !missed.isEmpty() && stage.used() <= StagingArea.pages() / 2) {
             missed.take(GAPS_AT_ONCE).forEach(this::owe);
             while (!owed.isEmpty() && stage.offer(owed.peek())) {
                 owed.poll();
--- a/src/main/java/clovermill/ledger/LogReader.java
+++ b/src/main/java/clovermill/ledger/LogReader.java
@@ -1,7 +1,7 @@
 package clovermill.ledger;
 
 import clovermill.ledger.decide.Entry;
-import clovermill.store.SegmentReader;
+import clovermill.storage.SegmentReader;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.NoSuchFileException;
@@ -50,6 +50,7 @@
     private final LogFormat format = new LogFormat();
     private LogHeader header;
 
+    /** Reads the segments of a ledger folder; nothing is opened yet. */
     public LogReader(LedgerFolder folder) {
         this.folder = folder;
     }
--- a/src/main/java/clovermill/ledger/decide/Totals.java
+++ b/src/main/java/clovermill/ledger/decide/Totals.java
@@ -1,6 +1,6 @@
 package clovermill.ledger.decide;
 
-import clovermill.host.Usage;
+import clovermill.dataplane.proxy.UsageRecord;
 import java.util.Arrays;
 
 /** Sums over requests of one tenant in one period. Adding is commutative, so any order gives the same totals. */
@@ -18,6 +18,7 @@
 
     private final long[] sums;
 
+    /** All sums are 0. */
     public Totals() {
         this(new long[SUMS.length]);
     }
@@ -63,6 +64,7 @@
         sums[sum.ordinal()] += value;
     }
 
+    /** One sum: a number of requests, attempts or bytes, as its name says. */
     public long get(Sum sum) {
         return sums[sum.ordinal()];
     }
@@ -88,7 +90,7 @@
     }
 
     /** The sum in which an end is counted. */
-    static Sum of(Usage.End end) {
+    static Sum of(UsageRecord.End end) {
         return BY_END[end.ordinal()];
     }
 }
--- a/src/main/java/clovermill/reload/decide/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** What a new configuration changes, and when; no input or output. */
-package clovermill.reload.decide;
--- /dev/null
+++ b/src/main/java/clovermill/runtime/net/Deadlines.java
@@ -0,0 +1,62 @@
+package clovermill.runtime.net;
+
+import java.util.TreeSet;
+
+/** Deadlines sorted by time; the event loop runs those that are due once a turn. */
+public final class Deadlines {
+
+    /** One deadline, as a handle by which its owner cancels it. */
+    public static final class Deadline implements Comparable<Deadline> {
+        private final long atMicros;
+        private final long number;
+        private final Runnable expired;
+
+        private Deadline(long atMicros, long number, Runnable expired) {
+            this.atMicros = atMicros;
+            this.number = number;
+            this.expired = expired;
+        }
+
+        @Override
+        public int compareTo(Deadline other) {
+            int byTime = Long.compare(atMicros, other.atMicros);
+            return byTime != 0 ? byTime : Long.compare(number, other.number);
+        }
+    }
+
+    private final TreeSet<Deadline> sorted = new TreeSet<>();
+    private long addedCount;
+
+    /** Has {@code expired} called by the first sweep at or after {@code atMicros} of the monotonic clock. */
+    public Deadline add(long atMicros, Runnable expired) {
+        Deadline deadline = new Deadline(atMicros, addedCount++, expired);
+        sorted.add(deadline);
+        return deadline;
+    }
+
+    /** Cancels a deadline; null and an expired deadline are ignored. */
+    public void cancel(Deadline deadline) {
+        if (deadline != null) {
+            sorted.remove(deadline);
+        }
+    }
+
+    /** The time of the next deadline in microseconds, {@link Long#MAX_VALUE} if there is none. */
+    public long nextMicros() {
+        return sorted.isEmpty() ? Long.MAX_VALUE : sorted.first().atMicros;
+    }
+
+    /** Runs the deadlines that are due, in order; one added meanwhile waits for the next sweep. */
+    public void sweep(long nowMicros) {
+        long firstAddedMeanwhile = addedCount;
+        while (!sorted.isEmpty() && sorted.first().atMicros <= nowMicros
+                && sorted.first().number < firstAddedMeanwhile) {
+            sorted.pollFirst().expired.run();
+        }
+    }
+
+    /** The number of deadlines set. */
+    public int size() {
+        return sorted.size();
+    }
+}
--- /dev/null
+++ b/src/main/java/clovermill/runtime/net/Timeout.java
@@ -0,0 +1,53 @@
+package clovermill.runtime.net;
+
+/** A deadline that its owner may set again any number of times; at most one is set at a time. */
+public final class Timeout {
+
+    private final Clock clock;
+    private final Deadlines deadlines;
+    private final Runnable expired;
+    private Deadlines.Deadline deadline;
+    private boolean closed;
+
+    /** {@code expired} is run by the sweep of {@code deadlines}; the timeout is unset by then. */
+    public Timeout(Clock clock, Deadlines deadlines, Runnable expired) {
+        this.clock = clock;
+        this.deadlines = deadlines;
+        this.expired = expired;
+    }
+
+    /** Sets it to expire {@code delayMicros} from now, replacing an earlier setting. */
+    public void setAfter(long delayMicros) {
+        setAt(clock.micros() + delayMicros);
+    }
+
+    /** Sets it to expire at {@code atMicros} of the monotonic clock, replacing an earlier setting. */
+    public void setAt(long atMicros) {
+        cancel();
+        if (!closed) {
+            deadline = deadlines.add(atMicros, this::expire);
+        }
+    }
+
+    private void expire() {
+        deadline = null;
+        expired.run();
+    }
+
+    /** Whether it is set and has not expired. */
+    public boolean isSet() {
+        return deadline != null;
+    }
+
+    /** Cancels the current setting, if any. */
+    public void cancel() {
+        deadlines.cancel(deadline);
+        deadline = null;
+    }
+
+    /** Cancels it and ignores later settings: its owner has ended. */
+    public void close() {
+        cancel();
+        closed = true;
+    }
+}
--- a/src/main/java/clovermill/emulator/ReportedChoice.java
+++ b/src/main/java/clovermill/simulation/emulator/LeastLoadedRouter.java
@@ -1,6 +1,16 @@
-package clovermill.emulator;
+package clovermill.simulation.emulator;
 
-import clovermill.CacheRouter;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.CacheRouter;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.Fail;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.SendVia;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -10,26 +20,26 @@
 import java.util.function.Consumer;
 
 /**
- * The textbook choices to compare with: the cache that was reported least busy, of all or of a few drawn at random
+ * Baselines from the literature: the cache that was reported least busy, of all or of a few drawn at random
  * (Mitzenmacher, "The Power of Two Choices", 2001). They follow each report as it stands and know neither homes nor
  * cold starts; a miss is filled from the one hub.
  */
-final class ReportedChoice implements CacheRouter {
+final class LeastLoadedRouter implements CacheRouter {
 
     private final SplittableRandom random;
     private final int drawn;
     private final Map<String, Member> members = new TreeMap<>();
     private final Map<String, Double> reported = new HashMap<>();
 
-    ReportedChoice(long seed, int drawn) {
+    LeastLoadedRouter(long seed, int drawn) {
         this.random = new SplittableRandom(seed);
         this.drawn = drawn;
     }
 
     @Override
     public void handle(long nowUs, Event event, Consumer<Action> out) {
-        if (event instanceof Members news) {
-            news.members().stream().filter(each -> each.kind() == 0).forEach(each -> members.put(each.id(), each));
+        if (event instanceof Members change) {
+            change.members().stream().filter(each -> each.kind() == 0).forEach(each -> members.put(each.id(), each));
             members.values().removeIf(member -> member.availability() != Availability.HEALTHY);
         } else if (event instanceof Request request) {
             List<Member> left = new ArrayList<>(members.values());
--- a/src/test/java/clovermill/MainTest.java
+++ b/src/test/java/clovermill/MainTest.java
@@ -27,7 +27,7 @@
     @TempDir
     private Path folder;
 
-    private static final String NOT_YET = "WARNING the clients' listening socket cannot be had yet";
+    private static final String NOT_YET = "WARNING the clients' listening socket is not available yet";
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
     /** Starts a director by way of a shell, which may have signals ignored before. */
@@ -225,7 +225,7 @@
         try (BufferedReader lines = process.inputReader()) {
             assertThat(lines.readLine()).startsWith("WARNING SIGTERM is ignored in this process");
             assertThat(lines.readLine()).startsWith("INFO n1 serves clients on ");
-            assertThat(lines.readLine()).contains("127.0.0.1:1 has told nothing for 3000 ms");
+            assertThat(lines.readLine()).contains("discovery is stale: no answer from /127.0.0.1:1 for 3000 ms");
         } finally {
             process.destroyForcibly();
             assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
@@ -297,7 +297,7 @@
             assertThat(isReady(port)).isTrue();
             steps.write('\n');
             steps.flush();
-            assertThat(until(lines, "first 0")).anyMatch(line -> line.endsWith("n1 has left"));
+            assertThat(until(lines, "first 0")).anyMatch(line -> line.endsWith("n1 has shut down"));
             assertThat(isReady(port)).isTrue();
             steps.write('\n');
             steps.flush();
--- a/src/test/java/clovermill/channel/HttpResponsesTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/HttpResponseParserTest.java
@@ -1,10 +1,10 @@
-package clovermill.channel;
+package clovermill.controlplane.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.Splits;
-import clovermill.net.ProtocolException;
+import clovermill.routing.Splits;
+import clovermill.runtime.net.ProtocolException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-class HttpResponsesTest {
+class HttpResponseParserTest {
 
     private static final byte[] INPUT = ("HTTP/1.1 200 OK\r\ncontent-LENGTH: 5\r\n\r\nhello"
             + "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -20,8 +20,8 @@
             + "0\r\nTrailer: t\r\n\r\nHTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
 
-    private Splits.Parser parser(Consumer<String> told) {
-        return new HttpResponses((status, body, last) -> told.accept(status + " " + body + " " + last))::parse;
+    private Splits.Parser parser(Consumer<String> received) {
+        return new HttpResponseParser((status, body, last) -> received.accept(status + " " + body + " " + last))::parse;
     }
 
     @Test
@@ -36,12 +36,12 @@
 
     @Test
     void anUnsizedBodyEndsWithThePeer() throws Exception {
-        List<String> told = new ArrayList<>();
-        HttpResponses responses = new HttpResponses((status, body, last) -> told.add(body + " " + last));
-        responses.parse(ByteBuffer.wrap("HTTP/1.0 200 OK\r\n\r\nall".getBytes(StandardCharsets.US_ASCII)));
-        assertThat(told).isEmpty();
-        responses.end();
-        assertThat(told).containsExactly("all true");
+        List<String> received = new ArrayList<>();
+        HttpResponseParser parser = new HttpResponseParser((status, body, last) -> received.add(body + " " + last));
+        parser.parse(ByteBuffer.wrap("HTTP/1.0 200 OK\r\n\r\nall".getBytes(StandardCharsets.US_ASCII)));
+        assertThat(received).isEmpty();
+        parser.end();
+        assertThat(received).containsExactly("all true");
     }
 
     @Test
@@ -49,7 +49,7 @@
         for (String bad : List.of("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", "x".repeat(9000),
                 "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n")) {
             ByteBuffer data = ByteBuffer.wrap(bad.getBytes(StandardCharsets.US_ASCII));
-            assertThatThrownBy(() -> parser(told -> {}).parse(data)).isInstanceOf(ProtocolException.class);
+            assertThatThrownBy(() -> parser(received -> {}).parse(data)).isInstanceOf(ProtocolException.class);
         }
     }
 }
--- a/src/test/java/clovermill/fleet/decide/LeasedOpenTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShareTest.java
@@ -1,4 +1,4 @@
-package clovermill.fleet.decide;
+package clovermill.controlplane.gossip.decide;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,12 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 /** A limit on what the whole fleet has open, in permits that are lent for a term. */
-class LeasedOpenTest {
+class ConcurrencyLimitShareTest {
 
-    private static final LeasedOpen.Terms TERMS = new LeasedOpen.Terms(50, 4, 2_000_000, 0.01);
+    private static final ConcurrencyLimitShare.Parameters PARAMETERS =
+            new ConcurrencyLimitShare.Parameters(50, 4, 2_000_000, 0.01);
     private static final long LATER = 5_000_000;
 
-    private static int opened(LeasedOpen share, int asked, long nowUs, long untilUs) {
+    private static int opened(ConcurrencyLimitShare share, int asked, long nowUs, long untilUs) {
         int admitted = 0;
         for (int i = 0; i < asked; i++) {
             admitted += share.admit(nowUs, untilUs) ? 1 : 0;
@@ -27,15 +28,16 @@
     void permitsAreDividedToTheLastOne() {
         int all = 0;
         for (int i = 0; i < 4; i++) {
-            all += opened(new LeasedOpen(TERMS, i, 0), 100, LATER, LATER + 1);
+            all += opened(new ConcurrencyLimitShare(PARAMETERS, i, 0), 100, LATER, LATER + 1);
         }
         assertThat(all).isEqualTo(50);
-        assertThat(opened(new LeasedOpen(TERMS, 0, 0), 100, 0, 1)).as("right after a start").isEqualTo(3);
+        assertThat(opened(new ConcurrencyLimitShare(PARAMETERS, 0, 0), 100, 0, 1)).as("right after a start")
+                .isEqualTo(3);
     }
 
     @Test
     void aBorrowedPermitAdmitsOnlyRequestsThatEndBeforeTheLoan() {
-        LeasedOpen share = new LeasedOpen(TERMS, 0, 0);
+        ConcurrencyLimitShare share = new ConcurrencyLimitShare(PARAMETERS, 0, 0);
         opened(share, 100, LATER, LATER + 9_000_000);
         share.borrow(2, LATER, LATER + 1);
         assertThat(share.admit(LATER + 2, LATER + 2_000_001)).as("one that may last longer").isFalse();
@@ -45,11 +47,11 @@
 
     @Test
     void onlyFreePermitsAreLentAndReservedOnesNever() {
-        LeasedOpen share = new LeasedOpen(TERMS, 0, 0);
+        ConcurrencyLimitShare share = new ConcurrencyLimitShare(PARAMETERS, 0, 0);
         opened(share, 4, LATER, LATER + 1);
         assertThat(share.lend(100, LATER)).as("13 of its own, 4 open").isEqualTo(9);
         assertThat(share.admit(LATER, LATER + 1)).isFalse();
-        LeasedOpen idle = new LeasedOpen(TERMS, 0, 0);
+        ConcurrencyLimitShare idle = new ConcurrencyLimitShare(PARAMETERS, 0, 0);
         assertThat(idle.lend(100, LATER)).as("3 it never lends").isEqualTo(10);
     }
 
@@ -58,10 +60,10 @@
     void allTogetherNeverHaveMoreOpenThanTheLimit(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         double[] pace = random.doubles(4, 0.995, 1.005).toArray();
-        List<LeasedOpen> all = new ArrayList<>();
+        List<ConcurrencyLimitShare> all = new ArrayList<>();
         List<long[]> open = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            all.add(new LeasedOpen(TERMS, i, 0));
+            all.add(new ConcurrencyLimitShare(PARAMETERS, i, 0));
         }
         for (long now = 0; now < 15_000_000; now += 10_000) {
             for (int i = open.size() - 1; i >= 0; i--) {
@@ -80,7 +82,7 @@
             }
             // The first two are asked for much, the others for little; all within their time by their own clock.
             int to = random.nextInt(8) > 0 ? random.nextInt(2) : 2 + random.nextInt(2);
-            long length = 1 + random.nextInt(3_000_000);
+            long length = 1L + random.nextInt(3_000_000);
             long here = (long) (now * pace[to]);
             if (all.get(to).admit(here, here + length)) {
                 open.add(new long[] {to, now + (long) (random.nextInt((int) length) / pace[to])});
--- a/src/test/java/clovermill/ledger/CrashPointsTest.java
+++ b/src/test/java/clovermill/ledger/CrashPointsTest.java
@@ -2,18 +2,18 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Note;
-import clovermill.host.Ask;
-import clovermill.host.Usage;
-import clovermill.ledger.books.Books;
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.UsageRecord;
+import clovermill.ledger.books.TotalsStore;
 import clovermill.ledger.books.Verification;
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.BatchText;
 import clovermill.ledger.export.Exporter;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.store.CrashPoint;
-import clovermill.store.Volume;
+import clovermill.routing.api.Note;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.storage.CrashPoint;
+import clovermill.storage.Volume;
 import java.io.Reader;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -99,8 +99,10 @@
                 StandardOpenOption.APPEND)) {
             for (int i = 0; i < USES; i++) {
                 told.write(1);
-                ledger.ended(new Usage(new Ask(String.format("%016x", i), 0, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1,
-                        false, null, null, new byte[0]), true, nowMs[0] * 1000, nowMs[0] * 1000, Usage.End.SERVED, 1,
+                ledger.requestEnded(new UsageRecord(
+                        new ClientRequest(String.format("%016x", i), 0, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1,
+                                false, null, null, new byte[0]),
+                        true, nowMs[0] * 1000, nowMs[0] * 1000, UsageRecord.End.SERVED, 1,
                         "s-1", null, Note.HIT, 10, 10));
                 nowMs[0] += 3 * HOUR / USES;
                 deadlines.sweep(nowMs[0] * 1000);
@@ -113,6 +115,6 @@
         LedgerFolder at = new LedgerFolder(folder.resolve("l"));
         new Exporter(at, new LedgerSettings.Export(folder.resolve("out").toString(), null, null, null, null),
                 Volume.local(), new Random(1)).run();
-        Books.rebuild(at, read -> {});
+        TotalsStore.rebuild(at, read -> {});
     }
 }
--- a/src/test/java/clovermill/ledger/LedgerBench.java
+++ b/src/test/java/clovermill/ledger/LedgerBench.java
@@ -1,11 +1,11 @@
 package clovermill.ledger;
 
-import clovermill.host.Usage;
-import clovermill.ledger.books.Books;
+import clovermill.dataplane.proxy.UsageRecord;
+import clovermill.ledger.books.TotalsStore;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.How;
-import clovermill.store.SegmentWriter;
-import clovermill.store.Volume;
+import clovermill.storage.SegmentWriter;
+import clovermill.storage.Volume;
 import java.io.IOException;
 import java.util.List;
 
@@ -23,7 +23,7 @@
     private static Entry.Used used(long seq) {
         long takenMs = 1000 * HOUR + seq / 5000;
         return new Entry.Used(seq, takenMs, takenMs, takenMs * 1000, seq * 31, seq * 17, "tenant-" + seq / 7 % TENANTS,
-                (int) (seq % 3), Usage.End.SERVED, How.HIT, 1, false, 10_000, 0, 0);
+                (int) (seq % 3), UsageRecord.End.SERVED, How.HIT, 1, false, 10_000, 0, 0);
     }
 
     /** Writes so many records, all in one period that stays open, and reads them back. */
@@ -69,7 +69,7 @@
             throw new IllegalStateException(start.open().size() + " tenants were found again");
         }
         long booksNs = System.nanoTime();
-        try (Books books = Books.open(folder)) {
+        try (TotalsStore books = TotalsStore.open(folder)) {
             books.update(read -> {});
             if (books.accounts().entries() != records) {
                 throw new IllegalStateException(books.accounts().entries() + " records were found again");
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -3,23 +3,23 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.CacheRouter.Note;
-import clovermill.host.Ask;
-import clovermill.host.Audit;
-import clovermill.host.Usage;
-import clovermill.ledger.books.Books;
+import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.UsageListener;
+import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.ledger.books.Compactor;
 import clovermill.ledger.books.Reconciler;
+import clovermill.ledger.books.TotalsStore;
 import clovermill.ledger.books.Verification;
 import clovermill.ledger.decide.Accounts;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.Exporter;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.store.FaultyVolume;
-import clovermill.store.FolderLock;
-import clovermill.store.Volume;
+import clovermill.routing.api.Note;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.storage.FaultyVolume;
+import clovermill.storage.FolderLock;
+import clovermill.storage.Volume;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -88,14 +88,17 @@
         }
     }
 
-    private Ask ask(int requestClass) {
-        return new Ask(String.format("%016x", ++request), requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1_000_000,
+    private ClientRequest ask(int requestClass) {
+        return new ClientRequest(String.format("%016x", ++request), requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1,
+                1_000_000,
                 false, null, null, new byte[0]);
     }
 
     private void use(Ledger ledger, int requestClass, int bytes, long takenMs) {
-        ledger.ended(new Usage(ask(requestClass), true, takenMs * 1000, monoMs * 1000, Usage.End.SERVED, 1, "s-1", null,
-                Note.HIT, bytes, bytes));
+        ledger.requestEnded(
+                new UsageRecord(ask(requestClass), true, takenMs * 1000, monoMs * 1000, UsageRecord.End.SERVED, 1,
+                        "s-1", null,
+                        Note.HIT, bytes, bytes));
     }
 
     private void use(Ledger ledger, int bytes) {
@@ -160,7 +163,7 @@
         List<LogRecord> told = new ArrayList<>();
         Handler handler = new StreamHandler() {
             @Override
-            public void publish(LogRecord line) {
+            public synchronized void publish(LogRecord line) {
                 told.add(line);
             }
         };
@@ -190,7 +193,7 @@
     void aDiskThatFillsUpInTheMiddleOfARecordLosesNothing() throws Exception {
         Ledger ledger = open();
         for (int round = 0; round < 5; round++) {
-            disk.room = 200 + 37 * round;
+            disk.room = 200 + 37L * round;
             for (int i = 0; i < 50; i++) {
                 use(ledger, 10);
             }
@@ -236,7 +239,7 @@
         loseAPage(ledger);
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(20_000);
-        try (Books books = Books.open(ledgerFolder())) {
+        try (TotalsStore books = TotalsStore.open(ledgerFolder())) {
             books.update(read -> {});
             assertThat(books.accounts().missing()).isZero();
         }
@@ -256,7 +259,7 @@
         ledger.close();
         LedgerFolder after = new LedgerFolder(killed);
         Files.copy(folder.resolve("kept"), stage);
-        Rescue.run(after, after.identity(), stage, disk);
+        StagingRecovery.run(after, after.identity(), stage, disk);
         assertThat(sum(after).get(Totals.Sum.BYTES)).isEqualTo(20_000);
     }
 
@@ -276,11 +279,12 @@
         LedgerFolder after = new LedgerFolder(killed);
         int segments = after.segments().size();
         disk.syncFails = true;
-        assertThatThrownBy(() -> Rescue.run(after, after.identity(), stage, disk)).hasMessage("Input/output error");
+        assertThatThrownBy(() -> StagingRecovery.run(after, after.identity(), stage, disk))
+                .hasMessage("Input/output error");
         assertThat(stage).exists();
         assertThat(after.segments()).hasSize(segments);
         disk.syncFails = false;
-        Rescue.run(after, after.identity(), stage, disk);
+        StagingRecovery.run(after, after.identity(), stage, disk);
         assertThat(stage).doesNotExist();
         assertThat(sum(after).get(Totals.Sum.BYTES)).isEqualTo(300);
     }
@@ -294,7 +298,7 @@
         pass(5);
         long fromNs = System.nanoTime();
         for (int i = 0; i < 1000; i++) {
-            ledger.turnsAway(ask(0));
+            ledger.retryAfterMillis(ask(0));
             use(ledger, 10);
         }
         assertThat(System.nanoTime() - fromNs).isLessThan(1_000_000_000L);
@@ -305,18 +309,18 @@
     @Test
     void aTenantThatMustBeWrittenDownIsTurnedAwayWhileTheDiskIsFull() throws Exception {
         Ledger ledger = open(settings(16, List.of("b")));
-        assertThat(ledger.turnsAway(ask(1))).isEqualTo(Audit.TAKEN);
+        assertThat(ledger.retryAfterMillis(ask(1))).isEqualTo(UsageListener.ADMITTED);
         disk.room = 0;
         for (int i = 0; i < 200; i++) {
             use(ledger, 10);
             pass(5);
         }
-        assertThat(ledger.turnsAway(ask(1))).isEqualTo(1);
-        assertThat(ledger.turnsAway(ask(0))).isEqualTo(Audit.TAKEN);
+        assertThat(ledger.retryAfterMillis(ask(1))).isEqualTo(1);
+        assertThat(ledger.retryAfterMillis(ask(0))).isEqualTo(UsageListener.ADMITTED);
         disk.room = Long.MAX_VALUE;
         until(() -> {
             pass(1000);
-            return ledger.turnsAway(ask(1)) == Audit.TAKEN;
+            return ledger.retryAfterMillis(ask(1)) == UsageListener.ADMITTED;
         });
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(2000);
@@ -359,7 +363,7 @@
         LedgerFolder after = new LedgerFolder(folder.resolve("killed2"));
         for (int i = 0; i < 2; i++) {
             Files.copy(folder.resolve("kept"), stage);
-            Rescue.run(after, after.identity(), stage, disk);
+            StagingRecovery.run(after, after.identity(), stage, disk);
         }
         List<Entry> entries = new ArrayList<>();
         new LogReader(after).read(LogReader.Position.START, (header, entry) -> entries.add(entry));
@@ -502,12 +506,12 @@
         ledger.close();
         exporter().run();
         TreeMap<String, String> out = files(folder.resolve("out"));
-        Books.Rebuilt rebuilt = Books.rebuild(ledgerFolder(), read -> {});
+        TotalsStore.Rebuilt rebuilt = TotalsStore.rebuild(ledgerFolder(), read -> {});
         assertThat(rebuilt.after()).isEqualTo(rebuilt.before());
         int before = ledgerFolder().segments().size();
         Compactor.Result gone = Compactor.run(ledgerFolder(), monoMs, 0, -1, Volume.local(), read -> {});
         assertThat(gone.segments()).hasSizeBetween(3, before - 1);
-        Books.Rebuilt again = Books.rebuild(ledgerFolder(), read -> {});
+        TotalsStore.Rebuilt again = TotalsStore.rebuild(ledgerFolder(), read -> {});
         assertThat(again.after()).isEqualTo(rebuilt.after());
         assertThat(exporter().run().delivered()).isEmpty();
         assertThat(files(folder.resolve("out"))).isEqualTo(out);
@@ -540,7 +544,7 @@
     @Test
     void twoExportersAtOnceAreKeptApart() throws Exception {
         open().close();
-        try (Books books = Books.open(ledgerFolder())) {
+        try (TotalsStore books = TotalsStore.open(ledgerFolder())) {
             assertThat(books.batches()).isEmpty();
             assertThatThrownBy(() -> exporter().run()).isInstanceOf(FolderLock.Held.class)
                     .hasMessageContaining("books.lock is held by process");
--- a/src/test/java/clovermill/prove/Load.java
+++ b/src/test/java/clovermill/prove/Load.java
@@ -1,9 +1,9 @@
 package clovermill.prove;
 
-import clovermill.net.Clock;
-import clovermill.net.Connection;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Connection;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -52,7 +52,7 @@
     public volatile long answered;
     /** Requests whose connection ended without an answer, answers to nothing that was open, dials that failed. */
     public volatile long lost;
-    volatile long twice;
+    public volatile long twice;
     volatile long unreached;
     public volatile long served;
 
--- a/src/test/java/clovermill/prove/capacity/ModuleUnderTest.java
+++ b/src/test/java/clovermill/prove/capacity/ModuleUnderTest.java
@@ -1,22 +1,22 @@
 package clovermill.prove.capacity;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.Event;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Purge;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.Send;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.Settings;
 import clovermill.config.Config;
 import clovermill.config.Json;
-import clovermill.module.Policy;
+import clovermill.routing.RequestRouter;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Purge;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Send;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.Settings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -33,7 +33,7 @@
     private static final long ANSWER_US = 2_000;
 
     private final Settings settings;
-    private final Policy policy;
+    private final RequestRouter policy;
     private final List<Action> actions = new ArrayList<>();
     private long nowUs = 10_000_000_000L;
     private long requests;
@@ -43,7 +43,7 @@
         String text = Files.readString(Path.of("src", "test", "resources", "director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:1");
         settings = Config.read(text, null).settings();
-        policy = new Policy(settings, 7);
+        policy = new RequestRouter(settings, 7);
         list(local, elsewhere);
     }
 
--- a/src/test/java/clovermill/prove/capacity/StateProof.java
+++ b/src/test/java/clovermill/prove/capacity/StateProof.java
@@ -1,12 +1,12 @@
 package clovermill.prove.capacity;
 
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Register;
-import clovermill.channel.Commands;
 import clovermill.config.Json;
-import clovermill.fleet.decide.FleetMember;
-import clovermill.memory.PurgeLog;
+import clovermill.controlplane.discovery.DiscoveryEventParser;
+import clovermill.controlplane.gossip.decide.GossipMember;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.PolicyRegister;
 import clovermill.prove.capacity.LineFit.Point;
+import clovermill.routing.stats.PurgeLog;
 import java.lang.reflect.Field;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -31,7 +31,7 @@
     private static final int ASKED_OFTEN = 24;
     private static final int OFTEN_ASKED = 4_000;
     private static final int SAMPLED = 10;
-    /** Beliefs are kept so long, and purges so much longer than they take to be done everywhere. */
+    /** What a cache holds is remembered so long, and purges so much longer than they take to be done everywhere. */
     private static final long BELIEF_US = 30_000_000;
     private static final long PURGE_WITHIN_US = 7_100_000;
     private static final double KB = 1000;
@@ -240,7 +240,7 @@
             double[] took = new double[7];
             for (int i = 0; i < took.length; i++) {
                 long fromNs = System.nanoTime();
-                int read = Commands.read(Json.parse(text), List.of(), List.of()).list().size();
+                int read = DiscoveryEventParser.parse(Json.parse(text), List.of(), List.of()).events().size();
                 took[i] = (System.nanoTime() - fromNs) / MB;
                 hold("all purges are read", read == purges);
             }
@@ -282,8 +282,8 @@
         file.add("slope", "", "", "entries_most", MAX_ENTRIES, 0, "", "one more is not taken, and none is dropped");
     }
 
-    private FleetMember gossiped(int directors, int entries) {
-        FleetMember member = new FleetMember(new FleetMember.Membership(0, directors, 200_000, 4), List.of(),
+    private GossipMember gossiped(int directors, int entries) {
+        GossipMember member = new GossipMember(new GossipMember.GroupMembership(0, directors, 200_000, 4), List.of(),
                 new Random(7), entry -> {}, 0);
         for (int i = 0; i < entries; i++) {
             hold("an entry has a place", member.put(key(i), true));
@@ -297,7 +297,7 @@
     }
 
     /** Ticks until nothing is news any more, as news is held besides. */
-    private static void quieten(FleetMember member) {
+    private static void quieten(GossipMember member) {
         for (int i = 0; i < TICKS_UNTIL_QUIET; i++) {
             member.tick(i);
         }
@@ -305,8 +305,9 @@
 
     /** A policy text of the greatest length that the register takes. */
     private void policies() throws Exception {
-        double bytes = Heap.heldBy(() -> Document.of("x".repeat(Register.MOST_PARTS * Document.PART)));
-        file.add("policy", "", "", "largest", bytes / MB, 2, "MB", "one text of " + Register.MOST_PARTS
+        double bytes =
+                Heap.heldBy(() -> PolicyDocument.of("x".repeat(PolicyRegister.MAX_PARTS * PolicyDocument.PART_CHARS)));
+        file.add("policy", "", "", "largest", bytes / MB, 2, "MB", "one text of " + PolicyRegister.MAX_PARTS
                 + " parts; a change holds two");
     }
 }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -1,21 +1,23 @@
 package clovermill.prove.scale;
 
-import clovermill.accord.Accord;
-import clovermill.accord.AccordSettings;
-import clovermill.accord.AccordTask;
-import clovermill.accord.View;
-import clovermill.accord.decide.Document;
-import clovermill.accord.decide.Register.Taken;
-import clovermill.channel.CommandChannel;
-import clovermill.channel.Commands;
 import clovermill.config.Config;
-import clovermill.fleet.Fleet;
-import clovermill.fleet.FleetSettings;
-import clovermill.net.Clock;
-import clovermill.net.Deadlines;
-import clovermill.net.EventLoop;
-import clovermill.placement.Placement;
-import clovermill.settings.SettingsFile;
+import clovermill.config.settings.SettingsFile;
+import clovermill.controlplane.discovery.DiscoveryClient;
+import clovermill.controlplane.discovery.DiscoveryEventParser;
+import clovermill.controlplane.discovery.DiscoveryEvents;
+import clovermill.controlplane.discovery.DiscoverySettings;
+import clovermill.controlplane.gossip.GossipService;
+import clovermill.controlplane.gossip.GossipSettings;
+import clovermill.controlplane.placement.Placement;
+import clovermill.controlplane.policystore.PolicyStore;
+import clovermill.controlplane.policystore.PolicyStoreSettings;
+import clovermill.controlplane.policystore.PolicyRules;
+import clovermill.controlplane.policystore.PolicyView;
+import clovermill.controlplane.policystore.decide.PolicyDocument;
+import clovermill.controlplane.policystore.decide.ProposalResult;
+import clovermill.runtime.net.Clock;
+import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.EventLoop;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.function.BiConsumer;
@@ -35,7 +37,7 @@
     interface Observer {
         void event(int director, String id);
 
-        void policy(int director, View view);
+        void policy(int director, PolicyView view);
     }
 
     private static final class OffsetClock implements Clock {
@@ -58,8 +60,8 @@
     }
 
     private final EventLoop loop;
-    private final Fleet fleet;
-    private final Accord accord;
+    private final GossipService fleet;
+    private final PolicyStore accord;
     private final Thread thread;
 
     /** Begins at once; {@code stagger}, from 0 to 1, sets when within a second. */
@@ -69,17 +71,17 @@
         Deadlines deadlines = new Deadlines();
         loop = new EventLoop(clock, deadlines);
         SettingsFile own = SettingsFile.read(settings.toString());
-        fleet = new Fleet(own.part("fleet", FleetSettings.class).orElseThrow(), config.classes(),
+        fleet = new GossipService(own.part("fleet", GossipSettings.class).orElseThrow(), config.classes(),
                 config.settings().answerSlackUs(), clock, deadlines, null);
-        AccordSettings agreed = own.part("accord", AccordSettings.class).orElseThrow();
+        PolicyStoreSettings agreed = own.part("accord", PolicyStoreSettings.class).orElseThrow();
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
-                agreed.allBound(), null);
-        AccordTask.Meaning meaning = new AccordTask.Meaning(document -> placement.check(document.text()),
-                (one, other) -> placement.binding(one.text(), other.text()));
-        accord = new Accord(agreed, meaning, clock, loop::post, view -> observer.policy(number, view));
-        Commands known = Commands.read(config.known(), config.zones(), config.kinds());
-        CommandChannel channel = new CommandChannel(loop, clock, deadlines, config.channel(),
-                new CommandChannel.Terms(config.zones(), config.kinds(), config.settings().dialTimeoutUs(),
+                agreed.refusesAllWithoutLease(), null);
+        PolicyRules rules = new PolicyRules(document -> placement.rejection(document.text()).orElse(null),
+                (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
+        accord = new PolicyStore(agreed, rules, clock, loop::post, view -> observer.policy(number, view));
+        DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
+        DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
+                new DiscoverySettings(config.zones(), config.kinds(), config.settings().dialTimeoutUs(),
                         Math.min(config.settings().drainGraceUs(), config.settings().purgeNoticeUs())),
                 known.cursor(), news -> {});
         deadlines.add(clock.micros() + (long) (stagger * STAGGER_US), () -> {
@@ -106,7 +108,7 @@
     }
 
     /** Hands in a policy as an operator at this director would. */
-    void propose(long follows, String policy, BiConsumer<Taken, Long> done) {
-        accord.want(follows, Document.of(policy), done);
+    void propose(long follows, String policy, BiConsumer<ProposalResult, Long> done) {
+        accord.requestChange(follows, PolicyDocument.of(policy), done);
     }
 }
--- a/src/test/java/clovermill/prove/scale/HollowProcess.java
+++ b/src/test/java/clovermill/prove/scale/HollowProcess.java
@@ -1,10 +1,10 @@
 package clovermill.prove.scale;
 
-import clovermill.accord.View;
 import clovermill.config.Config;
-import clovermill.settings.LogSettings;
-import clovermill.settings.SettingsFile;
-import clovermill.settings.StructuredLog;
+import clovermill.config.settings.LogSettings;
+import clovermill.config.settings.SettingsFile;
+import clovermill.config.settings.StructuredLog;
+import clovermill.controlplane.policystore.PolicyView;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -129,8 +129,8 @@
     }
 
     @Override
-    public void policy(int director, View view) {
-        if (view.step() == null || view.step().both()) {
+    public void policy(int director, PolicyView view) {
+        if (view.step() == null || view.step().inTransition()) {
             return;
         }
         synchronized (inForce) {
@@ -159,7 +159,7 @@
             }
             long spentNs = Math.max(0, threads.getThreadCpuTime(each.getThreadId()));
             String name = each.getThreadName();
-            boolean director = name.startsWith(HollowDirector.LOOP_THREAD) || name.startsWith("accord");
+            boolean director = name.startsWith(HollowDirector.LOOP_THREAD) || name.startsWith("policy-store");
             directorsNs += director ? spentNs : 0;
             ownNs += name.equals("main") || name.equals(TickProbe.NAME) ? spentNs : 0;
         }
--- a/src/test/java/clovermill/BoundRequestTest.java
+++ b/src/test/java/clovermill/routing/BoundRequestTest.java
@@ -1,19 +1,18 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Member;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.SendVia;
 import clovermill.config.Config;
-import clovermill.module.Policy;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Member;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.SendVia;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -36,15 +35,17 @@
     @Property(tries = 200)
     void neitherTargetNorSourceNorRepeatIsOutside(@ForAll Set<@IntRange(max = 5) Integer> places,
             @ForAll long seed) throws Exception {
-        Policy policy = new Policy(Config.read(Files.readString(Path.of("src/test/resources/director.json"))
-                .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null).settings(), seed);
+        RequestRouter policy =
+                new RequestRouter(Config.read(Files.readString(Path.of("src/test/resources/director.json"))
+                        .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null).settings(), seed);
         List<String> allowed = places.stream().map(IDS::get).toList();
         List<Action> actions = new ArrayList<>();
         policy.handle(0, new Members(ListScope.FULL, IDS.stream().map(BoundRequestTest::member).toList()),
                 actions::add);
         for (int i = 0; i < 40; i++) {
             String id = String.format("%016x", i);
-            policy.handle(i * 10_000, new Request(id, 1, 0, seed + i % 3, 0, 0, 4, 1_000_000, false, allowed::contains),
+            policy.handle(i * 10_000L,
+                    new Request(id, 1, 0, seed + i % 3, 0, 0, 4, 1_000_000, false, allowed::contains),
                     actions::add);
             for (int attempt = 0; attempt < 8; attempt++) {
                 Action last = actions.get(actions.size() - 1);
--- a/src/test/java/clovermill/ColdSumTest.java
+++ b/src/test/java/clovermill/routing/SlowStartSumTest.java
@@ -1,22 +1,21 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.CacheRouter.Action;
-import clovermill.CacheRouter.Availability;
-import clovermill.CacheRouter.ColdRule;
-import clovermill.CacheRouter.Event;
-import clovermill.CacheRouter.ListScope;
-import clovermill.CacheRouter.Members;
-import clovermill.CacheRouter.Note;
-import clovermill.CacheRouter.Outcome;
-import clovermill.CacheRouter.Request;
-import clovermill.CacheRouter.Result;
-import clovermill.CacheRouter.Send;
-import clovermill.CacheRouter.SendVia;
-import clovermill.CacheRouter.SetTimer;
-import clovermill.CacheRouter.Timer;
-import clovermill.module.Policy;
+import clovermill.routing.api.Action;
+import clovermill.routing.api.Availability;
+import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.Event;
+import clovermill.routing.api.ListScope;
+import clovermill.routing.api.Members;
+import clovermill.routing.api.Note;
+import clovermill.routing.api.Outcome;
+import clovermill.routing.api.Request;
+import clovermill.routing.api.Result;
+import clovermill.routing.api.Send;
+import clovermill.routing.api.SendVia;
+import clovermill.routing.api.SetTimer;
+import clovermill.routing.api.Timer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -31,7 +30,7 @@
  * that the settings name no more than the N requests of mean work that it may get, and what chance adds to that, twice
  * the root of N and 2. Attempts of all kinds count, at the cold member or filled from it.
  */
-class ColdSumTest {
+class SlowStartSumTest {
 
     private static final int CACHES = 6;
     private static final long STEP_US = 10_000;
@@ -89,7 +88,7 @@
         final SplittableRandom random;
         final boolean toldSizes;
         final String cold;
-        final Policy[] directors;
+        final RequestRouter[] directors;
         final double[] perStep;
         final PriorityQueue<Due> due = new PriorityQueue<>();
         final Map<String, Integer> attempts = new HashMap<>();
@@ -102,7 +101,7 @@
             this.random = new SplittableRandom(seed);
             this.toldSizes = toldSizes;
             this.cold = cold;
-            this.directors = new Policy[size];
+            this.directors = new RequestRouter[size];
             this.perStep = new double[size];
             double all = 0;
             for (int i = 0; i < size; i++) {
@@ -117,7 +116,7 @@
         }
 
         private void start(int director) {
-            directors[director] = new Policy(Director.tight(directors.length), random.nextLong());
+            directors[director] = new RequestRouter(Director.tight(directors.length), random.nextLong());
             directors[director].handle(now, members(ListScope.REMEMBERED), action -> {});
         }
 
--- a/src/test/java/clovermill/Splits.java
+++ b/src/test/java/clovermill/routing/Splits.java
@@ -1,4 +1,4 @@
-package clovermill;
+package clovermill.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,6 +15,7 @@
 
     /** A parser that may refuse its input. */
     public interface Parser {
+        /** Takes the next bytes; throws where they cannot be read. */
         void parse(ByteBuffer data) throws Exception;
     }
 
