--- /dev/null
+++ b/src/test/java/clovermill/prove/faults/FaultyDirector.java
@@ -0,0 +1,129 @@
+package clovermill.prove.faults;
+
+import clovermill.prove.DirectorProcess;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+
+/** A {@code serve} process of our own with the library loaded, before the stand-in caches. */
+final class FaultyDirector {
+
+    /** A director is to be ready within this; the platform grants 10 s, the rest is for a busy machine. */
+    private static final long READY_MILLIS = 15_000;
+    /** SIGKILL may come so long after SIGTERM: the longest deadline (3 s at most) and 0.7 s. */
+    private static final long LEAVE_MILLIS = 3_700;
+    private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+
+    final int port;
+    private final int adminPort;
+    private final Process process;
+
+    private FaultyDirector(int port, int adminPort, Process process) {
+        this.port = port;
+        this.adminPort = adminPort;
+        this.process = process;
+    }
+
+    /**
+     * Starts a process.
+     *
+     * @param lasting its TMPDIR, in which files fail as the control file says
+     * @param calls rules for the library, or nothing
+     * @param passed whether its listening socket is passed to it, so that it keeps outages in its TMPDIR
+     */
+    static FaultyDirector start(Path root, Path library, FaultControl control, Path lasting,
+            Map.Entry<String, String> channel, String calls, int seed, boolean passed) throws IOException {
+        Path file = DirectorProcess.configuration(root, channel, 1, 1);
+        ObjectMapper mapper = new ObjectMapper();
+        ObjectNode config = (ObjectNode) mapper.readTree(Files.readString(file));
+        ObjectNode told = (ObjectNode) config.get("settings");
+        ((ObjectNode) told.get("rules")).put("drain-grace-us", RuleJudge.DRAIN_GRACE_MICROS)
+                .put("cold-from", RuleJudge.COLD_PART).put("cold-us", RuleJudge.WARM_UP_MICROS)
+                .put("tip-multiple", RuleJudge.OVERLOAD_MULTIPLE).put("tip-after-us", RuleJudge.OVERLOAD_WINDOW_MICROS);
+        ((ObjectNode) told.get("family-info")).put("peers-fill", "location")
+                .put("notice-time-us", RuleJudge.PURGE_NOTICE_MICROS);
+        Files.writeString(file, mapper.writeValueAsString(config));
+        ProcessBuilder builder = new ProcessBuilder(List.of(JAVA, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
+                "-Xmx88m", "-cp", System.getProperty("java.class.path"), "clovermill.cli.Main", "serve"));
+        Map<String, String> environment = builder.environment();
+        environment.put("BALANCER_CONFIG", file.toString());
+        environment.remove("BALANCER_LISTEN");
+        environment.put("TMPDIR", lasting.toString());
+        environment.put("LD_PRELOAD", library.toString());
+        environment.put("FAULT_CONTROL", control.file.toString());
+        environment.put("FAULT_FOLDER", lasting.toString());
+        environment.put("FAULT_SEED", Integer.toString(seed));
+        if (passed) {
+            environment.put("FAULT_LISTEN", Integer.toString(port(config, "listen")));
+            environment.put("BALANCER_PASSED_SOCKET", "0");
+        }
+        if (!calls.isEmpty()) {
+            environment.put("FAULT_CALLS", calls);
+        }
+        Process process = builder.redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(log(root).toFile())).start();
+        return new FaultyDirector(port(config, "listen"), port(config, "admin"), process);
+    }
+
+    private static int port(ObjectNode config, String field) {
+        return Integer.parseInt(config.get(field).asText().replaceAll(".*:", ""));
+    }
+
+    /** What all starts below a folder have logged. */
+    static Path log(Path root) {
+        return root.resolve("director.log");
+    }
+
+    /** Waits until it serves; whether it does in time. */
+    boolean ready() throws InterruptedException {
+        long untilNanos = System.nanoTime() + READY_MILLIS * 1_000_000;
+        while (process.isAlive() && System.nanoTime() < untilNanos) {
+            if (say("GET /ready HTTP/1.1\r\n\r\n")) {
+                return true;
+            }
+            Thread.sleep(20);
+        }
+        return false;
+    }
+
+    /** Has an operator take a cache out; whether the director acknowledged it. */
+    boolean takeOut(String cache) {
+        String body = "{\"id\":\"" + cache + "\"}";
+        return say("PUT /caches/disable HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    }
+
+    private boolean say(String text) {
+        try (Socket socket = new Socket()) {
+            socket.connect(new InetSocketAddress("127.0.0.1", adminPort), 1000);
+            socket.setSoTimeout(2000);
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
+                    .startsWith("HTTP/1.1 200");
+        } catch (IOException notYet) {
+            return false;
+        }
+    }
+
+    boolean alive() {
+        return process.isAlive();
+    }
+
+    /** SIGTERM; whether it ended in time and with status 0. */
+    boolean leaves() throws InterruptedException {
+        process.destroy();
+        return process.waitFor(LEAVE_MILLIS, TimeUnit.MILLISECONDS) && process.exitValue() == 0;
+    }
+
+    /** SIGKILL; returns once it has ended. */
+    void kill() throws InterruptedException {
+        process.destroyForcibly().waitFor();
+    }
+}
--- /dev/null
+++ b/src/test/java/clovermill/prove/faults/RuleJudge.java
@@ -0,0 +1,145 @@
+package clovermill.prove.faults;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Holds what caches see against the rules on purges, drains, slow start and effects. Times are microseconds of one
+ * monotonic clock. Each window is longer than the rule's by what sockets are granted and by the time for which a busy
+ * machine may keep a message. Used from one thread.
+ */
+final class RuleJudge {
+
+    /** What the settings of the directors under test say. */
+    static final long PURGE_NOTICE_MICROS = 1_000_000;
+    static final long DRAIN_GRACE_MICROS = 500_000;
+    static final double COLD_PART = 0.05;
+    static final long WARM_UP_MICROS = 60_000_000;
+    static final double OVERLOAD_MULTIPLE = 3;
+    static final long OVERLOAD_WINDOW_MICROS = 3_000_000;
+    static final long EFFECT_WINDOW_MICROS = 3_000_000;
+    /** The page on sockets grants 50 ms to every window; the rest is for the machine. */
+    static final long SLACK_MICROS = 150_000;
+    /** Purges are dated in whole milliseconds. */
+    private static final long DATE_STEP_MICROS = 5_000;
+    private static final int FEW_CALLS = 30;
+
+    private record PurgeMade(Long object, int group, long atMicros) {
+        boolean covers(long key, int keyGroup) {
+            return object == null ? group == keyGroup : object == key;
+        }
+    }
+
+    /** A cache that started, and when requests came to it within the last window. */
+    private static final class ColdCache {
+        private final long startedMicros;
+        private final Deque<Long> arrivals = new ArrayDeque<>();
+        private boolean overloaded;
+
+        ColdCache(long startedMicros) {
+            this.startedMicros = startedMicros;
+        }
+    }
+
+    private final double callsPerSecond;
+    private final List<PurgeMade> purges = new ArrayList<>();
+    private final Map<String, Long> drains = new HashMap<>();
+    private final Map<String, ColdCache> starts = new HashMap<>();
+    private final Map<String, Long> effects = new HashMap<>();
+    private final Set<String> repeated = new HashSet<>();
+    private long stale;
+    private long drained;
+    private long overloaded;
+
+    /** Caches that bear so many calls a second when warm. */
+    RuleJudge(double callsPerSecond) {
+        this.callsPerSecond = callsPerSecond;
+    }
+
+    /** An object, or with null a group, is purged and told now. */
+    void purged(Long object, int group, long nowMicros) {
+        purges.add(new PurgeMade(object, group, nowMicros));
+    }
+
+    /** From now on the directors are told that a cache drains. */
+    void draining(String cache, long nowMicros) {
+        drains.put(cache, nowMicros);
+    }
+
+    /** A cache drains no more. */
+    void back(String cache) {
+        drains.remove(cache);
+    }
+
+    /** A cache starts now, cold. */
+    void started(String cache, long nowMicros) {
+        starts.put(cache, new ColdCache(nowMicros));
+    }
+
+    /** A request came to a cache. */
+    void request(String cache, long nowMicros) {
+        fillFrom(cache, nowMicros);
+        ColdCache cold = starts.get(cache);
+        if (cold != null) {
+            cold.arrivals.add(nowMicros);
+            while (cold.arrivals.peek() < nowMicros - OVERLOAD_WINDOW_MICROS) {
+                cold.arrivals.remove();
+            }
+            if (!cold.overloaded && cold.arrivals.size() > mostCalls(cold.startedMicros, nowMicros)) {
+                cold.overloaded = true;
+                overloaded++;
+            }
+        }
+    }
+
+    /** A request names a cache as the source of a fill. */
+    void fillFrom(String cache, long nowMicros) {
+        Long since = drains.get(cache);
+        if (since != null && nowMicros > since + DRAIN_GRACE_MICROS + SLACK_MICROS) {
+            drained++;
+        }
+    }
+
+    /** A request that arrived at a time was answered with a copy made at a time. */
+    void answered(long key, int group, long arrivedMicros, long madeMicros) {
+        for (PurgeMade purge : purges) {
+            if (purge.covers(key, group) && madeMicros < purge.atMicros - DATE_STEP_MICROS
+                    && arrivedMicros > purge.atMicros + PURGE_NOTICE_MICROS + SLACK_MICROS) {
+                stale++;
+                return;
+            }
+        }
+    }
+
+    /** A request with an effect ran; the origin drops repeats for a window, and no longer. */
+    void ran(String token, long nowMicros) {
+        Long first = effects.putIfAbsent(token, nowMicros);
+        if (first != null && nowMicros > first + EFFECT_WINDOW_MICROS) {
+            repeated.add(token);
+        }
+    }
+
+    /** The calls that a cache may get within the window that ends now: N, and what is chance. */
+    private double mostCalls(long startedMicros, long nowMicros) {
+        long from = Math.max(startedMicros, nowMicros - OVERLOAD_WINDOW_MICROS);
+        double meanPart = (part(from - startedMicros) + part(nowMicros - startedMicros)) / 2;
+        // The bound is on the whole window also where the cache is younger: it is a budget.
+        double calls = OVERLOAD_MULTIPLE * callsPerSecond * meanPart * OVERLOAD_WINDOW_MICROS / 1e6;
+        return calls < FEW_CALLS ? calls + 3 * Math.sqrt(calls) + 3 : calls + 2 * Math.sqrt(calls) + 2;
+    }
+
+    private static double part(long ageMicros) {
+        return Math.min(1, COLD_PART + (1 - COLD_PART) * ageMicros / WARM_UP_MICROS);
+    }
+
+    /** What was found so far; faults and lost requests are not counted here. */
+    Verdict verdict() {
+        return new Verdict(0, 0, repeated.size(), stale, drained, overloaded);
+    }
+}
