--- a/src/main/java/clovermill/controlplane/policystore/decide/MonotonicClock.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/MonotonicClock.java
@@ -1,9 +1,9 @@
 package clovermill.controlplane.policystore.decide;
 
 /**
- * Elapsed time that never runs ahead of true time: a forward step of the clock, or a pause of the process, adds no more
- * than one bounded step. The leader measures the expiry of other directors' leases with it, so an error can only make
- * it wait longer. Not thread-safe.
+ * A clock of elapsed time that does not run ahead of true time: a forward jump of the underlying clock, or a pause of
+ * the process, adds no more than one bounded step. The leader uses it to measure the expiry of other directors' leases,
+ * so an error can only make it wait longer. Not thread-safe.
  */
 public final class MonotonicClock {
 
@@ -11,7 +11,7 @@
     private long lastUs;
     private long elapsedUs;
 
-    /** Starts at {@code nowUs}; one call of {@link #advance} adds at most {@code maxStepUs}. */
+    /** Creates a clock at {@code nowUs}; each call of {@link #advance} adds at most {@code maxStepUs}. */
     public MonotonicClock(long nowUs, long maxStepUs) {
         this.lastUs = nowUs;
         this.maxStepUs = maxStepUs;
@@ -24,7 +24,7 @@
         return elapsedUs;
     }
 
-    /** The elapsed microseconds at the last call of {@link #advance}. */
+    /** Returns the elapsed microseconds at the last call of {@link #advance}. */
     public long elapsedUs() {
         return elapsedUs;
     }
--- a/src/main/java/clovermill/controlplane/policystore/decide/PolicyDocument.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyDocument.java
@@ -9,17 +9,17 @@
 /**
  * The text of a policy, in ASCII.
  *
- * @param digest its SHA-256 in hex digits, which names the text in messages and in the log
+ * @param digest the SHA-256 of the text in hexadecimal, which identifies it in messages and in the log
  */
 public record PolicyDocument(String digest, String text) {
 
-    /** The empty policy, which restricts nothing. */
+    /** The empty policy, which contains no restrictions. */
     public static final PolicyDocument EMPTY = of("{}");
 
-    /** Characters of a part, so that one fits a datagram and a log entry. */
+    /** The maximum number of characters in a part, chosen so that a part fits into a datagram and a log entry. */
     public static final int PART_CHARS = 900;
 
-    /** The text in parts of up to {@link #PART_CHARS} characters. */
+    /** Returns the text in parts of up to {@link #PART_CHARS} characters. */
     public List<String> parts() {
         List<String> parts = new ArrayList<>();
         for (int start = 0; start < text.length(); start += PART_CHARS) {
@@ -28,7 +28,7 @@
         return parts;
     }
 
-    /** The document of an ASCII text. */
+    /** Creates the document of an ASCII text. */
     public static PolicyDocument of(String text) {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
--- a/src/main/java/clovermill/controlplane/policystore/decide/PolicyTransition.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyTransition.java
@@ -1,36 +1,37 @@
 package clovermill.controlplane.policystore.decide;
 
 /**
- * One step of the policy's history: either one version in force, or a transition between two versions, in which only
- * what both allow may be done. Step numbers only grow; a version has the number of the step that introduced it.
+ * One step of the policy's history: either one version in force, or a transition between two versions, during which
+ * only what both versions allow is permitted. Step numbers increase monotonically; a version has the number of the step
+ * that introduced it.
  *
  * @param number the step's number, from 0
- * @param version the version in force; in a transition the one before it
+ * @param version the version in force; in a transition the previous one
  * @param next the version that a transition introduces, or {@link #NONE}
  */
 public record PolicyTransition(long number, long version, long next) {
 
-    /** No version, or no step. */
+    /** The value for an absent version or step. */
     public static final long NONE = -1;
-    /** The first step: the empty policy. */
+    /** The first step, at which the empty policy is in force. */
     public static final PolicyTransition FIRST = new PolicyTransition(0, 0, NONE);
 
-    /** Whether two versions are in force side by side. */
+    /** Returns true if two versions are in force at the same time. */
     public boolean inTransition() {
         return next != NONE;
     }
 
-    /** The step in which a new version stands beside the present one. */
+    /** Returns the step that starts the transition to a new version. */
     PolicyTransition propose() {
         return new PolicyTransition(number + 1, version, number + 1);
     }
 
-    /** The step in which only the new version is in force. */
+    /** Returns the step at which only the new version is in force. */
     PolicyTransition complete() {
         return new PolicyTransition(number + 1, next, NONE);
     }
 
-    /** The step in which only the previous version is in force again. */
+    /** Returns the step at which only the previous version is in force again. */
     PolicyTransition abort() {
         return new PolicyTransition(number + 1, version, NONE);
     }
--- a/src/main/java/clovermill/controlplane/policystore/decide/PolicyVersions.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/PolicyVersions.java
@@ -10,12 +10,12 @@
 import java.util.Optional;
 
 /**
- * The policy texts that a director has, by digest, and those that it is fetching part by part. Bounded by {@link
- * #retain} and {@link #MAX_INCOMPLETE}. Not thread-safe.
+ * The complete policy texts of a director by digest, and those that it is fetching part by part. Its size is bounded by
+ * {@link #retain} and {@link #MAX_INCOMPLETE}. Not thread-safe.
  */
 public final class PolicyVersions {
 
-    /** Beyond so many incomplete texts the one that was begun first is dropped; it is fetched again if requested. */
+    /** The maximum number of incomplete texts. The oldest is dropped, and fetched again if requested. */
     static final int MAX_INCOMPLETE = 16;
 
     private final Map<String, PolicyDocument> complete = new HashMap<>();
@@ -27,12 +27,12 @@
         incomplete.remove(document.digest());
     }
 
-    /** The complete text with a digest. */
+    /** Returns the complete text with a digest, if present. */
     public Optional<PolicyDocument> find(String digest) {
         return Optional.ofNullable(complete.get(digest));
     }
 
-    /** The numbers of up to {@code limit} parts that are missing; none once the text is complete. */
+    /** Returns the numbers of up to {@code limit} missing parts; an empty list once the text is complete. */
     public List<Integer> missingParts(String digest, int parts, int limit) {
         List<Integer> missing = new ArrayList<>();
         if (!complete.containsKey(digest) && parts > 0 && parts <= PolicyRegister.MAX_PARTS) {
@@ -49,7 +49,7 @@
         return missing;
     }
 
-    /** Adds a part; one that was not requested is ignored, and parts that do not give the digest are discarded. */
+    /** Adds a part. An unrequested part is ignored; all parts are discarded if the text does not match the digest. */
     public void addPart(String digest, int number, String text) {
         String[] received = incomplete.get(digest);
         if (received == null || number < 0 || number >= received.length) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Drops all texts but these. */
+    /** Drops all texts except those with the given digests. */
     public void retain(List<String> digests) {
         complete.keySet().retainAll(digests);
         incomplete.keySet().retainAll(digests);
--- a/src/test/java/clovermill/controlplane/policystore/decide/LeaseHolderTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/LeaseHolderTest.java
@@ -10,28 +10,28 @@
     private static final PolicyTransition TRANSITION = PolicyTransition.FIRST.propose();
 
     @Test
-    void whenGrantedThenTheLeaseRunsFromItsRequest() {
+    void leaseStartsAtTheTimeOfItsRequest() {
         LeaseHolder holder = LeaseHolder.EMPTY.request(1, 1_000).grant(1, PolicyTransition.FIRST, TIMING);
         assertThat(holder.isValid(5_000_999)).isTrue();
         assertThat(holder.isValid(5_001_000)).isFalse();
     }
 
     @Test
-    void givenANewerStepWhenAnEarlierOneIsGrantedThenNothingChanges() {
+    void ignoresAGrantOfAnEarlierStep() {
         LeaseHolder holder = LeaseHolder.EMPTY.request(1, 0).request(2, 10).grant(2, TRANSITION, TIMING);
         assertThat(holder.grant(1, PolicyTransition.FIRST, TIMING)).isSameAs(holder);
         assertThat(holder.step()).isEqualTo(TRANSITION);
     }
 
     @Test
-    void whenAGrantAnswersNoOpenRequestThenNothingChanges() {
+    void ignoresAGrantWithoutAnUnansweredRequest() {
         assertThat(LeaseHolder.EMPTY.grant(7, TRANSITION, TIMING)).isSameAs(LeaseHolder.EMPTY);
         LeaseHolder once = LeaseHolder.EMPTY.request(1, 0).grant(1, TRANSITION, TIMING);
         assertThat(once.grant(1, TRANSITION.complete(), TIMING)).isSameAs(once);
     }
 
     @Test
-    void givenARejectedStepWhenGrantedThenThePreviousLeaseExpires() {
+    void leasePreviousToARejectedStepExpires() {
         LeaseHolder holder =
                 LeaseHolder.EMPTY.request(1, 0).grant(1, PolicyTransition.FIRST, TIMING).reject(TRANSITION).request(2,
                         4_000_000);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void givenAPauseWhenTheClockAdvancesThenAtMostOneStepIsAdded() {
+    void monotonicClockAddsAtMostOneStepAfterAPause() {
         MonotonicClock clock = new MonotonicClock(0, 1_000_000);
         assertThat(clock.advance(500_000)).isEqualTo(500_000);
         assertThat(clock.advance(60_500_000)).isEqualTo(1_500_000);
--- a/src/test/java/clovermill/controlplane/policystore/decide/PolicyVersionsTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/PolicyVersionsTest.java
@@ -10,25 +10,25 @@
     private final PolicyVersions versions = new PolicyVersions();
     private final PolicyDocument text = PolicyDocument.of("x".repeat(2000));
 
-    private void part(int number) {
+    private void addPart(int number) {
         versions.addPart(text.digest(), number, text.parts().get(number));
     }
 
     @Test
-    void whenAllPartsHaveArrivedInAnyOrderThenTheTextIsComplete() {
+    void assemblesATextFromPartsInAnyOrder() {
         assertThat(versions.missingParts(text.digest(), 3, 2)).containsExactly(0, 1);
-        part(2);
-        part(0);
+        addPart(2);
+        addPart(0);
         assertThat(versions.find(text.digest())).isEmpty();
         assertThat(versions.missingParts(text.digest(), 3, 2)).containsExactly(1);
-        part(1);
+        addPart(1);
         assertThat(versions.find(text.digest())).contains(text);
         versions.retain(List.of());
         assertThat(versions.find(text.digest())).isEmpty();
     }
 
     @Test
-    void whenPartsDoNotGiveTheDigestThenTheyAreDiscarded() {
+    void discardsPartsThatDoNotMatchTheDigest() {
         versions.missingParts(text.digest(), 1, 1);
         versions.addPart(text.digest(), 0, "forged");
         assertThat(versions.find(text.digest())).isEmpty();
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void givenTooManyIncompleteTextsThenTheFirstIsDropped() {
+    void dropsTheOldestOfTooManyIncompleteTexts() {
         versions.missingParts(text.digest(), 3, 3);
-        part(0);
+        addPart(0);
         for (int i = 0; i < PolicyVersions.MAX_INCOMPLETE; i++) {
             versions.missingParts("other" + i, 1, 1);
         }
-        part(1);
-        part(2);
+        addPart(1);
+        addPart(2);
         assertThat(versions.find(text.digest())).isEmpty();
         assertThat(versions.missingParts(text.digest(), 3, 3)).containsExactly(0, 1, 2);
     }
--- a/src/test/java/clovermill/controlplane/policystore/decide/StepSearchTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/StepSearchTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.controlplane.policystore.decide.StepSearch.Breakage;
+import clovermill.controlplane.policystore.decide.StepSearch.Mutation;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -10,18 +10,18 @@
 class StepSearchTest {
 
     @Test
-    void whenNothingIsBrokenThenNoReachableStateMixesVersions() {
-        StepSearch search = new StepSearch(2, 1, 1, 0, Breakage.NONE);
+    void noReachableStateViolatesTheInvariant() {
+        StepSearch search = new StepSearch(2, 1, 1, 0, Mutation.NONE);
         assertThat(search.run()).isNull();
         System.out.println("step-search: states=" + search.states());
     }
 
     @ParameterizedTest
-    @EnumSource(value = Breakage.class, mode = EnumSource.Mode.EXCLUDE, names = {"NONE",
-        "BACK_TO_AN_EARLIER_STEP"}) // that takes two answers at once: LeaseHolderTest
-    void whenARuleIsBrokenThenTheSearchFindsAViolation(Breakage broken) {
-        StepSearch search = new StepSearch(2, 1, 1, 0, broken);
+    @EnumSource(value = Mutation.class, mode = EnumSource.Mode.EXCLUDE, names = {"NONE",
+        "EARLIER_STEP_ACCEPTED"}) // needs two messages in flight; covered by LeaseHolderTest
+    void findsAViolationForEachMutation(Mutation mutation) {
+        StepSearch search = new StepSearch(2, 1, 1, 0, mutation);
         assertThat(search.run()).isNotNull();
-        System.out.println("step-search: " + broken + " states=" + search.states());
+        System.out.println("step-search: " + mutation + " states=" + search.states());
     }
 }
