--- a/src/main/java/clovermill/controlplane/consensus/AppendReceiver.java
+++ b/src/main/java/clovermill/controlplane/consensus/AppendReceiver.java
@@ -7,7 +7,7 @@
 import io.microraft.model.message.AppendEntriesRequest;
 import io.microraft.model.message.RaftMessage;
 
-/** Hands a leader's appends over to MicroRaft, aligned with what the follower has. Not thread-safe. */
+/** Passes a leader's appends to MicroRaft, aligned with the follower's log. Not thread-safe. */
 final class AppendReceiver {
 
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -15,7 +15,7 @@
     private final RaftNode node;
     private final LogTerms log;
     private long conflictIndex = RaftReplica.NO_CONFLICT;
-    /** The last append that matched without MicroRaft's knowledge; null once it is answered. */
+    /** The last append that matched although MicroRaft rejects it; null once it has been answered. */
     private AppendEntriesRequest matchedAppend;
 
     AppendReceiver(RaftNode node, LogTerms log) {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Receives an append of a leader whose term is the present one or a higher one. Those behind the last entry, all
-     * but few, are handed over as they are; the others are aligned with the commit index.
+     * Receives an append from a leader whose term is the current one or a higher one. Most appends start at the last
+     * entry and are passed on unchanged; the others are aligned with the commit index.
      */
     void receive(AppendEntriesRequest append) {
         if (append.getPreviousLogIndex() >= log.lastIndex()) {
@@ -52,12 +52,12 @@
             node.handle(forward.append());
         } else if (alignment instanceof AppendAlignment.Matched matched) {
             matchedAppend = matched.append();
-            node.handle(matchedAppend); // adopts its term and leader; the failure that it answers is replaced
+            node.handle(matchedAppend); // adopts its term and leader; the failure response is replaced
         }
     }
 
-    /** What is sent in place of MicroRaft's failure: the match, for an append that matched without its knowledge. */
-    RaftMessage answer(AppendEntriesFailureResponse failure) {
+    /** Returns the response to send: a success in place of MicroRaft's failure response to {@link #matchedAppend}. */
+    RaftMessage responseFor(AppendEntriesFailureResponse failure) {
         boolean matched = matchedAppend != null && failure.getTerm() == matchedAppend.getTerm()
                 && failure.getFlowControlSequenceNumber() == matchedAppend.getFlowControlSequenceNumber();
         if (!matched) {
--- a/src/main/java/clovermill/controlplane/consensus/FileRaftStorage.java
+++ b/src/main/java/clovermill/controlplane/consensus/FileRaftStorage.java
@@ -24,12 +24,13 @@
 import java.util.List;
 
 /**
- * A replica's state in a file of checksummed frames, synced before anything is acknowledged. At the start the frames
- * are replayed and written to a new file, which then replaces the old one. A torn tail was never acknowledged and is
- * cut. A file that is damaged elsewhere, or missing, is a lost disk: the former votes are unknown.
+ * Stores a replica's state in a file of checksummed frames, which is synced before anything is acknowledged. On opening
+ * the frames are replayed and written to a new file, which then replaces the old one. A torn tail was never
+ * acknowledged and is truncated. A file that is damaged elsewhere, or missing, is treated as a lost disk, because the
+ * replica's former votes are unknown.
  *
- * <p>After a failed write or sync the file accepts no more, since a later sync may succeed without the pages that the
- * failed one has dropped (fsync(2)). {@link #recover} writes the complete state to a new file.
+ * <p>After a failed write or sync the file accepts no further writes, because a later sync may succeed without the
+ * pages that the failed one dropped (fsync(2)). {@link #recover} writes the complete state to a new file.
  */
 public final class FileRaftStorage implements RaftStorage {
 
@@ -61,10 +62,10 @@
     private boolean failed;
 
     /**
-     * Opens the file in a durable folder that belongs to this process alone; creates both if they are missing.
+     * Opens the file in a durable folder used by this process only; creates both if they do not exist.
      *
-     * @param magic eight characters at the head of the file that name the subsystem and the format's version
-     * @throws IOException if the file cannot be read or written, or is of another format
+     * @param magic eight characters at the start of the file that identify the subsystem and the format version
+     * @throws IOException if the file cannot be read or written, or has another format
      */
     public FileRaftStorage(Volume volume, Path folder, String magic, RaftMessageCodec codec) throws IOException {
         this.codec = codec.log();
@@ -92,8 +93,8 @@
 
             @Override
             public void damaged(long start, long end) {
-                LOG.log(Level.ERROR, "{0} is damaged from byte {1} to {2}: this replica joins under a new identity,"
-                        + " as its former votes are unknown", from, Long.toString(start), Long.toString(end));
+                LOG.log(Level.ERROR, "{0} is damaged from byte {1} to {2}: this replica will join with a new identity"
+                        + " because its former votes are unknown", from, Long.toString(start), Long.toString(end));
                 undamaged[0] = false;
             }
         });
@@ -114,36 +115,37 @@
             case TRUNCATE_FROM -> contents.truncateLogEntriesFrom(in.readLong());
             case TRUNCATE_UNTIL -> contents.truncateLogEntriesUntil(in.readLong());
             case DELETE_CHUNKS -> contents.deleteSnapshotChunks(in.readLong(), 0);
-            default -> throw new IOException(file + ": unknown frame type " + type + ", written by a later version?");
+            default ->
+                throw new IOException(file + ": unknown frame type " + type + ", possibly written by a later version");
         }
     }
 
-    /** Writes a new file and renames it over the old one once it is durable. */
+    /** Writes a new file and, once it is durable, replaces the old one with it. */
     private void replaceFile(boolean withState) throws IOException {
-        Path fresh = file.resolveSibling(FILE_NAME + ".fresh");
+        Path newFile = file.resolveSibling(FILE_NAME + ".fresh");
         closeQuietly();
         try {
-            volume.delete(fresh);
-            writer = new SegmentWriter(volume, fresh, magic);
+            volume.delete(newFile);
+            writer = new SegmentWriter(volume, newFile, magic);
             if (withState) {
                 contents.copyTo(this);
             }
             writer.force();
-            volume.rename(fresh, file);
+            volume.rename(newFile, file);
         } catch (IOException | UncheckedIOException failure) {
             closeQuietly();
             throw failure;
         }
     }
 
-    /** For a file that is no longer used: a failure makes no difference. */
+    /** Closes a file that is no longer used; a failure has no effect. */
     private void closeQuietly() {
         try {
             if (writer != null) {
                 writer.close();
             }
         } catch (IOException failure) {
-            LOG.log(Level.DEBUG, "cannot close a file that is no longer used", failure);
+            LOG.log(Level.DEBUG, "cannot close an unused file", failure);
         }
     }
 
@@ -151,7 +153,7 @@
         if (replaying) {
             return;
         }
-        refuseAfterFailure();
+        checkNotFailed();
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
             DataOutputStream out = new DataOutputStream(bytes);
@@ -240,7 +242,7 @@
 
     @Override
     public void flush() {
-        refuseAfterFailure();
+        checkNotFailed();
         try {
             writer.force();
         } catch (IOException failure) {
@@ -258,7 +260,7 @@
         if (!failed) {
             return true;
         }
-        failed = false; // as the new file is written by the same methods, which refuse after a failure
+        failed = false; // the new file is written by the same methods, which throw after a failure
         try {
             replaceFile(true);
             return true;
@@ -269,20 +271,20 @@
         }
     }
 
-    /** A sync after a failed one may succeed without the pages that were dropped. */
-    private void refuseAfterFailure() {
+    /** Throws if a write or sync has failed: a later sync may succeed without the pages that were dropped. */
+    private void checkNotFailed() {
         if (failed) {
-            throw new UncheckedIOException(new IOException(file + " takes nothing more after a failure"));
+            throw new UncheckedIOException(new IOException(file + " accepts no writes after a failure"));
         }
     }
 
-    /** Marks the storage as failed; the exception keeps the replica from acknowledging. */
+    /** Marks the storage as failed; the returned exception prevents the replica from acknowledging. */
     private UncheckedIOException markFailed(IOException failure) {
         failed = true;
         return new UncheckedIOException(failure);
     }
 
-    /** Closes the file; nothing may be written afterwards. */
+    /** Closes the file; further writes are not allowed. */
     public void close() throws IOException {
         writer.close();
     }
--- a/src/main/java/clovermill/controlplane/consensus/LogTerms.java
+++ b/src/main/java/clovermill/controlplane/consensus/LogTerms.java
@@ -15,8 +15,8 @@
 import java.util.TreeMap;
 
 /**
- * The terms of the entries that a replica's log holds, observed on their way to its store: MicroRaft tells neither its
- * log nor its snapshot's index. Not thread-safe.
+ * The terms of the entries in a replica's log, recorded as they are written to its store, because MicroRaft exposes
+ * neither its log nor its snapshot's index. Not thread-safe.
  */
 final class LogTerms implements RaftStore {
 
@@ -24,15 +24,15 @@
     private static final long NO_SNAPSHOT = 0;
 
     private final RaftStore store;
-    /** One for each entry behind the snapshot, and for a few before it: as many as MicroRaft's log holds. */
+    /** The term of each entry in MicroRaft's log by index: those after the snapshot and a few before it. */
     private final TreeMap<Long, Integer> terms = new TreeMap<>();
     private long snapshotIndex = NO_SNAPSHOT;
     private int snapshotTerm;
-    /** The chunks written of the snapshot at {@link #partialIndex}. */
+    /** The chunks of the snapshot at {@link #partialIndex} that have been written. */
     private final Set<Integer> partialChunks = new HashSet<>();
     private long partialIndex = NO_SNAPSHOT;
 
-    /** Observes a store; {@code restored} is the state from it, or null for an empty one. */
+    /** Wraps a store; {@code restored} is the state restored from it, or null if it is empty. */
     LogTerms(RaftStore store, RestoredRaftState restored) {
         this.store = store;
         if (restored != null) {
@@ -49,22 +49,22 @@
         restored.getLogEntries().forEach(entry -> terms.put(entry.getIndex(), entry.getTerm()));
     }
 
-    /** The index of the last entry, or that of the snapshot where the log holds none. */
+    /** Returns the index of the last entry, or that of the snapshot if the log is empty. */
     long lastIndex() {
         return terms.isEmpty() ? snapshotIndex : Math.max(snapshotIndex, terms.lastKey());
     }
 
-    /** Whether the log, and not only the snapshot, holds an entry. */
-    boolean holds(long index) {
+    /** Returns true if the log itself, and not only the snapshot, contains an entry. */
+    boolean contains(long index) {
         return terms.containsKey(index);
     }
 
-    /** Whether the log holds an entry of an index and term. */
+    /** Returns true if the log contains an entry with an index and term. */
     boolean matches(long index, int term) {
-        return holds(index) && terms.get(index) == term;
+        return contains(index) && terms.get(index) == term;
     }
 
-    /** The term of an entry, or of the snapshot that ends with it; 0 for one that is not known. */
+    /** Returns the term of an entry or of the snapshot that ends with it; 0 if it is unknown. */
     int term(long index) {
         return terms.getOrDefault(index, index == snapshotIndex ? snapshotTerm : 0);
     }
--- a/src/main/java/clovermill/controlplane/consensus/MemoryRaftStorage.java
+++ b/src/main/java/clovermill/controlplane/consensus/MemoryRaftStorage.java
@@ -14,7 +14,9 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** A replica's state in memory: the contents of a {@link FileRaftStorage}, and the disk of an emulated replica. */
+/**
+ * Stores a replica's state in memory: the contents of a {@link FileRaftStorage}, or the disk of an emulated replica.
+ */
 public final class MemoryRaftStorage implements RaftStorage {
 
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -23,7 +25,7 @@
     private RaftGroupMembersView members;
     private RaftTermPersistentState term;
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
-    /** Chunks of a snapshot by its index, then by their own. */
+    /** The chunks of each snapshot, by the snapshot's index and the chunk's index. */
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshots = new TreeMap<>();
 
     @Override
@@ -41,16 +43,17 @@
             }
         }
         long from = snapshot == null ? 0 : snapshot.getIndex();
-        RaftTermPersistentState lasting = term != null ? term : MODELS.createRaftTermPersistentStateBuilder()
+        RaftTermPersistentState persistedTerm = term != null ? term : MODELS.createRaftTermPersistentStateBuilder()
                 .setTerm(0).setVotedFor(null).build();
-        return new RestoredRaftState(restoredEndpoint(snapshot), members, lasting, snapshot,
+        return new RestoredRaftState(restoredEndpoint(snapshot), members, persistedTerm, snapshot,
                 new ArrayList<>(entries.tailMap(from, false).values()));
     }
 
     /**
-     * MicroRaft 0.7 persists a learner's promotion when it applies it, so a crash may leave a learner beside a snapshot
-     * in which it votes. Restoring these two together it ends with a NullPointerException, at each start: the snapshot
-     * is the later of them (docs/incidents/learner-cannot-start.md).
+     * Returns the endpoint to restore, which is a voter if the snapshot contains it as one. MicroRaft 0.7 persists a
+     * learner's promotion only when it applies it, so after a crash the endpoint may be stored as a learner although
+     * the later snapshot contains it as a voter. Restoring this combination fails with a NullPointerException at each
+     * start (docs/incidents/learner-cannot-start.md).
      */
     private RaftEndpointPersistentState restoredEndpoint(SnapshotEntry snapshot) {
         boolean promoted = snapshot != null
--- a/src/main/java/clovermill/controlplane/consensus/NextIndexSearch.java
+++ b/src/main/java/clovermill/controlplane/consensus/NextIndexSearch.java
@@ -4,24 +4,27 @@
 import java.util.Map;
 
 /**
- * How far a leader moves a follower's next index back after each append that did not match the follower's log: by 1, 2,
- * 4 and so on until one matches (galloping search; Bentley, Yao, 1976). A follower that lacks n entries is found after
- * log2(n) round trips, and is sent at most 2 n entries. Not thread-safe.
+ * Determines how far a leader moves a follower's next index back after each append that did not match the follower's
+ * log: by 1, 2, 4 and so on until one matches (galloping search; Bentley, Yao, 1976). The matching index of a follower
+ * that lacks n entries is found after log2(n) round trips, and at most 2 n entries are sent. Not thread-safe.
  */
 final class NextIndexSearch {
 
     /**
-     * The search at one follower.
+     * The state of the search at one follower.
      *
      * @param expectedNextIndex the index at which the last append did not match
-     * @param steps how far the next index was moved back then
+     * @param steps the number of entries by which the next index was then moved back
      */
     private record Probe(int term, long expectedNextIndex, long steps) {}
 
-    /** Present searches by follower: at most one for each member that has failed and not yet matched. */
+    /** The searches in progress by follower: at most one for each member with a failed append and no match since. */
     private final Map<Object, Probe> probes = new HashMap<>();
 
-    /** The steps to move back after a failed append; 1 for a repeated or late failure, which the leader ignores. */
+    /**
+     * Returns the steps to move back after a failed append; 1 for a duplicate or late failure, which the leader
+     * ignores.
+     */
     long stepsBack(Object follower, int term, long expectedNextIndex) {
         Probe last = probes.get(follower);
         if (last != null && last.term == term && expectedNextIndex >= last.expectedNextIndex) {
@@ -33,7 +36,7 @@
         return steps;
     }
 
-    /** An append matched: the next failure begins a new search. */
+    /** Ends the search after an append that matched; the next failure starts a new one. */
     void matched(Object follower) {
         probes.remove(follower);
     }
--- a/src/main/java/clovermill/controlplane/consensus/RaftLogCodec.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftLogCodec.java
@@ -16,8 +16,9 @@
 import java.util.List;
 
 /**
- * The byte form of what a Raft log holds: entries, snapshot chunks, members; part of messages and of a replica's file.
- * Big-endian; a replica is its node's number in 2 bytes and its disk's in 8, a list has a count of 2 bytes before it.
+ * A codec of the contents of a Raft log: entries, snapshot chunks and members. It is used in messages and in a
+ * replica's file. Big-endian. A replica is the number of its node in 2 bytes and that of its disk in 8 bytes; a list is
+ * preceded by a 2-byte count.
  */
 final class RaftLogCodec {
 
@@ -87,7 +88,7 @@
 
     Collection<RaftEndpoint> readReplicas(DataInputStream in) throws IOException {
         List<RaftEndpoint> replicas = new ArrayList<>();
-        for (int left = Math.min(MAX_REPLICAS, in.readUnsignedShort()); left > 0; left--) {
+        for (int remaining = Math.min(MAX_REPLICAS, in.readUnsignedShort()); remaining > 0; remaining--) {
             replicas.add(readReplica(in));
         }
         return replicas;
--- a/src/main/java/clovermill/controlplane/consensus/RaftMember.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftMember.java
@@ -15,30 +15,31 @@
 
 /**
  * The membership of one process in a Raft group, across restarts. It restores its replica from its storage. Without
- * stored state it asks the other processes: where none has a group either it bootstraps one, else it joins under a new
- * identity, since its former votes are unknown. While its storage has failed it is suspended: it sends and answers
- * nothing, and restores its replica once all state has been rewritten. Not thread-safe.
+ * stored state it queries the other processes: if none of them has a group it bootstraps one, otherwise it joins with a
+ * new identity, because its former votes are unknown. While its storage has failed the member is suspended: it neither
+ * sends messages nor responds to them, and restores its replica once all state has been rewritten. Not thread-safe.
  *
  * @param <M> the state machine
  */
 public final class RaftMember<M extends ReplicatedStateMachine> {
 
-    /** Sends the messages of processes that join; any may be lost. */
+    /** An unreliable transport of join requests and responses. */
     public interface JoinTransport {
         /**
-         * Requests admission of a new disk; or, if {@code empty}, asks whether a group exists: disk is a nonce then.
+         * Requests the admission of a new disk or, if {@code empty}, queries whether a group exists; the disk is then
+         * a nonce.
          */
         void sendJoinRequest(int to, long disk, boolean empty);
 
-        /** Answers whether the sender has a group, and whether the requester's disk votes in it. */
+        /** Responds whether the sender has a group and whether the requester's disk is a voter in it. */
         void sendJoinResponse(int to, long disk, boolean hasGroup, boolean isVoter);
     }
 
     /**
-     * The processes of a group, and which of them this one is.
+     * The processes of a group.
      *
-     * @param self this process's number
-     * @param nodes the numbers of all processes, the same list everywhere
+     * @param self the number of this process
+     * @param nodes the numbers of all processes, the same list at every process
      * @param joinRetryUs the interval between join requests
      */
     public record Membership(int self, List<Integer> nodes, long joinRetryUs) {}
@@ -53,15 +54,18 @@
     private final Supplier<M> stateMachines;
     private final Consumer<RaftReplica<M>> onReplicaCreated;
     private final JoinTransport joinTransport;
-    /** Takes the place of a disk's number in join requests without a replica, and comes back in their answers. */
+    /**
+     * The nonce that replaces the disk's number in join requests without a replica and is returned in the responses.
+     */
     private final long joinNonce;
-    /** Whether each other process has a group, as far as they have answered this life of the process. */
-    private final Map<Integer, Boolean> groups = new HashMap<>();
+    /** For each other process that has responded to this incarnation: true if it has a group. */
+    private final Map<Integer, Boolean> hasGroupByNode = new HashMap<>();
     private RaftReplica<M> replica;
     /**
-     * Whether the replica is known to be a voter: one of the initial members is, a later identity once a process has
-     * said so in this life. Its storage does not tell: a process may have been killed between its new identity and its
-     * admission, and has to ask on (docs/incidents/admission-forgotten.md).
+     * True if the replica is known to be a voter: an initial member always is, a later identity once another process
+     * has confirmed it to this incarnation. The storage is not sufficient, because a process may be killed after it
+     * took a new identity and before its admission, and must then continue its join requests
+     * (docs/incidents/admission-forgotten.md).
      */
     private boolean admitted;
     private long nextJoinUs;
@@ -69,10 +73,10 @@
     private long nextRecoverUs;
 
     /**
-     * A member without a replica; see {@link #restore}.
+     * Creates a member without a replica; see {@link #restore}.
      *
-     * @param stateMachines makes a fresh state machine for each replica
-     * @param onReplicaCreated is called with each replica before it starts
+     * @param stateMachines creates a new state machine for each replica
+     * @param onReplicaCreated called with each replica before it starts
      */
     public RaftMember(Membership membership, RaftStorage storage, RaftReplica.Host host, Supplier<M> stateMachines,
             Consumer<RaftReplica<M>> onReplicaCreated, JoinTransport joinTransport) {
@@ -86,14 +90,14 @@
         this.joinNonce = host.random().nextLong();
     }
 
-    /** State that could not be written must not be acknowledged, not even by a later message. */
+    /** Sends a message unless the storage has failed: a later message could acknowledge state that was not written. */
     private void sendIfDurable(ReplicaId to, RaftMessage message, RaftReplica.Host owner) {
         if (!storage.failed()) {
             owner.send().accept(to, message);
         }
     }
 
-    /** Starts a replica from the storage, if that has any state. */
+    /** Starts a replica from the storage if that contains any state. */
     public void restore() {
         RestoredRaftState restored = storage.restored();
         if (restored != null) {
@@ -109,24 +113,24 @@
         replica.start();
     }
 
-    /** The replica, or null before there is one. */
+    /** Returns the replica, or null if there is none. */
     public RaftReplica<M> replica() {
         return replica;
     }
 
-    /** Whether it has a replica that votes, as far as it knows. */
-    public boolean votes() {
+    /** Returns true if this member has a replica that is known to be a voter. */
+    public boolean isVoter() {
         return replica != null && admitted;
     }
 
-    /** Whether its replica is the leader, as far as it knows. */
-    public boolean leads() {
-        return replica != null && replica.leads();
+    /** Returns true if this member's replica believes that it is the leader. */
+    public boolean isLeader() {
+        return replica != null && replica.isLeader();
     }
 
     /**
-     * Restarts from the storage a replica that follows a silent leader (see {@link RaftReplica#isStuck}), or one whose
-     * entries conflict with the leader's where MicroRaft cannot remove them (see {@link RaftReplica#conflictIndex}).
+     * Restarts the replica from the storage if it follows a silent leader (see {@link RaftReplica#isStuck}) or if its
+     * entries conflict with the leader's and MicroRaft cannot remove them (see {@link RaftReplica#conflictIndex}).
      */
     public void restartIfStuck(long nowUs) {
         if (replica == null) {
@@ -142,21 +146,21 @@
         }
     }
 
-    /** Returns whether the storage holds no entries from an index on; if not, it has failed and is recovered first. */
+    /** Removes the entries from an index on. Returns false if the storage has failed and must be recovered first. */
     private boolean truncate(long index) {
         try {
             storage.truncateLogEntriesFrom(index);
             storage.flush();
             return true;
         } catch (IOException | UncheckedIOException failure) {
-            LOG.log(Level.DEBUG, "conflicting entries could not be removed; retried after a recovery", failure);
+            LOG.log(Level.DEBUG, "cannot remove conflicting entries; retrying after recovery of the storage", failure);
             return false;
         }
     }
 
     /**
-     * Suspends this member when its storage has failed, and resumes it when all state has been rewritten; to be called
-     * at each tick. Returns when it is due next, or {@link Long#MAX_VALUE} while the storage works.
+     * Suspends this member when its storage has failed, and resumes it when all state has been rewritten. Must be
+     * called at each tick. Returns the time at which it is due next, or {@link Long#MAX_VALUE} while the storage works.
      */
     public long recover(long nowUs) {
         if (!storage.failed() && !suspended) {
@@ -177,7 +181,7 @@
         return nextRecoverUs;
     }
 
-    /** Recovery is not tried at once: writes that the replica has still queued must fail. */
+    /** Suspends this member. Recovery is not attempted immediately, as writes still queued by the replica must fail. */
     private void suspend(long nowUs) {
         suspended = true;
         nextRecoverUs = nowUs + RECOVER_RETRY_US;
@@ -187,7 +191,7 @@
         replica = null;
     }
 
-    /** Sends join requests, if they are due; returns when the next are, or {@link Long#MAX_VALUE}. */
+    /** Sends join requests if they are due; returns the time of the next ones, or {@link Long#MAX_VALUE}. */
     public long join(long nowUs) {
         if (replica != null && admitted || isSuspended()) {
             return Long.MAX_VALUE;
@@ -202,11 +206,11 @@
         return replica != null && admitted ? Long.MAX_VALUE : nextJoinUs;
     }
 
-    /** A process without state bootstraps a group only where all others have answered that they have none either. */
+    /** Bootstraps a group at a process without state if all others have responded that they have none either. */
     private void bootstrapIfAllEmpty() {
         Set<Integer> others = new HashSet<>(membership.nodes());
         others.remove(membership.self());
-        if (replica == null && groups.keySet().containsAll(others) && !groups.containsValue(true)) {
+        if (replica == null && hasGroupByNode.keySet().containsAll(others) && !hasGroupByNode.containsValue(true)) {
             startReplica(new ReplicaId(membership.self(), 0), null);
         }
     }
@@ -215,48 +219,51 @@
         return suspended || storage.failed();
     }
 
-    /** Handles a join request; not answered while suspended, as it is unknown then whether a group exists. */
-    public void onJoin(int from, long disk, boolean empty) {
+    /** Handles a join request. Ignores it while suspended, as it is then unknown whether a group exists. */
+    public void onJoinRequest(int from, long disk, boolean empty) {
         if (isSuspended()) {
             return;
         }
         boolean hasGroup = replica != null && replica.hasCommitted();
         boolean isVoter = replica != null && replica.isVoter(new ReplicaId(from, disk));
-        if (!empty && !isVoter && leads()) {
+        if (!empty && !isVoter && isLeader()) {
             replica.admit(new ReplicaId(from, disk));
         }
         joinTransport.sendJoinResponse(from, disk, hasGroup, isVoter);
     }
 
-    /** Handles the answer to a join request. */
-    public void onJoined(int from, long disk, boolean hasGroup, boolean isVoter) {
+    /** Handles the response to a join request. */
+    public void onJoinResponse(int from, long disk, boolean hasGroup, boolean isVoter) {
         if (isSuspended()) {
             return;
         }
         if (replica == null) {
-            groupAnswered(from, disk, hasGroup);
+            onGroupStatus(from, disk, hasGroup);
         } else if (isVoter && disk == replica.self().disk()) {
             admitted = true;
         }
     }
 
-    /** An answer to an earlier life of this process tells nothing: a group may have begun since, and this one voted. */
-    private void groupAnswered(int from, long nonce, boolean hasGroup) {
+    /**
+     * Records whether another process has a group. Ignores a response to an earlier incarnation of this process,
+     * because a group may have been created since and this process may have voted in it.
+     */
+    private void onGroupStatus(int from, long nonce, boolean hasGroup) {
         if (nonce != joinNonce) {
             return;
         }
-        groups.put(from, hasGroup);
+        hasGroupByNode.put(from, hasGroup);
         if (hasGroup) {
             joinUnderNewIdentity();
         }
     }
 
-    /** The former votes are lost: it starts as a learner, and votes under a new identity only. */
+    /** Starts a replica with a new identity, as a learner, because this process's former votes are lost. */
     private void joinUnderNewIdentity() {
         try {
             storage.clear();
         } catch (UncheckedIOException failure) {
-            LOG.log(Level.DEBUG, "the storage could not be cleared; retried after its recovery", failure);
+            LOG.log(Level.DEBUG, "cannot clear the storage; retrying after its recovery", failure);
             return;
         }
         startReplica(new ReplicaId(membership.self(), host.random().nextLong() >>> 1 | 1), null);
--- a/src/main/java/clovermill/controlplane/consensus/RaftMessageCodec.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftMessageCodec.java
@@ -21,8 +21,8 @@
 import java.util.List;
 
 /**
- * The byte form of MicroRaft's messages: kind:1, the sender, term:4, then the message's own fields; see {@link
- * RaftLogCodec} for what the log holds. Big-endian.
+ * A codec of MicroRaft's messages: kind:1, the sender, term:4, then the fields of the message. Big-endian; see {@link
+ * RaftLogCodec} for replicas, log entries and snapshot chunks.
  */
 public final class RaftMessageCodec {
 
@@ -41,13 +41,13 @@
     private final Object group;
     private final RaftLogCodec log;
 
-    /** For one group, whose log holds the operations of a subsystem. */
+    /** Creates a codec for a group whose log contains the operations of a subsystem. */
     public RaftMessageCodec(Object group, OperationCodec operations) {
         this.group = group;
         this.log = new RaftLogCodec(operations);
     }
 
-    /** The codec of what the group's log holds. */
+    /** Returns the codec of the contents of the group's log. */
     RaftLogCodec log() {
         return log;
     }
@@ -55,7 +55,7 @@
     /**
      * Writes a message.
      *
-     * @throws IOException if an operation in it is of no known kind
+     * @throws IOException if the kind of an operation in it is unknown
      */
     public void write(RaftMessage message, DataOutputStream out) throws IOException {
         if (message instanceof PreVoteRequest typed) {
@@ -176,7 +176,7 @@
     /**
      * Reads a message.
      *
-     * @throws IOException if it ends too early or is of no known kind
+     * @throws IOException if the message is truncated or its kind is unknown
      */
     public RaftMessage read(DataInputStream in) throws IOException {
         int kind = in.readByte();
@@ -225,7 +225,7 @@
                 .setPreviousLogTerm(in.readInt()).setPreviousLogIndex(in.readLong()).setCommitIndex(in.readLong())
                 .setQuerySequenceNumber(in.readLong()).setFlowControlSequenceNumber(in.readLong());
         List<LogEntry> entries = new ArrayList<>();
-        for (int left = in.readUnsignedShort(); left > 0; left--) {
+        for (int remaining = in.readUnsignedShort(); remaining > 0; remaining--) {
             entries.add(log.readEntry(in));
         }
         return append.setLogEntries(entries).build();
--- a/src/main/java/clovermill/controlplane/consensus/RaftReplica.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftReplica.java
@@ -27,20 +27,20 @@
 import java.util.function.Consumer;
 
 /**
- * One replica of a state machine: MicroRaft on a task's scheduler, transport, storage and randomness. Not thread-safe:
- * its owner calls it on one thread, with the time of one clock in microseconds.
+ * One replica of a state machine: MicroRaft with the scheduler, transport, storage and randomness of a task. Not
+ * thread-safe: the owner calls it on one thread, with the time of one clock in microseconds.
  *
  * @param <M> the state machine
  */
 public final class RaftReplica<M extends ReplicatedStateMachine> implements Transport {
 
-    /** No entries conflict with the leader's. */
+    /** The {@link #conflictIndex} if no entries conflict with the leader's. */
     public static final long NO_CONFLICT = 0;
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
-    /** A replica that follows a leader without a message for so long is stuck. */
+    /** The time without a message from the leader after which a follower is considered stuck. */
     private static final long STUCK_US = 3_000_000;
 
-    /** What a replica needs from its owner; {@code send} must not block, and may lose a message. */
+    /** The dependencies that the owner provides to a replica; {@code send} must not block and may lose messages. */
     public record Host(Object group, RaftConfig config, RaftStore store, RaftScheduler scheduler, Random random,
             BiConsumer<ReplicaId, RaftMessage> send) {}
 
@@ -54,7 +54,7 @@
     private long lastLeaderMessageUs;
 
     /**
-     * A replica that is yet to be started.
+     * Creates a replica; {@link #start} starts it.
      *
      * @param replicas the initial members; ignored for a restored replica
      * @param restored the state from the storage, or null for a replica of a new group
@@ -74,8 +74,9 @@
     }
 
     /**
-     * The configuration that all groups share. Its spans are in MicroRaft's time, which runs {@link RaftScheduler#PACE}
-     * times as fast as ours: heartbeats every 0.1 s, time-out 0.5 s, a new leader within a second.
+     * Returns the configuration that all groups share. Its durations are in MicroRaft's time, which runs {@link
+     * RaftScheduler#CLOCK_RATE} times as fast as real time: heartbeats every 0.1 s, a time-out of 0.5 s, a new leader
+     * within a second.
      */
     public static RaftConfig.RaftConfigBuilder config() {
         return RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(5)
@@ -89,28 +90,28 @@
         node.start();
     }
 
-    /** Stops the replica for good; its state stays in its storage. */
+    /** Stops the replica permanently; its state remains in its storage. */
     public void stop() {
         node.terminate();
     }
 
-    /** Its identity. */
+    /** Returns the identity of this replica. */
     public ReplicaId self() {
         return self;
     }
 
-    /** The local copy of the state machine, up to the last entry known to be committed here. */
+    /** Returns the local state machine, to which all entries known here to be committed have been applied. */
     public M machine() {
         return machine;
     }
 
-    /** Handles a message of another replica. */
+    /** Handles a message from another replica. */
     public void handle(RaftMessage message, long nowUs) {
         if (isFromLeader(message)) {
             lastLeaderMessageUs = nowUs;
         }
-        if (message instanceof PreVoteResponse answer && isRejectedByHigherTerm(answer)) {
-            node.handle(asVoteRequest(answer));
+        if (message instanceof PreVoteResponse response && isRejectedByHigherTerm(response)) {
+            node.handle(asVoteRequest(response));
         } else if (message instanceof AppendEntriesFailureResponse failure) {
             stepBack(failure);
         } else if (message instanceof AppendEntriesRequest append && append.getTerm() >= node.getTerm().getTerm()) {
@@ -123,37 +124,42 @@
         }
     }
 
-    /** A former leader that asks for votes is no leader that lives (docs/incidents/silent-leader.md). */
+    /**
+     * Returns true for an append or snapshot from the leader. Vote requests are excluded: a former leader that requests
+     * votes is no longer active as the leader (docs/incidents/silent-leader.md).
+     */
     private boolean isFromLeader(RaftMessage message) {
         return (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest)
                 && message.getSender().equals(node.getTerm().getLeaderEndpoint());
     }
 
     /**
-     * Whether a voter has a higher term than the one that its pre-vote was asked for, which is the present term plus
-     * one. A response with just that term tells nothing of the voter's own: MicroRaft repeats the term of the request
-     * where it rejects the candidate's log. Adopting it would raise the term at each pre-vote, and so depose each new
-     * leader within a heartbeat (docs/incidents/election-livelock.md).
+     * Returns true if a voter rejected a pre-vote because its own term is higher than the requested one, which is the
+     * current term plus one. A response with the requested term does not reveal the voter's own term: MicroRaft copies
+     * the term from the request when it rejects the candidate's log. Adopting it would raise the term at each pre-vote
+     * and thereby depose each new leader within a heartbeat (docs/incidents/election-livelock.md).
      */
-    private boolean isRejectedByHigherTerm(PreVoteResponse answer) {
-        return !answer.isGranted() && answer.getTerm() > node.getTerm().getTerm() + 1;
+    private boolean isRejectedByHigherTerm(PreVoteResponse response) {
+        return !response.isGranted() && response.getTerm() > node.getTerm().getTerm() + 1;
     }
 
     /**
-     * MicroRaft 0.7 ignores the term of a pre-vote response: two voters, one with the longer log and the other with the
-     * higher term, reject each other's pre-votes for ever (policy fleet in the emulator, seed 24). It does adopt the
-     * term of a vote request; one with an empty log gets no vote from a replica that has entries.
+     * Converts a pre-vote response to a vote request with the same term. MicroRaft 0.7 ignores the term of a pre-vote
+     * response, so two voters, one with the longer log and the other with the higher term, would reject each other's
+     * pre-votes forever (policy fleet in the emulator, seed 24). It adopts the term of a vote request; a replica with
+     * entries does not vote for a candidate with an empty log.
      */
-    private static RaftMessage asVoteRequest(RaftMessage answer) {
-        return MODELS.createVoteRequestBuilder().setGroupId(answer.getGroupId())
-                .setSender(answer.getSender()).setTerm(answer.getTerm()).setLastLogTerm(0).setLastLogIndex(0)
+    private static RaftMessage asVoteRequest(RaftMessage response) {
+        return MODELS.createVoteRequestBuilder().setGroupId(response.getGroupId())
+                .setSender(response.getSender()).setTerm(response.getTerm()).setLastLogTerm(0).setLastLogIndex(0)
                 .setSticky(false).build();
     }
 
     /**
-     * MicroRaft moves a follower's next index back by one for each failed append, so that a follower that lacks
-     * hundreds of entries is found after as many round trips (docs/incidents/slow-catch-up.md). It is given as many
-     * failures as the search steps back; each is valid, as a next index may always be lower than needed.
+     * Moves a follower's next index back after a failed append. MicroRaft moves it back by one for each failure, so the
+     * search for the matching entry of a follower that lacks hundreds of entries would take as many round trips
+     * (docs/incidents/slow-catch-up.md). This method passes one failure to MicroRaft for each step of the search; each
+     * is valid, because a next index may always be lower than necessary.
      */
     private void stepBack(AppendEntriesFailureResponse failure) {
         long steps = nextIndexSearch.stepsBack(failure.getSender(), failure.getTerm(), failure.getExpectedNextIndex());
@@ -167,26 +173,27 @@
     }
 
     /**
-     * The index from which this replica's entries conflict with the leader's, directly behind its snapshot, or {@link
-     * #NO_CONFLICT}. MicroRaft cannot remove them there: the owner truncates the storage and restores the replica.
+     * Returns the index from which this replica's entries conflict with the leader's, directly after its snapshot, or
+     * {@link #NO_CONFLICT}. MicroRaft cannot remove these entries; the owner must truncate the storage and restore the
+     * replica.
      */
     public long conflictIndex() {
         return appends.conflictIndex();
     }
 
-    /** Whether this replica is the leader, as far as it knows. */
-    public boolean leads() {
+    /** Returns true if this replica believes that it is the leader. */
+    public boolean isLeader() {
         return self.equals(node.getTerm().getLeaderEndpoint());
     }
 
-    /** The process of the leader, as far as is known here, or -1. */
+    /** Returns the process of the leader as known to this replica, or -1. */
     public int leader() {
         return node.getTerm().getLeaderEndpoint() instanceof ReplicaId leader ? leader.node() : -1;
     }
 
     /**
-     * Runs a linearizable read (Raft's ReadIndex) that begins after this call; {@code done} gets null if this replica
-     * is not, or no longer, the leader.
+     * Runs a linearizable read (Raft's ReadIndex) that starts after this call; {@code done} receives null if this
+     * replica is not, or no longer, the leader.
      */
     public void query(Object operation, Consumer<Object> done) {
         CompletableFuture<Ordered<Object>> answer = node.query(operation, QueryPolicy.LINEARIZABLE, Optional.empty(),
@@ -194,36 +201,38 @@
         answer.whenComplete((ordered, failure) -> done.accept(failure != null ? null : ordered.getResult()));
     }
 
-    /** Appends an operation to the log; {@code done} gets its result, or null if its fate is unknown. */
+    /**
+     * Appends an operation to the log; {@code done} receives its result, or null if it is unknown whether it commits.
+     */
     public void replicate(Object operation, Consumer<Object> done) {
         CompletableFuture<Ordered<Object>> answer = node.replicate(operation);
         answer.whenComplete((ordered, failure) -> done.accept(failure != null ? null : ordered.getResult()));
     }
 
     /**
-     * Whether it follows a leader that has been silent for several times the election time. MicroRaft 0.7 stays so for
-     * ever where a pre-vote and the leader's message cross (policy fleet in the emulator, seed 30); a restart from the
-     * storage ends it.
+     * Returns true if this replica follows a leader that has been silent for several election time-outs. MicroRaft 0.7
+     * remains in this state forever when a pre-vote and a message from the leader cross (policy fleet in the emulator,
+     * seed 30); a restart from the storage resolves it.
      */
     public boolean isStuck(long nowUs) {
         lastLeaderMessageUs =
-                lastLeaderMessageUs == 0 || leads() || leader() < 0 ? nowUs : lastLeaderMessageUs;
+                lastLeaderMessageUs == 0 || isLeader() || leader() < 0 ? nowUs : lastLeaderMessageUs;
         return nowUs - lastLeaderMessageUs > STUCK_US;
     }
 
-    /** Whether anything was ever committed, as far as is known here. */
+    /** Returns true if this replica knows of any committed entry. */
     public boolean hasCommitted() {
         return wasRestored || machine.hasApplied();
     }
 
-    /** Whether an identity is a voter of the committed membership. */
+    /** Returns true if an identity is a voter in the committed membership. */
     public boolean isVoter(ReplicaId identity) {
         return node.getCommittedMembers().getVotingMembers().contains(identity);
     }
 
     /**
-     * Takes the next step in the admission of a process's new identity, at the leader: removes the former identity,
-     * adds the new one as a learner, promotes it to a voter.
+     * Performs the next step in the admission of a process's new identity, at the leader: removes the former identity,
+     * then adds the new one as a learner, then promotes it to a voter.
      */
     public void admit(ReplicaId identity) {
         RaftGroupMembers members = node.getCommittedMembers();
@@ -242,7 +251,7 @@
     @Override
     public void send(RaftEndpoint target, RaftMessage message) {
         send.accept((ReplicaId) target,
-                message instanceof AppendEntriesFailureResponse failure ? appends.answer(failure) : message);
+                message instanceof AppendEntriesFailureResponse failure ? appends.responseFor(failure) : message);
     }
 
     @Override
--- a/src/main/java/clovermill/controlplane/consensus/RaftScheduler.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftScheduler.java
@@ -9,39 +9,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * MicroRaft's executor and clock, run by the ticks of the task that owns the replica. MicroRaft's heartbeat settings
- * are whole seconds, too coarse for a failover within one second: its clock runs {@link #PACE} times as fast as ours.
+ * The executor and clock of MicroRaft, driven by the ticks of the task that owns the replica. MicroRaft's heartbeat
+ * settings are whole seconds, which is too coarse for a failover within one second, so its clock runs {@link
+ * #CLOCK_RATE} times as fast as real time.
  */
 public final class RaftScheduler extends Clock implements RaftNodeExecutor {
 
-    /** MicroRaft's seconds in one of ours. */
-    public static final long PACE = 10;
+    /** The number of MicroRaft's seconds in one second of real time. */
+    public static final long CLOCK_RATE = 10;
     private static final long MICROS_PER_MILLI = 1000;
 
-    private record Item(long dueUs, long number, Runnable work) implements Comparable<Item> {
+    private record ScheduledWork(long dueUs, long sequence, Runnable work) implements Comparable<ScheduledWork> {
         @Override
-        public int compareTo(Item other) {
+        public int compareTo(ScheduledWork other) {
             return dueUs != other.dueUs ? Long.compare(dueUs, other.dueUs)
-                    : Long.compare(number, other.number);
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final PriorityQueue<Item> items = new PriorityQueue<>();
-    private long number;
+    private final PriorityQueue<ScheduledWork> queue = new PriorityQueue<>();
+    private long sequence;
     private long nowUs;
 
-    /** An empty scheduler; {@code nowUs} is the owner's clock. */
+    /** Creates an empty scheduler; {@code nowUs} is the current time of the owner's clock. */
     public RaftScheduler(long nowUs) {
         this.nowUs = nowUs;
     }
 
-    /** Runs what is due; returns when the next item is, or {@link Long#MAX_VALUE}. */
+    /** Runs the work that is due; returns the time of the next, or {@link Long#MAX_VALUE} if there is none. */
     public long run(long clockUs) {
         nowUs = Math.max(nowUs, clockUs);
-        while (!items.isEmpty() && items.peek().dueUs <= nowUs) {
-            items.poll().work.run();
+        while (!queue.isEmpty() && queue.peek().dueUs <= nowUs) {
+            queue.poll().work.run();
         }
-        return items.isEmpty() ? Long.MAX_VALUE : items.peek().dueUs;
+        return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().dueUs;
     }
 
     @Override
@@ -51,17 +52,17 @@
 
     @Override
     public void submit(Runnable work) {
-        items.add(new Item(nowUs, number++, work));
+        queue.add(new ScheduledWork(nowUs, sequence++, work));
     }
 
     @Override
     public void schedule(Runnable work, long delay, TimeUnit unit) {
-        items.add(new Item(nowUs + Math.max(0, unit.toMicros(delay)) / PACE, number++, work));
+        queue.add(new ScheduledWork(nowUs + Math.max(0, unit.toMicros(delay)) / CLOCK_RATE, sequence++, work));
     }
 
     @Override
     public long millis() {
-        return nowUs * PACE / MICROS_PER_MILLI;
+        return nowUs * CLOCK_RATE / MICROS_PER_MILLI;
     }
 
     @Override
--- a/src/main/java/clovermill/controlplane/consensus/RaftStorage.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftStorage.java
@@ -4,27 +4,27 @@
 import io.microraft.persistence.RestoredRaftState;
 
 /**
- * A replica's durable state: its identity, term, vote and log. A method that fails throws, and the replica must stop,
- * as it is unknown what has become durable; after {@link #recover} it may be restored.
+ * The storage of a replica's durable state: its identity, term, vote and log. After a method has thrown, the replica
+ * must stop, because it is unknown which state is durable; after {@link #recover} it may be restored.
  */
 public interface RaftStorage extends RaftStore {
 
-    /** The stored state, or null if there is none or it is incomplete: the former votes are unknown then. */
+    /** Returns the stored state, or null if it is missing or incomplete; the former votes are then unknown. */
     RestoredRaftState restored();
 
-    /** Whether a write has failed: no further ones are accepted, and nothing may be acknowledged. */
+    /** Returns true if a write has failed: no further writes are accepted, and nothing may be acknowledged. */
     default boolean failed() {
         return false;
     }
 
     /**
-     * After a failure rewrites the complete state to a new place and discards what was written before. Returns whether
-     * the state is durable now; if not, it may be tried again.
+     * After a failure, writes the complete state to a new location and discards what was written before. Returns true
+     * if the state is durable now; if false, the call may be repeated.
      */
     default boolean recover() {
         return !failed();
     }
 
-    /** Deletes the state, before the replica takes a new identity. */
+    /** Deletes the state before the replica takes a new identity. */
     void clear();
 }
--- a/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
@@ -90,11 +90,11 @@
     }
 
     boolean leads() {
-        return member.leads();
+        return member.isLeader();
     }
 
     boolean votes() {
-        return member.votes();
+        return member.isVoter();
     }
 
     /** Its copy of the log, or null before it has one. */
@@ -138,12 +138,12 @@
 
         @Override
         public void joinRequest(Packet.JoinRequest request) {
-            member.onJoin(from, request.disk(), request.empty());
+            member.onJoinRequest(from, request.disk(), request.empty());
         }
 
         @Override
         public void joinResponse(Packet.JoinResponse response) {
-            member.onJoined(from, response.disk(), response.group(), response.member());
+            member.onJoinResponse(from, response.disk(), response.group(), response.member());
         }
 
         @Override
--- a/src/main/java/clovermill/controlplane/policystore/ChangeForwarder.java
+++ b/src/main/java/clovermill/controlplane/policystore/ChangeForwarder.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 
 /**
- * The changes that this director's operators have requested, forwarded to the leader again and again until each has its
- * result. Not thread-safe.
+ * Forwards the changes that this director's operators request to the leader, and repeats each until its result arrives.
+ * Not thread-safe.
  */
 final class ChangeForwarder {
 
-    /** Beyond so many changes without a result a further one is refused at once. */
+    /** The maximum number of changes without a result; further ones are rejected at once. */
     private static final int MAX_PENDING = 16;
     private static final int RETRIES_PER_RENEWAL = 4;
 
@@ -23,15 +23,19 @@
     private long lastRequestId;
     private long nextSendUs;
 
-    /** Numbers its requests from {@code firstRequestId} on, so that those of two processes differ. */
-    ChangeForwarder(PolicyStoreTask.Membership membership, MessageTransport transport, long firstRequestId) {
+    /**
+     * Creates a forwarder without pending changes.
+     *
+     * @param initialRequestId the number before the first request ID, different in each process
+     */
+    ChangeForwarder(PolicyStoreTask.Membership membership, MessageTransport transport, long initialRequestId) {
         this.self = membership.self();
         this.retryUs = membership.timing().renewalUs() / RETRIES_PER_RENEWAL;
         this.transport = transport;
-        this.lastRequestId = firstRequestId;
+        this.lastRequestId = initialRequestId;
     }
 
-    /** Accepts a change, or refuses it with a null result where too many are pending. */
+    /** Accepts a change, or rejects it with a null result if too many are pending. */
     void request(PolicyTaskMessage.ChangeRequested change, long nowUs) {
         if (pending.size() >= MAX_PENDING) {
             change.onResult().accept(null, 0L);
@@ -41,7 +45,7 @@
         }
     }
 
-    /** Passes a result on, unless the leader is still fetching the text. */
+    /** Forwards a result to the requester, unless the leader is still fetching the text. */
     void onChangeResponse(PolicyMessage.ChangeResponse response) {
         if (response.result() != ProposalResult.UNKNOWN) {
             PolicyTaskMessage.ChangeRequested change = pending.remove(response.requestId());
@@ -51,7 +55,7 @@
         }
     }
 
-    /** Sends all pending changes to the leader, if that is due. */
+    /** Sends all pending changes to the leader if that is due. */
     void tick(int leader, long nowUs) {
         if (!pending.isEmpty() && nowUs >= nextSendUs) {
             nextSendUs = nowUs + retryUs;
@@ -59,7 +63,7 @@
         }
     }
 
-    /** When {@link #tick} is due next, or {@link Long#MAX_VALUE}. */
+    /** Returns the time at which {@link #tick} is due next, or {@link Long#MAX_VALUE}. */
     long nextTickUs() {
         return pending.isEmpty() ? Long.MAX_VALUE : nextSendUs;
     }
@@ -70,7 +74,7 @@
                 policy == null ? "" : policy.digest(), policy == null ? 0 : policy.parts().size());
     }
 
-    /** The policy of a pending change, by its digest. */
+    /** Returns the policy of a pending change by its digest. */
     Optional<PolicyDocument> findDocument(String digest) {
         return pending.values().stream().map(PolicyTaskMessage.ChangeRequested::policy)
                 .filter(each -> each != null && each.digest().equals(digest)).findFirst();
--- a/src/main/java/clovermill/controlplane/policystore/ChangeProposer.java
+++ b/src/main/java/clovermill/controlplane/policystore/ChangeProposer.java
@@ -12,12 +12,12 @@
 import java.util.Optional;
 
 /**
- * Appends to the log, at the leader, the changes that directors forward: fetches the text from the director, then
- * replicates its parts and the proposal. A director repeats its request until it gets a result. Not thread-safe.
+ * Appends the changes that directors forward to the log, at the leader: it fetches the text from the director, then
+ * replicates its parts and the proposal. A director repeats its request until it receives a result. Not thread-safe.
  */
 final class ChangeProposer {
 
-    /** Beyond so many requests the oldest is dropped; its director repeats it. */
+    /** The maximum number of requests. The oldest is dropped; its director repeats it. */
     private static final int MAX_REQUESTS = 64;
     private static final int PARTS_PER_FETCH = 16;
 
@@ -27,7 +27,7 @@
     private final RaftReplica<PolicyStateMachine> replica;
     private final PolicyVersions versions;
     private final MessageTransport transport;
-    /** The stage of each request, by its director and number. */
+    /** The stage of each request, by its director and request ID. */
     private final Map<String, Stage> stages = new LinkedHashMap<>();
 
     ChangeProposer(int self, RaftReplica<PolicyStateMachine> replica, PolicyVersions versions,
@@ -38,16 +38,16 @@
         this.transport = transport;
     }
 
-    /** Forgets the requests of a term that is over. */
+    /** Discards the requests of a term that has ended. */
     void tick() {
-        if (!replica.leads()) {
+        if (!replica.isLeader()) {
             stages.clear();
         }
     }
 
-    /** Handles the request of a director's operators. */
+    /** Handles a change that a director's operators have requested. */
     void onChangeRequest(PolicyMessage.ChangeRequest request) {
-        if (!replica.leads()) {
+        if (!replica.isLeader()) {
             transport.send(request.from(),
                     new PolicyMessage.LeaderHint(self, request.requestId(), replica.leader()));
         } else if (request.digest().isEmpty()) {
@@ -62,13 +62,13 @@
 
     private void abort(PolicyMessage.ChangeRequest request) {
         PolicyRegister register = replica.machine().register();
-        boolean underWay = register.step().inTransition() && register.step().next() == request.baseVersion();
-        if (underWay) {
+        boolean inTransition = register.step().inTransition() && register.step().next() == request.baseVersion();
+        if (inTransition) {
             replica.replicate(new PolicyChange.Abort(register.step().number(), "taken back by operators"),
                     result -> {});
         }
         transport.send(request.from(), new PolicyMessage.ChangeResponse(self, request.requestId(),
-                underWay ? ProposalResult.BEGUN : ProposalResult.CONFLICT, request.baseVersion()));
+                inTransition ? ProposalResult.BEGUN : ProposalResult.CONFLICT, request.baseVersion()));
     }
 
     private void propose(PolicyMessage.ChangeRequest request) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Replicates part after part, then the proposal; after a failure the director's next request starts over. */
+    /** Replicates the parts one by one, then the proposal. After a failure the director's next request starts over. */
     private void replicate(PolicyMessage.ChangeRequest request, List<String> parts, int number, String key) {
         boolean partsLeft = number < parts.size();
         PolicyChange change = partsLeft ? new PolicyChange.AppendPart(request.digest(), number, parts.get(number))
--- a/src/main/java/clovermill/controlplane/policystore/LeaseClient.java
+++ b/src/main/java/clovermill/controlplane/policystore/LeaseClient.java
@@ -10,17 +10,17 @@
 import java.util.function.Function;
 
 /**
- * A director's side of the leases: requests them from the leader, fetches the texts that a grant names, validates the
- * new policy, and publishes the policy in force. Not thread-safe.
+ * The lease client of a director. It requests leases from the leader, fetches the texts that a grant names, validates
+ * the new policy, and publishes the policy in force. Not thread-safe.
  */
 final class LeaseClient {
 
-    /** After so many unanswered requests another voter is tried. */
+    /** The maximum number of unanswered requests to one voter before another one is tried. */
     private static final int MAX_UNANSWERED = 2;
     private static final int PARTS_PER_FETCH = 16;
-    /** The least interval between requests, however often the leader asks for one. */
+    /** The minimum interval between requests, regardless of how often the leader asks for one. */
     private static final long MIN_REQUEST_INTERVAL_US = 20_000;
-    /** Retries of a fetch, and of a search for the leader, come so many times in one renewal interval. */
+    /** The number of retries of a fetch, or of the search for the leader, in one renewal interval. */
     private static final int RETRIES_PER_RENEWAL = 4;
 
     private final int self;
@@ -33,7 +33,7 @@
     private final PolicyVersions versions;
     private LeaseHolder holder = LeaseHolder.EMPTY;
     private PolicyView view = PolicyView.NONE;
-    /** The grant whose texts are still being fetched, or null. */
+    /** The grant whose texts are being fetched, or null. */
     private PolicyMessage.LeaseGrant pendingGrant;
     private String rejection;
     private long lastTickUs = Long.MIN_VALUE / 2;
@@ -44,11 +44,11 @@
     private int unanswered;
 
     /**
-     * Has no lease yet; the first request leaves with the first tick.
+     * Creates a client without a lease; it sends its first request in the first tick.
      *
-     * @param processId tells this process from earlier ones of the same director
-     * @param validate the reason why a policy cannot be applied here, or null
-     * @param listener is called with each new view
+     * @param processId an ID that distinguishes this process from earlier ones of the same director
+     * @param validate returns the reason why this director cannot apply a policy, or null
+     * @param listener called with each new view
      */
     LeaseClient(PolicyStoreTask.Membership membership, long processId, PolicyVersions versions,
             MessageTransport transport, Function<PolicyDocument, String> validate, Consumer<PolicyView> listener) {
@@ -63,19 +63,19 @@
         this.leader = voters.get(self % voters.size());
     }
 
-    /** The voter that requests are sent to. */
+    /** Returns the voter to which requests are sent. */
     int leader() {
         return leader;
     }
 
-    /** The policy in force here. */
+    /** Returns the policy in force at this director. */
     PolicyView view() {
         return view;
     }
 
-    /** Sends what is due; returns when it is to be called again. */
+    /** Sends the messages that are due; returns the time at which to call it again. */
     long tick(long nowUs) {
-        if (nowUs < lastTickUs) { // a clock that runs back would extend the lease
+        if (nowUs < lastTickUs) { // a clock that goes backwards would extend the lease
             holder = LeaseHolder.EMPTY;
             publish();
         }
@@ -102,7 +102,7 @@
         nextRequestUs = nowUs + interval;
     }
 
-    /** Follows a hint to another leader, or requests a lease early because the leader asks for it. */
+    /** Switches to the leader that a hint names, or requests a lease early because the leader asks for one. */
     void onLeaderHint(PolicyMessage.LeaderHint hint, long nowUs) {
         boolean requestWanted = hint.leader() == hint.from();
         if (hint.leader() >= 0 && voters.contains(hint.leader()) && (requestWanted || hint.leader() != leader)) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Handles a grant; one that answers no open request is ignored. */
+    /** Handles a grant; a grant without an unanswered request is ignored. */
     void onLeaseGrant(PolicyMessage.LeaseGrant grant, long nowUs) {
         if (grant.processId() != processId || !holder.accepts(grant.requestId(), grant.step())) {
             return;
@@ -134,8 +134,8 @@
     private void fetchMissingParts(long nowUs) {
         nextFetchUs = nowUs + timing.renewalUs() / RETRIES_PER_RENEWAL;
         fetch(pendingGrant.policy(), pendingGrant.policyParts());
-        boolean same = pendingGrant.next().equals(pendingGrant.policy());
-        fetch(pendingGrant.next(), same ? pendingGrant.policyParts() : pendingGrant.nextParts());
+        boolean sameText = pendingGrant.next().equals(pendingGrant.policy());
+        fetch(pendingGrant.next(), sameText ? pendingGrant.policyParts() : pendingGrant.nextParts());
         applyGrantIfComplete(nowUs);
     }
 
--- a/src/main/java/clovermill/controlplane/policystore/MalformedMessageException.java
+++ b/src/main/java/clovermill/controlplane/policystore/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package clovermill.controlplane.policystore;
 
-/** A datagram that is not a message of this fleet for this director; the text says why and quotes none of it. */
+/** Thrown for a datagram that is not a message of this fleet to this director. The reason quotes no bytes of it. */
 final class MalformedMessageException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/clovermill/controlplane/policystore/MessageTransport.java
+++ b/src/main/java/clovermill/controlplane/policystore/MessageTransport.java
@@ -1,9 +1,11 @@
 package clovermill.controlplane.policystore;
 
-/** Sends messages between directors, to the sender itself too. Unreliable: a message may be lost without notice. */
+/**
+ * An unreliable transport of messages between directors, including the sender itself. Messages may be lost silently.
+ */
 @FunctionalInterface
 public interface MessageTransport {
 
-    /** Sends a message to the director with a number; never blocks. */
+    /** Sends a message to the director with the given number; never blocks. */
     void send(int to, PolicyMessage message);
 }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyLeader.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyLeader.java
@@ -15,19 +15,20 @@
 import java.util.function.BiPredicate;
 
 /**
- * A voter's duties while it is the leader: grants leases on the step that a linearizable read gives, completes or
- * aborts transitions as the {@link Coordinator} decides, and notifies directors of a new step. Not thread-safe.
+ * The functions of a voter while it is the leader. It grants leases on the step that a linearizable read returns,
+ * completes or aborts transitions as the {@link Coordinator} decides, and notifies directors of a new step. Not
+ * thread-safe.
  */
 final class PolicyLeader {
 
-    /** Beyond so many lease requests waiting for a read, further ones are dropped; their senders repeat them. */
+    /** The maximum number of lease requests waiting for a read. Further ones are dropped; their senders repeat them. */
     private static final int MAX_WAITING = 4096;
-    /** How often all directors are notified after a transition has ended, as a notice may be lost. */
+    /** The number of notices to all directors after a transition has ended; more than one, as a notice may be lost. */
     private static final int NOTICES = 3;
     private static final int NOTICES_PER_RENEWAL = 5;
     private static final int TICKS_PER_RENEWAL_NOTIFYING = 10;
     private static final int TICKS_PER_RENEWAL = 2;
-    /** The longest step that counts in full as elapsed time. */
+    /** The maximum elapsed time that is counted between two readings of the clock. */
     private static final long MAX_CLOCK_STEP_US = 1_000_000;
     private static final long NO_REQUEST = -1;
 
@@ -54,12 +55,12 @@
         this.clock = new MonotonicClock(nowUs, Math.min(timing.renewalUs(), MAX_CLOCK_STEP_US));
     }
 
-    /** Does what is due if this voter leads; returns when it is to be called again. */
+    /** Performs the actions that are due if this voter is the leader; returns the time at which to call it again. */
     long tick(long nowUs) {
         long elapsedUs = clock.advance(nowUs);
         PolicyRegister register = replica.machine().register();
         coordinator = coordinator.observe(register.step(), elapsedUs);
-        if (!replica.leads()) {
+        if (!replica.isLeader()) {
             waiting.clear();
             return nowUs + timing.renewalUs() / TICKS_PER_RENEWAL;
         }
@@ -85,7 +86,7 @@
         }
     }
 
-    /** In a transition those that have not confirmed it; otherwise all. */
+    /** Notifies the directors that have not confirmed the transition in progress, or all if there is none. */
     private void notifyDirectors(PolicyRegister register) {
         for (int director = 0; director < timing.directors(); director++) {
             if (!register.step().inTransition() || !coordinator.confirmed().containsKey(director)) {
@@ -94,7 +95,7 @@
         }
     }
 
-    /** The register has changed: directors are notified with the next tick. */
+    /** Schedules notices to the directors for the next tick, as the register has changed. */
     void onRegisterChanged() {
         nextNoticeUs = 0;
         noticesLeft = NOTICES;
@@ -102,7 +103,7 @@
 
     /** Handles a lease request, with the confirmation or rejection that it carries. */
     void onLeaseRequest(PolicyMessage.LeaseRequest request) {
-        if (!replica.leads()) {
+        if (!replica.isLeader()) {
             transport.send(request.from(),
                     new PolicyMessage.LeaderHint(self, request.requestId(), replica.leader()));
             return;
@@ -118,7 +119,7 @@
         readRegister();
     }
 
-    /** One read at a time; requests that arrive meanwhile are answered by the next one. */
+    /** Starts a read unless one is in progress; requests that arrive during a read are answered by the next one. */
     private void readRegister() {
         if (reading || waiting.isEmpty()) {
             return;
--- a/src/main/java/clovermill/controlplane/policystore/PolicyMessageBody.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyMessageBody.java
@@ -9,9 +9,9 @@
 import java.util.TreeSet;
 
 /**
- * The body of a message: a type byte and the components of the record but {@code from}, in their order. Big-endian; a
- * string is a length of two bytes and modified UTF-8, a nullable string has a presence byte before it, a set is a count
- * and numbers of two bytes each.
+ * The wire format of a message's body: a type byte, followed by the components of the record except {@code from}, in
+ * declaration order. Big-endian. A string is a 2-byte length and modified UTF-8, preceded by a presence byte if it is
+ * nullable; a set is a 2-byte count and numbers of 2 bytes each.
  */
 final class PolicyMessageBody {
 
@@ -139,8 +139,8 @@
     /**
      * Reads a body.
      *
-     * @throws MalformedMessageException if its type is unknown
-     * @throws IOException if it ends too early
+     * @throws MalformedMessageException if the type is unknown
+     * @throws IOException if the body is truncated
      */
     static PolicyMessage read(int from, DataInputStream in) throws IOException, MalformedMessageException {
         return switch (in.readByte()) {
@@ -162,7 +162,7 @@
             case JOIN_REQUEST -> new PolicyMessage.JoinRequest(from, in.readLong(), in.readBoolean());
             case JOIN_RESPONSE -> new PolicyMessage.JoinResponse(from, in.readLong(), in.readBoolean(),
                     in.readBoolean());
-            default -> throw new MalformedMessageException("unknown message type: sent by a later version?");
+            default -> throw new MalformedMessageException("unknown message type, possibly sent by a later version");
         };
     }
 
@@ -189,7 +189,7 @@
 
     private static Set<Integer> readNumbers(DataInputStream in) throws IOException {
         Set<Integer> numbers = new TreeSet<>();
-        for (int left = in.readUnsignedShort(); left > 0; left--) {
+        for (int remaining = in.readUnsignedShort(); remaining > 0; remaining--) {
             numbers.add(in.readUnsignedShort());
         }
         return numbers;
--- a/src/main/java/clovermill/controlplane/policystore/PolicyMessageCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyMessageCodec.java
@@ -12,21 +12,22 @@
 import javax.crypto.Mac;
 
 /**
- * Messages as datagrams, signed with the fleet's key (HMAC-SHA-256, RFC 2104, truncated to 16 bytes). Big-endian:
+ * Encodes messages as datagrams, signed with the fleet's key (HMAC-SHA-256, RFC 2104, truncated to 16 bytes).
+ * Big-endian:
  *
  * <pre>
  * magic:4 "CVA1"  to:2  from:2  body (see {@link PolicyMessageBody})  signature:16
  * </pre>
  *
- * <p>A replayed datagram gives no lease and no vote: each is bound to a process, a request, a term or a step. Not
- * thread-safe.
+ * <p>A replayed datagram cannot obtain a lease or a vote, as each is bound to a process, a request, a term or a step.
+ * Not thread-safe.
  */
 final class PolicyMessageCodec {
 
     private static final int MAGIC = 0x43564131;
     private static final int MAGIC_BYTES = 4;
     private static final int SIGNATURE_BYTES = 16;
-    /** Magic, receiver, sender and type. */
+    /** The size of the magic, receiver, sender and type. */
     private static final int HEADER_BYTES = 9;
     private static final int INITIAL_BYTES = 256;
 
@@ -38,7 +39,7 @@
         mac = Peers.mac(key);
     }
 
-    /** The datagram of a message to a director. */
+    /** Encodes a message to a director as a datagram. */
     ByteBuffer write(int to, PolicyMessage message) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
@@ -73,17 +74,17 @@
             }
             PolicyMessage message = PolicyMessageBody.read(in.readUnsignedShort(), in);
             if (in.read() >= 0) {
-                throw new MalformedMessageException("bytes after the end of the message");
+                throw new MalformedMessageException("trailing bytes after the message");
             }
             return message;
         } catch (IOException | IllegalArgumentException | IndexOutOfBoundsException | ClassCastException bad) {
-            throw new MalformedMessageException("body not readable");
+            throw new MalformedMessageException("body cannot be decoded");
         }
     }
 
     private void checkSignature(byte[] bytes, int length) throws MalformedMessageException {
         if (length < HEADER_BYTES || ByteBuffer.wrap(bytes).getInt() != MAGIC) {
-            throw new MalformedMessageException("no header of the policy store");
+            throw new MalformedMessageException("not a policy store header");
         }
         mac.update(bytes, 0, length);
         byte[] expected = Arrays.copyOf(mac.doFinal(), SIGNATURE_BYTES);
--- a/src/main/java/clovermill/controlplane/policystore/PolicyOperationCodec.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyOperationCodec.java
@@ -7,7 +7,7 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 
-/** The byte form of the log's entries and of a snapshot's chunks; part of a voter's file and of Raft messages. */
+/** The encoding of log entries and snapshot chunks, used in a voter's file and in Raft messages. */
 final class PolicyOperationCodec implements OperationCodec {
 
     /** The name of the Raft group. */
@@ -22,7 +22,7 @@
     private static final int SNAPSHOT_HEADER = 7;
     private static final int SNAPSHOT_PART = 8;
 
-    /** The codec of the voters' Raft messages and of their files. */
+    /** Returns the codec of the voters' Raft messages and files. */
     static RaftMessageCodec messages() {
         return new RaftMessageCodec(GROUP, new PolicyOperationCodec());
     }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyRules.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyRules.java
@@ -5,10 +5,11 @@
 import java.util.function.Function;
 
 /**
- * What the store has to know about the meaning of a policy.
+ * The functions through which the store interprets a policy.
  *
- * @param validate the reason why this director cannot apply a policy, or null
- * @param enforcedByLease whether a director without a lease refuses everything that two policies treat differently
+ * @param validate returns the reason why this director cannot apply a policy, or null
+ * @param enforcedByLease returns true if a director without a lease rejects everything that two policies treat
+ *        differently
  */
 public record PolicyRules(Function<PolicyDocument, String> validate,
         BiPredicate<PolicyDocument, PolicyDocument> enforcedByLease) {}
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStateMachine.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStateMachine.java
@@ -10,19 +10,19 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The {@link PolicyRegister} as MicroRaft's state machine. */
+/** The MicroRaft state machine that contains the {@link PolicyRegister}. */
 final class PolicyStateMachine implements ReplicatedStateMachine {
 
-    /** The first entry of a leader's term; changes nothing. */
+    /** The first entry of a leader's term, which has no effect. */
     record NewTerm() {}
 
     /** The query that returns the register. */
     record ReadRegister() {}
 
-    /** The first chunk of a snapshot: all but the texts. */
+    /** The first chunk of a snapshot, with everything except the texts. */
     record SnapshotHeader(PolicyTransition step, long lastVersion, String lastAbortReason, String draftDigest) {}
 
-    /** A further chunk: the next part of the text {@link #IN_FORCE}, {@link #PENDING} or {@link #DRAFT}. */
+    /** A subsequent chunk: the next part of the text {@link #IN_FORCE}, {@link #PENDING} or {@link #DRAFT}. */
     record SnapshotPart(int which, String text) {}
 
     static final int IN_FORCE = 0;
@@ -33,7 +33,7 @@
     private PolicyRegister register = PolicyRegister.INITIAL;
     private boolean applied;
 
-    /** {@code listener} is called with each new register. */
+    /** Creates a state machine with the initial register; {@code listener} is called with each new register. */
     PolicyStateMachine(Consumer<PolicyRegister> listener) {
         this.listener = listener;
     }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
@@ -20,13 +20,13 @@
 import java.util.function.Consumer;
 
 /**
- * One director's part in the policy store in service: a {@link PolicyStoreTask} on a thread of its own, with a UDP
- * socket and, at a voter, a durable file. Views of the policy in force are published on the director's event loop.
+ * Runs a director's {@link PolicyStoreTask} on a dedicated thread, with a UDP socket and, at a voter, a durable file.
+ * Views of the policy in force are published on the director's event loop.
  */
 public final class PolicyStore implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger(PolicyStore.class.getName());
-    /** Magic and format version at the head of a voter's file. */
+    /** The magic and format version at the start of a voter's file. */
     static final String MAGIC = "CVACCOR1";
     private static final String THREAD_NAME = "policy-store";
     private static final int MAILBOX_CAPACITY = 1024;
@@ -42,9 +42,9 @@
     private final TaskThread<PolicyTaskMessage> thread;
 
     /**
-     * Opens the socket and a voter's file; takes part from {@link #start} on.
+     * Opens the socket and a voter's file; {@link #start} begins to process messages.
      *
-     * @param listener is called on {@code loop} with each change of the policy in force here
+     * @param listener called on {@code loop} with each change of the policy in force at this director
      * @throws IllegalArgumentException naming the setting that cannot be used
      * @throws IOException if the address or a voter's file cannot be used
      */
@@ -64,7 +64,7 @@
         this.thread = new TaskThread<>(THREAD_NAME, clock, task, MAILBOX_CAPACITY, socket, this::receive, fault -> {});
     }
 
-    /** Takes part from now on. */
+    /** Starts the thread that processes messages. */
     public void start() {
         thread.start();
     }
@@ -73,9 +73,9 @@
      * Requests a change on behalf of this director's operators.
      *
      * @param baseVersion the version that the new policy replaces; for an abort, the version being introduced
-     * @param policy the new policy, or null to abort the transition under way
-     * @param onResult is called once with the result and the version, on the store's thread or, with a null result for
-     *        a full mailbox, on the caller's
+     * @param policy the new policy, or null to abort the transition in progress
+     * @param onResult called once with the result and the version on the store's thread, or with a null result on the
+     *        caller's thread if the mailbox is full
      */
     public void requestChange(long baseVersion, PolicyDocument policy, BiConsumer<ProposalResult, Long> onResult) {
         if (!thread.offer(new PolicyTaskMessage.ChangeRequested(baseVersion, policy, onResult))) {
@@ -85,7 +85,7 @@
 
     private void send(int to, PolicyMessage message) {
         if (to == self) {
-            thread.offer(new PolicyTaskMessage.MessageReceived(message)); // lost if the mailbox is full, as on a link
+            thread.offer(new PolicyTaskMessage.MessageReceived(message)); // dropped if the mailbox is full
             return;
         }
         try {
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
@@ -8,17 +8,18 @@
 import java.util.List;
 
 /**
- * The part {@code accord} of the settings. Absent values have their defaults.
+ * The {@code accord} section of the settings. Absent values have their defaults.
  *
- * @param directors host:port of all directors, in the same order everywhere
+ * @param directors the host:port of all directors, in the same order at every director
  * @param self the index of this director
- * @param voters the indices of the directors that vote
+ * @param voters the indices of the directors that are voters
  * @param keyFile the file with the key that signs datagrams
  * @param folder a voter's durable folder
- * @param leaseMs how long a lease lasts
+ * @param leaseMs the duration of a lease
  * @param renewalMs the interval between lease requests
  * @param drift the largest deviation of a clock's rate from true time, as a fraction
- * @param withoutLease {@code refuse} for every tenant, or {@code protected} for protected tenants only
+ * @param withoutLease the requests rejected without a lease: {@code refuse} for those of every tenant, {@code
+ *        protected} for those of protected tenants only
  */
 public record PolicyStoreSettings(List<String> directors, int self, List<Integer> voters,
         @JsonProperty("key_file") String keyFile, String folder, @JsonProperty("lease_ms") Long leaseMs,
@@ -33,7 +34,7 @@
     private static final long MICROS_PER_MILLI = 1000;
 
     /**
-     * Checks what no schema can.
+     * Validates the constraints that the schema cannot express.
      *
      * @throws IllegalArgumentException naming the field and the reason
      */
@@ -56,13 +57,13 @@
         key();
     }
 
-    /** Whether this director is a voter. */
+    /** Returns true if this director is a voter. */
     boolean isVoter() {
         return voters.contains(self);
     }
 
-    /** Whether every tenant is refused without a lease. */
-    public boolean refusesAllWithoutLease() {
+    /** Returns true if the requests of every tenant are rejected without a lease. */
+    public boolean rejectsAllWithoutLease() {
         return "refuse".equals(withoutLease);
     }
 
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
@@ -16,17 +16,17 @@
 import java.util.function.Consumer;
 
 /**
- * One director's part in the policy store: dispatches messages to its {@link LeaseClient} and {@link ChangeForwarder}
- * and, at a voter, to its Raft member, its {@link PolicyLeader} and its {@link ChangeProposer}. All state is its own;
- * it meets other directors by messages only.
+ * The policy store at one director. It dispatches messages to its {@link LeaseClient} and {@link ChangeForwarder} and,
+ * at a voter, to its Raft member, its {@link PolicyLeader} and its {@link ChangeProposer}. It shares no state with
+ * other directors and communicates with them only by messages.
  */
 public final class PolicyStoreTask implements Task<PolicyTaskMessage> {
 
     /**
-     * The members of the store, and which of them this director is.
+     * The members of the store.
      *
-     * @param self this director's number
-     * @param voters the numbers of the directors that vote, the same list everywhere
+     * @param self the number of this director
+     * @param voters the numbers of the directors that are voters, the same list at every director
      */
     public record Membership(int self, List<Integer> voters, LeaseTiming timing) {}
 
@@ -39,18 +39,18 @@
     private final PolicyVersions versions = new PolicyVersions();
     private final LeaseClient leaseClient;
     private final ChangeForwarder changeForwarder;
-    /** Null at a director that does not vote. */
+    /** Null at a director that is not a voter. */
     private final RaftMember<PolicyStateMachine> member;
-    /** Null as long as there is no replica, as are the next two. */
+    /** Null without a replica, as is {@link #changeProposer}. */
     private PolicyLeader policyLeader;
     private ChangeProposer changeProposer;
     private long nowUs;
 
     /**
-     * Starts at {@code nowUs}; a voter restores its state from its storage.
+     * Creates a task at {@code nowUs}; a voter restores its state from its storage.
      *
-     * @param storage a voter's durable storage; null at a director that does not vote
-     * @param listener is called with each change of the policy in force here
+     * @param storage a voter's durable storage; null at a director that is not a voter
+     * @param listener called with each change of the policy in force at this director
      */
     public PolicyStoreTask(Membership membership, PolicyRules rules, MessageTransport transport, RaftStorage storage,
             Random random, Consumer<PolicyView> listener, long nowUs) {
@@ -76,11 +76,11 @@
                 new RaftMember.Membership(membership.self(), membership.voters(),
                         membership.timing().renewalUs() / 2),
                 storage, host, () -> new PolicyStateMachine(this::onRegisterChanged), this::onReplicaCreated,
-                new JoinMessages());
+                new JoinMessageTransport());
     }
 
-    /** Sends the messages of voters that join. */
-    private final class JoinMessages implements RaftMember.JoinTransport {
+    /** Sends join requests and responses as policy store messages. */
+    private final class JoinMessageTransport implements RaftMember.JoinTransport {
         @Override
         public void sendJoinRequest(int to, long disk, boolean empty) {
             transport.send(to, new PolicyMessage.JoinRequest(membership.self(), disk, empty));
@@ -92,12 +92,12 @@
         }
     }
 
-    /** Whether this director leads the voters, as far as it knows. */
-    public boolean leads() {
-        return member != null && member.leads();
+    /** Returns true if this director believes that it is the leader. */
+    public boolean isLeader() {
+        return member != null && member.isLeader();
     }
 
-    /** The policy in force here. */
+    /** Returns the policy in force at this director. */
     public PolicyView view() {
         return leaseClient.view();
     }
@@ -151,9 +151,9 @@
 
     private void receiveAsVoter(PolicyMessage message) {
         if (message instanceof PolicyMessage.JoinResponse response) {
-            member.onJoined(response.from(), response.disk(), response.hasGroup(), response.isVoter());
+            member.onJoinResponse(response.from(), response.disk(), response.hasGroup(), response.isVoter());
         } else if (message instanceof PolicyMessage.JoinRequest request) {
-            member.onJoin(request.from(), request.disk(), request.empty());
+            member.onJoinRequest(request.from(), request.disk(), request.empty());
         } else if (replica() != null) {
             receiveAsReplica(message);
         }
@@ -196,7 +196,7 @@
         return Math.min(next, changeForwarder.nextTickUs());
     }
 
-    /** A voter whose storage has failed has no replica, and leads nothing, until the storage has recovered. */
+    /** Ticks the Raft member. A voter whose storage has failed has no replica until the storage has recovered. */
     private long tickMember() {
         long recoverAtUs = member.recover(nowUs);
         if (replica() == null) {
--- a/src/main/java/clovermill/controlplane/policystore/PolicyTaskMessage.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyTaskMessage.java
@@ -4,18 +4,19 @@
 import clovermill.controlplane.policystore.decide.ProposalResult;
 import java.util.function.BiConsumer;
 
-/** An event for a {@link PolicyStoreTask}: a message of a director, or a request of this director's operators. */
+/** An event for a {@link PolicyStoreTask}: a message from a director, or a request of this director's operators. */
 public sealed interface PolicyTaskMessage {
 
-    /** A message has arrived. */
+    /** A message that has arrived. */
     record MessageReceived(PolicyMessage message) implements PolicyTaskMessage {}
 
     /**
-     * Operators request a change.
+     * A change that this director's operators request.
      *
      * @param baseVersion the version that the new policy replaces; for an abort, the version being introduced
-     * @param policy the new policy, or null to abort the transition under way
-     * @param onResult is called once with the result and the version; null stands for a full queue. Must not block
+     * @param policy the new policy, or null to abort the transition in progress
+     * @param onResult called once with the result and the version; the result is null if too many changes are pending.
+     *        Must not block
      */
     record ChangeRequested(long baseVersion, PolicyDocument policy, BiConsumer<ProposalResult, Long> onResult)
             implements PolicyTaskMessage {}
--- a/src/main/java/clovermill/director/PolicyPlane.java
+++ b/src/main/java/clovermill/director/PolicyPlane.java
@@ -29,7 +29,7 @@
     PolicyPlane(PolicyStoreSettings settings, Config config, DirectorRuntime runtime, Optional<UsageListener> next)
             throws IOException {
         placement = new Placement(runtime.clock(), config.settings(), config.zones(), config.classes(),
-                settings.refusesAllWithoutLease(), next.orElse(null));
+                settings.rejectsAllWithoutLease(), next.orElse(null));
         PolicyRules rules = new PolicyRules(
                 document -> placement.rejection(document.text()).orElse(null),
                 (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
--- a/src/test/java/clovermill/controlplane/consensus/Journal.java
+++ b/src/test/java/clovermill/controlplane/consensus/Journal.java
@@ -7,7 +7,7 @@
 /** A replicated list of texts; a snapshot has one chunk for each text. */
 final class Journal implements ReplicatedStateMachine {
 
-    /** Begins each term; not part of the list. */
+    /** The first entry of each term, which is not part of the list. */
     private static final String NEW_TERM = "new term";
 
     private final List<String> texts = new ArrayList<>();
@@ -33,7 +33,7 @@
 
     @Override
     public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
-        chunks.accept(NEW_TERM); // a snapshot has a chunk at least
+        chunks.accept(NEW_TERM); // a snapshot must have at least one chunk
         texts.forEach(chunks);
     }
 
--- a/src/test/java/clovermill/controlplane/consensus/MembershipChangeTest.java
+++ b/src/test/java/clovermill/controlplane/consensus/MembershipChangeTest.java
@@ -18,24 +18,25 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Whether a group can decide twice while its members change. A process that lost its disk is replaced in three changes
- * of one member: its former identity is removed, the new one added as a learner and promoted, so a group of four goes
- * through three, and one of five through four. MicroRaft commits with half of an even group; if that held for the
- * change itself, {A, new} could commit in the group of four while {B, C} elect and commit in the group of three that
- * they know. Here the leader and some others are cut from the rest at each message around each change, texts are
- * appended on both sides, and after the cut all journals have to be equal and to hold each text that was acknowledged.
+ * Tests that a group cannot commit conflicting entries during membership changes. A process that lost its disk is
+ * replaced in three changes of one member: its former identity is removed, the new one is added as a learner and then
+ * promoted. A group of four members temporarily has three, one of five has four. MicroRaft commits with half of an even
+ * group; if that applied to the change itself, {A, new} could commit in the group of four while {B, C} elect a leader
+ * and commit in the group of three that they know. The test partitions the leader and some others from the rest at each
+ * message around each change and appends texts on both sides. After the partition all journals must be equal and
+ * contain each acknowledged text.
  */
 class MembershipChangeTest {
 
     private static final int CHANGES = 3;
     private static final int NEVER = 10_000;
-    private static final long PATIENCE_US = 20 * SECOND_US;
+    private static final long SETTLE_TIMEOUT_US = 20 * SECOND_US;
 
-    /** What a case came to; the texts are those that were acknowledged. */
+    /** The outcome of a run, with the acknowledged texts, and the journal and the state of each process. */
     private record Outcome(boolean cut, List<String> acknowledged, List<List<String>> journals, List<String> states) {}
 
-    /** Cuts a set of processes from the others at the so-manieth message after a change was first sent. */
-    private static final class Cutter {
+    /** Partitions a set of processes from the others after a number of messages since a change was first sent. */
+    private static final class Partitioner {
         private final RaftGroup group;
         private final List<Integer> side;
         private final List<Integer> rest;
@@ -45,7 +46,7 @@
         private int messagesSeen;
         private boolean cut;
 
-        private Cutter(RaftGroup group, List<Integer> side, List<Integer> rest, int change, int messages) {
+        private Partitioner(RaftGroup group, List<Integer> side, List<Integer> rest, int change, int messages) {
             this.group = group;
             this.side = side;
             this.rest = rest;
@@ -67,22 +68,22 @@
         }
     }
 
-    /** Who is cut off with the leader. */
+    /** The processes that are partitioned together with the leader. */
     private enum Side {
-        THE_NEW_PROCESS, ONE_VOTER, THE_NEW_PROCESS_AND_ONE_VOTER;
+        NEW_PROCESS, ONE_VOTER, NEW_PROCESS_AND_ONE_VOTER;
 
         private List<Integer> members(int leader, int lost, int processes) {
             int voter = IntStream.range(0, processes).filter(each -> each != leader && each != lost).findFirst()
                     .orElseThrow();
             return switch (this) {
-                case THE_NEW_PROCESS -> List.of(leader, lost);
+                case NEW_PROCESS -> List.of(leader, lost);
                 case ONE_VOTER -> List.of(leader, voter);
-                case THE_NEW_PROCESS_AND_ONE_VOTER -> List.of(leader, lost, voter);
+                case NEW_PROCESS_AND_ONE_VOTER -> List.of(leader, lost, voter);
             };
         }
     }
 
-    private static Outcome play(int processes, int change, int messages, Side with, Random random) {
+    private static Outcome run(int processes, int change, int messages, Side with, Random random) {
         RaftGroup group = RaftGroup.started(processes, NEVER, random.nextLong());
         int leader = group.leader();
         int lost = IntStream.range(0, processes).filter(each -> each != leader).skip(random.nextInt(processes - 1))
@@ -93,19 +94,19 @@
         List<Integer> side = with.members(leader, lost, processes);
         List<Integer> rest = new ArrayList<>(IntStream.range(0, processes).boxed().toList());
         rest.removeAll(side);
-        Cutter cutter = new Cutter(group, side, rest, change, messages);
-        group.observe(cutter::sent);
+        Partitioner partitioner = new Partitioner(group, side, rest, change, messages);
+        group.observe(partitioner::sent);
         group.start(lost);
-        group.runUntil(all -> cutter.cut, PATIENCE_US);
+        group.runUntil(all -> partitioner.cut, SETTLE_TIMEOUT_US);
         List<String> acknowledged = new ArrayList<>();
         appendAt(group, leader, "here", acknowledged);
         group.runFor(3 * SECOND_US);
-        rest.stream().filter(each -> group.member(each).leads()).forEach(each -> appendAt(group, each, "there " + each,
-                acknowledged));
+        rest.stream().filter(each -> group.member(each).isLeader())
+                .forEach(each -> appendAt(group, each, "there " + each, acknowledged));
         group.runFor(3 * SECOND_US);
         group.cut(side, rest, false);
-        group.runUntil(all -> settled(all, processes), PATIENCE_US);
-        return new Outcome(cutter.cut, acknowledged,
+        group.runUntil(all -> hasSettled(all, processes), SETTLE_TIMEOUT_US);
+        return new Outcome(partitioner.cut, acknowledged,
                 IntStream.range(0, processes).mapToObj(group::texts).toList(),
                 IntStream.range(0, processes).mapToObj(group::describe).toList());
     }
@@ -118,57 +119,61 @@
         });
     }
 
-    private static boolean settled(RaftGroup group, int processes) {
-        return group.leaders().size() == 1 && IntStream.range(0, processes).allMatch(each -> group.member(each).votes()
-                && group.texts(each).equals(group.texts(group.leaders().get(0))));
+    private static boolean hasSettled(RaftGroup group, int processes) {
+        return group.leaders().size() == 1
+                && IntStream.range(0, processes).allMatch(each -> group.member(each).isVoter()
+                        && group.texts(each).equals(group.texts(group.leaders().get(0))));
     }
 
-    private static void assertDecidedOnce(Outcome outcome, String description) {
+    private static void assertNoConflict(Outcome outcome, String description) {
         assertThat(Set.copyOf(outcome.journals)).as(description + " " + outcome.states).hasSize(1);
         assertThat(outcome.journals.get(0)).as(description).containsAll(outcome.acknowledged).doesNotHaveDuplicates();
     }
 
     @ParameterizedTest
     @CsvSource({"3, 1", "3, 2", "3, 3", "4, 1", "4, 2", "4, 3", "5, 1", "5, 2", "5, 3", "7, 1", "7, 2", "7, 3"})
-    void aGroupThatIsCutAtAnyMessageAroundAChangeDecidesOnce(int processes, int change) {
+    void partitionAtAnyMessageAroundAChangeCausesNoConflictingCommits(int processes, int change) {
         for (Side side : Side.values()) {
             for (int messages = 0; messages < 24; messages++) {
-                Outcome outcome = play(processes, change, messages, side, new Random(messages));
-                assertDecidedOnce(outcome,
+                Outcome outcome = run(processes, change, messages, side, new Random(messages));
+                assertNoConflict(outcome,
                         processes + " processes, change " + change + ", message " + messages + ", " + side);
                 assertThat(outcome.cut).isTrue();
             }
         }
     }
 
-    /** The judge itself: two journals that differ, and an acknowledged text that none holds. */
+    /** Tests the check itself with two different journals, and with an acknowledged text that no journal contains. */
     @Test
-    void aGroupThatDecidesTwiceOrForgetsIsCaught() {
+    void checkDetectsConflictingCommitsAndLostTexts() {
         Outcome twice = new Outcome(true, List.of(), List.of(List.of("here"), List.of("there")), List.of());
-        assertThatThrownBy(() -> assertDecidedOnce(twice, "two decisions")).isInstanceOf(AssertionError.class);
+        assertThatThrownBy(() -> assertNoConflict(twice, "two decisions")).isInstanceOf(AssertionError.class);
         Outcome forgotten = new Outcome(true, List.of("here"), List.of(List.of("there")), List.of());
-        assertThatThrownBy(() -> assertDecidedOnce(forgotten, "lost")).isInstanceOf(AssertionError.class);
+        assertThatThrownBy(() -> assertNoConflict(forgotten, "lost")).isInstanceOf(AssertionError.class);
     }
 
-    /** Seeds from, to: random groups, changes and moments; one line a violation. */
+    /**
+     * Runs random cases for the seeds from the first argument to before the second; prints a line for each violation.
+     */
     public static void main(String[] args) {
-        int broken = 0;
+        int violations = 0;
         int cuts = 0;
         int both = 0;
         for (long seed = Long.parseLong(args[0]); seed < Long.parseLong(args[1]); seed++) {
             Random random = new Random(seed);
             int processes = 3 + random.nextInt(5);
             Side side = Side.values()[random.nextInt(Side.values().length)];
-            Outcome outcome = play(processes, 1 + random.nextInt(CHANGES), random.nextInt(80), side, random);
+            Outcome outcome = run(processes, 1 + random.nextInt(CHANGES), random.nextInt(80), side, random);
             cuts += outcome.cut ? 1 : 0;
             both += outcome.acknowledged.size() > 1 ? 1 : 0;
             try {
-                assertDecidedOnce(outcome, "seed " + seed);
+                assertNoConflict(outcome, "seed " + seed);
             } catch (AssertionError violation) {
-                broken++;
+                violations++;
                 System.out.println(violation.getMessage());
             }
         }
-        System.out.printf("seeds=%s..%s cut=%d both_acknowledged=%d broken=%d%n", args[0], args[1], cuts, both, broken);
+        System.out.printf("seeds=%s..%s cut=%d both_acknowledged=%d broken=%d%n", args[0], args[1], cuts, both,
+                violations);
     }
 }
--- a/src/test/java/clovermill/controlplane/consensus/NextIndexSearchTest.java
+++ b/src/test/java/clovermill/controlplane/consensus/NextIndexSearchTest.java
@@ -11,25 +11,25 @@
 
     private static final String FOLLOWER = "b";
 
-    /** The round trips until a follower that holds so many of a leader's entries is found. */
+    /** Counts the round trips until the last matching entry of a follower is found. */
     @Property
-    void itNeedsTheLogarithmOfWhatTheFollowerLacks(@ForAll @IntRange(max = 100_000) int held,
-            @ForAll @IntRange(max = 100_000) int lacking) {
+    void needsLogarithmicRoundTripsInTheNumberOfMissingEntries(@ForAll @IntRange(max = 100_000) int matching,
+            @ForAll @IntRange(max = 100_000) int missing) {
         NextIndexSearch search = new NextIndexSearch();
-        long nextIndex = held + lacking + 1L;
+        long nextIndex = matching + missing + 1L;
         int roundTrips = 0;
-        while (nextIndex - 1 > held) {
+        while (nextIndex - 1 > matching) {
             long steps = search.stepsBack(FOLLOWER, 1, nextIndex);
             assertThat(steps).isBetween(1L, nextIndex - 1);
             nextIndex -= steps;
             roundTrips++;
         }
-        assertThat(roundTrips).isLessThanOrEqualTo(1 + 32 - Integer.numberOfLeadingZeros(lacking));
-        assertThat(held - (nextIndex - 1)).isLessThanOrEqualTo(lacking);
+        assertThat(roundTrips).isLessThanOrEqualTo(1 + 32 - Integer.numberOfLeadingZeros(missing));
+        assertThat(matching - (nextIndex - 1)).isLessThanOrEqualTo(missing);
     }
 
     @Test
-    void aRepeatedOrLateFailureStepsBackOnce() {
+    void stepsBackByOneForADuplicateOrLateFailure() {
         NextIndexSearch search = new NextIndexSearch();
         assertThat(search.stepsBack(FOLLOWER, 1, 100)).isEqualTo(1);
         assertThat(search.stepsBack(FOLLOWER, 1, 99)).isEqualTo(2);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aMatchOrAnotherTermBeginsANewSearch() {
+    void startsANewSearchAfterAMatchOrInAnotherTerm() {
         NextIndexSearch search = new NextIndexSearch();
         search.stepsBack(FOLLOWER, 1, 100);
         assertThat(search.stepsBack(FOLLOWER, 1, 99)).isEqualTo(2);
--- a/src/test/java/clovermill/controlplane/consensus/RaftGroup.java
+++ b/src/test/java/clovermill/controlplane/consensus/RaftGroup.java
@@ -11,8 +11,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Processes with the library's real replicas of a {@link Journal}, on the emulated world: one seed, one order of
- * events. Tests start and kill processes, take their disks, and drop messages by their content.
+ * Emulated processes that run real MicroRaft replicas of a {@link Journal}. A seed determines the order of events.
+ * Tests can start and kill processes, remove their disks, and drop messages by their content.
  */
 final class RaftGroup {
 
@@ -22,31 +22,31 @@
     private static final int APPEND_BATCH_ENTRIES = 16;
     private static final String GROUP = "journal";
 
-    /** What processes send to each other; each names its sender. */
-    sealed interface Signal {
-        /** The process that sent it. */
+    /** A message between processes. */
+    sealed interface ProcessMessage {
+        /** Returns the process that sent it. */
         int from();
     }
 
-    record Envelope(int from, int to, long disk, RaftMessage message) implements Signal {}
+    record Envelope(int from, int to, long disk, RaftMessage message) implements ProcessMessage {}
 
-    record JoinRequest(int from, long disk, boolean empty) implements Signal {}
+    record JoinRequest(int from, long disk, boolean empty) implements ProcessMessage {}
 
-    record JoinResponse(int from, long disk, boolean hasGroup, boolean isVoter) implements Signal {}
+    record JoinResponse(int from, long disk, boolean hasGroup, boolean isVoter) implements ProcessMessage {}
 
     private record Delivery(int to, JoinResponse response) {}
 
-    private final World<Signal> world;
+    private final World<ProcessMessage> world;
     private final int snapshotEvery;
     private final List<Integer> nodes;
     private final List<MemoryRaftStorage> disks = new ArrayList<>();
     private final List<RaftMember<Journal>> members = new ArrayList<>();
-    /** All answers to join requests so far. */
+    /** All join responses sent so far. */
     private final List<Delivery> joinResponses = new ArrayList<>();
-    private Predicate<Envelope> dropped = envelope -> false;
-    private Consumer<Envelope> sent = envelope -> {};
+    private Predicate<Envelope> dropFilter = envelope -> false;
+    private Consumer<Envelope> sendObserver = envelope -> {};
 
-    /** So many processes, all down, with empty disks. */
+    /** Creates a group of processes that are all down and have empty disks. */
     RaftGroup(int processes, int snapshotEvery, long seed) {
         this.world = new World<>(processes, 0, seed);
         this.snapshotEvery = snapshotEvery;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** A group of processes that have elected a leader. */
+    /** Creates a group of running processes that have elected a leader. */
     static RaftGroup started(int processes, int snapshotEvery, long seed) {
         RaftGroup group = new RaftGroup(processes, snapshotEvery, seed);
         group.nodes.forEach(group::start);
@@ -65,43 +65,43 @@
         return group;
     }
 
-    /** Starts a process that is down, from its disk. */
+    /** Starts a process that is down; it restores its state from its disk. */
     void start(int node) {
         Random random = new Random(world.random().nextLong());
         world.machine(node).start(clock -> new Process(node, random, clock));
     }
 
-    /** Kills a process; its disk holds all that it wrote. */
+    /** Kills a process; its disk retains all that it wrote. */
     void kill(int node) {
         world.machine(node).kill();
     }
 
-    /** A process that is down loses its disk. */
+    /** Replaces the disk of a process that is down by an empty one. */
     void loseDisk(int node) {
         disks.set(node, new MemoryRaftStorage());
     }
 
-    /** The disk of a process. */
+    /** Returns the disk of a process. */
     MemoryRaftStorage disk(int node) {
         return disks.get(node);
     }
 
-    /** The member of a process, as it runs or ran last. */
+    /** Returns the member of the current or last run of a process. */
     RaftMember<Journal> member(int node) {
         return members.get(node);
     }
 
-    /** Whether a process runs. */
-    boolean up(int node) {
+    /** Returns true if a process is running. */
+    boolean isUp(int node) {
         return world.machine(node).up();
     }
 
-    /** The processes that believe that they lead. */
+    /** Returns the processes that believe that they are the leader. */
     List<Integer> leaders() {
-        return nodes.stream().filter(each -> up(each) && members.get(each).leads()).toList();
+        return nodes.stream().filter(each -> isUp(each) && members.get(each).isLeader()).toList();
     }
 
-    /** The only leader. */
+    /** Returns the leader; fails unless there is exactly one. */
     int leader() {
         List<Integer> leaders = leaders();
         if (leaders.size() != 1) {
@@ -110,24 +110,26 @@
         return leaders.get(0);
     }
 
-    /** The texts that a process holds as committed. */
+    /** Returns the texts that are committed according to a process. */
     List<String> texts(int node) {
         return members.get(node).replica() == null ? List.of() : members.get(node).replica().machine().texts();
     }
 
-    /** A process, its leader and whether it votes, for the message of a failed assertion. */
+    /** Describes the state of a process for the message of a failed assertion. */
     String describe(int node) {
         RaftMember<Journal> member = members.get(node);
         return node + " follows " + (member.replica() == null ? "none" : member.replica().leader()) + " votes "
-                + member.votes() + " " + disks.get(node).restored();
+                + member.isVoter() + " " + disks.get(node).restored();
     }
 
-    /** Appends a text at a process; {@code done} gets the log index, or null if its fate is unknown. */
+    /**
+     * Appends a text at a process; {@code done} receives the log index, or null if it is unknown whether it commits.
+     */
     void append(int node, String text, Consumer<Object> done) {
         world.at(world.nowUs(), () -> members.get(node).replica().replicate(text, done));
     }
 
-    /** Appends so many texts at a process, some milliseconds apart, and waits until all are replicated. */
+    /** Appends {@code count} texts at a process, 5 ms apart, and waits until all are replicated. */
     void appendMany(int node, int count) {
         for (int i = 0; i < count; i++) {
             append(node, "t" + i, result -> {});
@@ -136,17 +138,17 @@
         runFor(SECOND_US);
     }
 
-    /** Drops Raft's messages that match, until called anew. */
+    /** Drops the Raft messages that match; replaces the previous predicate. */
     void drop(Predicate<Envelope> matching) {
-        dropped = matching;
+        dropFilter = matching;
     }
 
-    /** Has each of Raft's messages seen as it is sent, dropped or not. */
+    /** Calls an observer with each Raft message that is sent, including dropped ones. */
     void observe(Consumer<Envelope> observer) {
-        sent = observer;
+        sendObserver = observer;
     }
 
-    /** Delivers all answers to a process's join requests once more, the latest first, cut off or not. */
+    /** Delivers all previous join responses to a process again, latest first, even if the process is partitioned. */
     void repeatJoinResponses(int to) {
         for (int i = joinResponses.size() - 1; i >= 0; i--) {
             if (joinResponses.get(i).to() == to) {
@@ -155,7 +157,7 @@
         }
     }
 
-    /** Cuts or restores both ways between two sets of processes. */
+    /** Cuts or restores the links between two sets of processes in both directions. */
     void cut(List<Integer> one, List<Integer> other, boolean off) {
         for (int a : one) {
             for (int b : other) {
@@ -165,31 +167,31 @@
         }
     }
 
-    /** The part of messages that are lost, and their longest way. */
+    /** Sets the fraction of messages that are lost and the maximum delay of the others. */
     void links(double loss, long maxDelayUs) {
         world.links(loss, maxDelayUs);
     }
 
-    /** Does something at a later time. */
-    void after(long micros, Runnable action) {
-        world.at(world.nowUs() + micros, action);
+    /** Runs an action after a delay. */
+    void after(long delayUs, Runnable action) {
+        world.at(world.nowUs() + delayUs, action);
     }
 
-    /** Lets time pass. */
-    void runFor(long micros) {
-        world.run(world.nowUs() + micros);
+    /** Advances emulated time. */
+    void runFor(long durationUs) {
+        world.run(world.nowUs() + durationUs);
     }
 
-    /** Lets time pass until something holds, for so long at most; returns how long it took. */
+    /** Advances emulated time until a condition is true, by {@code maxUs} at most; returns the elapsed time. */
     long runUntil(Predicate<RaftGroup> condition, long maxUs) {
-        long from = world.nowUs();
-        while (!condition.test(this) && world.nowUs() - from < maxUs) {
+        long startUs = world.nowUs();
+        while (!condition.test(this) && world.nowUs() - startUs < maxUs) {
             runFor(TICK_US);
         }
-        return world.nowUs() - from;
+        return world.nowUs() - startUs;
     }
 
-    private final class Process implements Task<Signal> {
+    private final class Process implements Task<ProcessMessage> {
         private final int node;
         private final RaftScheduler scheduler;
         private final RaftMember<Journal> member;
@@ -203,20 +205,20 @@
                     disks.get(node),
                     scheduler, random, this::sendRaft);
             this.member = new RaftMember<>(new RaftMember.Membership(node, nodes, JOIN_RETRY_US), disks.get(node),
-                    host, Journal::new, replica -> {}, new JoinMessages());
+                    host, Journal::new, replica -> {}, new JoinMessageTransport());
             members.set(node, member);
             member.restore();
         }
 
         private void sendRaft(ReplicaId to, RaftMessage message) {
             Envelope envelope = new Envelope(node, to.node(), to.disk(), message);
-            sent.accept(envelope);
-            if (!dropped.test(envelope)) {
+            sendObserver.accept(envelope);
+            if (!dropFilter.test(envelope)) {
                 world.send(node, to.node(), envelope);
             }
         }
 
-        private final class JoinMessages implements RaftMember.JoinTransport {
+        private final class JoinMessageTransport implements RaftMember.JoinTransport {
             @Override
             public void sendJoinRequest(int to, long disk, boolean empty) {
                 world.send(node, to, new JoinRequest(node, disk, empty));
@@ -231,13 +233,13 @@
         }
 
         @Override
-        public void on(Signal signal, long nowUs) {
+        public void on(ProcessMessage message, long nowUs) {
             scheduler.run(nowUs);
-            if (signal instanceof JoinRequest request) {
-                member.onJoin(request.from(), request.disk(), request.empty());
-            } else if (signal instanceof JoinResponse response) {
-                member.onJoined(response.from(), response.disk(), response.hasGroup(), response.isVoter());
-            } else if (signal instanceof Envelope envelope && member.replica() != null
+            if (message instanceof JoinRequest request) {
+                member.onJoinRequest(request.from(), request.disk(), request.empty());
+            } else if (message instanceof JoinResponse response) {
+                member.onJoinResponse(response.from(), response.disk(), response.hasGroup(), response.isVoter());
+            } else if (message instanceof Envelope envelope && member.replica() != null
                     && envelope.disk() == member.replica().self().disk()) {
                 member.replica().handle(envelope.message(), nowUs);
             }
--- a/src/test/java/clovermill/controlplane/consensus/RaftGroupTest.java
+++ b/src/test/java/clovermill/controlplane/consensus/RaftGroupTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Groups of real replicas among faults that are caused on purpose. */
+/** Tests groups of real replicas with injected faults. */
 class RaftGroupTest {
 
     private static final int NEVER = 10_000;
@@ -19,12 +19,12 @@
     }
 
     /**
-     * Seed 803: a replica that was 390 entries behind took 13.5 s until it got the first of them. A new leader begins
-     * at its own last entry, and goes back by one for each append that does not match, a round trip (35 ms) each; as a
-     * change of members needs its acknowledgement, nothing was committed meanwhile.
+     * Seed 803: a replica that was 390 entries behind received the first of them after 13.5 s. A new leader starts at
+     * its own last entry and goes back by one for each append that does not match, with a round trip (35 ms) each.
+     * Nothing was committed meanwhile, because a membership change needed the replica's acknowledgement.
      */
     @Test
-    void aReplicaThatLacksHundredsOfEntriesCatchesUpWithANewLeaderWithinSeconds() {
+    void replicaMissingHundredsOfEntriesCatchesUpWithANewLeaderWithinSeconds() {
         RaftGroup group = RaftGroup.started(3, NEVER, 1);
         group.links(0, 30_000);
         int former = group.leader();
@@ -41,13 +41,13 @@
     }
 
     /**
-     * Seed 41: a process lost its disk, asked for admission under a new identity, and was killed before it had it.
-     * After its restart it took itself for admitted, as a restored replica was taken for a voter: it asked no more, the
-     * group went on with a member that was gone, and one further failure stopped it.
+     * Seed 41: a process lost its disk, requested admission with a new identity, and was killed before it was admitted.
+     * After its restart it considered itself admitted, because a restored replica was assumed to be a voter, and sent
+     * no more join requests. The group retained a member that no longer existed, and one further failure stopped it.
      */
     @ParameterizedTest
     @ValueSource(ints = {3, 4, 5})
-    void aProcessThatIsKilledBeforeItsAdmissionIsAdmittedAfterItsRestart(int processes) {
+    void processKilledBeforeItsAdmissionIsAdmittedAfterItsRestart(int processes) {
         RaftGroup group = RaftGroup.started(processes, NEVER, 2);
         int leader = group.leader();
         int lost = others(processes, leader).get(0);
@@ -57,20 +57,20 @@
         group.cut(List.of(lost), List.of(leader), true); // only the leader admits
         group.start(lost);
         group.runUntil(all -> all.member(lost).replica() != null, 5 * SECOND_US);
-        assertThat(group.member(lost).votes()).isFalse();
+        assertThat(group.member(lost).isVoter()).isFalse();
         group.kill(lost);
         group.cut(List.of(lost), List.of(leader), false);
         group.start(lost);
         group.runFor(10 * SECOND_US);
         ReplicaId identity = group.member(lost).replica().self();
         assertThat(group.member(leader).replica().isVoter(identity)).isTrue();
-        assertThat(group.member(lost).votes()).isTrue();
+        assertThat(group.member(lost).isVoter()).isTrue();
         assertThat(group.texts(lost)).hasSize(10);
     }
 
-    /** A process that was admitted asks once more after a restart, and is told that it votes. */
+    /** An admitted process sends a join request after a restart, and the response confirms that it is a voter. */
     @Test
-    void aProcessThatWasAdmittedVotesAfterItsRestart() {
+    void admittedProcessIsAVoterAfterItsRestart() {
         RaftGroup group = RaftGroup.started(3, NEVER, 3);
         int leader = group.leader();
         int lost = others(3, leader).get(0);
@@ -78,19 +78,19 @@
         group.loseDisk(lost);
         group.start(lost);
         group.runFor(10 * SECOND_US);
-        assertThat(group.member(lost).votes()).isTrue();
+        assertThat(group.member(lost).isVoter()).isTrue();
         group.kill(lost);
         group.start(lost);
         group.runFor(2 * SECOND_US);
-        assertThat(group.member(lost).votes()).isTrue();
+        assertThat(group.member(lost).isVoter()).isTrue();
     }
 
     /**
-     * The order of seed 446 with a conflict: a deposed leader holds entries directly behind its snapshot that nobody
-     * else has. They are removed, and it follows the new leader.
+     * The event order of seed 446 with a conflict: a deposed leader has entries directly after its snapshot that no
+     * other replica has. They must be removed, and it must follow the new leader.
      */
     @Test
-    void entriesBehindTheSnapshotThatNobodyElseHasAreRemoved() {
+    void removesConflictingEntriesDirectlyAfterTheSnapshot() {
         int snapshotEvery = 50;
         RaftGroup group = RaftGroup.started(3, snapshotEvery, 4);
         int former = group.leader();
@@ -116,17 +116,17 @@
     }
 
     /**
-     * Found by reading, made to happen here: answers to a process's first start ("no group exists") arrive after it has
-     * voted, lost its disk and started again. It took itself for one of a group yet to begin, under the identity with
-     * which it had voted, and so could vote twice in one term.
+     * Join responses to a process's first incarnation ("no group exists") arrive after it has voted, lost its disk and
+     * restarted. The process bootstrapped a new group with the identity with which it had voted, and so could vote
+     * twice in one term. The fault was found by code review.
      */
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
-    void answersToAnEarlierLifeBeginNoGroup(int processes) {
+    void joinResponsesToAnEarlierIncarnationDoNotBootstrapAGroup(int processes) {
         RaftGroup group = RaftGroup.started(processes, NEVER, 5);
         int leader = group.leader();
         group.appendMany(leader, 5);
-        for (int lost : others(processes, leader).subList(0, 2)) { // one after the other
+        for (int lost : others(processes, leader).subList(0, 2)) { // sequentially
             List<Integer> rest = others(processes, lost);
             group.kill(lost);
             group.loseDisk(lost);
@@ -137,9 +137,9 @@
             group.runFor(SECOND_US);
             assertThat(group.member(lost).replica()).isNull();
             group.cut(List.of(lost), rest, false);
-            group.runUntil(all -> all.member(lost).votes(), 20 * SECOND_US);
+            group.runUntil(all -> all.member(lost).isVoter(), 20 * SECOND_US);
             assertThat(group.member(lost).replica().self().disk()).isNotZero();
-            assertThat(group.member(lost).votes()).isTrue();
+            assertThat(group.member(lost).isVoter()).isTrue();
         }
         group.append(leader, "after", result -> {});
         group.runFor(2 * SECOND_US);
--- a/src/test/java/clovermill/controlplane/consensus/RaftReplicaTest.java
+++ b/src/test/java/clovermill/controlplane/consensus/RaftReplicaTest.java
@@ -21,7 +21,7 @@
 import java.util.function.LongSupplier;
 import org.junit.jupiter.api.Test;
 
-/** One replica of three, with messages made by hand. */
+/** Tests one replica of three with synthetic messages. */
 class RaftReplicaTest {
 
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -50,9 +50,9 @@
         scheduler.run(nowUs);
     }
 
-    private void runFor(long micros) {
-        long until = nowUs + micros;
-        while (nowUs < until) {
+    private void runFor(long durationUs) {
+        long untilUs = nowUs + durationUs;
+        while (nowUs < untilUs) {
             nowUs += STEP_US;
             scheduler.run(nowUs);
         }
@@ -63,7 +63,7 @@
         scheduler.run(nowUs);
     }
 
-    /** Waits for the next message of a kind that is sent. */
+    /** Waits for the next message of a type that the replica sends. */
     private <T extends RaftMessage> T next(Class<T> kind) {
         sent.clear();
         for (int step = 0; step < 10_000; step++) {
@@ -74,7 +74,7 @@
             }
             runFor(STEP_US);
         }
-        throw new AssertionError("no " + kind.getSimpleName());
+        throw new AssertionError(kind.getSimpleName() + " not sent");
     }
 
     private static PreVoteResponse rejection(int term) {
@@ -83,22 +83,23 @@
     }
 
     /**
-     * Seed 26 of the event log's fleet: for 13 s three voters with whole links elected a leader ten times a second and
-     * deposed it again, so that no purge was committed. A voter whose log is shorter asked for pre-votes in its term
-     * plus one; the rejections repeated that term, and the replica adopted it, as if the others were in a higher term.
-     * So its term rose by one for each rejection (370 of 970 in the trace), and its next request deposed whoever led.
+     * Seed 26 of the event log's fleet: for 13 s three voters with working links elected a leader ten times a second
+     * and deposed it again, so that no purge was committed. A voter with a shorter log requested pre-votes in its term
+     * plus one. The rejections repeated that term, and the replica adopted it as if the other voters had a higher term.
+     * Its term rose by one for each rejection (370 of 970 in the trace), and its next request deposed the current
+     * leader.
      */
     @Test
-    void aPreVoteThatIsRejectedForItsLogDoesNotRaiseTheTerm() {
+    void preVoteRejectedBecauseOfTheLogDoesNotRaiseTheTerm() {
         start();
         PreVoteRequest first = next(PreVoteRequest.class);
         receive(rejection(first.getTerm()));
         assertThat(next(PreVoteRequest.class).getTerm()).isEqualTo(first.getTerm());
     }
 
-    /** The other side of it: without the voters' higher term the pre-votes would be rejected for ever. */
+    /** Without adopting the voters' higher term the replica's pre-votes would be rejected forever. */
     @Test
-    void aPreVoteThatIsRejectedByAHigherTermTakesThatTerm() {
+    void adoptsTheHigherTermOfAPreVoteRejection() {
         start();
         PreVoteRequest first = next(PreVoteRequest.class);
         receive(rejection(first.getTerm() + 3));
@@ -117,15 +118,15 @@
     }
 
     /**
-     * Seed 29: the leader lost its quorum and asked for pre-votes; a follower that still knew it as its leader counted
-     * these requests as signs of life, stayed its follower for 9 s and asked for no votes itself.
+     * Seed 29: the leader lost its quorum and requested pre-votes. A follower that still had it as its leader counted
+     * these requests as messages from a leader, remained its follower for 9 s and requested no votes itself.
      */
     @Test
-    void aFormerLeaderThatAsksForVotesIsASilentLeader() {
+    void voteRequestsOfAFormerLeaderDoNotCountAsLeaderMessages() {
         start();
         receive(append(TERM, 0, 0));
         receive(append(TERM, 0, 0));
-        for (int i = 0; i < 50; i++) { // without MicroRaft's own time-out, which is what fails to come
+        for (int i = 0; i < 50; i++) { // MicroRaft's own time-out does not run, as in the fault
             nowUs += SECOND_US / 10;
             replica.handle(MODELS.createPreVoteRequestBuilder().setGroupId(GROUP).setSender(OTHER).setTerm(TERM + 1)
                     .setLastLogTerm(0).setLastLogIndex(0).build(), nowUs);
@@ -134,7 +135,7 @@
     }
 
     @Test
-    void aLeaderThatAppendsIsNotSilent() {
+    void isNotStuckWhileTheLeaderAppends() {
         start();
         for (int i = 0; i < 50; i++) {
             receive(append(TERM, 0, 0));
@@ -143,7 +144,7 @@
         }
     }
 
-    /** Entries 1 to 3 are in a snapshot, 4 and 5 of term 1 are behind it, as after a restart. */
+    /** Restores a replica with entries 1 to 3 in a snapshot, followed by entries 4 and 5 of term 1. */
     private void startWithSnapshot() {
         writeSnapshot();
         start();
@@ -179,19 +180,19 @@
     }
 
     /**
-     * Seed 446: a leader and a follower repeated one append for 50 s, without end. The append began at the follower's
-     * snapshot (entry 120), behind which the follower held entries. MicroRaft compares the previous entry with its log
-     * only, does not find it and rejects; the leader, told by the snapshot's transfer that all up to 120 matches, does
-     * not go back further.
+     * Seed 446: a leader repeated one append, and the follower rejected it, for 50 s without progress. The
+     * append started at the follower's snapshot (entry 120), which was followed by further entries. MicroRaft looks up
+     * the previous entry in its log only, does not find it and rejects the append; the leader does not go back further,
+     * because the transfer of the snapshot confirmed that all entries up to 120 match.
      */
     @Test
-    void anAppendThatBeginsAtTheSnapshotIsAppliedBehindIt() {
+    void appliesAnAppendThatStartsAtTheSnapshot() {
         startWithSnapshot();
         assertThat(matchedAfter(append(TERM, 3, 1, entry(4, 1), entry(5, 1), entry(6, TERM)))).isEqualTo(6);
     }
 
     @Test
-    void anAppendThatBeginsBeforeTheSnapshotIsAppliedBehindIt() {
+    void appliesAnAppendThatStartsBeforeTheSnapshot() {
         startWithSnapshot();
         assertThat(matchedAfter(append(TERM, 1, 1, entry(2, 1), entry(3, 1), entry(4, 1), entry(5, TERM))))
                 .isEqualTo(5);
@@ -199,16 +200,16 @@
     }
 
     @Test
-    void anAppendWithoutEntriesMatchesUpToTheSnapshot() {
+    void appendWithoutEntriesMatchesUpToTheSnapshot() {
         startWithSnapshot();
         assertThat(matchedAfter(append(TERM, 3, 1))).isEqualTo(3);
         assertThat(matchedAfter(append(TERM, 2, 1))).isEqualTo(3);
         assertThat(matchedAfter(append(TERM, 1, 1, entry(2, 1)))).isEqualTo(3);
     }
 
-    /** Seen as an assertion of MicroRaft's in {@code MembershipChangeTest}; without assertions it goes on. */
+    /** MicroRaft fails an assertion in this case, as in {@code MembershipChangeTest}, if assertions are enabled. */
     @Test
-    void anAppendThatBeginsBeforeTheCommitIndexIsAppliedBehindIt() {
+    void appliesAnAppendThatStartsBeforeTheCommitIndex() {
         start();
         matchedAfter(append(TERM, 0, 0, entry(1, 1), entry(2, 1), entry(3, 1), entry(4, 1)));
         receive(MODELS.createAppendEntriesRequestBuilder().setGroupId(GROUP).setSender(OTHER).setTerm(TERM)
@@ -221,14 +222,14 @@
     }
 
     @Test
-    void entriesDirectlyBehindTheSnapshotThatConflictAreToBeTruncated() {
+    void reportsConflictingEntriesDirectlyAfterTheSnapshot() {
         startWithSnapshot();
         receive(append(TERM, 3, 1, entry(4, 2)));
         assertThat(replica.conflictIndex()).isEqualTo(4);
     }
 
     @Test
-    void anAppendOfAnEarlierTermDoesNotCount() {
+    void ignoresAnAppendOfAnEarlierTerm() {
         startWithSnapshot();
         receive(append(TERM, 0, 0));
         receive(append(TERM - 1, 3, 1, entry(4, 2)));
@@ -236,12 +237,12 @@
     }
 
     /**
-     * Seed 569: a process that had lost its disk was admitted under a new
-     * identity and killed right after. Its disk had it as a learner still, beside a snapshot in which it votes, and
-     * MicroRaft's constructor ends with a NullPointerException there: the process could not start any more.
+     * Seed 569: a process that had lost its disk was admitted with a new identity and killed immediately afterwards.
+     * Its disk still recorded it as a learner, with a snapshot that contained it as a voter. MicroRaft's constructor
+     * throws a NullPointerException for this combination, so the process could not start.
      */
     @Test
-    void aLearnerWhoseSnapshotHasItAsAVoterStarts() {
+    void startsALearnerWhoseSnapshotContainsItAsAVoter() {
         ReplicaId admitted = new ReplicaId(0, 99);
         disk.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(admitted)
                 .setVoting(false).build());
--- a/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Three voters with real files on disks that fail for a while, in emulated time. */
+/** Tests three voters with real files on disks that fail temporarily, in emulated time. */
 class FailingVoterTest {
 
     private static final long SECOND_US = 1_000_000;
@@ -38,11 +38,11 @@
     private final List<FileRaftStorage> files = new ArrayList<>();
     private final PolicyStoreTask[] tasks = new PolicyStoreTask[VOTERS];
     private final PolicyView[] views = new PolicyView[VOTERS];
-    /** Raft messages sent by a voter while its file had failed. */
+    /** The number of Raft messages that each voter sent while its file had failed. */
     private final Map<Integer, Integer> sentWhileFailed = new HashMap<>();
 
     @BeforeEach
-    void begin() throws IOException {
+    void startVoters() throws IOException {
         for (int i = 0; i < VOTERS; i++) {
             volumes.add(new FaultyVolume());
             files.add(null);
@@ -51,7 +51,7 @@
     }
 
     @AfterEach
-    void close() throws IOException {
+    void closeFiles() throws IOException {
         for (FileRaftStorage file : files) {
             file.close();
         }
@@ -66,12 +66,12 @@
                     new PolicyStoreTask.Membership(i, IntStream.range(0, VOTERS).boxed().toList(), TIMING),
                     new PolicyRules(text -> null, (old, next) -> true), (to, message) -> send(i, to, message),
                     files.get(i), new Random(i), view -> views[i] = view, clock);
-            return repeating(tasks[i]);
+            return withDuplicates(tasks[i]);
         });
     }
 
-    /** Each message comes several times before the task's next tick, as a link may have it and a busy thread too. */
-    private static Task<PolicyTaskMessage> repeating(PolicyStoreTask task) {
+    /** Delivers each message three times before the task's next tick, as duplicating links or a busy thread may do. */
+    private static Task<PolicyTaskMessage> withDuplicates(PolicyStoreTask task) {
         return new Task<>() {
             @Override
             public void on(PolicyTaskMessage event, long nowUs) {
@@ -106,22 +106,22 @@
     }
 
     private int leader() {
-        return IntStream.range(0, VOTERS).filter(i -> tasks[i].leads()).findFirst().orElse(-1);
+        return IntStream.range(0, VOTERS).filter(i -> tasks[i].isLeader()).findFirst().orElse(-1);
     }
 
-    /** Requests a change; returns its result, or null if there is none within some seconds. */
-    private ProposalResult requestChange(int at, PolicyDocument policy, long withinSeconds) {
-        ProposalResult[] taken = {null};
-        world.machine(at).hand(
-                new PolicyTaskMessage.ChangeRequested(views[at].step().version(), policy,
-                        (what, version) -> taken[0] = what));
+    /** Requests a change; returns its result, or null if there is none within the given time. */
+    private ProposalResult requestChange(int director, PolicyDocument policy, long withinSeconds) {
+        ProposalResult[] received = {null};
+        world.machine(director).hand(
+                new PolicyTaskMessage.ChangeRequested(views[director].step().version(), policy,
+                        (result, version) -> received[0] = result));
         runFor(withinSeconds);
-        return taken[0];
+        return received[0];
     }
 
-    private void fail(int which, boolean full, boolean fails) {
-        volumes.get(which).room = full && fails ? 10 : Long.MAX_VALUE;
-        volumes.get(which).syncFails = !full && fails;
+    private void setFailing(int voter, boolean full, boolean fails) {
+        volumes.get(voter).room = full && fails ? 10 : Long.MAX_VALUE;
+        volumes.get(voter).syncFails = !full && fails;
     }
 
     private void assertInForceEverywhere(PolicyDocument policy) {
@@ -134,73 +134,73 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void givenADiskThatFailsForTenSecondsThenTheVoterIsSuspendedAndRecovers(boolean full) {
+    void voterIsSuspendedWhileItsDiskFailsAndRecoversAfterwards(boolean full) {
         runFor(5);
         int failing = leader();
         assertThat(failing).isNotNegative();
         int other = (failing + 1) % VOTERS;
-        fail(failing, full, true);
+        setFailing(failing, full, true);
         PolicyDocument policy = PolicyDocument.of("{\"a\":1}");
         assertThat(requestChange(other, policy, 10)).isEqualTo(ProposalResult.BEGUN);
         assertThat(files.get(failing).failed()).isTrue();
-        assertThat(tasks[failing].leads()).isFalse();
+        assertThat(tasks[failing].isLeader()).isFalse();
         assertThat(leader()).isNotNegative();
-        fail(failing, full, false);
+        setFailing(failing, full, false);
         runFor(15);
         assertThat(files.get(failing).failed()).isFalse();
         assertThat(sentWhileFailed).isEmpty();
         assertInForceEverywhere(policy);
     }
 
-    /** With two of three disks failed nothing is committed; what was committed before is in force afterwards. */
+    /** While two of three disks fail nothing can be committed; after their recovery no committed change is lost. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void givenAMinorityOfDisksThenNothingIsAcknowledgedAndNothingIsLost(boolean full) {
+    void nothingIsAcknowledgedOrLostWhileAMajorityOfDisksFails(boolean full) {
         runFor(5);
         PolicyDocument first = PolicyDocument.of("{\"a\":1}");
         assertThat(requestChange(0, first, 10)).isEqualTo(ProposalResult.BEGUN);
         assertInForceEverywhere(first);
-        fail(0, full, true);
-        fail(1, full, true);
+        setFailing(0, full, true);
+        setFailing(1, full, true);
         PolicyDocument second = PolicyDocument.of("{\"a\":2}");
         assertThat(requestChange(2, second, 10)).isNull();
         assertThat(views).allMatch(view -> view.policy().equals(first));
-        fail(0, full, false);
-        fail(1, full, false);
+        setFailing(0, full, false);
+        setFailing(1, full, false);
         runFor(20);
         assertThat(sentWhileFailed).isEmpty();
         assertInForceEverywhere(second);
     }
 
-    /** A repeated vote request does not reveal a vote that could not be written. */
+    /** A duplicate vote request must not reveal a vote that could not be written. */
     @Test
-    void whenAVoteCannotBeWrittenThenItIsNotSent() {
+    void voteThatCannotBeWrittenIsNotSent() {
         runFor(5);
         int leader = leader();
         int failing = (leader + 1) % VOTERS;
-        fail(failing, false, true);
+        setFailing(failing, false, true);
         world.machine(leader).kill();
         runFor(10);
         assertThat(files.get(failing).failed()).isTrue();
         assertThat(sentWhileFailed).isEmpty();
-        fail(failing, false, false);
+        setFailing(failing, false, false);
         runFor(10);
-        assertThat(tasks[failing].leads() || tasks[3 - leader - failing].leads()).isTrue();
+        assertThat(tasks[failing].isLeader() || tasks[3 - leader - failing].isLeader()).isTrue();
     }
 
-    /** A voter that is killed while its disk fails restores at its start what it had written before. */
+    /** A voter that is killed while its disk fails restores the state that it wrote before the failure. */
     @Test
-    void givenAKillWhileTheDiskFailsThenTheVoterRestoresItsState() throws IOException {
+    void voterKilledWhileItsDiskFailsRestoresItsState() throws IOException {
         runFor(5);
         PolicyDocument first = PolicyDocument.of("{\"a\":1}");
         assertThat(requestChange(0, first, 10)).isEqualTo(ProposalResult.BEGUN);
-        fail(1, true, true);
+        setFailing(1, true, true);
         PolicyDocument second = PolicyDocument.of("{\"a\":2}");
         assertThat(requestChange(0, second, 10)).isEqualTo(ProposalResult.BEGUN);
         assertThat(files.get(1).failed()).isTrue();
         world.machine(1).kill();
         files.get(1).close();
-        fail(1, true, false);
+        setFailing(1, true, false);
         start(1);
         assertThat(files.get(1).restored()).isNotNull();
         runFor(15);
--- a/src/test/java/clovermill/controlplane/policystore/FileRaftStorageTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FileRaftStorageTest.java
@@ -26,19 +26,19 @@
     @TempDir
     private Path folder;
 
-    private FileRaftStorage opened() throws IOException {
-        return opened(Volume.local());
+    private FileRaftStorage open() throws IOException {
+        return open(Volume.local());
     }
 
-    private FileRaftStorage opened(Volume volume) throws IOException {
+    private FileRaftStorage open(Volume volume) throws IOException {
         return new FileRaftStorage(volume, folder, PolicyStore.MAGIC, PolicyOperationCodec.messages());
     }
 
-    private FileRaftStorage written() throws IOException {
-        return written(opened());
+    private FileRaftStorage writeState() throws IOException {
+        return writeState(open());
     }
 
-    private FileRaftStorage written(FileRaftStorage disk) {
+    private FileRaftStorage writeState(FileRaftStorage disk) {
         disk.persistAndFlushLocalEndpoint(models.createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new ReplicaId(1, 0)).setVoting(true).build());
         disk.persistAndFlushInitialGroupMembers(models.createRaftGroupMembersViewBuilder().setLogIndex(0)
@@ -55,10 +55,10 @@
     }
 
     @Test
-    void givenWrittenStateWhenOpenedThenItIsRestored() throws IOException {
-        written().close();
+    void restoresWrittenState() throws IOException {
+        writeState().close();
         for (int starts = 0; starts < 2; starts++) {
-            FileRaftStorage disk = opened();
+            FileRaftStorage disk = open();
             assertThat(disk.restored().getTermPersistentState().getTerm()).isEqualTo(3);
             assertThat(disk.restored().getTermPersistentState().getVotedFor()).isEqualTo(new ReplicaId(0, 0));
             assertThat(disk.restored().getLogEntries()).hasSize(38);
@@ -67,68 +67,68 @@
     }
 
     @Test
-    void givenATornTailThenItIsCutAndGivenDamageBeforeItThenNothingIsRestored() throws IOException {
-        written().close();
+    void truncatesATornTailAndRestoresNothingAfterOtherDamage() throws IOException {
+        writeState().close();
         Path file = folder.resolve("votes");
         byte[] complete = Files.readAllBytes(file);
         Files.write(file, Arrays.copyOf(complete, complete.length - 3));
-        FileRaftStorage torn = opened();
+        FileRaftStorage torn = open();
         assertThat(torn.restored().getLogEntries()).hasSize(38);
         assertThat(torn.restored().getTermPersistentState().getTerm()).isZero();
         torn.close();
         byte[] bad = complete.clone();
         bad[complete.length / 3] ^= 1;
         Files.write(file, bad);
-        FileRaftStorage damaged = opened();
+        FileRaftStorage damaged = open();
         assertThat(damaged.restored()).isNull();
         damaged.close();
     }
 
     @Test
-    void whenClearedThenNothingIsRestored() throws IOException {
-        FileRaftStorage disk = written();
+    void restoresNothingAfterClear() throws IOException {
+        FileRaftStorage disk = writeState();
         disk.clear();
         assertThat(disk.restored()).isNull();
         disk.close();
-        assertThat(opened().restored()).isNull();
+        assertThat(open().restored()).isNull();
     }
 
-    private void vote(FileRaftStorage disk, int term) {
+    private void persistVote(FileRaftStorage disk, int term) {
         disk.persistAndFlushTerm(models.createRaftTermPersistentStateBuilder().setTerm(term)
                 .setVotedFor(new ReplicaId(1, 0)).build());
     }
 
-    /** The kernel may have dropped what a sync failed to write, and say nothing of it at the next sync. */
+    /** The kernel may drop pages that a sync failed to write, and report no error at the next sync. */
     @Test
-    void givenAFailedSyncThenWritesAreRefusedUntilAllIsRewritten() throws IOException {
+    void rejectsWritesAfterAFailedSyncUntilTheStateIsRewritten() throws IOException {
         FaultyVolume volume = new FaultyVolume();
-        FileRaftStorage disk = written(opened(volume));
+        FileRaftStorage disk = writeState(open(volume));
         byte[] before = Files.readAllBytes(folder.resolve("votes"));
         volume.syncsThatFail = 1;
-        assertThatThrownBy(() -> vote(disk, 4)).isInstanceOf(UncheckedIOException.class);
+        assertThatThrownBy(() -> persistVote(disk, 4)).isInstanceOf(UncheckedIOException.class);
         assertThat(disk.failed()).isTrue();
-        assertThatThrownBy(disk::flush).hasMessageContaining("takes nothing more");
-        assertThatThrownBy(() -> vote(disk, 5)).hasMessageContaining("takes nothing more");
+        assertThatThrownBy(disk::flush).hasMessageContaining("accepts no writes after a failure");
+        assertThatThrownBy(() -> persistVote(disk, 5)).hasMessageContaining("accepts no writes after a failure");
         assertThat(disk.recover()).isTrue();
         assertThat(disk.failed()).isFalse();
         assertThat(Files.readAllBytes(folder.resolve("votes"))).isNotEqualTo(before);
         disk.close();
-        FileRaftStorage again = opened();
+        FileRaftStorage again = open();
         assertThat(again.restored().getTermPersistentState().getTerm()).isEqualTo(5);
         assertThat(again.restored().getLogEntries()).hasSize(38);
         again.close();
     }
 
-    /** While the disk is full or broken the old file stays as it was, whenever the process is killed. */
+    /** While the disk is full or faulty the old file remains unchanged, so the process may be killed at any time. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void givenADiskThatStaysFailedThenWhatWasWrittenBeforeIsRestored(boolean full) throws IOException {
+    void restoresThePreviousStateWhileTheDiskKeepsFailing(boolean full) throws IOException {
         FaultyVolume volume = new FaultyVolume();
-        FileRaftStorage disk = written(opened(volume));
+        FileRaftStorage disk = writeState(open(volume));
         volume.room = full ? 20 : Long.MAX_VALUE;
         volume.syncFails = !full;
-        assertThatThrownBy(() -> vote(disk, 4)).isInstanceOf(UncheckedIOException.class);
-        for (int tries = 0; tries < 3; tries++) {
+        assertThatThrownBy(() -> persistVote(disk, 4)).isInstanceOf(UncheckedIOException.class);
+        for (int attempt = 0; attempt < 3; attempt++) {
             assertThat(disk.recover()).isFalse();
         }
         Path killed = Files.createDirectory(folder.resolve("killed"));
@@ -146,15 +146,15 @@
     }
 
     @Test
-    void givenAFailedClearWhenTheDiskRecoversThenItIsCleared() throws IOException {
+    void completesAFailedClearWhenTheDiskRecovers() throws IOException {
         FaultyVolume volume = new FaultyVolume();
-        FileRaftStorage disk = written(opened(volume));
+        FileRaftStorage disk = writeState(open(volume));
         volume.syncFails = true;
         assertThatThrownBy(disk::clear).isInstanceOf(UncheckedIOException.class);
         assertThat(disk.failed()).isTrue();
         volume.syncFails = false;
         assertThat(disk.recover()).isTrue();
         disk.close();
-        assertThat(opened().restored()).isNull();
+        assertThat(open().restored()).isNull();
     }
 }
--- a/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/PolicyMessageCodecTest.java
@@ -19,8 +19,8 @@
 class PolicyMessageCodecTest {
 
     private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
-    private final PolicyMessageCodec from = new PolicyMessageCodec(1, KEY);
-    private final PolicyMessageCodec to = new PolicyMessageCodec(2, KEY);
+    private final PolicyMessageCodec sender = new PolicyMessageCodec(1, KEY);
+    private final PolicyMessageCodec receiver = new PolicyMessageCodec(2, KEY);
 
     private static List<PolicyMessage> messages() {
         return List.of(new PolicyMessage.LeaseRequest(1, 7, 8, -1, 3, "no such site"),
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void givenEveryMessageWhenWrittenThenItIsReadBack() throws Exception {
+    void readsBackEveryMessage() throws Exception {
         for (PolicyMessage message : messages()) {
-            assertThat(to.read(from.write(2, message))).isEqualTo(message);
+            assertThat(receiver.read(sender.write(2, message))).isEqualTo(message);
         }
     }
 
     @Test
-    void givenARaftMessageWhenWrittenThenItIsReadBack() throws Exception {
+    void readsBackARaftMessage() throws Exception {
         var models = new DefaultRaftModelFactory();
         var entry =
                 models.createLogEntryBuilder().setIndex(5).setTerm(2).setOperation(new PolicyChange.AppendPart("ab", 0,
@@ -52,24 +52,24 @@
                 .setSender(new ReplicaId(1, 0)).setTerm(2)
                 .setPreviousLogTerm(1).setPreviousLogIndex(4).setCommitIndex(3).setLogEntries(List.of(entry))
                 .setQuerySequenceNumber(6).setFlowControlSequenceNumber(7).build();
-        PolicyMessage read = to.read(from.write(2, new PolicyMessage.RaftEnvelope(1, 3, append)));
+        PolicyMessage read = receiver.read(sender.write(2, new PolicyMessage.RaftEnvelope(1, 3, append)));
         assertThat(read.toString()).isEqualTo(new PolicyMessage.RaftEnvelope(1, 3, append).toString());
     }
 
     @Test
-    void givenAForgedCutOrMisaddressedDatagramWhenReadThenItIsMalformed() {
+    void rejectsForgedTruncatedAndMisaddressedDatagrams() {
         Random random = new Random(5);
         for (PolicyMessage message : messages()) {
-            byte[] good = from.write(2, message).array();
+            byte[] valid = sender.write(2, message).array();
             for (int i = 0; i < 50; i++) {
-                byte[] bad = good.clone();
-                bad[random.nextInt(bad.length)] ^= (byte) (1 << random.nextInt(8));
-                assertThatThrownBy(() -> to.read(ByteBuffer.wrap(bad)))
+                byte[] forged = valid.clone();
+                forged[random.nextInt(forged.length)] ^= (byte) (1 << random.nextInt(8));
+                assertThatThrownBy(() -> receiver.read(ByteBuffer.wrap(forged)))
                         .isInstanceOf(MalformedMessageException.class);
             }
-            assertThatThrownBy(() -> to.read(ByteBuffer.wrap(good, 0, good.length - 1)))
+            assertThatThrownBy(() -> receiver.read(ByteBuffer.wrap(valid, 0, valid.length - 1)))
                     .isInstanceOf(MalformedMessageException.class);
-            assertThatThrownBy(() -> new PolicyMessageCodec(3, KEY).read(ByteBuffer.wrap(good)))
+            assertThatThrownBy(() -> new PolicyMessageCodec(3, KEY).read(ByteBuffer.wrap(valid)))
                     .isInstanceOf(MalformedMessageException.class);
         }
     }
--- a/src/test/java/clovermill/controlplane/policystore/RecordedBytesTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/RecordedBytesTest.java
@@ -21,7 +21,9 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of every message and log entry are those recorded: replicas of two program versions run side by side. */
+/**
+ * Tests that the encodings of messages and log entries are unchanged, as replicas of different versions interoperate.
+ */
 class RecordedBytesTest {
 
     private static final String RECORDED = "/clovermill/controlplane/policystore/recorded-bytes.txt";
@@ -47,7 +49,7 @@
                 new PolicyMessage.JoinRequest(1, 77, true), new PolicyMessage.JoinResponse(1, 77, true, false));
     }
 
-    /** One Raft message of each kind. */
+    /** Returns one Raft message of each kind. */
     private static List<RaftMessage> raftMessages() {
         var models = new DefaultRaftModelFactory();
         ReplicaId sender = new ReplicaId(1, 7);
@@ -99,7 +101,7 @@
     }
 
     @Test
-    void whenWrittenThenEveryMessageAndLogEntryHasTheRecordedBytes() throws IOException {
+    void everyMessageAndLogEntryHasTheRecordedBytes() throws IOException {
         List<String> bytes = new ArrayList<>();
         for (PolicyMessage message : messages()) {
             bytes.add(HexFormat.of().formatHex(new PolicyMessageCodec(1, KEY).write(2, message).array()));
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -75,7 +75,7 @@
                 config.settings().answerSlackUs(), clock, deadlines, null);
         PolicyStoreSettings agreed = own.part("accord", PolicyStoreSettings.class).orElseThrow();
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
-                agreed.refusesAllWithoutLease(), null);
+                agreed.rejectsAllWithoutLease(), null);
         PolicyRules rules = new PolicyRules(document -> placement.rejection(document.text()).orElse(null),
                 (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
         accord = new PolicyStore(agreed, rules, clock, loop::post, view -> observer.policy(number, view));
