--- a/src/main/java/clovermill/controlplane/policystore/PolicyLeader.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyLeader.java
@@ -15,20 +15,21 @@
 import java.util.function.BiPredicate;
 
 /**
- * A voter's duties while it is the leader: grants leases on the step that a linearizable read gives, completes or
- * aborts transitions as the {@link Coordinator} decides, and notifies directors of a new step. Not thread-safe.
+ * The functions of a voter while it is the leader. It grants leases on the step that a linearizable read returns,
+ * completes or aborts transitions as the {@link Coordinator} decides, and notifies directors of a new step. Not
+ * thread-safe.
  */
 final class PolicyLeader {
 
-    /** Beyond so many lease requests waiting for a read, further ones are dropped; their senders repeat them. */
+    /** The maximum number of lease requests waiting for a read. Further ones are dropped; their senders repeat them. */
     private static final int MAX_WAITING = 4096;
-    /** How often all directors are notified after a transition has ended, as a notice may be lost. */
+    /** The number of notices to all directors after a transition has ended; more than one, as a notice may be lost. */
     private static final int NOTICES = 3;
     private static final int NOTICES_PER_RENEWAL = 5;
     private static final int TICKS_PER_RENEWAL_NOTIFYING = 10;
     private static final int TICKS_PER_RENEWAL = 2;
-    /** The longest step that counts in full as elapsed time. */
-    private static final long MAX_CLOCK_STEP_MICROS = 1_000_000;
+    /** The maximum elapsed time that is counted between two readings of the clock. */
+    private static final long MAX_CLOCK_STEP_US = 1_000_000;
     private static final long NO_REQUEST = -1;
 
     private final int self;
@@ -41,51 +42,51 @@
     private Coordinator coordinator = Coordinator.IDLE;
     private boolean reading;
     private boolean replicating;
-    private long nextNoticeMicros;
+    private long nextNoticeUs;
     private int noticesLeft;
 
     PolicyLeader(PolicyStoreTask.Membership membership, RaftReplica<PolicyStateMachine> replica,
-            MessageTransport transport, BiPredicate<PolicyDocument, PolicyDocument> enforcedByLease, long nowMicros) {
+            MessageTransport transport, BiPredicate<PolicyDocument, PolicyDocument> enforcedByLease, long nowUs) {
         this.self = membership.self();
         this.timing = membership.timing();
         this.replica = replica;
         this.transport = transport;
         this.enforcedByLease = enforcedByLease;
-        this.clock = new MonotonicClock(nowMicros, Math.min(timing.renewalMicros(), MAX_CLOCK_STEP_MICROS));
+        this.clock = new MonotonicClock(nowUs, Math.min(timing.renewalUs(), MAX_CLOCK_STEP_US));
     }
 
-    /** Does what is due if this voter leads; returns when it is to be called again. */
-    long tick(long nowMicros) {
-        long elapsedMicros = clock.advance(nowMicros);
+    /** Performs the actions that are due if this voter is the leader; returns the time at which to call it again. */
+    long tick(long nowUs) {
+        long elapsedUs = clock.advance(nowUs);
         PolicyRegister register = replica.machine().register();
-        coordinator = coordinator.observe(register.step(), elapsedMicros);
-        if (!replica.leads()) {
+        coordinator = coordinator.observe(register.step(), elapsedUs);
+        if (!replica.isLeader()) {
             waiting.clear();
-            return nowMicros + timing.renewalMicros() / TICKS_PER_RENEWAL;
+            return nowUs + timing.renewalUs() / TICKS_PER_RENEWAL;
         }
         readRegister();
         if (register.step().inTransition() && !replicating) {
-            replicateNextChange(register, elapsedMicros);
+            replicateNextChange(register, elapsedUs);
         }
         boolean notifying = register.step().inTransition() || noticesLeft > 0;
-        if (notifying && nowMicros >= nextNoticeMicros) {
-            nextNoticeMicros = nowMicros + timing.renewalMicros() / NOTICES_PER_RENEWAL;
+        if (notifying && nowUs >= nextNoticeUs) {
+            nextNoticeUs = nowUs + timing.renewalUs() / NOTICES_PER_RENEWAL;
             noticesLeft--;
             notifyDirectors(register);
         }
-        return nowMicros + timing.renewalMicros() / (notifying ? TICKS_PER_RENEWAL_NOTIFYING : TICKS_PER_RENEWAL);
+        return nowUs + timing.renewalUs() / (notifying ? TICKS_PER_RENEWAL_NOTIFYING : TICKS_PER_RENEWAL);
     }
 
-    private void replicateNextChange(PolicyRegister register, long elapsedMicros) {
+    private void replicateNextChange(PolicyRegister register, long elapsedUs) {
         Optional<PolicyChange> change = coordinator.nextChange(register, timing,
-                enforcedByLease.test(register.policy(), register.pending()), elapsedMicros);
+                enforcedByLease.test(register.policy(), register.pending()), elapsedUs);
         if (change.isPresent()) {
             replicating = true;
             replica.replicate(change.get(), result -> replicating = false);
         }
     }
 
-    /** In a transition those that have not confirmed it; otherwise all. */
+    /** Notifies the directors that have not confirmed the transition in progress, or all if there is none. */
     private void notifyDirectors(PolicyRegister register) {
         for (int director = 0; director < timing.directors(); director++) {
             if (!register.step().inTransition() || !coordinator.confirmed().containsKey(director)) {
@@ -94,15 +95,15 @@
         }
     }
 
-    /** The register has changed: directors are notified with the next tick. */
+    /** Schedules notices to the directors for the next tick, as the register has changed. */
     void onRegisterChanged() {
-        nextNoticeMicros = 0;
+        nextNoticeUs = 0;
         noticesLeft = NOTICES;
     }
 
     /** Handles a lease request, with the confirmation or rejection that it carries. */
     void onLeaseRequest(PolicyMessage.LeaseRequest request) {
-        if (!replica.leads()) {
+        if (!replica.isLeader()) {
             transport.send(request.from(),
                     new PolicyMessage.LeaderHint(self, request.requestId(), replica.leader()));
             return;
@@ -118,7 +119,7 @@
         readRegister();
     }
 
-    /** One read at a time; requests that arrive meanwhile are answered by the next one. */
+    /** Starts a read unless one is in progress; requests that arrive during a read are answered by the next one. */
     private void readRegister() {
         if (reading || waiting.isEmpty()) {
             return;
@@ -140,12 +141,12 @@
         String next = inTransition ? register.pending().digest() : "";
         int nextParts = inTransition ? register.pending().parts().size() : 0;
         Set<Integer> unconfirmed = inTransition ? unconfirmed() : Set.of();
-        long remainingMicros = inTransition
-                ? Math.max(0, timing.expiryWaitMicros() - coordinator.elapsedMicros(clock))
+        long remainingUs = inTransition
+                ? Math.max(0, timing.expiryWaitUs() - coordinator.elapsedUs(clock))
                 : 0;
         return new PolicyMessage.LeaseGrant(self, request.processId(), request.requestId(), register.step(),
                 register.policy().digest(), register.policy().parts().size(), next, nextParts, unconfirmed,
-                remainingMicros, register.lastChange().abortReason());
+                remainingUs, register.lastChange().abortReason());
     }
 
     private Set<Integer> unconfirmed() {
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
@@ -8,32 +8,33 @@
 import java.util.List;
 
 /**
- * The part {@code accord} of the settings. Absent values have their defaults.
+ * The {@code accord} section of the settings. Absent values have their defaults.
  *
- * @param directors host:port of all directors, in the same order everywhere
+ * @param directors the host:port of all directors, in the same order at every director
  * @param self the index of this director
- * @param voters the indices of the directors that vote
+ * @param voters the indices of the directors that are voters
  * @param keyFile the file with the key that signs datagrams
  * @param folder a voter's durable folder
- * @param leaseMillis how long a lease lasts
- * @param renewalMillis the interval between lease requests
+ * @param leaseMs the duration of a lease
+ * @param renewalMs the interval between lease requests
  * @param drift the largest deviation of a clock's rate from true time, as a fraction
- * @param withoutLease {@code refuse} for every tenant, or {@code protected} for protected tenants only
+ * @param withoutLease the requests rejected without a lease: {@code refuse} for those of every tenant, {@code
+ *        protected} for those of protected tenants only
  */
 public record PolicyStoreSettings(List<String> directors, int self, List<Integer> voters,
-        @JsonProperty("key_file") String keyFile, String folder, @JsonProperty("lease_ms") Long leaseMillis,
-        @JsonProperty("ask_ms") Long renewalMillis, Double drift, @JsonProperty("without_lease") String withoutLease) {
+        @JsonProperty("key_file") String keyFile, String folder, @JsonProperty("lease_ms") Long leaseMs,
+        @JsonProperty("ask_ms") Long renewalMs, Double drift, @JsonProperty("without_lease") String withoutLease) {
 
     private static final List<Integer> VOTER_COUNTS = List.of(3, 5, 7);
     private static final int MIN_DIRECTORS = 3;
     private static final int MIN_RENEWALS_PER_LEASE = 3;
-    private static final long DEFAULT_LEASE_MILLIS = 10_000;
-    private static final long DEFAULT_RENEWAL_MILLIS = 1000;
+    private static final long DEFAULT_LEASE_MS = 10_000;
+    private static final long DEFAULT_RENEWAL_MS = 1000;
     private static final double DEFAULT_DRIFT = 0.01;
     private static final long MICROS_PER_MILLI = 1000;
 
     /**
-     * Checks what no schema can.
+     * Validates the constraints that the schema cannot express.
      *
      * @throws IllegalArgumentException naming the field and the reason
      */
@@ -48,7 +49,7 @@
         if (isVoter() && folder == null) {
             throw new IllegalArgumentException("/accord/folder: a voter needs a folder that lasts");
         }
-        if (timing().leaseMicros() < MIN_RENEWALS_PER_LEASE * timing().renewalMicros()) {
+        if (timing().leaseUs() < MIN_RENEWALS_PER_LEASE * timing().renewalUs()) {
             throw new IllegalArgumentException(
                     "/accord/lease_ms: three times ask_ms at least, or a lost question ends a lease");
         }
@@ -56,20 +57,20 @@
         key();
     }
 
-    /** Whether this director is a voter. */
+    /** Returns true if this director is a voter. */
     boolean isVoter() {
         return voters.contains(self);
     }
 
-    /** Whether every tenant is refused without a lease. */
-    public boolean refusesAllWithoutLease() {
+    /** Returns true if the requests of every tenant are rejected without a lease. */
+    public boolean rejectsAllWithoutLease() {
         return "refuse".equals(withoutLease);
     }
 
     LeaseTiming timing() {
         return new LeaseTiming(directors.size(),
-                (leaseMillis == null ? DEFAULT_LEASE_MILLIS : leaseMillis) * MICROS_PER_MILLI,
-                (renewalMillis == null ? DEFAULT_RENEWAL_MILLIS : renewalMillis) * MICROS_PER_MILLI,
+                (leaseMs == null ? DEFAULT_LEASE_MS : leaseMs) * MICROS_PER_MILLI,
+                (renewalMs == null ? DEFAULT_RENEWAL_MS : renewalMs) * MICROS_PER_MILLI,
                 drift == null ? DEFAULT_DRIFT : drift);
     }
 
--- a/src/main/java/clovermill/director/PolicyPlane.java
+++ b/src/main/java/clovermill/director/PolicyPlane.java
@@ -29,7 +29,7 @@
     PolicyPlane(PolicyStoreSettings settings, Config config, DirectorRuntime runtime, Optional<UsageListener> next)
             throws IOException {
         placement = new Placement(runtime.clock(), config.settings(), config.zones(), config.classes(),
-                settings.refusesAllWithoutLease(), next.orElse(null));
+                settings.rejectsAllWithoutLease(), next.orElse(null));
         PolicyRules rules = new PolicyRules(
                 document -> placement.rejection(document.text()).orElse(null),
                 (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
@@ -42,7 +42,7 @@
         if (view.step() != null) {
             List<String> policies = view.step().inTransition() ? List.of(view.policy().text(), view.next().text())
                     : List.of(view.policy().text());
-            placement.enforce(policies, view.leaseExpiresAtMicros());
+            placement.enforce(policies, view.leaseExpiresAtUs());
         }
         endpoint.update(view);
     }
