--- a/src/main/java/clovermill/config/Config.java
+++ b/src/main/java/clovermill/config/Config.java
@@ -65,7 +65,7 @@
             positive(limits, "max-attempts", "settings.policy-limits.");
         }
         Settings read = SettingsReader.read(pairs);
-        if (read.zone() < 0 || read.classes().isEmpty() || read.allowed().maxAttempts() < 1) {
+        if (read.zone() < 0 || read.classes().isEmpty() || read.capabilities().maxAttempts() < 1) {
             throw new Json.Malformed("the settings name no zone, no class or no attempt");
         }
         return new Config(Json.string(root, "name"),
--- a/src/main/java/clovermill/config/SettingsReader.java
+++ b/src/main/java/clovermill/config/SettingsReader.java
@@ -1,13 +1,13 @@
 package clovermill.config;
 
-import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Effect;
+import clovermill.routing.api.HostCapabilities;
 import clovermill.routing.api.KeyScope;
-import clovermill.routing.api.Permissions;
 import clovermill.routing.api.RequestClass;
 import clovermill.routing.api.Settings;
-import clovermill.routing.api.Siblings;
-import clovermill.routing.api.Telling;
+import clovermill.routing.api.SiblingScope;
+import clovermill.routing.api.SlowStartRule;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -35,32 +35,34 @@
 
     private Settings settings() {
         String family = "family-info.";
-        ColdRule cold = new ColdRule(decimal("rules.cold-from", 1), micros("rules.cold-us"),
+        SlowStartRule slowStart = new SlowStartRule(decimal("rules.cold-from", 1), micros("rules.cold-us"),
                 decimal("rules.tip-multiple", 1), micros("rules.tip-after-us"));
-        ColdRule parentCold = new ColdRule(decimal(family + "parent-cold-from", cold.from()),
-                micros(family + "upper-cold-us"), decimal(family + "parent-limit-factor", cold.multiple()),
-                cold.windowUs());
+        SlowStartRule parentSlowStart = new SlowStartRule(
+                decimal(family + "parent-cold-from", slowStart.initialShare()),
+                micros(family + "upper-cold-us"), decimal(family + "parent-limit-factor", slowStart.overloadMultiple()),
+                slowStart.overloadWindowUs());
         return new Settings(integer("position", 0), integer("fleet-size", 1), integer("zone", 0), classes(),
                 wholes(family + "crew-by-zone"), wholes(family + "attached-to"),
                 integer(family + "upper-kind", -1),
                 integer(family + "root-kind", -1), decimal(family + "pace-kb-per-s", 0),
                 !"none".equals(values.getOrDefault("weight-source", "none")),
-                word(family + "peers-fill", Siblings.NONE, Map.of("none", Siblings.NONE, "location",
-                        Siblings.LOCATION,
-                        "any", Siblings.ANY)),
-                word(family + "says", Telling.NONE, Map.of("none", Telling.NONE, "hit", Telling.HITS,
-                        "all", Telling.ALL)),
-                cold, parentCold, micros("rules.drain-grace-us"), micros("rules.answer-slack-us"),
+                word(family + "peers-fill", SiblingScope.NONE, Map.of("none", SiblingScope.NONE, "location",
+                        SiblingScope.LOCATION,
+                        "any", SiblingScope.ANY)),
+                word(family + "says", CacheStatusDetail.NONE,
+                        Map.of("none", CacheStatusDetail.NONE, "hit", CacheStatusDetail.HITS,
+                                "all", CacheStatusDetail.ALL)),
+                slowStart, parentSlowStart, micros("rules.drain-grace-us"), micros("rules.answer-slack-us"),
                 micros(family + "notice-time-us"), micros(family + "purge-done-us"),
                 micros("policy-limits.dial-timeout-us"), "on_request".equals(values.get("registry-mode")),
                 micros("rules.must-ask-in-us"), decimal(family + "root-fall-multiple", 0),
                 micros(family + "origin-fall-us"),
-                number(item(list(family + "zone-link-kb-per-s"), integer("zone", 0)), 0), permissions(family));
+                number(item(list(family + "zone-link-kb-per-s"), integer("zone", 0)), 0), capabilities(family));
     }
 
-    private Permissions permissions(String family) {
+    private HostCapabilities capabilities(String family) {
         String limits = "policy-limits.";
-        return new Permissions(bool(family + "straight"), bool(family + "shares-fills"),
+        return new HostCapabilities(bool(family + "straight"), bool(family + "shares-fills"),
                 bool(limits + "cancelling"),
                 bool(limits + "second-copies"), bool(limits + "probes"), bool(limits + "peers"),
                 integer(limits + "max-attempts", Integer.MAX_VALUE), integer(limits + "max-open",
--- a/src/main/java/clovermill/controlplane/discovery/DiscoveryEventParser.java
+++ b/src/main/java/clovermill/controlplane/discovery/DiscoveryEventParser.java
@@ -93,7 +93,7 @@
         return switch (Json.string(server, "state")) {
             case "ready" -> Availability.HEALTHY;
             case "draining" -> Availability.DRAINING;
-            case "gone" -> Availability.GONE;
+            case "gone" -> Availability.REMOVED;
             default -> throw new Json.Malformed("state: unknown");
         };
     }
--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -4,14 +4,14 @@
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.upstream.UpstreamPool;
 import clovermill.routing.api.Availability;
+import clovermill.routing.api.DisabledMembersChanged;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Operated;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Purge;
 import clovermill.runtime.net.Clock;
-import java.lang.System.Logger.Level;
 import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -123,10 +123,10 @@
     }
 
     private void publishOutages(String changedId) {
-        proxy.handle(new Operated(List.copyOf(outages.allOut())));
+        proxy.handle(new DisabledMembersChanged(List.copyOf(outages.allOut())));
         ListedEndpoint endpoint = listed.get(changedId);
         if (endpoint != null) {
-            proxy.handle(new Members(ListScope.CHANGES, List.of(member(endpoint))));
+            proxy.handle(new MembersChanged(ListScope.CHANGES, List.of(member(endpoint))));
         }
     }
 
@@ -140,7 +140,7 @@
                 logUnusable(unusable);
             }
         }
-        proxy.handle(new Members(ListScope.REMEMBERED, listed.values().stream().map(this::member).toList()));
+        proxy.handle(new MembersChanged(ListScope.LAST_KNOWN, listed.values().stream().map(this::member).toList()));
         List<CopiesPurged> purges = known.events().stream().filter(CopiesPurged.class::isInstance)
                 .map(CopiesPurged.class::cast).toList();
         long[] agesUs = PurgeAgeEstimator.initialAgesUs(
@@ -184,7 +184,7 @@
 
     private void applyList(EndpointListChanged list, boolean first) {
         Set<String> unavailable = updateList(list, first);
-        proxy.handle(new Members(list.full() ? ListScope.FULL : ListScope.CHANGES,
+        proxy.handle(new MembersChanged(list.full() ? ListScope.FULL : ListScope.CHANGES,
                 list.endpoints().stream().map(this::member).toList()));
         withdrawFrom(unavailable);
     }
@@ -223,7 +223,7 @@
         if (endpoint.member().kind() != originKind) {
             knownCaches.put(endpoint.id(), true);
         }
-        if (endpoint.member().availability() == Availability.GONE) {
+        if (endpoint.member().availability() == Availability.REMOVED) {
             listed.remove(endpoint.id());
         } else {
             listed.put(endpoint.id(), endpoint);
--- a/src/main/java/clovermill/controlplane/gossip/GossipService.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipService.java
@@ -1,14 +1,14 @@
 package clovermill.controlplane.gossip;
 
-import clovermill.controlplane.gossip.decide.GossipMember.OutgoingMessage;
 import clovermill.controlplane.gossip.decide.GossipMember;
+import clovermill.controlplane.gossip.decide.GossipMember.OutgoingMessage;
 import clovermill.controlplane.gossip.decide.GossipMessage;
 import clovermill.controlplane.gossip.decide.LimitShare;
 import clovermill.controlplane.gossip.decide.ReplicatedEntry;
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.UsageListener;
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.routing.api.Members;
+import clovermill.routing.api.MembersChanged;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Datagrams;
 import clovermill.runtime.net.Deadlines;
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void membersChanged(Members change) {
+    public void membersChanged(MembersChanged change) {
         if (next != null) {
             next.membersChanged(change);
         }
--- a/src/main/java/clovermill/controlplane/placement/Placement.java
+++ b/src/main/java/clovermill/controlplane/placement/Placement.java
@@ -2,14 +2,14 @@
 
 import clovermill.config.Json;
 import clovermill.controlplane.placement.decide.PlacementRules;
-import clovermill.dataplane.proxy.EndpointFilter;
 import clovermill.dataplane.proxy.ClientRequest;
+import clovermill.dataplane.proxy.EndpointFilter;
 import clovermill.dataplane.proxy.UsageListener;
 import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.routing.api.Availability;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Settings;
 import clovermill.runtime.net.Clock;
 import java.util.HashMap;
@@ -116,7 +116,7 @@
                 return LEASE_RETRY_AFTER_MS;
             }
             if (rule != null && !anyEndpointAllowed(request)) {
-                return settings.allowed().maxRetryAfterUs() / 1000;
+                return settings.capabilities().maxRetryAfterUs() / 1000;
             }
         }
         return next == null ? ADMITTED : next.retryAfterMs(request);
@@ -133,7 +133,7 @@
     private boolean anyEndpointAllowed(ClientRequest request) {
         return endpoints.values().stream().anyMatch(endpoint -> endpoint.availability() == Availability.HEALTHY
                 && allows(request, endpoint)
-                && (endpoint.zone() == settings.zone() || settings.allowed().straight()));
+                && (endpoint.zone() == settings.zone() || settings.capabilities().cacheBypass()));
     }
 
     @Override
@@ -170,12 +170,12 @@
     }
 
     @Override
-    public void membersChanged(Members change) {
-        if (change.scope() == ListScope.FULL || change.scope() == ListScope.REMEMBERED) {
+    public void membersChanged(MembersChanged change) {
+        if (change.scope() == ListScope.FULL || change.scope() == ListScope.LAST_KNOWN) {
             endpoints.clear();
         }
         for (Member endpoint : change.members()) {
-            if (endpoint.availability() == Availability.GONE) {
+            if (endpoint.availability() == Availability.REMOVED) {
                 endpoints.remove(endpoint.id()); // ids are not reused, and would accumulate
             } else {
                 endpoints.put(endpoint.id(), endpoint);
--- a/src/main/java/clovermill/controlplane/reload/decide/RequestClassRegistry.java
+++ b/src/main/java/clovermill/controlplane/reload/decide/RequestClassRegistry.java
@@ -1,8 +1,8 @@
 package clovermill.controlplane.reload.decide;
 
 import clovermill.routing.api.Effect;
+import clovermill.routing.api.HostCapabilities;
 import clovermill.routing.api.KeyScope;
-import clovermill.routing.api.Permissions;
 import clovermill.routing.api.RequestClass;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -106,10 +106,10 @@
     }
 
     /** The permissions with the number of attempts in force in place of their own. */
-    public Permissions withMaxAttempts(Permissions permissions) {
-        return new Permissions(permissions.straight(), permissions.joins(), permissions.cancelling(),
-                permissions.secondCopies(), permissions.probes(), permissions.peerMessages(), maxAttempts,
-                permissions.maxOpen(), permissions.maxRetryAfterUs());
+    public HostCapabilities withMaxAttempts(HostCapabilities capabilities) {
+        return new HostCapabilities(capabilities.cacheBypass(), capabilities.fillJoining(), capabilities.cancellation(),
+                capabilities.hedging(), capabilities.probes(), capabilities.peerMessages(), maxAttempts,
+                capabilities.maxOpenRequests(), capabilities.maxRetryAfterUs());
     }
 
     /** The new terms, with no more freedom to repeat than the old ones give, and the longer of both deadlines. */
@@ -117,10 +117,11 @@
         Effect effect = old.effect().compareTo(next.effect()) > 0 ? old.effect() : next.effect();
         KeyScope scope = old.keyScope().compareTo(next.keyScope()) > 0 ? old.keyScope() : next.keyScope();
         long freshUs = Math.min(freshUs(old), freshUs(next));
-        return new RequestClass(next.aimUs(), next.aimStretch(), Math.max(old.deadlineUs(), next.deadlineUs()),
-                next.worth(), next.lateWorth(), effect, scope, Math.min(windowUs(old), windowUs(next)),
-                next.streamed(), next.goesThrough(), next.inParts(), freshUs == Long.MAX_VALUE ? 0 : freshUs,
-                Math.min(old.usableAfterUs(), next.usableAfterUs()), next.staleWorth());
+        return new RequestClass(next.targetUs(), next.targetServiceFactor(),
+                Math.max(old.deadlineUs(), next.deadlineUs()),
+                next.value(), next.lateValue(), effect, scope, Math.min(windowUs(old), windowUs(next)),
+                next.streamed(), next.passThrough(), next.inParts(), freshUs == Long.MAX_VALUE ? 0 : freshUs,
+                Math.min(old.staleUsableUs(), next.staleUsableUs()), next.staleValue());
     }
 
     /** The deduplication window; it binds only a class whose repeats are recognised. */
--- a/src/main/java/clovermill/dataplane/proxy/ActionExecutor.java
+++ b/src/main/java/clovermill/dataplane/proxy/ActionExecutor.java
@@ -1,24 +1,24 @@
 package clovermill.dataplane.proxy;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Cancel;
 import clovermill.routing.api.CloseIdle;
 import clovermill.routing.api.Fail;
 import clovermill.routing.api.Log;
-import clovermill.routing.api.Note;
 import clovermill.routing.api.Probe;
-import clovermill.routing.api.Probed;
-import clovermill.routing.api.Refuse;
+import clovermill.routing.api.ProbeEnded;
+import clovermill.routing.api.Reject;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.Send;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.SetTimer;
-import clovermill.routing.api.Timer;
+import clovermill.routing.api.TimerExpired;
 import java.lang.System.Logger.Level;
 
 /**
- * Executes the actions of the router. {@code Watch}, {@code FetchMembers} and {@code Tell} have no effect: discovery
- * pushes the members anyway, and directors of one fleet exchange no router messages.
+ * Executes the actions of the router. {@code WatchMembers}, {@code FetchMembers} and {@code SendPeerMessage} have no
+ * effect: discovery pushes the members anyway, and directors of one fleet exchange no router messages.
  */
 final class ActionExecutor {
 
@@ -37,7 +37,7 @@
                 .on(SendVia.class, this::sendVia)
                 .on(Send.class, this::send)
                 .on(Cancel.class, this::cancel)
-                .on(Refuse.class, this::refuse)
+                .on(Reject.class, this::refuse)
                 .on(Fail.class, this::fail)
                 .on(SetTimer.class, this::setTimer)
                 .on(Probe.class, this::probe)
@@ -53,8 +53,8 @@
         String source = action.source().equals(action.member()) ? null : action.source();
         startAttempt(action.request(), action.member(), action.timeoutUs(),
                 (request, timeoutUs) -> new AttemptOrder(request, action.member(), timeoutUs, source,
-                        action.rank(), action.maxAgeUs(), action.join(), action.heldOnly(),
-                        action.parentKeepsNone(), action.renew()));
+                        action.rank(), action.maxAgeUs(), action.joinFill(), action.onlyIfCached(),
+                        action.parentNoStore(), action.staleWhileRevalidate()));
     }
 
     private void send(Send action) {
@@ -81,8 +81,8 @@
         }
         Attempt attempt = context.newAttempt(member);
         long remainingUs = context.deadlineUs - attempt.sentUs;
-        if (context.isAbandoned() || attempt.number >= core.permissions().maxAttempts() || remainingUs <= 0) {
-            attempt.ended(Result.NOT_SENT, Note.NONE, 0, null);
+        if (context.isAbandoned() || attempt.number >= core.capabilities().maxAttempts() || remainingUs <= 0) {
+            attempt.ended(Result.NOT_SENT, CacheStatus.NONE, 0, null);
             return;
         }
         long cutUs =
@@ -99,7 +99,7 @@
         }
     }
 
-    private void refuse(Refuse action) {
+    private void refuse(Reject action) {
         RequestContext context = core.find(action.request());
         if (context != null && !context.isOver()) {
             context.refuse(Math.max(0, action.retryAfterUs()) / 1000);
@@ -114,12 +114,13 @@
     }
 
     private void setTimer(SetTimer action) {
-        core.deadlines.add(core.clock.micros() + action.delayUs(), () -> core.deliver(new Timer(action.token())));
+        core.deadlines.add(core.clock.micros() + action.delayUs(),
+                () -> core.deliver(new TimerExpired(action.token())));
     }
 
     private void probe(Probe action) {
         long sentUs = core.clock.micros();
-        upstream.probe(action.member(), (result, note, waitedUs, response) -> core.deliver(
-                new Probed(action.member(), result, core.clock.micros() - sentUs, null)));
+        upstream.probe(action.member(), (result, cacheStatus, waitedUs, response) -> core.deliver(
+                new ProbeEnded(action.member(), result, core.clock.micros() - sentUs, null)));
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/Attempt.java
+++ b/src/main/java/clovermill/dataplane/proxy/Attempt.java
@@ -1,8 +1,8 @@
 package clovermill.dataplane.proxy;
 
+import clovermill.routing.api.AttemptEnded;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.LoadReport;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Deadlines;
 
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void ended(Result reported, Note note, long waitedUs, UpstreamResponse response) {
+    public void ended(Result reported, CacheStatus cacheStatus, long waitedUs, UpstreamResponse response) {
         Result result = isInvalid(response) ? Result.ERROR : reported;
         boolean serves = result == Result.OK && !hasEnded && !context.isOver();
         if (response != null && !serves) {
@@ -110,13 +110,13 @@
             context.recordPossibleRun(sentUs);
         }
         if (serves) {
-            context.serve(response, this, note);
+            context.serve(response, this, cacheStatus);
         } else if (context.isHalfClosed() && context.inFlight.isEmpty()) {
             context.endUnserved();
         }
         context.forgetIfDone();
-        core.deliver(new Outcome(context.request.id(), number, member, result, core.clock.micros() - sentUs,
-                context.isOver(), note, waitedUs, load));
+        core.deliver(new AttemptEnded(context.request.id(), number, member, result, core.clock.micros() - sentUs,
+                context.isOver(), cacheStatus, waitedUs, load));
     }
 
     /** A member that reports the client's copy as valid where the client has none has served nothing. */
@@ -132,7 +132,7 @@
     void cancel(Result result) {
         boolean queuedLocally = exchange.isQueuedLocally();
         boolean mayHaveRun = exchange.cancel();
-        Result unsent = result == Result.TIMED_OUT && !queuedLocally ? Result.UNCONNECTED : Result.NOT_SENT;
-        ended(mayHaveRun ? result : unsent, Note.NONE, 0, null);
+        Result unsent = result == Result.TIMED_OUT && !queuedLocally ? Result.CONNECT_FAILED : Result.NOT_SENT;
+        ended(mayHaveRun ? result : unsent, CacheStatus.NONE, 0, null);
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/AttemptListener.java
+++ b/src/main/java/clovermill/dataplane/proxy/AttemptListener.java
@@ -1,7 +1,7 @@
 package clovermill.dataplane.proxy;
 
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.LoadReport;
-import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
 
 /** Follows one attempt or probe. {@link #ended} is called exactly once, unless the exchange was cancelled. */
@@ -24,5 +24,5 @@
      * The attempt has ended. {@code waitedUs} is the time in the member's queue in microseconds. {@code response} is
      * not null exactly with {@link Result#OK}; this listener owns its body from now on.
      */
-    void ended(Result result, Note note, long waitedUs, UpstreamResponse response);
+    void ended(Result result, CacheStatus cacheStatus, long waitedUs, UpstreamResponse response);
 }
--- a/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
+++ b/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
@@ -1,15 +1,15 @@
 package clovermill.dataplane.proxy;
 
 import clovermill.routing.api.CacheRouter;
-import clovermill.routing.api.ClientGone;
 import clovermill.routing.api.Effect;
 import clovermill.routing.api.Event;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Permissions;
+import clovermill.routing.api.HostCapabilities;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Request;
+import clovermill.routing.api.RequestCancelled;
 import clovermill.routing.api.RequestClass;
-import clovermill.routing.api.Retuned;
 import clovermill.routing.api.Settings;
+import clovermill.routing.api.SettingsChanged;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import java.lang.System.Logger.Level;
@@ -41,7 +41,7 @@
     private final EndpointFilter endpointFilter;
     private final Map<String, RequestContext> requests = new HashMap<>();
     private final EventQueue events;
-    private Permissions permissions;
+    private HostCapabilities capabilities;
     private List<RequestClass> requestClasses;
     private long answerSlackUs;
 
@@ -62,14 +62,14 @@
     }
 
     private void apply(Settings settings) {
-        permissions = settings.allowed();
+        capabilities = settings.capabilities();
         requestClasses = settings.classes();
         answerSlackUs = settings.answerSlackUs();
     }
 
     /** Accepts a request, or answers it at once; {@code handler} may be called before this returns. */
     public void submit(ClientRequest request, ResponseHandler handler) {
-        if (requests.size() >= permissions.maxOpen()) {
+        if (requests.size() >= capabilities.maxOpenRequests()) {
             handler.refused(maxRetryAfterMs());
             recordRejected(request, UsageRecord.End.REFUSED);
             return;
@@ -94,7 +94,7 @@
     }
 
     private long maxRetryAfterMs() {
-        return permissions.maxRetryAfterUs() / 1000;
+        return capabilities.maxRetryAfterUs() / 1000;
     }
 
     /** Records the usage of a request that was rejected before it was routed, here or by a server. */
@@ -120,7 +120,7 @@
         if (context != null && !context.isOver()) {
             context.end();
             context.recordUsage(UsageRecord.End.GONE);
-            deliver(new ClientGone(requestId));
+            deliver(new RequestCancelled(requestId));
         }
     }
 
@@ -134,7 +134,7 @@
             return;
         }
         context.halfClose();
-        deliver(new ClientGone(requestId));
+        deliver(new RequestCancelled(requestId));
         context.cancelQueuedAttempts(); // the router is not bound to cancel them
         if (context.isHalfClosed() && context.inFlight.isEmpty()) {
             context.endUnserved();
@@ -143,7 +143,7 @@
 
     /** Passes on an event that belongs to no request, such as a change of the members or a purge. */
     public void handle(Event event) {
-        if (usageListener != null && event instanceof Members change) {
+        if (usageListener != null && event instanceof MembersChanged change) {
             usageListener.membersChanged(change);
         }
         deliver(event);
@@ -152,7 +152,7 @@
     /** Applies other settings, for requests that are submitted from now on. */
     public void reload(Settings settings) {
         apply(settings);
-        deliver(new Retuned(settings));
+        deliver(new SettingsChanged(settings));
     }
 
     /** Gives every open request its final answer, at the end of a shutdown. */
@@ -164,7 +164,7 @@
                 } else {
                     context.fail();
                 }
-                deliver(new ClientGone(context.request.id()));
+                deliver(new RequestCancelled(context.request.id()));
             }
         }
     }
@@ -178,8 +178,8 @@
         return requests.get(requestId);
     }
 
-    Permissions permissions() {
-        return permissions;
+    HostCapabilities capabilities() {
+        return capabilities;
     }
 
     /** Time from an attempt that may have run until the last retry of it, {@link Long#MAX_VALUE} if unlimited. */
@@ -196,7 +196,7 @@
 
     /** Delay that a rejected client is asked to wait, in milliseconds. */
     long retryAfterMs() {
-        return Math.min(RETRY_AFTER_US, permissions.maxRetryAfterUs()) / 1000;
+        return Math.min(RETRY_AFTER_US, capabilities.maxRetryAfterUs()) / 1000;
     }
 
     void forget(RequestContext context) {
@@ -208,6 +208,6 @@
         LOG.log(Level.WARNING, "request {0} was overdue: the router gave no final answer",
                 context.request.id());
         context.fail();
-        deliver(new ClientGone(context.request.id()));
+        deliver(new RequestCancelled(context.request.id()));
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/RequestContext.java
+++ b/src/main/java/clovermill/dataplane/proxy/RequestContext.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.proxy;
 
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Deadlines;
 import java.util.HashMap;
@@ -142,7 +142,7 @@
     }
 
     /** Serves the response of an attempt; usage is recorded when it was written, or never will be. */
-    void serve(UpstreamResponse response, Attempt servedBy, Note note) {
+    void serve(UpstreamResponse response, Attempt servedBy, CacheStatus cacheStatus) {
         if (!core.recordsUsage()) {
             end().served(response);
             return;
@@ -151,7 +151,7 @@
         int bodyBytes = response.notModified() ? 0 : response.body().bytes().length;
         end().served(response.withListener((writtenBytes, complete) -> core.record(new UsageRecord(request, true,
                 receivedUs, core.clock.micros(), endOf(response, complete), attemptsUntilServed, servedBy.member,
-                servedBy.source(), note, writtenBytes, bodyBytes))));
+                servedBy.source(), cacheStatus, writtenBytes, bodyBytes))));
     }
 
     private static UsageRecord.End endOf(UpstreamResponse response, boolean complete) {
--- a/src/main/java/clovermill/dataplane/proxy/UsageListener.java
+++ b/src/main/java/clovermill/dataplane/proxy/UsageListener.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.proxy;
 
-import clovermill.routing.api.Members;
+import clovermill.routing.api.MembersChanged;
 
 /**
  * Observes the end of every request and may reject a request before it is routed: accounting, rate limits, placement.
@@ -21,5 +21,5 @@
     void requestEnded(UsageRecord usage);
 
     /** The set of members has changed. */
-    void membersChanged(Members change);
+    void membersChanged(MembersChanged change);
 }
--- a/src/main/java/clovermill/dataplane/proxy/UsageRecord.java
+++ b/src/main/java/clovermill/dataplane/proxy/UsageRecord.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.proxy;
 
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 
 /**
  * The outcome of one request.
@@ -13,12 +13,12 @@
  * @param attempts number of attempts, those included that were not sent
  * @param member id of the member that served it, or null
  * @param source id of the member from which a miss was to be filled, or null
- * @param note what the serving member said about its answer, or null
+ * @param cacheStatus the cache status that the serving member reported, or null
  * @param writtenBytes bytes of the body that were written to the client's socket
  * @param bodyBytes bytes of the whole body
  */
 public record UsageRecord(ClientRequest request, boolean admitted, long receivedUs, long endedUs, End end,
-        int attempts, String member, String source, Note note, int writtenBytes, int bodyBytes) {
+        int attempts, String member, String source, CacheStatus cacheStatus, int writtenBytes, int bodyBytes) {
 
     /** How a request ended. */
     public enum End {
--- a/src/main/java/clovermill/dataplane/server/FrameServer.java
+++ b/src/main/java/clovermill/dataplane/server/FrameServer.java
@@ -73,7 +73,7 @@
     /** Accepts requests of these classes from now on; a name is null if its class is not accepted any more. */
     public void reload(List<String> classNames, Settings settings) {
         reader.reload(classNames, settings.classes(), settings.paceKbPerS());
-        retryAfterMs = settings.allowed().maxRetryAfterUs() / 1000;
+        retryAfterMs = settings.capabilities().maxRetryAfterUs() / 1000;
     }
 
     @Override
--- a/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
+++ b/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
@@ -1,7 +1,7 @@
 package clovermill.dataplane.upstream;
 
 import clovermill.dataplane.proxy.Exchange;
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Deadlines.Deadline;
 
@@ -54,7 +54,7 @@
     void end(Result result) {
         pool.cancel(nextDial);
         pool.removeDelayed(this);
-        request.listener().ended(result, Note.NONE, 0, null);
+        request.listener().ended(result, CacheStatus.NONE, 0, null);
     }
 
     @Override
--- a/src/main/java/clovermill/dataplane/upstream/MemberConnections.java
+++ b/src/main/java/clovermill/dataplane/upstream/MemberConnections.java
@@ -103,7 +103,7 @@
     /** Ends all queued exchanges as unconnected; those that have begun may still be answered. */
     void retire() {
         for (UpstreamConnection connection : snapshot()) {
-            connection.withdraw(each -> true, Result.UNCONNECTED);
+            connection.withdraw(each -> true, Result.CONNECT_FAILED);
             connection.retire();
         }
     }
--- a/src/main/java/clovermill/dataplane/upstream/RequestLine.java
+++ b/src/main/java/clovermill/dataplane/upstream/RequestLine.java
@@ -55,16 +55,16 @@
             fields.add("maxage=" + Math.max(1, order.maxAgeUs() / MICROS_PER_MILLI));
         }
         StringJoiner flags = new StringJoiner("+");
-        if (order.join()) {
+        if (order.joinFill()) {
             flags.add("join");
         }
-        if (order.cachedOnly()) {
+        if (order.onlyIfCached()) {
             flags.add("held");
         }
-        if (order.parentMustNotCache()) {
+        if (order.parentNoStore()) {
             flags.add("nocopy");
         }
-        if (order.renew()) {
+        if (order.staleWhileRevalidate()) {
             flags.add("renew");
         }
         if (flags.length() > 0) {
--- a/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.upstream;
 
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.ProtocolException;
 import java.util.Map;
@@ -8,10 +8,13 @@
 /** Decodes the fields of responses in the lines protocol (the protocol page, "Directors to caches"). */
 final class ResponseFields {
 
-    private static final Map<String, Note> NOTES = Map.of("HIT", Note.HIT, "MISS", Note.FILLED,
-            "MISS_ORIGIN", Note.ORIGIN_ASKED, "COLLAPSED", Note.JOINED, "STALE", Note.STALE,
-            "UP_BUSY", Note.SOURCE_REFUSED, "UP_DOWN", Note.SOURCE_UNREACHED, "UP_MISS", Note.SOURCE_LACKS,
-            "NO_FILL", Note.NO_PLACE, "ORIGIN_ERR", Note.ORIGIN_FAILED);
+    private static final Map<String, CacheStatus> CACHE_STATUSES =
+            Map.of("HIT", CacheStatus.HIT, "MISS", CacheStatus.FILLED,
+                    "MISS_ORIGIN", CacheStatus.FILLED_FROM_ORIGIN, "COLLAPSED", CacheStatus.COLLAPSED, "STALE",
+                    CacheStatus.STALE,
+                    "UP_BUSY", CacheStatus.SOURCE_REJECTED, "UP_DOWN", CacheStatus.SOURCE_UNREACHABLE, "UP_MISS",
+                    CacheStatus.SOURCE_MISS,
+                    "NO_FILL", CacheStatus.FILL_LIMIT_REACHED, "ORIGIN_ERR", CacheStatus.ORIGIN_FAILED);
 
     private ResponseFields() {}
 
@@ -20,16 +23,16 @@
         return switch (word) {
             case "DONE", "KEEP", "FIT" -> Result.OK;
             case "LACK" -> Result.MISS;
-            case "WAIT" -> Result.REFUSED;
+            case "WAIT" -> Result.REJECTED;
             case "BROKE", "UNFIT" -> Result.ERROR;
             case "PAST" -> Result.NOT_SENT;
             default -> throw new ProtocolException("an unknown word in a response");
         };
     }
 
-    /** Decodes a note; null and unknown texts give {@link Note#NONE}. */
-    static Note note(String text) {
-        return text == null ? Note.NONE : NOTES.getOrDefault(text, Note.NONE);
+    /** Decodes a cache status; null and unknown texts give {@link CacheStatus#NONE}. */
+    static CacheStatus cacheStatus(String text) {
+        return text == null ? CacheStatus.NONE : CACHE_STATUSES.getOrDefault(text, CacheStatus.NONE);
     }
 
     /** Converts a time in milliseconds to microseconds; null gives 0. */
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -2,7 +2,7 @@
 
 import clovermill.config.LoadReports;
 import clovermill.dataplane.proxy.UpstreamResponse;
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Body;
 import clovermill.runtime.net.Budget;
@@ -85,7 +85,7 @@
         openById.put(exchange.id, exchange);
         sendQueue.add(exchange);
         // The bound within which drains and purges take effect: a request must not begin later than a dial may take.
-        exchange.beginTimeout = pool.addDialTimeout(() -> withdraw(exchange, Result.UNCONNECTED));
+        exchange.beginTimeout = pool.addDialTimeout(() -> withdraw(exchange, Result.CONNECT_FAILED));
         connection.requestFlush();
         return exchange;
     }
@@ -100,7 +100,7 @@
         if (sendQueue.remove(exchange)) {
             openById.remove(exchange.id, exchange);
             pool.cancel(exchange.beginTimeout);
-            exchange.end(result, Note.NONE, 0, null);
+            exchange.end(result, CacheStatus.NONE, 0, null);
             updateAfterEnd();
         }
     }
@@ -113,7 +113,7 @@
     private void endExpired(UpstreamExchange exchange) {
         pool.cancel(exchange.beginTimeout);
         openById.remove(exchange.id, exchange);
-        exchange.end(Result.NOT_SENT, Note.NONE, 0, null);
+        exchange.end(Result.NOT_SENT, CacheStatus.NONE, 0, null);
     }
 
     /** Cancels an exchange; its listener is not called any more. */
@@ -238,13 +238,13 @@
             body.close();
             throw malformed;
         }
-        Note note = ResponseFields.note(fields.get("res"));
+        CacheStatus cacheStatus = ResponseFields.cacheStatus(fields.get("res"));
         long waitedUs = ResponseFields.micros(fields.get("ttfb"));
         openById.remove(id);
         recentIds.addAnswered(id, pool.nowUs());
         unansweredSinceUs = openById.isEmpty() ? 0 : watchdog.lastReceivedUs();
         reportLoad(exchange, fields.get("gauges"));
-        exchange.end(result, note, waitedUs, response(result, word, fields, body));
+        exchange.end(result, cacheStatus, waitedUs, response(result, word, fields, body));
         updateAfterEnd();
     }
 
@@ -288,11 +288,11 @@
         parser.close();
         sendQueue.clear();
         boolean dialFailed = !connected && (cause == null || SocketErrors.isOfPeer(cause));
-        Result unwritten = dialFailed ? Result.UNCONNECTED : Result.NOT_SENT;
+        Result unwritten = dialFailed ? Result.CONNECT_FAILED : Result.NOT_SENT;
         while (!openById.isEmpty()) {
             UpstreamExchange exchange = openById.remove(openById.keySet().iterator().next());
             pool.cancel(exchange.beginTimeout);
-            exchange.end(exchange.isWritten() ? Result.BROKEN : unwritten, Note.NONE, 0, null);
+            exchange.end(exchange.isWritten() ? Result.CONNECTION_LOST : unwritten, CacheStatus.NONE, 0, null);
         }
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
@@ -4,7 +4,7 @@
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.UpstreamResponse;
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Deadlines.Deadline;
 import java.nio.ByteBuffer;
@@ -115,7 +115,7 @@
         revoked = true;
     }
 
-    void end(Result result, Note note, long waitedUs, UpstreamResponse response) {
-        listener.ended(result, note, waitedUs, response);
+    void end(Result result, CacheStatus cacheStatus, long waitedUs, UpstreamResponse response) {
+        listener.ended(result, cacheStatus, waitedUs, response);
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
@@ -5,13 +5,13 @@
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.Upstream;
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Connection;
-import clovermill.runtime.net.Deadlines.Deadline;
 import clovermill.runtime.net.Deadlines;
+import clovermill.runtime.net.Deadlines.Deadline;
 import clovermill.runtime.net.EventLoop;
 import clovermill.runtime.net.SocketErrors;
 import java.io.IOException;
@@ -116,7 +116,7 @@
         for (Map.Entry<String, MemberConnections> member : List.copyOf(members.entrySet())) {
             boolean isDrained = drained.contains(member.getKey());
             member.getValue().withdraw(each -> isDrained || each.isFilledFrom(drained),
-                    isDrained ? Result.UNCONNECTED : Result.NOT_SENT);
+                    isDrained ? Result.CONNECT_FAILED : Result.NOT_SENT);
         }
         withdrawDelayed(each -> drained.contains(each.member()) || each.isFilledFrom(drained));
     }
@@ -146,19 +146,19 @@
     public void probe(String member, AttemptListener listener) {
         String id = "p" + probeCount++;
         Deadline[] timeout = new Deadline[1];
-        AttemptListener probeListener = (result, note, waitedUs, response) -> {
+        AttemptListener probeListener = (result, cacheStatus, waitedUs, response) -> {
             deadlines.cancel(timeout[0]);
             if (response != null) {
                 response.body().close();
             }
-            listener.ended(result, note, waitedUs, null);
+            listener.ended(result, cacheStatus, waitedUs, null);
         };
         Exchange exchange = send(new CacheRequest(member, id, null, null, Long.MAX_VALUE,
                 leftUs -> RequestLine.there(id), probeListener));
         timeout[0] = addDialTimeout(() -> {
             if (exchange != ENDED) {
                 exchange.cancel();
-                listener.ended(Result.TIMED_OUT, Note.NONE, 0, null);
+                listener.ended(Result.TIMED_OUT, CacheStatus.NONE, 0, null);
             }
         });
     }
@@ -190,11 +190,11 @@
             if (!SocketErrors.isOfPeer(failure)) {
                 return null;
             }
-            request.listener().ended(Result.UNCONNECTED, Note.NONE, 0, null);
+            request.listener().ended(Result.CONNECT_FAILED, CacheStatus.NONE, 0, null);
             return ENDED;
         }
         if (connection == null) { // an unknown member or a limit of this pool, which does not count against the member
-            request.listener().ended(Result.NOT_SENT, Note.NONE, 0, null);
+            request.listener().ended(Result.NOT_SENT, CacheStatus.NONE, 0, null);
             return ENDED;
         }
         return connection.send(request);
--- a/src/main/java/clovermill/director/UsageAccounting.java
+++ b/src/main/java/clovermill/director/UsageAccounting.java
@@ -33,7 +33,7 @@
     private static Ledger.Director ledgerDirector(Config config) {
         Settings settings = config.settings();
         return new Ledger.Director(config.name(), config.classes(), settings.parentKind(), settings.originKind(),
-                settings.allowed().maxOpen());
+                settings.capabilities().maxOpenRequests());
     }
 
     /** The first listener of the chain; the gossip service passes each event on to the ledger. */
--- a/src/main/java/clovermill/director/Warmup.java
+++ b/src/main/java/clovermill/director/Warmup.java
@@ -5,11 +5,11 @@
 import clovermill.controlplane.discovery.EndpointListChanged;
 import clovermill.routing.RequestRouter;
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Request;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.Send;
@@ -48,7 +48,7 @@
     /** Routes the requests among the endpoints of {@code startList}; returns how many were sent to one. */
     static int run(Settings settings, DiscoveryEvents startList) {
         Warmup warmup = new Warmup(settings);
-        warmup.router.handle(1, new Members(ListScope.FULL, endpoints(startList)), warmup.actions::add);
+        warmup.router.handle(1, new MembersChanged(ListScope.FULL, endpoints(startList)), warmup.actions::add);
         for (int i = 1; i <= REQUESTS; i++) {
             warmup.route(i);
         }
@@ -75,9 +75,9 @@
             Optional<String> endpoint = target(action);
             if (endpoint.isPresent()) {
                 sent++;
-                Note note = number % 2 == 0 ? Note.HIT : Note.FILLED;
-                router.handle(nowUs + ANSWER_US, new Outcome(id, 0, endpoint.get(), Result.OK, ANSWER_US,
-                        true, note, 0, null), actions::add);
+                CacheStatus cacheStatus = number % 2 == 0 ? CacheStatus.HIT : CacheStatus.FILLED;
+                router.handle(nowUs + ANSWER_US, new AttemptEnded(id, 0, endpoint.get(), Result.OK, ANSWER_US,
+                        true, cacheStatus, 0, null), actions::add);
             }
         }
         actions.clear();
--- a/src/main/java/clovermill/director/reload/SettingsReload.java
+++ b/src/main/java/clovermill/director/reload/SettingsReload.java
@@ -42,7 +42,7 @@
         this.server = server;
         this.discovery = discovery;
         this.classes = new RequestClassRegistry(start.classes(), baseSettings.classes(),
-                baseSettings.allowed().maxAttempts());
+                baseSettings.capabilities().maxAttempts());
     }
 
     /**
@@ -61,7 +61,7 @@
         }
         baseSettings = nextBaseSettings(next);
         inForce = next;
-        classes.beginChange(next.classes(), next.settings().classes(), next.settings().allowed().maxAttempts());
+        classes.beginChange(next.classes(), next.settings().classes(), next.settings().capabilities().maxAttempts());
         applySettings();
         deadlines.cancel(overlapEnd);
         overlapEnd = deadlines.add(clock.micros() + RequestClassRegistry.OVERLAP_US, this::endOverlap);
@@ -79,12 +79,12 @@
     private Settings nextBaseSettings(Config next) {
         boolean samePlace = next.zones().equals(inForce.zones()) && next.kinds().equals(inForce.kinds())
                 && next.settings().zone() == baseSettings.zone()
-                && next.settings().position() == baseSettings.position();
+                && next.settings().directorIndex() == baseSettings.directorIndex();
         if (samePlace) {
             return next.settings();
         }
         LOG.log(Level.WARNING, "zones, kinds and this director's place change at its next start only");
-        return baseSettings.with(baseSettings.classes(), next.settings().allowed());
+        return baseSettings.with(baseSettings.classes(), next.settings().capabilities());
     }
 
     private void endOverlap() {
@@ -94,7 +94,7 @@
 
     private void applySettings() {
         Settings settings = baseSettings.with(classes.requestClasses(),
-                classes.withMaxAttempts(baseSettings.allowed()));
+                classes.withMaxAttempts(baseSettings.capabilities()));
         core.reload(settings);
         server.reload(classes.acceptedNames(), settings);
     }
--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -11,10 +11,10 @@
 import clovermill.ledger.decide.How;
 import clovermill.ledger.decide.Missed;
 import clovermill.ledger.decide.Timeline;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
+import clovermill.routing.api.MembersChanged;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.RecurringTask;
@@ -148,12 +148,12 @@
     }
 
     @Override
-    public void membersChanged(Members news) {
-        for (Member member : news.members()) {
+    public void membersChanged(MembersChanged change) {
+        for (Member member : change.members()) {
             kinds.put(member.id(), member.kind());
         }
-        if (news.scope() == ListScope.FULL) {
-            kinds.keySet().retainAll(news.members().stream().map(Member::id).toList());
+        if (change.scope() == ListScope.FULL) {
+            kinds.keySet().retainAll(change.members().stream().map(Member::id).toList());
         }
     }
 
@@ -214,22 +214,22 @@
         if (usage.member() == null) {
             return How.NONE;
         }
-        Note note = usage.note();
-        if (note == Note.JOINED) {
+        CacheStatus cacheStatus = usage.cacheStatus();
+        if (cacheStatus == CacheStatus.COLLAPSED) {
             return How.JOINED;
         }
-        if (note == Note.ORIGIN_ASKED || kind(usage.member()) == director.originKind()) {
+        if (cacheStatus == CacheStatus.FILLED_FROM_ORIGIN || kind(usage.member()) == director.originKind()) {
             return How.ORIGIN;
         }
         if (kind(usage.member()) == director.parentKind()) {
             return How.PARENT;
         }
-        if (note == Note.FILLED) {
+        if (cacheStatus == CacheStatus.FILLED) {
             int from = kind(usage.source());
             return from == director.originKind() ? How.ORIGIN : from == director.parentKind() ? How.PARENT
                     : How.SIBLING;
         }
-        return note == Note.STALE ? How.STALE : How.HIT;
+        return cacheStatus == CacheStatus.STALE ? How.STALE : How.HIT;
     }
 
     /** The same for all tries of one request: by its idempotency key, or by what is asked for. */
--- a/src/main/java/clovermill/routing/AttemptSender.java
+++ b/src/main/java/clovermill/routing/AttemptSender.java
@@ -1,7 +1,7 @@
 package clovermill.routing;
 
 import clovermill.routing.api.Effect;
-import clovermill.routing.api.Permissions;
+import clovermill.routing.api.HostCapabilities;
 import clovermill.routing.api.Request;
 import clovermill.routing.api.Send;
 import clovermill.routing.api.SendVia;
@@ -39,7 +39,7 @@
         capacity.recordSent(attempt);
         pending.inFlight.put(index, attempt);
         if (index == 0 && pending.requestClass.effect() != Effect.AT_MOST_ONCE
-                && context.settings.allowed().secondCopies()) {
+                && context.settings.capabilities().hedging()) {
             hedging.addCandidate(attempt);
         }
         emitSend(pending, route);
@@ -57,10 +57,10 @@
             context.emit(new Send(request.id(), route.target().id, leftUs));
             return;
         }
-        Permissions allowed = context.settings.allowed();
-        boolean join = allowed.joins() && contents.activePurgeUs(request) == PurgeLog.NEVER;
+        HostCapabilities capabilities = context.settings.capabilities();
+        boolean join = capabilities.fillJoining() && contents.activePurgeUs(request) == PurgeLog.NEVER;
         boolean renew = pending.requestClass.freshUs() > 0;
         context.emit(new SendVia(request.id(), route.target().id, leftUs, route.source().id, route.copyRank(),
-                contents.maxAgeUs(pending), join, route.heldOnly(), false, renew));
+                contents.maxAgeUs(pending), join, route.onlyIfCached(), false, renew));
     }
 }
--- a/src/main/java/clovermill/routing/CacheContentsIndex.java
+++ b/src/main/java/clovermill/routing/CacheContentsIndex.java
@@ -55,12 +55,13 @@
     /** Records a purge; it is remembered until every entry from before it has expired. */
     void recordPurge(Purge purge) {
         purges.add(purge.object(), purge.group(), context.nowUs - purge.ageUs(), context.nowUs,
-                ENTRY_LIFETIME_US + context.settings.purgeDoneUs());
+                ENTRY_LIFETIME_US + context.settings.purgeCompletionUs());
     }
 
     /** When the latest purge was made whose older copies, or a fill of one, may still be about; or NEVER. */
     long activePurgeUs(Request request) {
-        return purges.latestPurgeUs(request.object(), request.group(), context.nowUs, context.settings.purgeDoneUs());
+        return purges.latestPurgeUs(request.object(), request.group(), context.nowUs,
+                context.settings.purgeCompletionUs());
     }
 
     /** The greatest age of a copy that may be served, in microseconds: fresh, and from after any purge; 0 for any. */
--- a/src/main/java/clovermill/routing/CapacityEstimator.java
+++ b/src/main/java/clovermill/routing/CapacityEstimator.java
@@ -51,8 +51,8 @@
             addToLoad(attempt, -1);
         }
         if (report != null) {
-            attempt.route().target().peerLoad.recordReport(report.held(), context.nowUs);
-            link.peerLoad.recordReport(report.linkUse() * link.weight, context.nowUs);
+            attempt.route().target().peerLoad.recordReport(report.concurrency(), context.nowUs);
+            link.peerLoad.recordReport(report.linkUtilization() * link.weight, context.nowUs);
         }
     }
 
--- a/src/main/java/clovermill/routing/EndpointSet.java
+++ b/src/main/java/clovermill/routing/EndpointSet.java
@@ -4,7 +4,7 @@
 import clovermill.routing.api.Availability;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
+import clovermill.routing.api.MembersChanged;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -53,8 +53,8 @@
     int directorsSharing(Endpoint endpoint) {
         return Math.max(1, switch (endpoint.role) {
             case ORIGIN -> 1;
-            case PARENT -> context.settings.directors();
-            case CACHE -> context.settings.directorsHere();
+            case PARENT -> context.settings.directorCount();
+            case CACHE -> context.settings.directorsInZone();
         });
     }
 
@@ -64,8 +64,8 @@
     }
 
     /** Applies a full list of members, or changes to it. */
-    void update(Members update, StartListener listener) {
-        if (update.scope() == ListScope.FULL || update.scope() == ListScope.REMEMBERED) {
+    void update(MembersChanged update, StartListener listener) {
+        if (update.scope() == ListScope.FULL || update.scope() == ListScope.LAST_KNOWN) {
             byId.values().forEach(endpoint -> endpoint.listed = false);
         }
         for (Member member : update.members()) {
--- a/src/main/java/clovermill/routing/OriginLoadShedder.java
+++ b/src/main/java/clovermill/routing/OriginLoadShedder.java
@@ -1,9 +1,9 @@
 package clovermill.routing;
 
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.AttemptEnded;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Result;
-import clovermill.routing.api.Telling;
 import clovermill.routing.stats.DecayingAverage;
 
 /**
@@ -27,7 +27,7 @@
     }
 
     /** Learns from an outcome, if it concerns the origin, which may be null. */
-    void observe(Attempt attempt, Outcome outcome, boolean filled, Endpoint origin) {
+    void observe(Attempt attempt, AttemptEnded outcome, boolean filled, Endpoint origin) {
         if (tellsOfOrigin(attempt, outcome, filled, origin)) {
             long tookUs = outcome.elapsedUs();
             boolean late = tookUs > attempt.request().targetLatencyUs && 2 * outcome.waitedUs() > tookUs;
@@ -35,17 +35,18 @@
         }
     }
 
-    private boolean tellsOfOrigin(Attempt attempt, Outcome outcome, boolean filled, Endpoint origin) {
+    private boolean tellsOfOrigin(Attempt attempt, AttemptEnded outcome, boolean filled, Endpoint origin) {
         Route route = attempt.route();
-        Note note = outcome.note();
-        if (route.target() == origin || note == Note.ORIGIN_ASKED || note == Note.ORIGIN_FAILED
-                || route.source() == origin && note == Note.SOURCE_REFUSED) {
+        CacheStatus cacheStatus = outcome.cacheStatus();
+        if (route.target() == origin || cacheStatus == CacheStatus.FILLED_FROM_ORIGIN
+                || cacheStatus == CacheStatus.ORIGIN_FAILED
+                || route.source() == origin && cacheStatus == CacheStatus.SOURCE_REJECTED) {
             return true;
         }
-        if (!route.fillExpected() || route.heldOnly()) {
+        if (!route.fillExpected() || route.onlyIfCached()) {
             return false;
         }
-        boolean filledFromUntoldSource = filled && context.settings.telling() != Telling.ALL;
+        boolean filledFromUntoldSource = filled && context.settings.cacheStatusDetail() != CacheStatusDetail.ALL;
         boolean parentAnsweredOthers = outcome.result() == Result.TIMED_OUT
                 && route.source().breaker.succeededAfter(attempt.sentUs());
         return filledFromUntoldSource || parentAnsweredOthers;
--- a/src/main/java/clovermill/routing/OutcomeObserver.java
+++ b/src/main/java/clovermill/routing/OutcomeObserver.java
@@ -1,9 +1,9 @@
 package clovermill.routing;
 
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.AttemptEnded;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Result;
-import clovermill.routing.api.Telling;
 import clovermill.routing.stats.ClassServiceTimes;
 
 /** Learns from the outcome of each attempt: which cache holds what, the pace of endpoints, and which of them failed. */
@@ -32,7 +32,7 @@
     }
 
     /** Learns from the outcome of an attempt. */
-    void observe(Attempt attempt, Outcome outcome) {
+    void observe(Attempt attempt, AttemptEnded outcome) {
         PendingRequest pending = attempt.request();
         Route route = attempt.route();
         Result result = outcome.result();
@@ -49,14 +49,14 @@
     }
 
     /** Whether the answer was a fill: by the note or, where none are given, by what was expected. */
-    private boolean wasFilled(Route route, Outcome outcome) {
-        return outcome.result() == Result.OK && switch (outcome.note()) {
-            case FILLED, ORIGIN_ASKED, JOINED -> true;
-            default -> context.settings.telling() == Telling.NONE && !route.hitExpected();
+    private boolean wasFilled(Route route, AttemptEnded outcome) {
+        return outcome.result() == Result.OK && switch (outcome.cacheStatus()) {
+            case FILLED, FILLED_FROM_ORIGIN, COLLAPSED -> true;
+            default -> context.settings.cacheStatusDetail() == CacheStatusDetail.NONE && !route.hitExpected();
         };
     }
 
-    private void observeSuccess(Attempt attempt, Outcome outcome, boolean filled) {
+    private void observeSuccess(Attempt attempt, AttemptEnded outcome, boolean filled) {
         PendingRequest pending = attempt.request();
         Route route = attempt.route();
         long workedUs = outcome.elapsedUs() - outcome.waitedUs();
@@ -76,51 +76,52 @@
     }
 
     /** Attributes a failure by the note; without one to the source of a fill, the target or the link. */
-    private void observeFailure(Attempt attempt, Outcome outcome) {
+    private void observeFailure(Attempt attempt, AttemptEnded outcome) {
         Route route = attempt.route();
         Endpoint target = route.target();
         Endpoint source = route.source() == null ? target : route.source();
         boolean ofSource = isFailureOfSource(attempt, outcome);
-        switch (outcome.note()) {
-            case SOURCE_REFUSED -> capacity.recordRejection(source);
-            case SOURCE_UNREACHED -> outliers.recordTimeout(source, attempt);
-            case SOURCE_LACKS -> contents.recordHolder(attempt.request().request, source, false);
+        switch (outcome.cacheStatus()) {
+            case SOURCE_REJECTED -> capacity.recordRejection(source);
+            case SOURCE_UNREACHABLE -> outliers.recordTimeout(source, attempt);
+            case SOURCE_MISS -> contents.recordHolder(attempt.request().request, source, false);
             case ORIGIN_FAILED -> outliers.recordTimeout(endpoints.origin(), attempt);
-            case NO_PLACE -> capacity.recordLinkRejection();
+            case FILL_LIMIT_REACHED -> capacity.recordLinkRejection();
             default -> attributeWithoutNote(attempt, outcome.result(), ofSource ? source : target, ofSource);
         }
         if (outcome.result() == Result.TIMED_OUT && route.fillExpected()) {
             outliers.recordTimeout(source, attempt);
         }
-        if (outcome.note() != Note.ORIGIN_FAILED) {
+        if (outcome.cacheStatus() != CacheStatus.ORIGIN_FAILED) {
             attempt.request().excluded.add(ofSource ? source : target);
         }
     }
 
-    private boolean isFailureOfSource(Attempt attempt, Outcome outcome) {
+    private boolean isFailureOfSource(Attempt attempt, AttemptEnded outcome) {
         boolean fillExpected = attempt.route().fillExpected();
-        return switch (outcome.note()) {
-            case SOURCE_REFUSED, SOURCE_UNREACHED, SOURCE_LACKS -> true;
+        return switch (outcome.cacheStatus()) {
+            case SOURCE_REJECTED, SOURCE_UNREACHABLE, SOURCE_MISS -> true;
             default -> outcome.result() == Result.ERROR
-                    ? context.settings.telling() != Telling.ALL && fillExpected && attempt.request().errored.isEmpty()
+                    ? context.settings.cacheStatusDetail() != CacheStatusDetail.ALL && fillExpected
+                            && attempt.request().errored.isEmpty()
                     : isFillWithoutNotes(attempt) && outcome.result() == Result.TIMED_OUT;
         };
     }
 
     private boolean isFillWithoutNotes(Attempt attempt) {
-        return context.settings.telling() == Telling.NONE && attempt.route().fillExpected();
+        return context.settings.cacheStatusDetail() == CacheStatusDetail.NONE && attempt.route().fillExpected();
     }
 
     /** A rejected fill, where no notes are given, is taken for the link's: it had no place for it. */
     private void attributeWithoutNote(Attempt attempt, Result result, Endpoint suspect, boolean ofSource) {
-        if (result == Result.REFUSED && !ofSource && isFillWithoutNotes(attempt)) {
+        if (result == Result.REJECTED && !ofSource && isFillWithoutNotes(attempt)) {
             capacity.recordLinkRejection();
             return;
         }
         switch (result) {
-            case REFUSED -> capacity.recordRejection(suspect);
-            case UNCONNECTED -> outliers.recordConnectFailure(suspect);
-            case BROKEN -> outliers.recordBrokenConnection(suspect);
+            case REJECTED -> capacity.recordRejection(suspect);
+            case CONNECT_FAILED -> outliers.recordConnectFailure(suspect);
+            case CONNECTION_LOST -> outliers.recordBrokenConnection(suspect);
             case TIMED_OUT -> outliers.recordTimeout(suspect, attempt);
             // The request itself may be at fault: counted once another endpoint has served it.
             case ERROR -> attempt.request().errored.add(suspect);
--- a/src/main/java/clovermill/routing/OutlierDetector.java
+++ b/src/main/java/clovermill/routing/OutlierDetector.java
@@ -24,7 +24,7 @@
     /** Whether a request may go to an endpoint now: healthy, not failed before, allowed, within slow start's budget. */
     boolean isUsable(Endpoint endpoint, PendingRequest pending) {
         return isHealthy(endpoint) && !pending.excluded.contains(endpoint)
-                && pending.request.allowed().test(endpoint.id) && slowStart.admits(endpoint);
+                && pending.request.memberFilter().test(endpoint.id) && slowStart.admits(endpoint);
     }
 
     /**
--- a/src/main/java/clovermill/routing/PendingRequest.java
+++ b/src/main/java/clovermill/routing/PendingRequest.java
@@ -44,24 +44,24 @@
     PendingRequest(Request request, Settings settings, ClassServiceTimes serviceTimes, long nowUs) {
         this.request = request;
         this.requestClass = settings.classes().get(request.requestClass());
-        this.maxAttempts = settings.allowed().maxAttempts();
-        this.deadlineUs = nowUs + request.graceUs();
+        this.maxAttempts = settings.capabilities().maxAttempts();
+        this.deadlineUs = nowUs + request.timeoutUs();
         double paceKbPerS = settings.paceKbPerS();
         this.serviceUs = (long) (paceKbPerS > 0 && request.sizeKb() > 0 ? request.sizeKb() / paceKbPerS * 1e6
                 : serviceTimes.meanUs(request.requestClass()));
         this.targetLatencyUs = Math.min(requestClass.deadlineUs(),
-                requestClass.aimUs() + (long) (requestClass.aimStretch() * serviceUs));
+                requestClass.targetUs() + (long) (requestClass.targetServiceFactor() * serviceUs));
     }
 
     /** Whether no time or attempt is left; of the limits on attempts at arrival and now the lesser holds. */
     boolean isExhausted(long nowUs, Settings settings) {
         return deadlineUs - nowUs < Math.max(MIN_ATTEMPT_US, FASTEST_SHARE * serviceUs)
-                || attemptsSent >= Math.min(maxAttempts, settings.allowed().maxAttempts());
+                || attemptsSent >= Math.min(maxAttempts, settings.capabilities().maxAttempts());
     }
 
     /** Whether the answer is so large that its time is a measure of the endpoints' throughput. */
     boolean isPaceBound() {
-        return 2 * serviceUs >= requestClass.aimUs();
+        return 2 * serviceUs >= requestClass.targetUs();
     }
 
     /** Whether an attempt may have run. */
--- a/src/main/java/clovermill/routing/RequestLifecycle.java
+++ b/src/main/java/clovermill/routing/RequestLifecycle.java
@@ -1,14 +1,14 @@
 package clovermill.routing;
 
+import clovermill.routing.api.AttemptEnded;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Cancel;
 import clovermill.routing.api.Fail;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
-import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Reject;
 import clovermill.routing.api.Request;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.SetTimer;
-import clovermill.routing.api.Telling;
 import clovermill.routing.stats.ClassServiceTimes;
 import java.util.HashMap;
 import java.util.List;
@@ -63,7 +63,7 @@
     }
 
     /** An attempt has ended; one that is not known any more is ignored. */
-    void onOutcome(Outcome outcome) {
+    void onOutcome(AttemptEnded outcome) {
         PendingRequest pending = requests.get(outcome.request());
         Attempt attempt = pending == null ? null : pending.inFlight.remove(outcome.attempt());
         if (attempt == null) {
@@ -71,7 +71,7 @@
         }
         capacity.recordEnd(attempt, outcome.load());
         observer.observe(attempt, outcome);
-        if (outcome.over() || pending.finished) {
+        if (outcome.requestEnded() || pending.finished) {
             abandon(pending);
             return;
         }
@@ -83,7 +83,7 @@
         }
         if (isFinalFailure(attempt, outcome)) {
             reject(pending);
-        } else if (pending.attemptsSent > 1 || outcome.note() == Note.ORIGIN_FAILED) {
+        } else if (pending.attemptsSent > 1 || outcome.cacheStatus() == CacheStatus.ORIGIN_FAILED) {
             pause(pending);
         } else {
             attempt(pending);
@@ -144,13 +144,14 @@
     }
 
     /** Whether no further attempt could do better: the part does not exist, is held nowhere, or the request errs. */
-    private boolean isFinalFailure(Attempt attempt, Outcome outcome) {
+    private boolean isFinalFailure(Attempt attempt, AttemptEnded outcome) {
         Route route = attempt.route();
-        boolean parentLacks = outcome.note() == Note.SOURCE_LACKS
+        boolean parentLacks = outcome.cacheStatus() == CacheStatus.SOURCE_MISS
                 && endpoints.parents().endpoints.contains(route.source());
         boolean missWithoutFill = outcome.result() == Result.MISS
-                && (route.heldOnly() || route.source() == route.target());
-        int maxErrors = context.settings.telling() == Telling.ALL ? MAX_ERRORS_WITH_NOTES : MAX_ERRORS_WITHOUT_NOTES;
+                && (route.onlyIfCached() || route.source() == route.target());
+        int maxErrors = context.settings.cacheStatusDetail() == CacheStatusDetail.ALL ? MAX_ERRORS_WITH_NOTES
+                : MAX_ERRORS_WITHOUT_NOTES;
         return parentLacks || missWithoutFill || attempt.request().errored.size() > maxErrors;
     }
 
@@ -165,7 +166,7 @@
     /** Finishes a request that nobody waits for: attempts in flight would only take capacity from others. */
     private void abandon(PendingRequest pending) {
         finish(pending);
-        if (context.settings.allowed().cancelling()) {
+        if (context.settings.capabilities().cancellation()) {
             List.copyOf(pending.inFlight.keySet())
                     .forEach(index -> context.emit(new Cancel(pending.request.id(), index)));
         }
@@ -177,7 +178,7 @@
      */
     private void pause(PendingRequest pending) {
         long leftAfterUs = pending.deadlineUs - context.nowUs - RETRY_PAUSE_US;
-        long minLeftUs = pending.attemptsSent > 0 ? 0 : pending.request.graceUs() / 2;
+        long minLeftUs = pending.attemptsSent > 0 ? 0 : pending.request.timeoutUs() / 2;
         if (leftAfterUs < Math.max(minLeftUs, pending.serviceUs + PendingRequest.MIN_ATTEMPT_US)) {
             reject(pending);
             return;
@@ -189,8 +190,8 @@
     /** The final answer: a refusal where a further try is harmless, else a failure. */
     private void reject(PendingRequest pending) {
         finish(pending);
-        long retryAfterUs = Math.min(RETRY_PAUSE_US, context.settings.allowed().maxRetryAfterUs());
+        long retryAfterUs = Math.min(RETRY_PAUSE_US, context.settings.capabilities().maxRetryAfterUs());
         String id = pending.request.id();
-        context.emit(pending.mayReject() ? new Refuse(id, retryAfterUs) : new Fail(id));
+        context.emit(pending.mayReject() ? new Reject(id, retryAfterUs) : new Fail(id));
     }
 }
--- a/src/main/java/clovermill/routing/RequestRouter.java
+++ b/src/main/java/clovermill/routing/RequestRouter.java
@@ -1,20 +1,20 @@
 package clovermill.routing;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.CacheRouter;
-import clovermill.routing.api.ClientGone;
+import clovermill.routing.api.DisabledMembersChanged;
 import clovermill.routing.api.Event;
 import clovermill.routing.api.ListScope;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Operated;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Purge;
 import clovermill.routing.api.Request;
-import clovermill.routing.api.Retuned;
+import clovermill.routing.api.RequestCancelled;
 import clovermill.routing.api.SetTimer;
 import clovermill.routing.api.Settings;
-import clovermill.routing.api.Timer;
-import clovermill.routing.api.Watch;
+import clovermill.routing.api.SettingsChanged;
+import clovermill.routing.api.TimerExpired;
+import clovermill.routing.api.WatchMembers;
 import clovermill.routing.stats.CircuitBreaker;
 import clovermill.routing.stats.ClassServiceTimes;
 import java.util.function.Consumer;
@@ -72,41 +72,41 @@
     private void dispatch(Event event) {
         if (event instanceof Request request) {
             lifecycle.onRequest(request);
-        } else if (event instanceof Outcome outcome) {
+        } else if (event instanceof AttemptEnded outcome) {
             lifecycle.onOutcome(outcome);
-        } else if (event instanceof ClientGone gone) {
-            lifecycle.onClientGone(gone.request());
-        } else if (event instanceof Timer timer) {
+        } else if (event instanceof RequestCancelled cancelled) {
+            lifecycle.onClientGone(cancelled.request());
+        } else if (event instanceof TimerExpired timer) {
             onTimer(timer);
-        } else if (event instanceof Members members) {
+        } else if (event instanceof MembersChanged members) {
             onMembers(members);
-        } else if (event instanceof Operated operated) {
-            endpoints.setTakenOut(operated.out());
+        } else if (event instanceof DisabledMembersChanged change) {
+            endpoints.setTakenOut(change.disabledIds());
         } else if (event instanceof Purge purge) {
             contents.recordPurge(purge);
-        } else if (event instanceof Retuned retuned) {
-            context.settings = retuned.settings();
+        } else if (event instanceof SettingsChanged change) {
+            context.settings = change.settings();
         }
     }
 
     private void onFirstEvent() {
         context.startedUs = context.nowUs;
         if (context.settings.listOnRequest()) {
-            context.emit(new Watch(true));
+            context.emit(new WatchMembers(true));
         }
     }
 
     /** Where the list could not be had and is asked for by this director, it is asked for again after a while. */
-    private void onMembers(Members members) {
+    private void onMembers(MembersChanged members) {
         if (members.scope() == ListScope.FAILED && context.settings.listOnRequest()) {
             context.emit(new SetTimer(CircuitBreaker.FIRST_TRIAL_DELAY_US, MEMBER_LIST_TOKEN));
         }
         endpoints.update(members, slowStart::onStart);
     }
 
-    private void onTimer(Timer timer) {
+    private void onTimer(TimerExpired timer) {
         if (timer.token() == MEMBER_LIST_TOKEN) {
-            context.emit(new Watch(true));
+            context.emit(new WatchMembers(true));
         } else {
             lifecycle.onTimer(timer.token());
         }
--- a/src/main/java/clovermill/routing/Route.java
+++ b/src/main/java/clovermill/routing/Route.java
@@ -9,7 +9,7 @@
  * @param hitExpected whether the target is believed to hold the part
  * @param heldOnly whether the source is to give only what it holds, to spare the origin
  */
-record Route(Endpoint target, Endpoint source, int copyRank, boolean hitExpected, boolean heldOnly) {
+record Route(Endpoint target, Endpoint source, int copyRank, boolean hitExpected, boolean onlyIfCached) {
 
     /** No endpoint is available: the request may wait and try again. */
     static final Route NONE_AVAILABLE = new Route(null, null, 0, false, false);
@@ -28,6 +28,6 @@
 
     /** The same route, but the target keeps no copy. */
     Route withoutCopy() {
-        return new Route(target, source, 0, hitExpected, heldOnly);
+        return new Route(target, source, 0, hitExpected, onlyIfCached);
     }
 }
--- a/src/main/java/clovermill/routing/RouteSelector.java
+++ b/src/main/java/clovermill/routing/RouteSelector.java
@@ -3,7 +3,7 @@
 import clovermill.routing.CacheContentsIndex.PartEntry;
 import clovermill.routing.Endpoint.Role;
 import clovermill.routing.api.Request;
-import clovermill.routing.api.Siblings;
+import clovermill.routing.api.SiblingScope;
 import clovermill.routing.stats.HashRing;
 
 /**
@@ -49,7 +49,7 @@
 
     /** The route of the next attempt of a request; NONE_AVAILABLE or NONE_IN_TIME where there is none. */
     Route select(PendingRequest pending) {
-        return pending.requestClass.goesThrough() ? selectForWrite(pending) : selectForRead(pending);
+        return pending.requestClass.passThrough() ? selectForWrite(pending) : selectForRead(pending);
     }
 
     private Route selectForRead(PendingRequest pending) {
@@ -98,7 +98,7 @@
 
     private boolean anyHealthyWarmCache(PendingRequest pending) {
         return endpoints.caches().endpoints.stream().anyMatch(cache -> outliers.isHealthy(cache)
-                && !slowStart.isWarmingUp(cache) && pending.request.allowed().test(cache.id));
+                && !slowStart.isWarmingUp(cache) && pending.request.memberFilter().test(cache.id));
     }
 
     /** A route to a cache. Where no fill would come in time, it may yet hold what other directors have asked it for. */
@@ -118,7 +118,7 @@
 
     /** The source of a copy: the first node towards the root, on another cache, that holds the part; or null. */
     private Endpoint holderAbove(int fromNode, Endpoint target, PartEntry entry, PendingRequest pending) {
-        boolean allowed = context.settings.siblings() != Siblings.NONE;
+        boolean allowed = context.settings.siblings() != SiblingScope.NONE;
         for (int treeNode = fromNode; allowed && treeNode >= 0; treeNode = Math.floorDiv(treeNode - 1, ARITY)) {
             Endpoint cache = cacheAt(treeNode, pending);
             if (cache != null && cache != target && contents.isHeldBy(entry, cache, pending.request)) {
@@ -184,8 +184,8 @@
 
     /** Past the caches, where none is healthy and warm and it is permitted: to a parent, else to the origin. */
     private Route bypassCaches(PendingRequest pending) {
-        Endpoint parent = context.settings.allowed().straight()
-                ? parentOrOrigin(pending, !pending.requestClass.goesThrough()) : null;
+        Endpoint parent = context.settings.capabilities().cacheBypass()
+                ? parentOrOrigin(pending, !pending.requestClass.passThrough()) : null;
         if (parent == null) {
             return Route.NONE_AVAILABLE;
         }
@@ -195,7 +195,7 @@
     /** A request that runs at the origin goes straight there where permitted, else through a cache. */
     private Route selectForWrite(PendingRequest pending) {
         boolean originUsable = originIsUsable(pending);
-        if (context.settings.allowed().straight()) {
+        if (context.settings.capabilities().cacheBypass()) {
             return originUsable ? new Route(endpoints.origin(), null, 0, false, false) : bypassCaches(pending);
         }
         Endpoint cache = cacheAt(0, pending);
--- a/src/main/java/clovermill/routing/SlowStart.java
+++ b/src/main/java/clovermill/routing/SlowStart.java
@@ -1,7 +1,7 @@
 package clovermill.routing;
 
 import clovermill.routing.Endpoint.Role;
-import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.SlowStartRule;
 import clovermill.routing.stats.ClassServiceTimes;
 import java.util.function.Predicate;
 
@@ -33,14 +33,14 @@
         endpoints.parents().advance(context.nowUs, warmingUp);
     }
 
-    private ColdRule rule(Endpoint endpoint) {
-        return endpoint.role == Role.PARENT ? context.settings.parentCold() : context.settings.cold();
+    private SlowStartRule rule(Endpoint endpoint) {
+        return endpoint.role == Role.PARENT ? context.settings.parentSlowStart() : context.settings.slowStart();
     }
 
     /** Whether an endpoint started less than the warm-up time ago. */
     boolean isWarmingUp(Endpoint endpoint) {
         return endpoint.role != Role.ORIGIN && endpoint.startedUs > 0
-                && context.nowUs - endpoint.startedUs < rule(endpoint).warmUs();
+                && context.nowUs - endpoint.startedUs < rule(endpoint).durationUs();
     }
 
     /** Whether an endpoint is warm or has budget left; one request may overdraw it. */
@@ -53,11 +53,12 @@
      * part of the capacity that the endpoint had, on average, since the last refill.
      */
     private double budgetUs(Endpoint endpoint) {
-        ColdRule rule = rule(endpoint);
+        SlowStartRule rule = rule(endpoint);
         double meanAgeUs = Math.max(0,
                 (context.nowUs + endpoint.slowStartBudget.lastRefillUs()) / 2.0 - endpoint.startedUs);
-        double capacityShare = rule.from() + (1 - rule.from()) * Math.min(1, meanAgeUs / rule.warmUs());
-        double ratePerUs = BUDGET_MARGIN * rule.multiple() * capacityShare
+        double capacityShare =
+                rule.initialShare() + (1 - rule.initialShare()) * Math.min(1, meanAgeUs / rule.durationUs());
+        double ratePerUs = BUDGET_MARGIN * rule.overloadMultiple() * capacityShare
                 * endpoints.ringOf(endpoint).throughput.rate() * endpoint.weight;
         return endpoint.slowStartBudget.refill(ratePerUs, serviceTimes.largestMeanUs(),
                 1.0 / endpoints.directorsSharing(endpoint), context.nowUs);
--- a/src/main/java/clovermill/routing/api/Action.java
+++ b/src/main/java/clovermill/routing/api/Action.java
@@ -1,5 +1,5 @@
 package clovermill.routing.api;
 
-/** Something that the host is to do. */
-public sealed interface Action permits Send, SendVia, Cancel, Refuse, Fail, SetTimer, Probe, CloseIdle,
-        Tell, Watch, FetchMembers, Log {}
+/** An action that the router requests from its host. */
+public sealed interface Action permits Send, SendVia, Cancel, Reject, Fail, SetTimer, Probe, CloseIdle,
+        SendPeerMessage, WatchMembers, FetchMembers, Log {}
--- a/src/main/java/clovermill/routing/api/Availability.java
+++ b/src/main/java/clovermill/routing/api/Availability.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** Whether new work may go to a member. */
-public enum Availability { HEALTHY, DRAINING, GONE }
+/** The availability of a member for new requests. */
+public enum Availability { HEALTHY, DRAINING, REMOVED }
--- a/src/main/java/clovermill/routing/api/Cancel.java
+++ b/src/main/java/clovermill/routing/api/Cancel.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** Calls one attempt off. */
+/** Cancels one attempt. */
 public record Cancel(String request, int attempt) implements Action {}
--- a/src/main/java/clovermill/routing/api/ClientGone.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package clovermill.routing.api;
-
-/** The client of a request has left. */
-public record ClientGone(String request) implements Event {}
--- a/src/main/java/clovermill/routing/api/Effect.java
+++ b/src/main/java/clovermill/routing/api/Effect.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** What a repeated request may do. */
+/** The effect of executing a request more than once. */
 public enum Effect { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
--- a/src/main/java/clovermill/routing/api/Event.java
+++ b/src/main/java/clovermill/routing/api/Event.java
@@ -1,5 +1,6 @@
 package clovermill.routing.api;
 
-/** Something that has happened. */
-public sealed interface Event permits Request, Started, Outcome, ClientGone, Members, Operated, Purge,
-        Retuned, Timer, Probed, PeerMessage {}
+/** An event that the host reports to the router. */
+public sealed interface Event
+        permits Request, ResponseStarted, AttemptEnded, RequestCancelled, MembersChanged, DisabledMembersChanged, Purge,
+        SettingsChanged, TimerExpired, ProbeEnded, PeerMessage {}
--- a/src/main/java/clovermill/routing/api/Fail.java
+++ b/src/main/java/clovermill/routing/api/Fail.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** Final answer: failed, with no promise. */
+/** Ends a request with a failure; it may have been executed. */
 public record Fail(String request) implements Action {}
--- a/src/main/java/clovermill/routing/api/FetchMembers.java
+++ b/src/main/java/clovermill/routing/api/FetchMembers.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** Requests the full list of members once. */
+/** Requests the full member list once. */
 public record FetchMembers() implements Action {}
--- a/src/main/java/clovermill/routing/api/KeyScope.java
+++ b/src/main/java/clovermill/routing/api/KeyScope.java
@@ -1,4 +1,6 @@
 package clovermill.routing.api;
 
-/** The members among which a repeat of a deduplicated request is recognised. */
-public enum KeyScope { ALL, ZONE, CELL }
+/** The members among which a duplicate of a deduplicated request is detected. */
+public enum KeyScope {
+    ALL, ZONE, CELL
+}
--- a/src/main/java/clovermill/routing/api/ListScope.java
+++ b/src/main/java/clovermill/routing/api/ListScope.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** What a list of members stands for. */
-public enum ListScope { CHANGES, FULL, REMEMBERED, FAILED }
+/** The scope of an update of the member list. */
+public enum ListScope { CHANGES, FULL, LAST_KNOWN, FAILED }
--- a/src/main/java/clovermill/routing/api/Log.java
+++ b/src/main/java/clovermill/routing/api/Log.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** A line for the operators. */
+/** Writes a line to the log. */
 public record Log(String line) implements Action {}
--- a/src/main/java/clovermill/routing/api/Probe.java
+++ b/src/main/java/clovermill/routing/api/Probe.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** Asks a member for its load. */
+/** Requests a load report from a member. */
 public record Probe(String member) implements Action {}
--- a/src/main/java/clovermill/routing/api/Probed.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package clovermill.routing.api;
-
-/** The result of a {@link Probe}; {@code load} may be null. */
-public record Probed(String member, Result result, long elapsedUs, LoadReport load) implements Event {}
--- a/src/main/java/clovermill/routing/api/Purge.java
+++ b/src/main/java/clovermill/routing/api/Purge.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** An object, or with a null {@code object} an entire group, was purged {@code ageUs} ago. */
+/** Purges an object, or an entire group if {@code object} is null; it was issued {@code ageUs} ago. */
 public record Purge(Long object, int group, long ageUs) implements Event {}
--- a/src/main/java/clovermill/routing/api/Request.java
+++ b/src/main/java/clovermill/routing/api/Request.java
@@ -3,13 +3,16 @@
 import java.util.function.Predicate;
 
 /**
- * A client's request for one part of an object; {@code graceUs} is the time until the client gives up, {@code
- * allowed} tells of any member whether the request may meet it now, as target or as source.
+ * A client's request for one part of an object.
+ *
+ * @param timeoutUs the time after which the client gives up
+ * @param repeat whether the client sent this request before
+ * @param memberFilter accepts the members that may be the target or the fill source of this request
  */
 public record Request(String id, int requestClass, int tenant, long object, int part, int group, double sizeKb,
-        long graceUs, boolean repeat, Predicate<String> allowed) implements Event {
+        long timeoutUs, boolean repeat, Predicate<String> memberFilter) implements Event {
 
-    /** A request that may meet every member. */
+    /** Creates a request that every member may serve. */
     public Request(String id, int requestClass, int tenant, long object, int part, int group, double sizeKb,
             long graceUs, boolean repeat) {
         this(id, requestClass, tenant, object, part, group, sizeKb, graceUs, repeat, member -> true);
--- a/src/main/java/clovermill/routing/api/Result.java
+++ b/src/main/java/clovermill/routing/api/Result.java
@@ -1,11 +1,11 @@
 package clovermill.routing.api;
 
-/** How an attempt ended. */
+/** The result of an attempt. */
 public enum Result {
-    OK, ERROR, REFUSED, TIMED_OUT, UNCONNECTED, BROKEN, CANCELLED, NOT_SENT, MISS;
+    OK, ERROR, REJECTED, TIMED_OUT, CONNECT_FAILED, CONNECTION_LOST, CANCELLED, NOT_SENT, MISS;
 
-    /** True if this result proves that the request never ran. */
+    /** Returns whether this result proves that the request was not executed. */
     public boolean neverRan() {
-        return this == REFUSED || this == UNCONNECTED || this == NOT_SENT || this == MISS;
+        return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT || this == MISS;
     }
 }
--- a/src/main/java/clovermill/routing/api/Send.java
+++ b/src/main/java/clovermill/routing/api/Send.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** Sends a request as it is: the member answers from what it holds. */
+/** Sends a request that the member answers from its own copy or data. */
 public record Send(String request, String member, long timeoutUs) implements Action {}
--- a/src/main/java/clovermill/routing/api/SetTimer.java
+++ b/src/main/java/clovermill/routing/api/SetTimer.java
@@ -1,4 +1,4 @@
 package clovermill.routing.api;
 
-/** Asks for a {@link Timer} event. */
+/** Starts a timer that reports a {@link TimerExpired} event. */
 public record SetTimer(long delayUs, long token) implements Action {}
--- a/src/main/java/clovermill/routing/api/Settings.java
+++ b/src/main/java/clovermill/routing/api/Settings.java
@@ -3,28 +3,34 @@
 import java.util.List;
 
 /**
- * The settings of a deployment as one director sees them. {@code directorsByZone} counts the directors of
- * each zone, {@code hubOf} names the hub zone of each zone, and {@code parentKind} is -1 where there are
- * no parents; {@code linkKbPerS} is the location's link in, 0 where it is not told.
+ * The settings of a deployment for one director.
+ *
+ * @param directorIndex the index of this director
+ * @param directorsByZone the number of directors that serve each zone
+ * @param hubByZone the hub zone of each zone
+ * @param parentKind the kind of members that are parents; -1 if there are none
+ * @param linkKbPerS the rate of the inbound link of this director's location; 0 if it is not known
  */
-public record Settings(int position, int directors, int zone, List<RequestClass> classes,
+public record Settings(int directorIndex, int directorCount, int zone, List<RequestClass> classes,
         List<Integer> directorsByZone,
-        List<Integer> hubOf, int parentKind, int originKind, double paceKbPerS, boolean weighted,
-        Siblings siblings,
-        Telling telling, ColdRule cold, ColdRule parentCold, long drainGraceUs, long answerSlackUs,
-        long purgeNoticeUs, long purgeDoneUs, long dialTimeoutUs, boolean listOnRequest, long mustAskUs,
-        double originFallMultiple, long originFallUs, double linkKbPerS, Permissions allowed) {
+        List<Integer> hubByZone, int parentKind, int originKind, double paceKbPerS, boolean weighted,
+        SiblingScope siblings,
+        CacheStatusDetail cacheStatusDetail, SlowStartRule slowStart, SlowStartRule parentSlowStart, long drainGraceUs,
+        long answerSlackUs,
+        long purgeNoticeUs, long purgeCompletionUs, long dialTimeoutUs, boolean listOnRequest,
+        long fetchMembersWithinUs,
+        double originOverloadMultiple, long originOverloadWindowUs, double linkKbPerS, HostCapabilities capabilities) {
 
-    /** The directors that serve this one's zone, itself among them. */
-    public int directorsHere() {
-        return zone < directorsByZone.size() ? directorsByZone.get(zone) : directors;
+    /** Returns the number of directors that serve this director's zone, including itself. */
+    public int directorsInZone() {
+        return zone < directorsByZone.size() ? directorsByZone.get(zone) : directorCount;
     }
 
-    /** The same with other classes and permissions. */
-    public Settings with(List<RequestClass> otherClasses, Permissions otherwise) {
-        return new Settings(position, directors, zone, otherClasses, directorsByZone, hubOf, parentKind,
-                originKind, paceKbPerS, weighted, siblings, telling, cold, parentCold, drainGraceUs,
-                answerSlackUs, purgeNoticeUs, purgeDoneUs, dialTimeoutUs, listOnRequest, mustAskUs,
-                originFallMultiple, originFallUs, linkKbPerS, otherwise);
+    /** Returns these settings with other classes and host capabilities. */
+    public Settings with(List<RequestClass> otherClasses, HostCapabilities otherCapabilities) {
+        return new Settings(directorIndex, directorCount, zone, otherClasses, directorsByZone, hubByZone, parentKind,
+                originKind, paceKbPerS, weighted, siblings, cacheStatusDetail, slowStart, parentSlowStart, drainGraceUs,
+                answerSlackUs, purgeNoticeUs, purgeCompletionUs, dialTimeoutUs, listOnRequest, fetchMembersWithinUs,
+                originOverloadMultiple, originOverloadWindowUs, linkKbPerS, otherCapabilities);
     }
 }
--- a/src/main/java/clovermill/simulation/adapter/ActionWriter.java
+++ b/src/main/java/clovermill/simulation/adapter/ActionWriter.java
@@ -7,12 +7,12 @@
 import clovermill.routing.api.FetchMembers;
 import clovermill.routing.api.Log;
 import clovermill.routing.api.Probe;
-import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Reject;
 import clovermill.routing.api.Send;
+import clovermill.routing.api.SendPeerMessage;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.SetTimer;
-import clovermill.routing.api.Tell;
-import clovermill.routing.api.Watch;
+import clovermill.routing.api.WatchMembers;
 import java.util.Base64;
 import java.util.HashMap;
 import java.util.Map;
@@ -36,13 +36,13 @@
         format(SendVia.class, "SERVE_VIA", this::sendVia);
         format(Send.class, "PASS_ON", send -> fields(send.request(), send.member(), send.timeoutUs()));
         format(Cancel.class, "CALL_OFF", cancel -> fields(cancel.request(), cancel.attempt()));
-        format(Refuse.class, "SHED", refuse -> fields(refuse.request(), refuse.retryAfterUs()));
+        format(Reject.class, "SHED", reject -> fields(reject.request(), reject.retryAfterUs()));
         format(Fail.class, "FAIL", fail -> fields(fail.request()));
         format(SetTimer.class, "WAKE_ME", timer -> fields(timer.delayUs(), timer.token()));
         format(Probe.class, "ASK_LOAD", probe -> fields(probe.member()));
         format(CloseIdle.class, "RELEASE", close -> fields(close.member()));
-        format(Tell.class, "NOTIFY", this::peerMessage);
-        format(Watch.class, "OBSERVE", watch -> fields(watch.on() ? 1 : 0));
+        format(SendPeerMessage.class, "NOTIFY", this::peerMessage);
+        format(WatchMembers.class, "OBSERVE", watch -> fields(watch.enabled() ? 1 : 0));
         format(FetchMembers.class, "FETCH", fetch -> fields());
         format(Log.class, "NOTE_DOWN", log -> fields(log.line()));
     }
@@ -80,12 +80,12 @@
     }
 
     private void sendVia(SendVia send) {
-        int flags = (send.join() ? JOIN_FLAG : 0) + (send.heldOnly() ? HELD_ONLY_FLAG : 0)
-                + (send.parentKeepsNone() ? PARENT_KEEPS_NONE_FLAG : 0) + (send.renew() ? RENEW_FLAG : 0);
+        int flags = (send.joinFill() ? JOIN_FLAG : 0) + (send.onlyIfCached() ? HELD_ONLY_FLAG : 0)
+                + (send.parentNoStore() ? PARENT_KEEPS_NONE_FLAG : 0) + (send.staleWhileRevalidate() ? RENEW_FLAG : 0);
         fields(send.request(), send.member(), send.timeoutUs(), send.source(), send.rank(), send.maxAgeUs(), flags);
     }
 
-    private void peerMessage(Tell message) {
+    private void peerMessage(SendPeerMessage message) {
         byte[] payload = message.payload();
         fields(message.to() < 0 ? "all" : message.to(),
                 payload.length == 0 ? "-" : Base64.getEncoder().encodeToString(payload));
--- a/src/main/java/clovermill/simulation/adapter/EndpointLists.java
+++ b/src/main/java/clovermill/simulation/adapter/EndpointLists.java
@@ -65,7 +65,7 @@
         return switch (word) {
             case "healthy" -> Availability.HEALTHY;
             case "cordoned" -> Availability.DRAINING;
-            case "deregistered" -> Availability.GONE;
+            case "deregistered" -> Availability.REMOVED;
             default -> throw fields.malformed("unknown availability " + word);
         };
     }
--- a/src/main/java/clovermill/simulation/adapter/EventReader.java
+++ b/src/main/java/clovermill/simulation/adapter/EventReader.java
@@ -1,26 +1,26 @@
 package clovermill.simulation.adapter;
 
 import clovermill.config.LoadReports;
-import clovermill.routing.api.ClientGone;
+import clovermill.routing.api.AttemptEnded;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Event;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.LoadReport;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.PeerMessage;
-import clovermill.routing.api.Probed;
+import clovermill.routing.api.ProbeEnded;
 import clovermill.routing.api.Purge;
 import clovermill.routing.api.Request;
+import clovermill.routing.api.RequestCancelled;
+import clovermill.routing.api.ResponseStarted;
 import clovermill.routing.api.Result;
-import clovermill.routing.api.Started;
-import clovermill.routing.api.Timer;
+import clovermill.routing.api.TimerExpired;
 import java.util.List;
 
 /** Reads the simulator's events: the fields of a line, in the order of the protocol. Spans are microseconds. */
 final class EventReader {
 
-    private static final Note[] NOTES = Note.values();
+    private static final CacheStatus[] CACHE_STATUSES = CacheStatus.values();
     /** The flag of a request that a client repeats. */
     private static final int REPEAT_FLAG = 2;
 
@@ -39,11 +39,11 @@
                 String request = fields.text();
                 long elapsedUs = fields.integer();
                 String member = fields.text();
-                yield new Started(request, fields.int32(), member, elapsedUs);
+                yield new ResponseStarted(request, fields.int32(), member, elapsedUs);
             }
             case "REPORT_BACK" -> outcome(fields);
-            case "CLIENT_GONE" -> new ClientGone(fields.text());
-            case "TICK_DUE" -> new Timer(fields.integer());
+            case "CLIENT_GONE" -> new RequestCancelled(fields.text());
+            case "TICK_DUE" -> new TimerExpired(fields.integer());
             case "ROSTER_CHANGE" -> members(fields);
             case "PURGED" -> {
                 Long object = fields.optionalHex();
@@ -54,7 +54,7 @@
                 long elapsedUs = fields.integer();
                 String member = fields.text();
                 Result result = result(fields);
-                yield new Probed(member, result, elapsedUs, load(fields));
+                yield new ProbeEnded(member, result, elapsedUs, load(fields));
             }
             case "PEER_DATA" -> new PeerMessage(fields.int32(), fields.bytes());
             default -> throw fields.malformed("unknown message");
@@ -80,11 +80,13 @@
         String member = fields.text();
         Result result = result(fields);
         long elapsedUs = fields.integer();
-        boolean over = fields.flag();
-        int note = fields.int32Or(0);
+        boolean requestEnded = fields.flag();
+        int cacheStatus = fields.int32Or(0);
         long waitedUs = fields.integerOr(0);
-        return new Outcome(request, attempt, member, result, elapsedUs, over,
-                note >= 0 && note < NOTES.length ? NOTES[note] : Note.NONE, waitedUs, load(fields));
+        return new AttemptEnded(request, attempt, member, result, elapsedUs, requestEnded,
+                cacheStatus >= 0 && cacheStatus < CACHE_STATUSES.length ? CACHE_STATUSES[cacheStatus]
+                        : CacheStatus.NONE,
+                waitedUs, load(fields));
     }
 
     /** An outcome's code, as an HTTP status. */
@@ -93,10 +95,10 @@
         return switch (code) {
             case 200 -> Result.OK;
             case 500 -> Result.ERROR;
-            case 503 -> Result.REFUSED;
+            case 503 -> Result.REJECTED;
             case 504 -> Result.TIMED_OUT;
-            case 502 -> Result.UNCONNECTED;
-            case 598 -> Result.BROKEN;
+            case 502 -> Result.CONNECT_FAILED;
+            case 598 -> Result.CONNECTION_LOST;
             case 499 -> Result.CANCELLED;
             case 410 -> Result.NOT_SENT;
             case 404 -> Result.MISS;
@@ -120,10 +122,10 @@
     private Event members(Fields fields) {
         ListScope scope = scope(fields);
         if (scope == ListScope.FAILED) {
-            return new Members(scope, List.of());
+            return new MembersChanged(scope, List.of());
         }
         fields.integerOr(0); // the list's version, which no router needs
-        return new Members(scope, lists.get(fields.int32(), fields));
+        return new MembersChanged(scope, lists.get(fields.int32(), fields));
     }
 
     private static ListScope scope(Fields fields) {
@@ -131,7 +133,7 @@
         return switch (word) {
             case "delta" -> ListScope.CHANGES;
             case "full" -> ListScope.FULL;
-            case "cached" -> ListScope.REMEMBERED;
+            case "cached" -> ListScope.LAST_KNOWN;
             case "failed" -> ListScope.FAILED;
             default -> throw fields.malformed("unknown scope " + word);
         };
--- a/src/main/java/clovermill/simulation/emulator/EmulatedCache.java
+++ b/src/main/java/clovermill/simulation/emulator/EmulatedCache.java
@@ -1,7 +1,7 @@
 package clovermill.simulation.emulator;
 
-import clovermill.routing.api.ColdRule;
 import clovermill.routing.api.LoadReport;
+import clovermill.routing.api.SlowStartRule;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -46,7 +46,7 @@
     public final long startedUs;
     final double phase;
     private final double capacity;
-    private final ColdRule rule;
+    private final SlowStartRule rule;
     private final Map<Long, Boolean> cached;
     private final Deque<Report> reports = new ArrayDeque<>();
     private final Deque<Arrival> recentWork = new ArrayDeque<>();
@@ -70,7 +70,7 @@
      */
     public EmulatedCache(String id, double declaredCapacity, double capacity, long startedUs, double phase,
             int maxCachedObjects,
-            ColdRule rule) {
+            SlowStartRule rule) {
         this.id = id;
         this.declaredCapacity = declaredCapacity;
         this.capacity = capacity;
@@ -89,7 +89,8 @@
 
     /** The part of its capacity that is available, 1 when it is warm. */
     public double warmUpFraction(long now) {
-        return startedUs == 0 ? 1 : Math.min(1, rule.from() + (1 - rule.from()) * (now - startedUs) / rule.warmUs());
+        return startedUs == 0 ? 1
+                : Math.min(1, rule.initialShare() + (1 - rule.initialShare()) * (now - startedUs) / rule.durationUs());
     }
 
     /** Whether it is still warming up. */
@@ -122,13 +123,14 @@
             return false;
         }
         recentWork.add(new Arrival(now, workUs));
-        while (recentWork.peek().atUs <= now - rule.windowUs()) {
+        while (recentWork.peek().atUs <= now - rule.overloadWindowUs()) {
             recentWork.poll();
         }
         double work = recentWork.stream().mapToDouble(each -> each.workUs).sum() - SLACK_REQUESTS * workUs;
         double meanWarmUpFraction = (warmUpFraction(now)
-                + Math.max(rule.from(), warmUpFraction(Math.max(startedUs, now - rule.windowUs())))) / 2;
-        failed = work > rule.multiple() * capacity * meanWarmUpFraction * rule.windowUs();
+                + Math.max(rule.initialShare(), warmUpFraction(Math.max(startedUs, now - rule.overloadWindowUs()))))
+                / 2;
+        failed = work > rule.overloadMultiple() * capacity * meanWarmUpFraction * rule.overloadWindowUs();
         return failed;
     }
 
--- a/src/main/java/clovermill/simulation/emulator/EmulatedDirector.java
+++ b/src/main/java/clovermill/simulation/emulator/EmulatedDirector.java
@@ -2,21 +2,21 @@
 
 import clovermill.routing.RequestRouter;
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.CacheRouter;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Cancel;
-import clovermill.routing.api.ClientGone;
 import clovermill.routing.api.Event;
 import clovermill.routing.api.Fail;
 import clovermill.routing.api.LoadReport;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
-import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Reject;
 import clovermill.routing.api.Request;
+import clovermill.routing.api.RequestCancelled;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.Send;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.SetTimer;
-import clovermill.routing.api.Timer;
+import clovermill.routing.api.TimerExpired;
 import clovermill.simulation.emulator.EmulatedCache.Transfer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -133,8 +133,8 @@
             send(calls.get(plain.request()), plain.member(), plain.timeoutUs(), false, false);
         } else if (action instanceof Cancel cancel) {
             cancel(cancel);
-        } else if (action instanceof Refuse refuse) {
-            end(calls.get(refuse.request()));
+        } else if (action instanceof Reject reject) {
+            end(calls.get(reject.request()));
             metrics.refused++;
         } else if (action instanceof Fail fail) {
             end(calls.get(fail.request()));
@@ -157,7 +157,7 @@
         CacheRouter owner = router;
         emulation.at(emulation.now() + timer.delayUs(), () -> {
             if (router == owner) {
-                handle(new Timer(timer.token()));
+                handle(new TimerExpired(timer.token()));
             }
         });
     }
@@ -179,8 +179,9 @@
             metrics.overruns++;
         }
         if (cache.full() || cache.failed) {
-            endInNextStep(() -> ended(call, index, cache, cache.failed ? Result.UNCONNECTED : Result.REFUSED, sentUs,
-                    false));
+            endInNextStep(
+                    () -> ended(call, index, cache, cache.failed ? Result.CONNECT_FAILED : Result.REJECTED, sentUs,
+                            false));
             return;
         }
         boolean hit = cache.lookUp(call.request.object(), keeps && fills);
@@ -231,15 +232,15 @@
         boolean reports = !plan.choice().equals("guess") && result == Result.OK
                 && random.nextDouble() >= plan.reports().loss();
         LoadReport load = reports ? cache.visibleReport(emulation.now(), emulation.reportsFrozen()) : null;
-        handle(new Outcome(call.request.id(), index, cache.id, result, emulation.now() - sentUs, call.over,
-                result != Result.OK ? Note.NONE : hit ? Note.HIT : Note.FILLED, 0, load));
+        handle(new AttemptEnded(call.request.id(), index, cache.id, result, emulation.now() - sentUs, call.over,
+                result != Result.OK ? CacheStatus.NONE : hit ? CacheStatus.HIT : CacheStatus.FILLED, 0, load));
         if (call.over && call.attempts.isEmpty()) {
             calls.remove(call.request.id());
         }
         if (!call.over && emulation.now() - call.takenUs >= Workload.DEADLINE_US) {
             end(call);
             metrics.failed++;
-            handle(new ClientGone(call.request.id()));
+            handle(new RequestCancelled(call.request.id()));
         }
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/Emulation.java
+++ b/src/main/java/clovermill/simulation/emulator/Emulation.java
@@ -3,7 +3,7 @@
 import clovermill.routing.api.Availability;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
+import clovermill.routing.api.MembersChanged;
 import clovermill.simulation.emulator.EmulatedCache.Transfer;
 import java.util.ArrayList;
 import java.util.List;
@@ -200,7 +200,7 @@
 
     /** Every director receives the change of the list after a delay of its own, up to some seconds. */
     private void announce(EmulatedCache cache, Availability state) {
-        Members change = new Members(ListScope.CHANGES, List.of(member(cache, state)));
+        MembersChanged change = new MembersChanged(ListScope.CHANGES, List.of(member(cache, state)));
         for (EmulatedDirector director : directors) {
             at(now + (long) ((0.5 + 2 * random.nextDouble()) * SECOND_US), () -> director.handle(change));
         }
@@ -211,7 +211,7 @@
     }
 
     /** The full list of members, as a director gets it when it starts. */
-    Members allMembers() {
+    MembersChanged allMembers() {
         List<Member> all = new ArrayList<>();
         caches.values().forEach(cache -> all.add(member(cache,
                 cache.draining ? Availability.DRAINING : Availability.HEALTHY)));
@@ -219,6 +219,6 @@
             all.add(new Member("hub-" + i, 0, 1, 100 + i, Availability.HEALTHY, linkCapacity, 0));
         }
         all.add(new Member("origin", 0, 2, 200, Availability.HEALTHY, linkCapacity, 0));
-        return new Members(ListScope.FULL, all);
+        return new MembersChanged(ListScope.FULL, all);
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/LeastLoadedRouter.java
+++ b/src/main/java/clovermill/simulation/emulator/LeastLoadedRouter.java
@@ -1,14 +1,14 @@
 package clovermill.simulation.emulator;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.Availability;
 import clovermill.routing.api.CacheRouter;
 import clovermill.routing.api.Event;
 import clovermill.routing.api.Fail;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Outcome;
-import clovermill.routing.api.Refuse;
+import clovermill.routing.api.MembersChanged;
+import clovermill.routing.api.Reject;
 import clovermill.routing.api.Request;
 import clovermill.routing.api.SendVia;
 import java.util.ArrayList;
@@ -38,7 +38,7 @@
 
     @Override
     public void handle(long nowUs, Event event, Consumer<Action> out) {
-        if (event instanceof Members change) {
+        if (event instanceof MembersChanged change) {
             change.members().stream().filter(each -> each.kind() == 0).forEach(each -> members.put(each.id(), each));
             members.values().removeIf(member -> member.availability() != Availability.HEALTHY);
         } else if (event instanceof Request request) {
@@ -48,14 +48,14 @@
                 Member next = left.remove(random.nextInt(left.size()));
                 best = best == null || load(next) < load(best) ? next : best;
             }
-            out.accept(best == null ? new Refuse(request.id(), 0)
-                    : new SendVia(request.id(), best.id(), request.graceUs(), "hub-0", 2, 0, false, false, false,
+            out.accept(best == null ? new Reject(request.id(), 0)
+                    : new SendVia(request.id(), best.id(), request.timeoutUs(), "hub-0", 2, 0, false, false, false,
                             false));
-        } else if (event instanceof Outcome outcome) {
+        } else if (event instanceof AttemptEnded outcome) {
             if (outcome.load() != null) {
-                reported.put(outcome.member(), outcome.load().held());
+                reported.put(outcome.member(), outcome.load().concurrency());
             }
-            if (!outcome.over()) {
+            if (!outcome.requestEnded()) {
                 out.accept(new Fail(outcome.request()));
             }
         }
--- a/src/main/java/clovermill/simulation/emulator/Workload.java
+++ b/src/main/java/clovermill/simulation/emulator/Workload.java
@@ -1,13 +1,13 @@
 package clovermill.simulation.emulator;
 
-import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Effect;
+import clovermill.routing.api.HostCapabilities;
 import clovermill.routing.api.KeyScope;
-import clovermill.routing.api.Permissions;
 import clovermill.routing.api.RequestClass;
 import clovermill.routing.api.Settings;
-import clovermill.routing.api.Siblings;
-import clovermill.routing.api.Telling;
+import clovermill.routing.api.SiblingScope;
+import clovermill.routing.api.SlowStartRule;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -17,7 +17,7 @@
 
     static final double PACE_KB_PER_S = 10_000;
     static final long DEADLINE_US = 6_000_000;
-    static final ColdRule COLD = new ColdRule(0.25, 15_000_000, 3, 3_000_000);
+    static final SlowStartRule COLD = new SlowStartRule(0.25, 15_000_000, 3, 3_000_000);
 
     private final Settings settings;
     /** By rank: the share of requests for this object and all more popular ones. */
@@ -49,10 +49,12 @@
     private static Settings settings(Plan plan, double linkCapacity) {
         RequestClass read = new RequestClass(500_000, 2, DEADLINE_US, 1, 0.15, Effect.IDEMPOTENT, KeyScope.ALL,
                 Emulation.SECOND_US, false, false, false, 0, 0, 1);
-        Permissions allowed = new Permissions(false, false, true, true, false, false, 6, 100_000, 500_000);
+        HostCapabilities capabilities =
+                new HostCapabilities(false, false, true, true, false, false, 6, 100_000, 500_000);
         return new Settings(0, plan.directors(), 1, List.of(read), List.of(0, plan.directors()), List.of(0, 0), 1, 2,
-                PACE_KB_PER_S, true, Siblings.NONE, Telling.HITS, COLD, COLD, 250_000, 8_000, 500_000, 6_000_000,
-                400_000, false, 10_000_000, 0, 0, linkCapacity * PACE_KB_PER_S, allowed);
+                PACE_KB_PER_S, true, SiblingScope.NONE, CacheStatusDetail.HITS, COLD, COLD, 250_000, 8_000, 500_000,
+                6_000_000,
+                400_000, false, 10_000_000, 0, 0, linkCapacity * PACE_KB_PER_S, capabilities);
     }
 
     /** Zipf's law, summed up. */
--- a/src/test/java/clovermill/config/ConfigTest.java
+++ b/src/test/java/clovermill/config/ConfigTest.java
@@ -25,9 +25,9 @@
         assertThat(config.seed()).isEqualTo(Long.parseUnsignedLong("8c1f30d27a5be964", 16));
         assertThat(config.settings().classes().get(1).effect()).isEqualTo(Effect.DEDUPLICATED);
         assertThat(config.settings().classes().get(1).windowUs()).isEqualTo(3_000_000);
-        assertThat(config.settings().classes().get(1).goesThrough()).isTrue();
+        assertThat(config.settings().classes().get(1).passThrough()).isTrue();
         assertThat(config.settings().classes().get(0).freshUs()).isEqualTo(20_000_000);
-        assertThat(config.settings().allowed().maxAttempts()).isEqualTo(8);
+        assertThat(config.settings().capabilities().maxAttempts()).isEqualTo(8);
         assertThat(config.settings().directorsByZone()).containsExactly(0, 1);
     }
 
--- a/src/test/java/clovermill/config/JsonTest.java
+++ b/src/test/java/clovermill/config/JsonTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.routing.Splits;
+import clovermill.routing.ParserAssertions;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -35,7 +35,7 @@
 
     @Test
     void refusesJunkWithoutAnotherFault() {
-        Splits.junk(TEXT.getBytes(StandardCharsets.UTF_8), Json.Malformed.class,
+        ParserAssertions.assertFailsOnlyWith(TEXT.getBytes(StandardCharsets.UTF_8), Json.Malformed.class,
                 told -> data -> Json.parse(StandardCharsets.ISO_8859_1.decode(data).toString()));
     }
 }
--- a/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
+++ b/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import clovermill.controlplane.admin.decide.AdminRequest;
-import clovermill.routing.Splits;
+import clovermill.routing.ParserAssertions;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
@@ -20,7 +20,7 @@
     private static final String CHUNKED = "\r\nPUT /x HTTP/1.1\nTransfer-Encoding: Chunked\n\n3;e=1\r\nabc\r\nA\r\n"
             + "0123456789\r\n0\r\nTrailer: t\r\n\r\n";
 
-    private static Splits.Parser parser(Consumer<String> requests) {
+    private static ParserAssertions.Parser parser(Consumer<String> requests) {
         AdminRequestParser parser = new AdminRequestParser();
         return data -> {
             Optional<AdminRequest> parsed = parser.parse(data);
@@ -69,7 +69,7 @@
     void anEndlessHeadIsRejectedAndRandomBytesDoNoHarm() {
         assertThatThrownBy(() -> parse("GET / HTTP/1.1\r\nA: " + "a".repeat(9000)))
                 .isInstanceOf(AdminRequestException.class);
-        Splits.junk(CHUNKED.getBytes(StandardCharsets.US_ASCII), AdminRequestException.class,
+        ParserAssertions.assertFailsOnlyWith(CHUNKED.getBytes(StandardCharsets.US_ASCII), AdminRequestException.class,
                 AdminRequestParserTest::parser);
     }
 }
--- a/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
@@ -7,7 +7,7 @@
 import clovermill.controlplane.outage.OutageRegistry;
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.upstream.UpstreamPool;
-import clovermill.routing.api.Members;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Purge;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.Deadlines;
@@ -49,7 +49,7 @@
         UpstreamPool pool = new UpstreamPool(new EventLoop(clock, deadlines), clock, deadlines, new Budget(1000),
                 new UpstreamPool.Limits(1, 1, 1, 1));
         ProxyCore host = new ProxyCore((atUs, event, out) -> {
-            if (event instanceof Members list) {
+            if (event instanceof MembersChanged list) {
                 list.members().forEach(member -> startsUs.add(member.startedUs()));
             } else if (event instanceof Purge purge) {
                 agesUs.add(purge.ageUs());
--- a/src/test/java/clovermill/controlplane/discovery/HttpResponseParserTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/HttpResponseParserTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.routing.Splits;
+import clovermill.routing.ParserAssertions;
 import clovermill.runtime.net.ProtocolException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -20,18 +20,19 @@
             + "0\r\nTrailer: t\r\n\r\nHTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
 
-    private Splits.Parser parser(Consumer<String> received) {
+    private ParserAssertions.Parser parser(Consumer<String> received) {
         return new HttpResponseParser((status, body, last) -> received.accept(status + " " + body + " " + last))::parse;
     }
 
     @Test
     void readsTheSameAtEverySplit() throws Exception {
-        Splits.same(INPUT, List.of("200 hello false", "200 abcde false", "503  true"), this::parser);
+        ParserAssertions.assertSameForEverySplit(INPUT, List.of("200 hello false", "200 abcde false", "503  true"),
+                this::parser);
     }
 
     @Test
     void refusesJunkWithoutAnotherFault() {
-        Splits.junk(INPUT, ProtocolException.class, this::parser);
+        ParserAssertions.assertFailsOnlyWith(INPUT, ProtocolException.class, this::parser);
     }
 
     @Test
--- a/src/test/java/clovermill/controlplane/placement/PlacementTest.java
+++ b/src/test/java/clovermill/controlplane/placement/PlacementTest.java
@@ -8,7 +8,7 @@
 import clovermill.routing.api.Availability;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
+import clovermill.routing.api.MembersChanged;
 import clovermill.runtime.net.ManualClock;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -36,7 +36,7 @@
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         placement = new Placement(clock, config.settings(), config.zones(), config.classes(), false, null);
-        placement.membersChanged(new Members(ListScope.FULL, List.of(member("s-1", 1, 0), member("p-1", 0, 1),
+        placement.membersChanged(new MembersChanged(ListScope.FULL, List.of(member("s-1", 1, 0), member("p-1", 0, 1),
                 member("o-1", 0, 2))));
     }
 
@@ -108,7 +108,7 @@
         placement.enforce(List.of(policy(LOOSE)), 10_000);
         assertThat(placement.retryAfterMs(request(0))).isEqualTo(UsageListener.ADMITTED);
         placement.membersChanged(
-                new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
+                new MembersChanged(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
                         0))));
         assertThat(placement.retryAfterMs(request(0))).isPositive();
     }
@@ -117,7 +117,7 @@
     void anEndpointThatIsGoneIsNotAllowed() {
         placement.enforce(List.of("{}"), 10_000);
         placement.membersChanged(
-                new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.GONE, 1, 0))));
+                new MembersChanged(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.REMOVED, 1, 0))));
         assertThat(placement.allowedMembers(request(0)).test("s-1")).isFalse();
     }
 
@@ -125,7 +125,7 @@
     void aCacheThatChangesItsZoneUnderTheSameIdCountsInTheNewOne() {
         placement.enforce(List.of(policy(EDGE)), 10_000);
         Predicate<String> bound = placement.allowedMembers(request(0));
-        placement.membersChanged(new Members(ListScope.CHANGES, List.of(member("s-1", 0, 0))));
+        placement.membersChanged(new MembersChanged(ListScope.CHANGES, List.of(member("s-1", 0, 0))));
         assertThat(bound.test("s-1")).isFalse();
     }
 
--- a/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.routing.api.Effect;
+import clovermill.routing.api.HostCapabilities;
 import clovermill.routing.api.KeyScope;
-import clovermill.routing.api.Permissions;
 import clovermill.routing.api.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,8 @@
 
 class RequestClassRegistryTest {
 
-    private static final Permissions PERMISSIONS = new Permissions(true, true, true, true, true, false, 99, 1000, 0);
+    private static final HostCapabilities PERMISSIONS =
+            new HostCapabilities(true, true, true, true, true, false, 99, 1000, 0);
 
     private static RequestClass with(Effect effect, long deadlineUs, long windowUs, long freshUs) {
         return new RequestClass(100, 0, deadlineUs, 1, 0, effect, KeyScope.ALL, windowUs, false, false, false, freshUs,
--- a/src/test/java/clovermill/dataplane/proxy/ActionDispatcherTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ActionDispatcherTest.java
@@ -5,7 +5,7 @@
 import clovermill.routing.api.Action;
 import clovermill.routing.api.Fail;
 import clovermill.routing.api.FetchMembers;
-import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Reject;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -15,12 +15,12 @@
     private final List<Action> failed = new ArrayList<>();
     private final List<Action> refused = new ArrayList<>();
     private final ActionDispatcher dispatcher =
-            new ActionDispatcher().on(Fail.class, failed::add).on(Refuse.class, refused::add);
+            new ActionDispatcher().on(Fail.class, failed::add).on(Reject.class, refused::add);
 
     @Test
     void givenHandlersWhenAnActionIsDispatchedThenTheHandlerOfItsTypeGetsItOnce() {
         Action fail = new Fail("a");
-        Action refuse = new Refuse("b", 1);
+        Action refuse = new Reject("b", 1);
         dispatcher.dispatch(fail);
         dispatcher.dispatch(refuse);
         assertThat(failed).containsExactly(fail);
--- a/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -3,25 +3,25 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.CacheRouter;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Cancel;
-import clovermill.routing.api.ClientGone;
 import clovermill.routing.api.Effect;
 import clovermill.routing.api.Event;
 import clovermill.routing.api.Fail;
+import clovermill.routing.api.HostCapabilities;
 import clovermill.routing.api.KeyScope;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
-import clovermill.routing.api.Permissions;
-import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Reject;
+import clovermill.routing.api.RequestCancelled;
 import clovermill.routing.api.RequestClass;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.Send;
 import clovermill.routing.api.SetTimer;
 import clovermill.routing.api.Settings;
-import clovermill.routing.api.Siblings;
-import clovermill.routing.api.Telling;
-import clovermill.routing.api.Timer;
+import clovermill.routing.api.SiblingScope;
+import clovermill.routing.api.TimerExpired;
 import clovermill.runtime.net.Body;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.Deadlines;
@@ -61,15 +61,15 @@
             (replies.isEmpty() ? List.<Action>of() : replies.poll()).forEach(out);
         }
     }, new Settings(0, 1, 0, List.of(SAFE, KEYED), List.of(), List.of(), -1, -1, 0, false,
-            Siblings.NONE, Telling.ALL, null, null, 0, 4000, 0, 0, 0, false, 0, 0, 0, 0,
-            new Permissions(true, true, true, true, true, false, 2, 10, 500_000)),
+            SiblingScope.NONE, CacheStatusDetail.ALL, null, null, 0, 4000, 0, 0, 0, false, 0, 0, 0, 0,
+            new HostCapabilities(true, true, true, true, true, false, 2, 10, 500_000)),
             clock, deadlines, new Upstream() {
                 @Override
                 public Exchange send(AttemptOrder order, AttemptListener listener) {
                     orders.add(order);
                     listeners.add(listener);
                     if (immediateResult != null) {
-                        listener.ended(immediateResult, Note.NONE, 0, null);
+                        listener.ended(immediateResult, CacheStatus.NONE, 0, null);
                     }
                     return new Exchange() {
                         @Override
@@ -86,7 +86,7 @@
 
                 @Override
                 public void probe(String member, AttemptListener listener) {
-                    listener.ended(Result.OK, Note.NONE, 0, null);
+                    listener.ended(Result.OK, CacheStatus.NONE, 0, null);
                 }
 
                 @Override
@@ -130,16 +130,16 @@
         deadlines.sweep(us);
     }
 
-    private Outcome outcome(int attempt, String member, Result result, long elapsedUs, boolean over) {
-        return new Outcome(ID, attempt, member, result, elapsedUs, over, Note.NONE, 0, null);
+    private AttemptEnded outcome(int attempt, String member, Result result, long elapsedUs, boolean over) {
+        return new AttemptEnded(ID, attempt, member, result, elapsedUs, over, CacheStatus.NONE, 0, null);
     }
 
     @Test
     void givenTwoAttemptsWhenOneIsOkThenTheRequestEndsAndBothHaveAnOutcome() {
         submit(new Send(ID, "a", 0), new Send(ID, "b", 0));
         clock.passUs(50);
-        listeners.get(1).ended(Result.OK, Note.NONE, 0, answer());
-        listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
+        listeners.get(1).ended(Result.OK, CacheStatus.NONE, 0, answer());
+        listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, answer());
         assertThat(answers).containsExactly("served");
         assertThat(events.subList(1, 3)).containsExactly(outcome(1, "b", Result.OK, 50, true),
                 outcome(0, "a", Result.OK, 50, true));
@@ -162,9 +162,10 @@
     void givenAClientWithoutACopyWhenNotModifiedIsReturnedThenTheAttemptFails() {
         submit(new Send(ID, "a", 0));
         assertThat(budget.take(10)).isTrue();
-        listeners.get(0).ended(Result.OK, Note.HIT, 0, new UpstreamResponse(new Body(new byte[10], budget), true, "t"));
+        listeners.get(0).ended(Result.OK, CacheStatus.HIT, 0,
+                new UpstreamResponse(new Body(new byte[10], budget), true, "t"));
         assertThat(answers).isEmpty();
-        assertThat(((Outcome) events.get(1)).result()).isEqualTo(Result.ERROR);
+        assertThat(((AttemptEnded) events.get(1)).result()).isEqualTo(Result.ERROR);
         assertThat(budget.used()).isZero();
     }
 
@@ -174,7 +175,7 @@
         mayHaveRun = false;
         submit(new Send(ID, "a", 7000));
         advanceTo(8000);
-        assertThat(events).contains(outcome(0, "a", Result.UNCONNECTED, 7000, false));
+        assertThat(events).contains(outcome(0, "a", Result.CONNECT_FAILED, 7000, false));
     }
 
     /** Many cancellations at once must not make members look unreachable. */
@@ -187,7 +188,7 @@
 
     @Test
     void givenTheLimitOfAttemptsOrTheFinalAnswerThenFurtherAttemptsAreNotSent() {
-        submit(new Send(ID, "a", 0), new Send(ID, "b", 0), new Send(ID, "c", 0), new Refuse(ID, 250_000),
+        submit(new Send(ID, "a", 0), new Send(ID, "b", 0), new Send(ID, "c", 0), new Reject(ID, 250_000),
                 new Send(ID, "d", 0));
         assertThat(orders).hasSize(2);
         assertThat(answers).containsExactly("refused 250");
@@ -198,7 +199,7 @@
     @Test
     void givenACancelledAttemptThenItEndsOnce() {
         submit(new Send(ID, "a", 0), new Cancel(ID, 0), new Cancel(ID, 0));
-        listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
+        listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, answer());
         assertThat(events.subList(1, events.size())).containsExactly(outcome(0, "a", Result.CANCELLED, 0, false));
         assertThat(answers).isEmpty();
         assertThat(budget.used()).isZero();
@@ -207,12 +208,12 @@
     /** The router gets the outcome after its present event, not inside it. */
     @Test
     void givenAnAttemptThatEndsInsideTheCallThenItsOutcomeIsANewEvent() {
-        immediateResult = Result.UNCONNECTED;
+        immediateResult = Result.CONNECT_FAILED;
         replies.add(List.of(new Send(ID, "a", 0), new SetTimer(10, 7)));
         submit();
-        assertThat(events).hasSize(2).last().isEqualTo(outcome(0, "a", Result.UNCONNECTED, 0, false));
+        assertThat(events).hasSize(2).last().isEqualTo(outcome(0, "a", Result.CONNECT_FAILED, 0, false));
         advanceTo(2000);
-        assertThat(events).last().isEqualTo(new Timer(7));
+        assertThat(events).last().isEqualTo(new TimerExpired(7));
     }
 
     @Test
@@ -220,15 +221,15 @@
         submit();
         advanceTo(101_000 + 2000);
         assertThat(answers).containsExactly("failed");
-        assertThat(events).last().isEqualTo(new ClientGone(ID));
+        assertThat(events).last().isEqualTo(new RequestCancelled(ID));
     }
 
     @Test
     void givenAClientThatHasGoneThenNoAnswerIsGiven() {
         submit(new Send(ID, "a", 0));
-        replies.add(List.of(new Refuse(ID, 0)));
+        replies.add(List.of(new Reject(ID, 0)));
         core.clientGone(ID);
-        listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
+        listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, answer());
         assertThat(answers).isEmpty();
         assertThat(events).last().isEqualTo(outcome(0, "a", Result.OK, 0, true));
         assertThat(budget.used()).isZero();
@@ -260,7 +261,7 @@
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
         clock.passUs(1000);
-        listeners.get(0).ended(Result.BROKEN, Note.NONE, 0, null);
+        listeners.get(0).ended(Result.CONNECTION_LOST, CacheStatus.NONE, 0, null);
         clock.passUs(WINDOW_US - 1001);
         assertThat(listeners.get(1).mayBegin()).isTrue();
         assertThat(listeners.get(1).mayContinue()).isTrue();
@@ -273,7 +274,7 @@
     void givenAFirstAttemptThatNeverRanThenTheRetryHasNoWindow() {
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
-        listeners.get(0).ended(Result.REFUSED, Note.NONE, 0, null);
+        listeners.get(0).ended(Result.REJECTED, CacheStatus.NONE, 0, null);
         clock.passUs(WINDOW_US);
         assertThat(listeners.get(1).mayBegin()).isTrue();
     }
@@ -283,7 +284,7 @@
         submit();
         core.clientHalfClosed(ID);
         assertThat(answers).containsExactly("refused 100");
-        assertThat(events).last().isEqualTo(new ClientGone(ID));
+        assertThat(events).last().isEqualTo(new RequestCancelled(ID));
     }
 
     @Test
@@ -293,7 +294,7 @@
         core.clientHalfClosed(ID);
         assertThat(answers).isEmpty();
         replies.add(List.of(new Send(ID, "b", 0)));
-        listeners.get(0).ended(Result.ERROR, Note.NONE, 0, null);
+        listeners.get(0).ended(Result.ERROR, CacheStatus.NONE, 0, null);
         assertThat(answers).containsExactly("failed");
         assertThat(orders).hasSize(1);
     }
--- a/src/test/java/clovermill/dataplane/server/FrameParserTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameParserTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.routing.Splits;
+import clovermill.routing.ParserAssertions;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.ProtocolException;
 import java.nio.ByteBuffer;
@@ -29,7 +29,7 @@
                 .put(Frames.emptyFrame(Frames.CANCEL, 7)).array();
     }
 
-    private Splits.Parser parser(Consumer<String> seen) {
+    private ParserAssertions.Parser parser(Consumer<String> seen) {
         FrameParser parser = new FrameParser(budget, (type, stream, payload) -> {
             String fields = type == Frames.RESPONSE ? payload.get() + " " + new TreeMap<>(Frames.fields(payload)) : "";
             seen.accept(type + " " + stream + " " + fields + " " + payload.remaining());
@@ -40,12 +40,13 @@
 
     @Test
     void parsesTheSameFramesAtEverySplit() throws Exception {
-        Splits.same(input(), List.of("1 3000000000 66 {after=100} 2", "2 7  0"), this::parser);
+        ParserAssertions.assertSameForEverySplit(input(), List.of("1 3000000000 66 {after=100} 2", "2 7  0"),
+                this::parser);
     }
 
     @Test
     void rejectsMalformedInputWithAProtocolExceptionOnly() {
-        Splits.junk(input(), ProtocolException.class, this::parser);
+        ParserAssertions.assertFailsOnlyWith(input(), ProtocolException.class, this::parser);
     }
 
     @Test
--- a/src/test/java/clovermill/dataplane/server/FrameServerTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameServerTest.java
@@ -8,9 +8,9 @@
 import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.ProxyCore;
 import clovermill.dataplane.proxy.Upstream;
-import clovermill.routing.api.ClientGone;
 import clovermill.routing.api.Event;
 import clovermill.routing.api.Request;
+import clovermill.routing.api.RequestCancelled;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
@@ -174,7 +174,7 @@
             assertThat(client.readFrame()).isEqualTo("nothing");
             assertThat(events).hasSize(1).allMatch(Request.class::isInstance);
             client.pass(10);
-            assertThat(events).hasSize(2).anyMatch(ClientGone.class::isInstance);
+            assertThat(events).hasSize(2).anyMatch(RequestCancelled.class::isInstance);
             assertThat(client.readFrame()).as("nothing is out for it").isEqualTo("1 1 B");
         }
     }
@@ -223,7 +223,7 @@
             budget.give(1 << 20);
             client.runLoop();
             assertThat(events).hasSize(1);
-            assertThat(((Request) events.get(0)).graceUs()).isEqualTo(2_980_000 - 300_000);
+            assertThat(((Request) events.get(0)).timeoutUs()).isEqualTo(2_980_000 - 300_000);
         }
     }
 
--- a/src/test/java/clovermill/dataplane/upstream/DeadlineFigureTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DeadlineFigureTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.AttemptListener;
 import clovermill.dataplane.proxy.AttemptOrder;
+import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.UpstreamResponse;
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.Connection;
@@ -56,7 +56,7 @@
         Result result;
 
         @Override
-        public void ended(Result reported, Note note, long waitedUs, UpstreamResponse answer) {
+        public void ended(Result reported, CacheStatus cacheStatus, long waitedUs, UpstreamResponse answer) {
             result = reported;
         }
     }
@@ -124,7 +124,7 @@
             connected();
             clock.passUs(DIAL_US);
             loop.turn(0);
-            assertThat(first.result).isEqualTo(Result.UNCONNECTED);
+            assertThat(first.result).isEqualTo(Result.CONNECT_FAILED);
             turns(2);
             assertThat(socket.written).isEmpty();
         }
--- a/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
@@ -7,7 +7,7 @@
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.UpstreamResponse;
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.Connection;
@@ -87,7 +87,8 @@
                     }
 
                     @Override
-                    public void ended(Result result, Note note, long waitedUs, UpstreamResponse response) {
+                    public void ended(Result result, CacheStatus cacheStatus, long waitedUs,
+                            UpstreamResponse response) {
                         results.add(result);
                     }
                 });
@@ -138,7 +139,7 @@
     void givenAFaultOfThePeerThenTheRequestEndsUnconnectedAtOnce(IOException failure) {
         failures.add(failure);
         send();
-        assertThat(results).containsExactly(Result.UNCONNECTED);
+        assertThat(results).containsExactly(Result.CONNECT_FAILED);
     }
 
     @Test
--- a/src/test/java/clovermill/dataplane/upstream/ResponseParserTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/ResponseParserTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import clovermill.routing.Splits;
+import clovermill.routing.ParserAssertions;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.ProtocolException;
 import java.nio.ByteBuffer;
@@ -20,7 +20,7 @@
             "a1 DONE etag=t,made=5 4\r\n\r\n\0x\r\na2 LACK - 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     private final Budget budget = new Budget(1000);
 
-    private Splits.Parser parser(Consumer<String> responses) {
+    private ParserAssertions.Parser parser(Consumer<String> responses) {
         ResponseParser parser = new ResponseParser(budget, (id, word, fields, body) -> {
             responses.accept(id + " " + word + " " + new TreeMap<>(fields) + " " + body.bytes().length);
             body.close();
@@ -37,13 +37,14 @@
 
     @Test
     void readsTheSameAtEverySplit() throws Exception {
-        Splits.same(INPUT, List.of("a1 DONE {etag=t, made=5} 4", "a2 LACK {} 0"), this::parser);
+        ParserAssertions.assertSameForEverySplit(INPUT, List.of("a1 DONE {etag=t, made=5} 4", "a2 LACK {} 0"),
+                this::parser);
         assertThat(budget.used()).isZero();
     }
 
     @Test
     void refusesJunkWithoutAnotherFault() {
-        Splits.junk(INPUT, ProtocolException.class, this::parser);
+        ParserAssertions.assertFailsOnlyWith(INPUT, ProtocolException.class, this::parser);
     }
 
     @Test
--- a/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
@@ -7,7 +7,7 @@
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.Exchange;
 import clovermill.dataplane.proxy.UpstreamResponse;
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Budget;
 import clovermill.runtime.net.Deadlines;
@@ -83,7 +83,7 @@
         }
 
         @Override
-        public void ended(Result reported, Note note, long waitedUs, UpstreamResponse response) {
+        public void ended(Result reported, CacheStatus cacheStatus, long waitedUs, UpstreamResponse response) {
             result = reported;
             if (response != null) {
                 response.body().close();
@@ -250,7 +250,7 @@
             answer(0, "x");
             turn();
         }
-        assertThat(behind.result).isEqualTo(Result.BROKEN);
+        assertThat(behind.result).isEqualTo(Result.CONNECTION_LOST);
     }
 
     /** Cancelled by its client; the responses behind it arrive. */
--- a/src/test/java/clovermill/ledger/CrashPointsTest.java
+++ b/src/test/java/clovermill/ledger/CrashPointsTest.java
@@ -9,7 +9,7 @@
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.BatchText;
 import clovermill.ledger.export.Exporter;
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.storage.CrashPoint;
@@ -103,7 +103,7 @@
                         new ClientRequest(String.format("%016x", i), 0, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1,
                                 false, null, null, new byte[0]),
                         true, nowMs[0] * 1000, nowMs[0] * 1000, UsageRecord.End.SERVED, 1,
-                        "s-1", null, Note.HIT, 10, 10));
+                        "s-1", null, CacheStatus.HIT, 10, 10));
                 nowMs[0] += 3 * HOUR / USES;
                 deadlines.sweep(nowMs[0] * 1000);
                 deadlines.sweep(nowMs[0] * 1000);
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -14,7 +14,7 @@
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.Exporter;
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
 import clovermill.storage.FaultyVolume;
@@ -103,7 +103,7 @@
         ledger.requestEnded(
                 new UsageRecord(ask(requestClass), true, takenMs * 1000, monoMs * 1000, UsageRecord.End.SERVED, 1,
                         "s-1", null,
-                        Note.HIT, bytes, bytes));
+                        CacheStatus.HIT, bytes, bytes));
     }
 
     private void use(Ledger ledger, int bytes) {
--- a/src/test/java/clovermill/prove/CacheFleet.java
+++ b/src/test/java/clovermill/prove/CacheFleet.java
@@ -1,14 +1,14 @@
 package clovermill.prove;
 
-import clovermill.routing.api.ColdRule;
 import clovermill.routing.api.LoadReport;
+import clovermill.routing.api.SlowStartRule;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Connection;
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
 import clovermill.runtime.net.Listener;
-import clovermill.simulation.emulator.EmulatedCache.Transfer;
 import clovermill.simulation.emulator.EmulatedCache;
+import clovermill.simulation.emulator.EmulatedCache.Transfer;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -72,7 +72,7 @@
     private final EventLoop loop = new EventLoop(clock, deadlines);
     private final Map<String, Box> boxes = new TreeMap<>();
     private final List<Channel> channels = new ArrayList<>();
-    private final ColdRule rule;
+    private final SlowStartRule rule;
     private final double workUs;
     private final ByteBuffer body = ByteBuffer.wrap("x".repeat(BODY).getBytes(StandardCharsets.ISO_8859_1));
     private final Set<String> orders = new HashSet<>();
@@ -95,7 +95,7 @@
     private int idle;
 
     /** So many caches of a room, whose parts take a time to send. */
-    public CacheFleet(int caches, double room, double workUs, ColdRule rule) throws IOException {
+    public CacheFleet(int caches, double room, double workUs, SlowStartRule rule) throws IOException {
         this.workUs = workUs;
         this.rule = rule;
         for (int i = 1; i <= caches; i++) {
@@ -320,7 +320,8 @@
             reads.computeIfPresent(id, (key, count) -> count > 1 ? count - 1 : null);
             LoadReport load = mute ? null : box.model.visibleReport(clock.micros(), frozen);
             String gauges = load == null ? "" : String.format(Locale.ROOT,
-                    ",gauges=concurrent:%.3f;load_share:%.3f;x1:%.3f", load.held(), load.busy(), load.linkUse());
+                    ",gauges=concurrent:%.3f;load_share:%.3f;x1:%.3f", load.concurrency(), load.utilization(),
+                    load.linkUtilization());
             say(id + " DONE etag=t,made=" + clock.unixMillis() + ",res=" + (hit ? "HIT" : "MISS") + gauges + " " + BODY
                     + "\r\n");
             connection.send(body.duplicate());
--- a/src/test/java/clovermill/prove/DirectorProcess.java
+++ b/src/test/java/clovermill/prove/DirectorProcess.java
@@ -1,6 +1,6 @@
 package clovermill.prove;
 
-import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.SlowStartRule;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -24,7 +24,7 @@
     /** Time of sending one part, in the stand-in caches and by the configuration: 400 KB at 5,000 a second. */
     public static final double WORK_US = 80_000;
     static final int KB = 400;
-    public static final ColdRule COLD = new ColdRule(0.25, 6_000_000, 3, 3_000_000);
+    public static final SlowStartRule COLD = new SlowStartRule(0.25, 6_000_000, 3, 3_000_000);
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     private static final long READY_MS = 20_000;
 
@@ -101,8 +101,8 @@
         family.put("says", "hit").put("straight", false).put("shares-fills", false).put("peers-fill", "none");
         family.putArray("crew-by-zone").add(0).add(directors);
         family.putArray("zone-link-kb-per-s").add(0).add(60_000);
-        ((ObjectNode) told.get("rules")).put("drain-grace-us", 250_000).put("cold-from", COLD.from())
-                .put("cold-us", COLD.warmUs()).put("tip-multiple", COLD.multiple());
+        ((ObjectNode) told.get("rules")).put("drain-grace-us", 250_000).put("cold-from", COLD.initialShare())
+                .put("cold-us", COLD.durationUs()).put("tip-multiple", COLD.overloadMultiple());
         Path file = Files.createDirectories(root.resolve("n" + number)).resolve("config.json");
         Files.writeString(file, mapper.writeValueAsString(config));
         return file;
--- a/src/test/java/clovermill/prove/capacity/ModuleUnderTest.java
+++ b/src/test/java/clovermill/prove/capacity/ModuleUnderTest.java
@@ -4,13 +4,13 @@
 import clovermill.config.Json;
 import clovermill.routing.RequestRouter;
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.Availability;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Event;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Purge;
 import clovermill.routing.api.Request;
 import clovermill.routing.api.Result;
@@ -55,7 +55,7 @@
         }
         members.add(new Member("parent-0", 0, settings.parentKind(), 0, Availability.HEALTHY, 20, 0));
         members.add(new Member("origin", 0, settings.originKind(), 0, Availability.HEALTHY, 1, 0));
-        handle(new Members(ListScope.FULL, members));
+        handle(new MembersChanged(ListScope.FULL, members));
     }
 
     /** Asks for a part of an object; the request stays open. */
@@ -71,7 +71,7 @@
         String cache = actions.stream().map(ModuleUnderTest::target).filter(target -> target != null).findFirst()
                 .orElseThrow(() -> new IllegalStateException("nothing was sent: " + actions));
         nowUs += ANSWER_US;
-        handle(new Outcome(id, 0, cache, Result.OK, ANSWER_US, true, Note.HIT, 0, null));
+        handle(new AttemptEnded(id, 0, cache, Result.OK, ANSWER_US, true, CacheStatus.HIT, 0, null));
         return cache;
     }
 
--- a/src/test/java/clovermill/routing/ActionDigestTest.java
+++ b/src/test/java/clovermill/routing/ActionDigestTest.java
@@ -3,28 +3,28 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.Availability;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Cancel;
-import clovermill.routing.api.ClientGone;
+import clovermill.routing.api.DisabledMembersChanged;
 import clovermill.routing.api.Event;
+import clovermill.routing.api.HostCapabilities;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.LoadReport;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Operated;
-import clovermill.routing.api.Outcome;
-import clovermill.routing.api.Permissions;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Purge;
 import clovermill.routing.api.Request;
+import clovermill.routing.api.RequestCancelled;
 import clovermill.routing.api.Result;
-import clovermill.routing.api.Retuned;
 import clovermill.routing.api.Send;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.SetTimer;
 import clovermill.routing.api.Settings;
-import clovermill.routing.api.Telling;
-import clovermill.routing.api.Timer;
+import clovermill.routing.api.SettingsChanged;
+import clovermill.routing.api.TimerExpired;
 import java.lang.reflect.RecordComponent;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -89,11 +89,12 @@
         "false, NONE, 3, false, false, 2,   6, 72cc634fae34a41a",
         "false, ALL,  1, true,  false, 1,   7, 8eaf84b16001a1a7",
         "false, HITS, 9, false, true,  4,   8, f0cda6f41c20ac00"})
-    void theActionsAreTheRecordedOnes(boolean straight, Telling telling, int directors, boolean sizes, boolean loads,
+    void theActionsAreTheRecordedOnes(boolean straight, CacheStatusDetail cacheStatusDetail, int directors,
+            boolean sizes, boolean loads,
             double slow, long seed, String recorded) {
         random = new SplittableRandom(seed);
         settings = withLinkAndListOnRequest(seed % 2 == 0 ? Director.tight(directors)
-                : Director.settings(straight, telling, directors), straight, telling);
+                : Director.settings(straight, cacheStatusDetail, directors), straight, cacheStatusDetail);
         sizesKnown = sizes;
         loadReported = loads;
         slowdown = slow;
@@ -102,20 +103,23 @@
         for (long endUs = nowUs + SPAN_US; nowUs < endUs; nowUs += STEP_US) {
             step();
         }
-        assertThat(kinds).as("kinds of actions").containsKeys("SendVia", "Refuse", "Cancel", "SetTimer", "Log");
+        assertThat(kinds).as("kinds of actions").containsKeys("SendVia", "Reject", "Cancel", "SetTimer", "Log");
         assertThat(HexFormat.of().formatHex(digest.digest(), 0, 8)).as("digest of all actions: " + kinds)
                 .isEqualTo(recorded);
     }
 
     /** The same settings with a link of known rate, a list that is asked for by the director, and what is told. */
-    private static Settings withLinkAndListOnRequest(Settings given, boolean straight, Telling telling) {
-        Permissions allowed = new Permissions(straight, true, true, true, false, false, 6, 1000,
+    private static Settings withLinkAndListOnRequest(Settings given, boolean straight,
+            CacheStatusDetail cacheStatusDetail) {
+        HostCapabilities capabilities = new HostCapabilities(straight, true, true, true, false, false, 6, 1000,
                 400_000);
-        return new Settings(given.position(), given.directors(), given.zone(), given.classes(),
-                given.directorsByZone(), given.hubOf(), given.parentKind(), given.originKind(), given.paceKbPerS(),
-                given.weighted(), given.siblings(), telling, given.cold(), given.parentCold(), given.drainGraceUs(),
-                given.answerSlackUs(), given.purgeNoticeUs(), given.purgeDoneUs(), given.dialTimeoutUs(), true,
-                given.mustAskUs(), given.originFallMultiple(), given.originFallUs(), 12_000, allowed);
+        return new Settings(given.directorIndex(), given.directorCount(), given.zone(), given.classes(),
+                given.directorsByZone(), given.hubByZone(), given.parentKind(), given.originKind(), given.paceKbPerS(),
+                given.weighted(), given.siblings(), cacheStatusDetail, given.slowStart(), given.parentSlowStart(),
+                given.drainGraceUs(),
+                given.answerSlackUs(), given.purgeNoticeUs(), given.purgeCompletionUs(), given.dialTimeoutUs(), true,
+                given.fetchMembersWithinUs(), given.originOverloadMultiple(), given.originOverloadWindowUs(), 12_000,
+                capabilities);
     }
 
     private void step() {
@@ -139,7 +143,7 @@
         feed(new Request(id, kind < 6 ? 0 : kind - 6, 0, object, random.nextInt(2), (int) (object % 8), kb,
                 1_000_000 + random.nextInt(4_000_000), false, member -> !member.equals(excluded)));
         if (random.nextInt(40) == 0) {
-            schedule(random.nextInt(300_000), new ClientGone(id));
+            schedule(random.nextInt(300_000), new RequestCancelled(id));
         }
     }
 
@@ -156,20 +160,20 @@
                 feed(changes(Director.with(cache, Availability.DRAINING, 0)));
                 schedule(2_000_000, changes(cache));
             }
-            case 5 -> feed(new Members(ListScope.FAILED, List.of()));
-            case 6 -> feed(new Retuned(settings));
+            case 5 -> feed(new MembersChanged(ListScope.FAILED, List.of()));
+            case 6 -> feed(new SettingsChanged(settings));
             case 7 -> {
-                feed(new Operated(List.of(cache.id())));
+                feed(new DisabledMembersChanged(List.of(cache.id())));
                 feed(Director.fleet(CACHES));
-                schedule(1_500_000, new Operated(List.of()));
+                schedule(1_500_000, new DisabledMembersChanged(List.of()));
                 schedule(1_500_001, Director.fleet(CACHES));
             }
             default -> feed(Director.fleet(CACHES));
         }
     }
 
-    private static Members changes(Member member) {
-        return new Members(ListScope.CHANGES, List.of(member));
+    private static MembersChanged changes(Member member) {
+        return new MembersChanged(ListScope.CHANGES, List.of(member));
     }
 
     private void schedule(long inUs, Event event) {
@@ -206,10 +210,10 @@
         } else if (action instanceof Send send) {
             attempt(send.request(), send.member(), false);
         } else if (action instanceof SetTimer timer) {
-            schedule(timer.delayUs(), new Timer(timer.token()));
+            schedule(timer.delayUs(), new TimerExpired(timer.token()));
         } else if (action instanceof Cancel cancel) {
-            schedule(1_000, new Outcome(cancel.request(), cancel.attempt(), "", Result.CANCELLED, 1_000, true,
-                    Note.NONE, 0, null));
+            schedule(1_000, new AttemptEnded(cancel.request(), cancel.attempt(), "", Result.CANCELLED, 1_000, true,
+                    CacheStatus.NONE, 0, null));
         }
     }
 
@@ -220,12 +224,13 @@
         boolean timedOut = chance < 4;
         Result result = ok ? heldOnly && random.nextBoolean() ? Result.MISS : Result.OK
                 : timedOut ? Result.TIMED_OUT : Result.values()[1 + random.nextInt(Result.values().length - 1)];
-        Note note = result == Result.OK ? random.nextInt(3) == 0 ? Note.values()[2 + random.nextInt(4)] : Note.HIT
-                : Note.values()[random.nextInt(3) == 0 ? 6 + random.nextInt(5) : 0];
+        CacheStatus cacheStatus = result == Result.OK
+                ? random.nextInt(3) == 0 ? CacheStatus.values()[2 + random.nextInt(4)] : CacheStatus.HIT
+                : CacheStatus.values()[random.nextInt(3) == 0 ? 6 + random.nextInt(5) : 0];
         long tookUs = timedOut ? 2_000_000 : (long) (100_000 * slowdown * -Math.log(1 - random.nextDouble()));
         LoadReport load = loadReported && random.nextBoolean()
                 ? new LoadReport(random.nextInt(20) * slowdown, 0.5, random.nextDouble()) : null;
-        schedule(tookUs, new Outcome(request, attempts.merge(request, 1, Integer::sum) - 1, member, result, tookUs,
-                result == Result.OK, note, note == Note.HIT ? 0 : tookUs / 2, load));
+        schedule(tookUs, new AttemptEnded(request, attempts.merge(request, 1, Integer::sum) - 1, member, result, tookUs,
+                result == Result.OK, cacheStatus, cacheStatus == CacheStatus.HIT ? 0 : tookUs / 2, load));
     }
 }
--- a/src/test/java/clovermill/routing/BoundRequestTest.java
+++ b/src/test/java/clovermill/routing/BoundRequestTest.java
@@ -4,12 +4,12 @@
 
 import clovermill.config.Config;
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.Availability;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Request;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.SendVia;
@@ -40,7 +40,7 @@
                         .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null).settings(), seed);
         List<String> allowed = places.stream().map(IDS::get).toList();
         List<Action> actions = new ArrayList<>();
-        policy.handle(0, new Members(ListScope.FULL, IDS.stream().map(BoundRequestTest::member).toList()),
+        policy.handle(0, new MembersChanged(ListScope.FULL, IDS.stream().map(BoundRequestTest::member).toList()),
                 actions::add);
         for (int i = 0; i < 40; i++) {
             String id = String.format("%016x", i);
@@ -55,8 +55,8 @@
                 assertThat(allowed).contains(via.member());
                 assertThat(via.source().equals("o-1") && via.member().startsWith("p") || allowed.contains(via.source()))
                         .isTrue();
-                policy.handle(i * 10_000 + attempt, new Outcome(id, attempt, via.member(), i % 4 == 0 ? Result.OK
-                        : Result.REFUSED, 900, i % 4 == 0, Note.NONE, 0, null), actions::add);
+                policy.handle(i * 10_000 + attempt, new AttemptEnded(id, attempt, via.member(), i % 4 == 0 ? Result.OK
+                        : Result.REJECTED, 900, i % 4 == 0, CacheStatus.NONE, 0, null), actions::add);
             }
         }
     }
--- a/src/test/java/clovermill/routing/Director.java
+++ b/src/test/java/clovermill/routing/Director.java
@@ -1,24 +1,24 @@
 package clovermill.routing;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.Availability;
-import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Effect;
 import clovermill.routing.api.Event;
+import clovermill.routing.api.HostCapabilities;
 import clovermill.routing.api.KeyScope;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
-import clovermill.routing.api.Permissions;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Request;
 import clovermill.routing.api.RequestClass;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.Settings;
-import clovermill.routing.api.Siblings;
-import clovermill.routing.api.Telling;
+import clovermill.routing.api.SiblingScope;
+import clovermill.routing.api.SlowStartRule;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -35,12 +35,12 @@
     static final RequestClass FRESH = new RequestClass(300_000, 2, 3_000_000, 1, 0.2, Effect.IDEMPOTENT,
             KeyScope.ALL,
             5_000_000, false, false, false, 8_000_000, 0, 0.7);
-    static final ColdRule COLD = new ColdRule(0.2, 14_000_000, 4, 3_000_000);
-    static final ColdRule PARENT_COLD = new ColdRule(0.1, 20_000_000, 2, 3_000_000);
+    static final SlowStartRule COLD = new SlowStartRule(0.2, 14_000_000, 4, 3_000_000);
+    static final SlowStartRule PARENT_COLD = new SlowStartRule(0.1, 20_000_000, 2, 3_000_000);
 
     /** With room for few requests at a time. */
-    static final ColdRule TIGHT = new ColdRule(0.18, 17_000_000, 3, 1_000_000);
-    static final ColdRule PARENT_TIGHT = new ColdRule(0.08, 20_000_000, 2, 1_000_000);
+    static final SlowStartRule TIGHT = new SlowStartRule(0.18, 17_000_000, 3, 1_000_000);
+    static final SlowStartRule PARENT_TIGHT = new SlowStartRule(0.08, 20_000_000, 2, 1_000_000);
 
     final RequestRouter policy;
     long now = 10_000_000_000L;
@@ -52,7 +52,7 @@
 
     /** A director of zone 1 with four caches, two parents and the origin, already told of them. */
     static Director ready() {
-        Director director = new Director(settings(true, Telling.ALL), 7);
+        Director director = new Director(settings(true, CacheStatusDetail.ALL), 7);
         director.tell(fleet(4));
         return director;
     }
@@ -63,27 +63,29 @@
                 0.7);
     }
 
-    static Settings settings(boolean straight, Telling telling) {
-        return settings(straight, telling, 1);
+    static Settings settings(boolean straight, CacheStatusDetail cacheStatusDetail) {
+        return settings(straight, cacheStatusDetail, 1);
     }
 
     /** The same with a number of directors in zone 1. */
-    static Settings settings(boolean straight, Telling telling, int crew) {
-        return settings(straight, telling, crew, COLD, PARENT_COLD);
+    static Settings settings(boolean straight, CacheStatusDetail cacheStatusDetail, int crew) {
+        return settings(straight, cacheStatusDetail, crew, COLD, PARENT_COLD);
     }
 
     /** The same with members that may get little when they start. */
     static Settings tight(int crew) {
-        return settings(true, Telling.ALL, crew, TIGHT, PARENT_TIGHT);
+        return settings(true, CacheStatusDetail.ALL, crew, TIGHT, PARENT_TIGHT);
     }
 
-    private static Settings settings(boolean straight, Telling telling, int crew, ColdRule cold, ColdRule parentCold) {
-        Permissions allowed = new Permissions(straight, true, true, true, false, false, 6, 1000, 0);
+    private static Settings settings(boolean straight, CacheStatusDetail cacheStatusDetail, int crew,
+            SlowStartRule slowStart, SlowStartRule parentSlowStart) {
+        HostCapabilities capabilities = new HostCapabilities(straight, true, true, true, false, false, 6, 1000, 0);
         return new Settings(0, crew + 1, 1, List.of(READ, KEYED, ONCE, FRESH), List.of(0, crew, 1), List.of(0, 0, 0),
                 PARENT,
-                ORIGIN, 1000, true, Siblings.LOCATION, telling, cold, parentCold, 2_000_000, 8_000,
+                ORIGIN, 1000, true, SiblingScope.LOCATION, cacheStatusDetail, slowStart, parentSlowStart, 2_000_000,
+                8_000,
                 300_000,
-                6_000_000, 400_000, false, 10_000_000, 2.5, 3_000_000, 0, allowed);
+                6_000_000, 400_000, false, 10_000_000, 2.5, 3_000_000, 0, capabilities);
     }
 
     static Member cache(int i) {
@@ -100,7 +102,7 @@
                 startedUs);
     }
 
-    static Members fleet(int caches) {
+    static MembersChanged fleet(int caches) {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < caches; i++) {
             members.add(cache(i));
@@ -109,7 +111,7 @@
         members.add(parent(1));
         members.add(new Member("origin", 0, ORIGIN, 200, Availability.HEALTHY, 1, 0));
         members.add(new Member("elsewhere", 2, 0, 3, Availability.HEALTHY, 8, 0));
-        return new Members(ListScope.FULL, members);
+        return new MembersChanged(ListScope.FULL, members);
     }
 
     List<Action> tell(Event event) {
@@ -134,17 +136,17 @@
         return (SendVia) tell(request(0, object, 0)).get(0);
     }
 
-    List<Action> answer(SendVia sent, int attempt, Result result, Note note, long elapsedUs) {
+    List<Action> answer(SendVia sent, int attempt, Result result, CacheStatus cacheStatus, long elapsedUs) {
         now += elapsedUs;
-        return tell(new Outcome(sent.request(), attempt, sent.member(), result, elapsedUs,
-                result == Result.OK, note, 0,
+        return tell(new AttemptEnded(sent.request(), attempt, sent.member(), result, elapsedUs,
+                result == Result.OK, cacheStatus, 0,
                 null));
     }
 
     /** A read that is served in the time that its size takes. */
-    SendVia served(long object, Note note) {
+    SendVia served(long object, CacheStatus cacheStatus) {
         SendVia sent = read(object);
-        answer(sent, 0, Result.OK, note, 110_000);
+        answer(sent, 0, Result.OK, cacheStatus, 110_000);
         return sent;
     }
 }
--- a/src/test/java/clovermill/routing/FailureTest.java
+++ b/src/test/java/clovermill/routing/FailureTest.java
@@ -7,17 +7,17 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Cancel;
 import clovermill.routing.api.ListScope;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
-import clovermill.routing.api.Refuse;
+import clovermill.routing.api.MembersChanged;
+import clovermill.routing.api.Reject;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.SetTimer;
-import clovermill.routing.api.Telling;
-import clovermill.routing.api.Timer;
+import clovermill.routing.api.TimerExpired;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -28,7 +28,7 @@
     /** An object whose fills come from the given parent. */
     private static long objectOf(Director director, String parent) {
         long object = 1000;
-        while (!director.served(object, Note.FILLED).source().equals(parent)) {
+        while (!director.served(object, CacheStatus.FILLED).source().equals(parent)) {
             object++;
         }
         return object;
@@ -42,8 +42,8 @@
     private static void failFill(Director director, long object, int part) {
         SendVia sent = (SendVia) director.tell(director.request(0, object, part)).get(0);
         director.now += 1;
-        director.tell(new Outcome(sent.request(), 0, sent.member(), Result.ERROR, 1, false,
-                Note.SOURCE_UNREACHED, 0, null));
+        director.tell(new AttemptEnded(sent.request(), 0, sent.member(), Result.ERROR, 1, false,
+                CacheStatus.SOURCE_UNREACHABLE, 0, null));
     }
 
     @Test
@@ -61,16 +61,17 @@
     void aCacheThatAnswersAgainAfterItWasLostCountsAsCold() {
         Director director = Director.ready();
         for (int object = 0; object < 60; object++) {
-            director.served(object, Note.HIT);
+            director.served(object, CacheStatus.HIT);
         }
-        String lost = director.served(7, Note.HIT).member();
+        String lost = director.served(7, CacheStatus.HIT).member();
         SendVia sent = director.read(7);
-        director.tell(new Outcome(sent.request(), 0, sent.member(), Result.UNCONNECTED, 1, false, Note.NONE, 0,
-                null));
+        director.tell(
+                new AttemptEnded(sent.request(), 0, sent.member(), Result.CONNECT_FAILED, 1, false, CacheStatus.NONE, 0,
+                        null));
         director.now += 2_000_000;
         int toLost = 0;
         for (int i = 0; i < 25; i++) {
-            toLost += director.served(7, Note.HIT).member().equals(lost) ? 1 : 0;
+            toLost += director.served(7, CacheStatus.HIT).member().equals(lost) ? 1 : 0;
         }
         assertTrue(toLost >= 1 && toLost < 12, toLost + " of 25 went to a cache that may have restarted");
     }
@@ -79,8 +80,8 @@
     void aFillThatTheOriginTurnedAwayIsNotRepeatedAtOnce() {
         Director director = Director.ready();
         SendVia sent = director.read(3);
-        List<Action> next = director.tell(new Outcome(sent.request(), 0, sent.member(), Result.REFUSED, 9, false,
-                Note.ORIGIN_FAILED, 0, null));
+        List<Action> next = director.tell(new AttemptEnded(sent.request(), 0, sent.member(), Result.REJECTED, 9, false,
+                CacheStatus.ORIGIN_FAILED, 0, null));
         assertInstanceOf(SetTimer.class, next.get(next.size() - 1));
     }
 
@@ -89,7 +90,7 @@
         Director director = Director.ready();
         int refused = 0;
         for (int i = 0; i < 400; i++) {
-            refused += director.tell(director.request(0, i, 0)).get(0) instanceof Refuse ? 1 : 0;
+            refused += director.tell(director.request(0, i, 0)).get(0) instanceof Reject ? 1 : 0;
         }
         assertTrue(refused > 200, refused + " of 400 refused at once");
         assertTrue(refused < 390, "what fits is served");
@@ -98,7 +99,7 @@
     @Test
     void aHotObjectIsHandedOverWithinItsTree() {
         Director director = Director.ready();
-        String home = director.served(1, Note.FILLED).member();
+        String home = director.served(1, CacheStatus.FILLED).member();
         SendVia last = null;
         for (int i = 0; i < 40; i++) {
             last = director.read(1);
@@ -112,21 +113,23 @@
         Director straight = Director.ready();
         straight.tell(Director.fleet(0));
         assertTrue(straight.read(5).member().startsWith("parent-"));
-        Director shut = new Director(Director.settings(false, Telling.ALL), 1);
-        shut.tell(new Members(ListScope.FULL, List.of()));
+        Director shut = new Director(Director.settings(false, CacheStatusDetail.ALL), 1);
+        shut.tell(new MembersChanged(ListScope.FULL, List.of()));
         assertInstanceOf(SetTimer.class, shut.tell(shut.request(0, 5, 0)).get(0));
     }
 
     @Test
     void whereNothingIsToldAnErrorOfAFillSpeaksAgainstItsSource() {
-        Director director = new Director(Director.settings(true, Telling.NONE), 7);
+        Director director = new Director(Director.settings(true, CacheStatusDetail.NONE), 7);
         director.tell(Director.fleet(4));
         long object = objectOf(director, "parent-0");
         String home = director.read(object).member();
         for (int part = 1; part <= 2; part++) {
             SendVia sent = (SendVia) director.tell(director.request(0, object, part)).get(0);
-            director.tell(new Outcome(sent.request(), 0, sent.member(), Result.ERROR, 1, false, Note.NONE, 0, null));
-            director.tell(new Outcome(sent.request(), 1, sent.member(), Result.OK, 1, true, Note.NONE, 0, null));
+            director.tell(new AttemptEnded(sent.request(), 0, sent.member(), Result.ERROR, 1, false, CacheStatus.NONE,
+                    0, null));
+            director.tell(
+                    new AttemptEnded(sent.request(), 1, sent.member(), Result.OK, 1, true, CacheStatus.NONE, 0, null));
         }
         SendVia next = (SendVia) director.tell(director.request(0, object, 9)).get(0);
         assertEquals(home, next.member(), "the cache stays in the ring");
@@ -135,7 +138,7 @@
 
     @Test
     void withManyFellowsAShareOfACacheUnderOneTransferIsStillUsed() {
-        Director director = new Director(Director.settings(true, Telling.ALL, 30), 7);
+        Director director = new Director(Director.settings(true, CacheStatusDetail.ALL, 30), 7);
         director.tell(Director.fleet(4));
         int sent = 0;
         for (int i = 0; i < 20; i++) {
@@ -150,7 +153,7 @@
         Director director = Director.ready();
         int refused = 0;
         for (int i = 0; i < 250; i++) {
-            refused += director.tell(director.request(0, i, 0)).get(0) instanceof Refuse ? 1 : 0;
+            refused += director.tell(director.request(0, i, 0)).get(0) instanceof Reject ? 1 : 0;
             director.now += 40_000;
         }
         assertEquals(0, refused, "25 a second of a tenth each, none answered, and caches with room for 32");
@@ -162,12 +165,12 @@
         director.tell(Director.fleet(1));
         for (int i = 0; i < 8; i++) {
             SendVia sent = (SendVia) director.tell(director.bigRequest(i)).get(0);
-            director.answer(sent, 0, Result.OK, Note.HIT, 5_000_000);
+            director.answer(sent, 0, Result.OK, CacheStatus.HIT, 5_000_000);
             if (!(director.tell(director.bigRequest(100 + i)).get(0) instanceof SendVia)) {
                 break;
             }
         }
-        assertInstanceOf(Refuse.class, director.tell(director.bigRequest(200)).get(0), "no room was learned");
+        assertInstanceOf(Reject.class, director.tell(director.bigRequest(200)).get(0), "no room was learned");
         director.now += 40_000_000;
         assertInstanceOf(SendVia.class, director.tell(director.bigRequest(201)).get(0));
     }
@@ -177,20 +180,20 @@
         Director director = Director.ready();
         for (int i = 0; i < 10; i++) {
             SendVia sent = director.read(i);
-            director.tell(new Outcome(sent.request(), 0, sent.member(), Result.REFUSED, 9, false,
-                    Note.ORIGIN_FAILED, 0, null));
+            director.tell(new AttemptEnded(sent.request(), 0, sent.member(), Result.REJECTED, 9, false,
+                    CacheStatus.ORIGIN_FAILED, 0, null));
         }
         int spared = 0;
         for (int i = 100; i < 120; i++) {
-            spared += director.read(i).heldOnly() ? 1 : 0;
+            spared += director.read(i).onlyIfCached() ? 1 : 0;
         }
         assertTrue(spared > 10, spared + " of 20 take only what the parent holds");
         SendVia sent = director.read(200);
-        List<Action> next = director.tell(new Outcome(sent.request(), 0, sent.member(), Result.MISS, 9, false,
-                Note.SOURCE_LACKS, 0, null));
-        assertInstanceOf(Refuse.class, next.get(0), "and are not tried elsewhere");
+        List<Action> next = director.tell(new AttemptEnded(sent.request(), 0, sent.member(), Result.MISS, 9, false,
+                CacheStatus.SOURCE_MISS, 0, null));
+        assertInstanceOf(Reject.class, next.get(0), "and are not tried elsewhere");
         director.now += 60_000_000;
-        assertFalse(director.read(300).heldOnly(), "later it is asked again");
+        assertFalse(director.read(300).onlyIfCached(), "later it is asked again");
     }
 
     @Test
@@ -201,7 +204,7 @@
             Action first = director.tell(director.bigRequest(i)).get(0);
             if (mayFill(first)) {
                 sent++;
-                director.answer((SendVia) first, 0, Result.OK, Note.FILLED, 5_000_000);
+                director.answer((SendVia) first, 0, Result.OK, CacheStatus.FILLED, 5_000_000);
             }
         }
         assertTrue(sent < 20, sent + " of 30 fills were sent, each ten times as long as its size asks for");
@@ -210,12 +213,13 @@
 
     @Test
     void aJamIsLearnedThoughNothingIsAnswered() {
-        Director director = new Director(Director.settings(true, Telling.ALL, 8), 7);
+        Director director = new Director(Director.settings(true, CacheStatusDetail.ALL, 8), 7);
         director.tell(Director.fleet(1));
-        director.answer((SendVia) director.tell(director.bigRequest(0)).get(0), 0, Result.OK, Note.FILLED, 550_000);
+        director.answer((SendVia) director.tell(director.bigRequest(0)).get(0), 0, Result.OK, CacheStatus.FILLED,
+                550_000);
         int refused = 0;
         for (int i = 1; i < 40; i++) {
-            refused += director.tell(director.bigRequest(i)).get(0) instanceof Refuse ? 1 : 0;
+            refused += director.tell(director.bigRequest(i)).get(0) instanceof Reject ? 1 : 0;
             director.now += 500_000;
         }
         assertTrue(refused > 0, "fills that stay out past their wanted time tell of a jam");
@@ -224,10 +228,11 @@
     @Test
     void aSickMemberIsTriedWithOneRequestAtATime() {
         Director director = Director.ready();
-        String sick = director.served(7, Note.HIT).member();
+        String sick = director.served(7, CacheStatus.HIT).member();
         SendVia sent = director.read(7);
-        director.tell(new Outcome(sent.request(), 0, sent.member(), Result.UNCONNECTED, 1, false, Note.NONE, 0,
-                null));
+        director.tell(
+                new AttemptEnded(sent.request(), 0, sent.member(), Result.CONNECT_FAILED, 1, false, CacheStatus.NONE, 0,
+                        null));
         director.now += 1_500_000;
         int trials = 0;
         for (int part = 0; part < 30; part++) {
@@ -239,11 +244,12 @@
 
     @Test
     void anExpectedFillThatIsTurnedAwayLeavesTheHitsOfItsCacheAlone() {
-        Director director = new Director(Director.settings(false, Telling.NONE), 7);
+        Director director = new Director(Director.settings(false, CacheStatusDetail.NONE), 7);
         director.tell(Director.fleet(1));
-        director.served(1, Note.NONE);
+        director.served(1, CacheStatus.NONE);
         SendVia fill = director.read(2);
-        director.tell(new Outcome(fill.request(), 0, fill.member(), Result.REFUSED, 9, false, Note.NONE, 0, null));
+        director.tell(new AttemptEnded(fill.request(), 0, fill.member(), Result.REJECTED, 9, false, CacheStatus.NONE, 0,
+                null));
         assertFalse(mayFill(director.tell(director.request(0, 3, 0)).get(0)), "fills wait");
         assertInstanceOf(SendVia.class, director.tell(director.request(0, 1, 0)).get(0), "hits do not");
     }
@@ -255,14 +261,14 @@
         for (int i = 0; i < 12; i++) {
             Action first = director.tell(director.bigRequest(i)).get(0);
             if (mayFill(first)) {
-                director.answer((SendVia) first, 0, Result.OK, Note.FILLED, 5_000_000);
+                director.answer((SendVia) first, 0, Result.OK, CacheStatus.FILLED, 5_000_000);
             }
         }
         assertFalse(mayFill(director.tell(director.bigRequest(50)).get(0)), "little room was learned");
         for (int i = 100; i < 140; i++) {
             Action first = director.tell(director.request(0, i, 0)).get(0);
             if (mayFill(first)) {
-                director.answer((SendVia) first, 0, Result.OK, Note.FILLED, 110_000);
+                director.answer((SendVia) first, 0, Result.OK, CacheStatus.FILLED, 110_000);
             }
             director.now += 1_000_000;
         }
@@ -277,10 +283,11 @@
         for (int i = 0; i < 60; i++) {
             SendVia sent = director.read(i);
             if (sent.member().equals("cache-0")) {
-                director.answer(sent, 0, Result.OK, Note.FILLED, 110_000);
+                director.answer(sent, 0, Result.OK, CacheStatus.FILLED, 110_000);
             } else {
                 toDead++;
-                director.tell(new Outcome(sent.request(), 0, sent.member(), Result.UNCONNECTED, 1, false, Note.NONE,
+                director.tell(new AttemptEnded(sent.request(), 0, sent.member(), Result.CONNECT_FAILED, 1, false,
+                        CacheStatus.NONE,
                         0, null));
             }
         }
@@ -290,13 +297,14 @@
     @Test
     void whatABrokenConnectionEndsIsOneFailureOfAMemberThatStays() {
         Director director = Director.ready();
-        String home = director.served(7, Note.HIT).member();
+        String home = director.served(7, CacheStatus.HIT).member();
         List<SendVia> sent = new ArrayList<>();
         for (int part = 1; part <= 6; part++) {
             sent.add((SendVia) director.tell(director.request(0, 7, part)).get(0));
         }
         for (SendVia each : sent) {
-            director.tell(new Outcome(each.request(), 0, each.member(), Result.BROKEN, 1, false, Note.NONE, 0, null));
+            director.tell(new AttemptEnded(each.request(), 0, each.member(), Result.CONNECTION_LOST, 1, false,
+                    CacheStatus.NONE, 0, null));
         }
         SendVia next = (SendVia) director.tell(director.request(0, 7, 9)).get(0);
         assertEquals(home, next.member());
@@ -305,43 +313,44 @@
     @Test
     void aRequestThatTwoCachesErrOnIsAtFaultAndTheCachesStay() {
         Director director = Director.ready();
-        String home = director.served(7, Note.HIT).member();
+        String home = director.served(7, CacheStatus.HIT).member();
         for (int part = 1; part <= 6; part++) {
             SendVia first = (SendVia) director.tell(director.request(0, 7, part)).get(0);
             SendVia second = (SendVia) director.tell(erred(first, 0)).get(0);
             assertNotEquals(first.member(), second.member());
-            assertInstanceOf(Refuse.class, director.tell(erred(second, 1)).get(0), "no third attempt");
+            assertInstanceOf(Reject.class, director.tell(erred(second, 1)).get(0), "no third attempt");
         }
-        assertEquals(home, director.served(7, Note.HIT).member());
+        assertEquals(home, director.served(7, CacheStatus.HIT).member());
     }
 
     @Test
     void aCacheThatErrsOnWhatOthersServeLeavesTheRing() {
         Director director = Director.ready();
-        String home = director.served(7, Note.HIT).member();
+        String home = director.served(7, CacheStatus.HIT).member();
         for (int part = 1; part <= 2; part++) {
             SendVia second = (SendVia) director.tell(erred((SendVia) director.tell(director.request(0, 7, part)).get(0),
                     0)).get(0);
-            director.answer(second, 1, Result.OK, Note.FILLED, 1);
+            director.answer(second, 1, Result.OK, CacheStatus.FILLED, 1);
         }
         assertNotEquals(home, ((SendVia) director.tell(director.request(0, 7, 9)).get(0)).member());
     }
 
-    private static Outcome erred(SendVia sent, int attempt) {
-        return new Outcome(sent.request(), attempt, sent.member(), Result.ERROR, 1, false, Note.NONE, 0, null);
+    private static AttemptEnded erred(SendVia sent, int attempt) {
+        return new AttemptEnded(sent.request(), attempt, sent.member(), Result.ERROR, 1, false, CacheStatus.NONE, 0,
+                null);
     }
 
     @Test
     void aRequestForWhichNoMemberIsLeftIsTurnedAwayInTheFirstHalfOfItsTime() {
-        Director director = new Director(Director.settings(false, Telling.ALL), 1);
-        director.tell(new Members(ListScope.FULL, List.of()));
+        Director director = new Director(Director.settings(false, CacheStatusDetail.ALL), 1);
+        director.tell(new MembersChanged(ListScope.FULL, List.of()));
         Action next = director.tell(director.request(0, 5, 0)).get(0);
         long start = director.now;
         while (next instanceof SetTimer timer) {
             director.now += timer.delayUs();
-            next = director.tell(new Timer(timer.token())).get(0);
+            next = director.tell(new TimerExpired(timer.token())).get(0);
         }
-        assertInstanceOf(Refuse.class, next);
+        assertInstanceOf(Reject.class, next);
         assertTrue(director.now - start <= 3_000_000, "of six seconds, after " + (director.now - start));
     }
 
@@ -349,7 +358,7 @@
     void aRequestWhoseAnswerIsOverdueIsSentToAnotherCacheToo() {
         Director director = Director.ready();
         for (int i = 0; i < 40; i++) {
-            director.served(i, Note.HIT);
+            director.served(i, CacheStatus.HIT);
         }
         SendVia first = (SendVia) director.tell(director.request(0, 7, 1)).get(0);
         director.now += 2_000_000;
@@ -357,8 +366,8 @@
         assertEquals(first.request(), second.request());
         assertNotEquals(first.member(), second.member());
         assertEquals(0, second.rank(), "the second copy leaves nothing behind");
-        List<Action> after = director.tell(new Outcome(second.request(), 1, second.member(), Result.OK, 9, true,
-                Note.FILLED, 0, null));
+        List<Action> after = director.tell(new AttemptEnded(second.request(), 1, second.member(), Result.OK, 9, true,
+                CacheStatus.FILLED, 0, null));
         assertEquals(List.of(new Cancel(first.request(), 0)), after, "nobody waits for the first");
     }
 }
--- a/src/test/java/clovermill/routing/OperatedTest.java
+++ b/src/test/java/clovermill/routing/OperatedTest.java
@@ -3,17 +3,17 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.Availability;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
+import clovermill.routing.api.DisabledMembersChanged;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Operated;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Result;
-import clovermill.routing.api.Retuned;
 import clovermill.routing.api.SendVia;
-import clovermill.routing.api.Telling;
+import clovermill.routing.api.SettingsChanged;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -32,12 +32,12 @@
     private Director director;
 
     private void start() {
-        director = new Director(Director.settings(true, Telling.ALL), 7);
+        director = new Director(Director.settings(true, CacheStatusDetail.ALL), 7);
         if (listed.isEmpty()) {
             Director.fleet(3).members().forEach(member -> listed.put(member.id(), member));
         }
-        director.tell(new Operated(List.copyOf(out)));
-        director.tell(new Members(ListScope.REMEMBERED, List.copyOf(listed.values())));
+        director.tell(new DisabledMembersChanged(List.copyOf(out)));
+        director.tell(new MembersChanged(ListScope.LAST_KNOWN, List.copyOf(listed.values())));
     }
 
     private boolean allowed(String id) {
@@ -52,8 +52,8 @@
                 assertThat(allowed(via.member())).as("to %s", via).isTrue();
                 assertThat(allowed(via.source())).as("from %s", via).isTrue();
                 director.now += 20_000;
-                open.addAll(director.tell(new Outcome(via.request(), 0, via.member(), Result.OK, 20_000,
-                        true, Note.HIT, 0, null)));
+                open.addAll(director.tell(new AttemptEnded(via.request(), 0, via.member(), Result.OK, 20_000,
+                        true, CacheStatus.HIT, 0, null)));
             }
         }
     }
@@ -66,8 +66,8 @@
             case 1 -> operate(id, false);
             case 2 -> list(id, Availability.values()[random.nextInt(3)], 0);
             case 3 -> list(id, Availability.HEALTHY, director.now);
-            case 4 -> check(director.tell(new Members(ListScope.FULL, List.copyOf(listed.values()))));
-            case 5 -> check(director.tell(new Retuned(Director.settings(true, Telling.ALL))));
+            case 4 -> check(director.tell(new MembersChanged(ListScope.FULL, List.copyOf(listed.values()))));
+            case 5 -> check(director.tell(new SettingsChanged(Director.settings(true, CacheStatusDetail.ALL))));
             default -> {
                 if (random.nextInt(10) == 0) {
                     start(); // the next process
@@ -79,9 +79,9 @@
 
     private void operate(String id, boolean isOut) {
         if (isOut ? out.add(id) : out.remove(id)) {
-            director.tell(new Operated(List.copyOf(out)));
+            director.tell(new DisabledMembersChanged(List.copyOf(out)));
             if (listed.containsKey(id)) {
-                check(director.tell(new Members(ListScope.CHANGES, List.of(listed.get(id)))));
+                check(director.tell(new MembersChanged(ListScope.CHANGES, List.of(listed.get(id)))));
             }
         }
     }
@@ -89,12 +89,12 @@
     private void list(String id, Availability availability, long startedUs) {
         Member told = Director.with(Director.fleet(3).members().stream().filter(m -> m.id().equals(id)).findFirst()
                 .orElseThrow(), availability, startedUs);
-        if (availability == Availability.GONE) {
+        if (availability == Availability.REMOVED) {
             listed.remove(id);
         } else {
             listed.put(id, told);
         }
-        check(director.tell(new Members(ListScope.CHANGES, List.of(told))));
+        check(director.tell(new MembersChanged(ListScope.CHANGES, List.of(told))));
     }
 
     @Property(tries = 200)
--- a/src/test/java/clovermill/routing/Splits.java
+++ b/src/test/java/clovermill/routing/ParserAssertions.java
@@ -11,7 +11,7 @@
 import java.util.function.Function;
 
 /** Feeds parsers their input cut at every point, and junk. */
-public final class Splits {
+public final class ParserAssertions {
 
     /** A parser that may refuse its input. */
     public interface Parser {
@@ -19,10 +19,11 @@
         void parse(ByteBuffer data) throws Exception;
     }
 
-    private Splits() {}
+    private ParserAssertions() {}
 
     /** Whatever the cut, the parser must tell its listener the same. */
-    public static void same(byte[] input, List<String> expected, Function<Consumer<String>, Parser> parsers)
+    public static void assertSameForEverySplit(byte[] input, List<String> expected,
+            Function<Consumer<String>, Parser> parsers)
             throws Exception {
         for (int cut = 0; cut <= input.length; cut++) {
             List<String> told = new ArrayList<>();
@@ -40,7 +41,7 @@
     }
 
     /** Changed bytes may be refused by {@code refusal} or understood, but never cause another fault. */
-    public static void junk(byte[] input, Class<? extends Exception> refusal,
+    public static void assertFailsOnlyWith(byte[] input, Class<? extends Exception> refusal,
             Function<Consumer<String>, Parser> parsers) {
         Random random = new Random(7);
         int refused = 0;
--- a/src/test/java/clovermill/routing/RandomRunTest.java
+++ b/src/test/java/clovermill/routing/RandomRunTest.java
@@ -5,20 +5,20 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.Availability;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Fail;
 import clovermill.routing.api.ListScope;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Purge;
-import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Reject;
 import clovermill.routing.api.Request;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.Send;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.SetTimer;
-import clovermill.routing.api.Timer;
+import clovermill.routing.api.TimerExpired;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -46,7 +46,7 @@
                 assertFalse(drained.contains(a.source()));
             } else if (action instanceof Send a) {
                 attempt(a.request(), a.member());
-            } else if (action instanceof Refuse a) {
+            } else if (action instanceof Reject a) {
                 assertTrue(ended.add(a.request()));
             } else if (action instanceof Fail a) {
                 assertTrue(ended.add(a.request()));
@@ -68,9 +68,10 @@
         if (result == Result.OK) {
             ended.add(attempt[0]);
         }
-        Note note = result == Result.OK ? Note.HIT : Note.values()[random.nextInt(Note.values().length)];
-        take(director.tell(new Outcome(attempt[0], Integer.parseInt(attempt[1]), attempt[2], result, 50_000,
-                result == Result.OK, note, 0, null)));
+        CacheStatus cacheStatus = result == Result.OK ? CacheStatus.HIT
+                : CacheStatus.values()[random.nextInt(CacheStatus.values().length)];
+        take(director.tell(new AttemptEnded(attempt[0], Integer.parseInt(attempt[1]), attempt[2], result, 50_000,
+                result == Result.OK, cacheStatus, 0, null)));
     }
 
     @ParameterizedTest
@@ -97,10 +98,10 @@
                     drained.add("cache-" + cache);
                 }
                 take(director.tell(Director.fleet(4)));
-                take(director.tell(new Members(ListScope.CHANGES, List.of(Director.with(Director.cache(cache),
+                take(director.tell(new MembersChanged(ListScope.CHANGES, List.of(Director.with(Director.cache(cache),
                         drain ? Availability.DRAINING : Availability.HEALTHY, 0)))));
             } else if (!timers.isEmpty()) {
-                take(director.tell(new Timer(timers.poll())));
+                take(director.tell(new TimerExpired(timers.poll())));
             }
         }
         while (!out.isEmpty() || !timers.isEmpty()) {
@@ -108,7 +109,7 @@
             if (!out.isEmpty()) {
                 answer(random);
             } else {
-                take(director.tell(new Timer(timers.poll())));
+                take(director.tell(new TimerExpired(timers.poll())));
             }
         }
         assertEquals(requests, ended.size());
--- a/src/test/java/clovermill/routing/ReportedLoadTest.java
+++ b/src/test/java/clovermill/routing/ReportedLoadTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import clovermill.routing.api.AttemptEnded;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.LoadReport;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.Settings;
-import clovermill.routing.api.Telling;
 import java.util.HashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -17,12 +17,17 @@
 class ReportedLoadTest {
 
     private static Director director(double linkKbPerS) {
-        Settings s = Director.settings(false, Telling.HITS, 4);
-        return new Director(new Settings(s.position(), s.directors(), s.zone(), s.classes(), s.directorsByZone(),
-                s.hubOf(), s.parentKind(), s.originKind(), s.paceKbPerS(), s.weighted(), s.siblings(), s.telling(),
-                s.cold(), s.parentCold(), s.drainGraceUs(), s.answerSlackUs(), s.purgeNoticeUs(), s.purgeDoneUs(),
-                s.dialTimeoutUs(), s.listOnRequest(), s.mustAskUs(), s.originFallMultiple(), s.originFallUs(),
-                linkKbPerS, s.allowed()), 7);
+        Settings s = Director.settings(false, CacheStatusDetail.HITS, 4);
+        return new Director(
+                new Settings(s.directorIndex(), s.directorCount(), s.zone(), s.classes(), s.directorsByZone(),
+                        s.hubByZone(), s.parentKind(), s.originKind(), s.paceKbPerS(), s.weighted(), s.siblings(),
+                        s.cacheStatusDetail(),
+                        s.slowStart(), s.parentSlowStart(), s.drainGraceUs(), s.answerSlackUs(), s.purgeNoticeUs(),
+                        s.purgeCompletionUs(),
+                        s.dialTimeoutUs(), s.listOnRequest(), s.fetchMembersWithinUs(), s.originOverloadMultiple(),
+                        s.originOverloadWindowUs(),
+                        linkKbPerS, s.capabilities()),
+                7);
     }
 
     private static SendVia ask(Director director, long object, LoadReport report) {
@@ -30,7 +35,8 @@
             return null;
         }
         director.now += 510_000;
-        director.tell(new Outcome(sent.request(), 0, sent.member(), Result.OK, 510_000, true, Note.HIT, 0, report));
+        director.tell(new AttemptEnded(sent.request(), 0, sent.member(), Result.OK, 510_000, true, CacheStatus.HIT, 0,
+                report));
         return sent;
     }
 
