--- a/src/test/java/clovermill/routing/RequestPathTest.java
+++ b/src/test/java/clovermill/routing/RequestPathTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.Settings;
-import clovermill.routing.api.Telling;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -23,7 +23,7 @@
         Director director = Director.ready();
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 7; i++) {
-            used.add(director.served(42, i == 0 ? Note.FILLED : Note.HIT).member());
+            used.add(director.served(42, i == 0 ? CacheStatus.FILLED : CacheStatus.HIT).member());
         }
         assertEquals(1, used.size());
     }
@@ -33,7 +33,7 @@
         int spread = 0;
         for (long object = 0; object < 20; object++) {
             Director director = Director.ready();
-            SendVia home = director.served(object, Note.FILLED);
+            SendVia home = director.served(object, CacheStatus.FILLED);
             Set<String> used = new HashSet<>(Set.of(home.member()));
             for (int i = 0; i < 60; i++) {
                 SendVia sent = director.read(object);
@@ -42,7 +42,7 @@
                             "a promoted copy is filled by a believed holder");
                     assertNotEquals(0, sent.rank());
                 }
-                director.answer(sent, 0, Result.OK, Note.HIT, 110_000);
+                director.answer(sent, 0, Result.OK, CacheStatus.HIT, 110_000);
             }
             spread += used.size() > 1 ? 1 : 0;
         }
@@ -52,13 +52,13 @@
     @Test
     void fewObjectsMoveWhenACacheGoes() {
         Director four = Director.ready();
-        Director three = new Director(Director.settings(true, Telling.ALL), 7);
+        Director three = new Director(Director.settings(true, CacheStatusDetail.ALL), 7);
         three.tell(Director.fleet(3));
         int moved = 0;
         int lost = 0;
         for (long object = 0; object < 400; object++) {
-            String before = four.served(object, Note.FILLED).member();
-            String after = three.served(object, Note.FILLED).member();
+            String before = four.served(object, CacheStatus.FILLED).member();
+            String after = three.served(object, CacheStatus.FILLED).member();
             lost += before.equals("cache-3") ? 1 : 0;
             moved += before.equals(after) ? 0 : 1;
         }
@@ -68,22 +68,22 @@
 
     @Test
     void anObjectHasOneParentFromEveryLocation() {
-        Settings here = Director.settings(true, Telling.ALL);
+        Settings here = Director.settings(true, CacheStatusDetail.ALL);
         Director one = Director.ready();
-        Settings there = new Settings(1, 2, 2, here.classes(), here.directorsByZone(), here.hubOf(),
+        Settings there = new Settings(1, 2, 2, here.classes(), here.directorsByZone(), here.hubByZone(),
                 here.parentKind(),
-                here.originKind(), here.paceKbPerS(), here.weighted(), here.siblings(), here.telling(),
-                here.cold(),
-                here.parentCold(), here.drainGraceUs(), here.answerSlackUs(), here.purgeNoticeUs(),
-                here.purgeDoneUs(),
-                here.dialTimeoutUs(), here.listOnRequest(), here.mustAskUs(), here.originFallMultiple(),
-                here.originFallUs(), here.linkKbPerS(), here.allowed());
+                here.originKind(), here.paceKbPerS(), here.weighted(), here.siblings(), here.cacheStatusDetail(),
+                here.slowStart(),
+                here.parentSlowStart(), here.drainGraceUs(), here.answerSlackUs(), here.purgeNoticeUs(),
+                here.purgeCompletionUs(),
+                here.dialTimeoutUs(), here.listOnRequest(), here.fetchMembersWithinUs(), here.originOverloadMultiple(),
+                here.originOverloadWindowUs(), here.linkKbPerS(), here.capabilities());
         Director other = new Director(there, 99);
         other.tell(Director.fleet(4));
         Map<String, Integer> parents = new HashMap<>();
         for (long object = 0; object < 100; object++) {
-            String parent = one.served(object, Note.FILLED).source();
-            assertEquals(parent, other.served(object, Note.FILLED).source());
+            String parent = one.served(object, CacheStatus.FILLED).source();
+            assertEquals(parent, other.served(object, CacheStatus.FILLED).source());
             parents.merge(parent, 1, Integer::sum);
         }
         assertEquals(Set.of("parent-0", "parent-1"), parents.keySet());
@@ -95,8 +95,8 @@
         Director noise = Director.ready();
         Director two = Director.ready();
         for (int i = 0; i < 300; i++) {
-            noise.served(i * 7919L % 31, Note.HIT);
-            assertEquals(one.served(i % 13, Note.HIT), two.served(i % 13, Note.HIT));
+            noise.served(i * 7919L % 31, CacheStatus.HIT);
+            assertEquals(one.served(i % 13, CacheStatus.HIT), two.served(i % 13, CacheStatus.HIT));
         }
     }
 }
--- a/src/test/java/clovermill/routing/SlowStartSumTest.java
+++ b/src/test/java/clovermill/routing/SlowStartSumTest.java
@@ -3,19 +3,19 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.Availability;
-import clovermill.routing.api.ColdRule;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Event;
 import clovermill.routing.api.ListScope;
-import clovermill.routing.api.Members;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.MembersChanged;
 import clovermill.routing.api.Request;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.Send;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.SetTimer;
-import clovermill.routing.api.Timer;
+import clovermill.routing.api.SlowStartRule;
+import clovermill.routing.api.TimerExpired;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -55,16 +55,17 @@
             fleet.runFor(KNOWN_US);
             fleet.startsCold(restarted);
             fleet.runFor(WATCHED_US);
-            ColdRule rule = parent ? Director.PARENT_TIGHT : Director.TIGHT;
+            SlowStartRule rule = parent ? Director.PARENT_TIGHT : Director.TIGHT;
             double capacity = (parent ? Director.parent(0) : Director.cache(0)).weight() / WORK_US;
             int from = 0;
             for (int i = 0; i < fleet.sentUs.size(); i++) {
-                while (fleet.sentUs.get(from) <= fleet.sentUs.get(i) - rule.windowUs()) {
+                while (fleet.sentUs.get(from) <= fleet.sentUs.get(i) - rule.overloadWindowUs()) {
                     from++;
                 }
-                double age = fleet.sentUs.get(i) - rule.windowUs() / 2.0 - fleet.coldSinceUs;
-                double part = Math.min(1, rule.from() + (1 - rule.from()) * Math.max(0, age) / rule.warmUs());
-                double may = rule.multiple() * part * capacity * rule.windowUs();
+                double age = fleet.sentUs.get(i) - rule.overloadWindowUs() / 2.0 - fleet.coldSinceUs;
+                double part = Math.min(1,
+                        rule.initialShare() + (1 - rule.initialShare()) * Math.max(0, age) / rule.durationUs());
+                double may = rule.overloadMultiple() * part * capacity * rule.overloadWindowUs();
                 double over = i - from + 1 - (may + 2 * Math.sqrt(may) + 2);
                 if (over > worst) {
                     worst = over;
@@ -117,12 +118,13 @@
 
         private void start(int director) {
             directors[director] = new RequestRouter(Director.tight(directors.length), random.nextLong());
-            directors[director].handle(now, members(ListScope.REMEMBERED), action -> {});
+            directors[director].handle(now, members(ListScope.LAST_KNOWN), action -> {});
         }
 
-        private Members members(ListScope scope) {
-            return new Members(scope, Director.fleet(CACHES).members().stream().map(member -> member.id().equals(cold)
-                    ? Director.with(member, Availability.HEALTHY, coldSinceUs) : member).toList());
+        private MembersChanged members(ListScope scope) {
+            return new MembersChanged(scope,
+                    Director.fleet(CACHES).members().stream().map(member -> member.id().equals(cold)
+                            ? Director.with(member, Availability.HEALTHY, coldSinceUs) : member).toList());
         }
 
         /** All are told at once; one in so many directors starts anew with it, and each one hears of it twice more. */
@@ -171,7 +173,7 @@
             } else if (action instanceof Send send) {
                 attempt(director, send.request(), send.member(), send.member());
             } else if (action instanceof SetTimer timer) {
-                due.add(new Due(now + timer.delayUs(), ++count, director, new Timer(timer.token())));
+                due.add(new Due(now + timer.delayUs(), ++count, director, new TimerExpired(timer.token())));
             }
         }
 
@@ -185,12 +187,13 @@
             }
             int chance = random.nextInt(100);
             long tookUs = chance < 3 ? 2_000_000 : (long) (WORK_US * -Math.log(1 - random.nextDouble()));
-            Result result = chance == 3 ? Result.ERROR : chance == 4 ? Result.REFUSED : Result.OK;
+            Result result = chance == 3 ? Result.ERROR : chance == 4 ? Result.REJECTED : Result.OK;
             boolean filled = !source.equals(member) && (member.equals(cold) || random.nextInt(3) == 0
                     || !toldSizes && request.startsWith("f"));
-            due.add(new Due(now + tookUs, ++count, director, new Outcome(request,
+            due.add(new Due(now + tookUs, ++count, director, new AttemptEnded(request,
                     attempts.merge(request, 1, Integer::sum) - 1, member, result, tookUs, result == Result.OK,
-                    result != Result.OK ? Note.NONE : filled ? Note.FILLED : Note.HIT, filled ? tookUs / 2 : 0,
+                    result != Result.OK ? CacheStatus.NONE : filled ? CacheStatus.FILLED : CacheStatus.HIT,
+                    filled ? tookUs / 2 : 0,
                     null)));
         }
     }
--- a/src/test/java/clovermill/routing/UntoldErrorTest.java
+++ b/src/test/java/clovermill/routing/UntoldErrorTest.java
@@ -3,16 +3,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.routing.api.Action;
+import clovermill.routing.api.AttemptEnded;
+import clovermill.routing.api.CacheStatus;
+import clovermill.routing.api.CacheStatusDetail;
 import clovermill.routing.api.Fail;
 import clovermill.routing.api.Log;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
-import clovermill.routing.api.Refuse;
+import clovermill.routing.api.Reject;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.SendVia;
 import clovermill.routing.api.SetTimer;
-import clovermill.routing.api.Telling;
-import clovermill.routing.api.Timer;
+import clovermill.routing.api.TimerExpired;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
@@ -30,7 +30,7 @@
 
     @BeforeEach
     void start() {
-        director = new Director(Director.settings(false, Telling.HITS, 1), 7);
+        director = new Director(Director.settings(false, CacheStatusDetail.HITS, 1), 7);
         director.tell(Director.fleet(4));
     }
 
@@ -41,16 +41,17 @@
             next.stream().filter(Log.class::isInstance).forEach(line -> left.add(((Log) line).line()));
             if (next.stream().filter(SetTimer.class::isInstance).findFirst().orElse(null) instanceof SetTimer timer) {
                 director.now += timer.delayUs();
-                next = director.tell(new Timer(timer.token()));
+                next = director.tell(new TimerExpired(timer.token()));
             }
             SendVia sent = (SendVia) next.stream().filter(SendVia.class::isInstance).findFirst().orElse(null);
             if (sent == null) {
-                return next.stream().anyMatch(a -> a instanceof Refuse || a instanceof Fail) ? -attempt : attempt;
+                return next.stream().anyMatch(a -> a instanceof Reject || a instanceof Fail) ? -attempt : attempt;
             }
             director.now += 110_000;
             boolean bad = errs.test(sent);
-            next = director.tell(new Outcome(sent.request(), attempt, sent.member(), bad ? Result.ERROR : Result.OK,
-                    110_000, !bad, bad ? Note.NONE : Note.FILLED, 0, null));
+            next = director
+                    .tell(new AttemptEnded(sent.request(), attempt, sent.member(), bad ? Result.ERROR : Result.OK,
+                            110_000, !bad, bad ? CacheStatus.NONE : CacheStatus.FILLED, 0, null));
         }
     }
 
@@ -98,7 +99,8 @@
             for (int j = 0; j < 6; j++) {
                 ask(10_000 + 10 * i + j, attempt -> false);
             }
-            director.tell(new Outcome(late.request(), 0, late.member(), Result.TIMED_OUT, 660_000, false, Note.NONE, 0,
+            director.tell(new AttemptEnded(late.request(), 0, late.member(), Result.TIMED_OUT, 660_000, false,
+                    CacheStatus.NONE, 0,
                     null));
         }
     }
@@ -109,9 +111,10 @@
         int held = 0;
         for (int i = 0; i < 40; i++) {
             SendVia sent = (SendVia) director.tell(director.request(0, 20_000 + i, 0)).get(0);
-            held += sent.heldOnly() && i >= 20 ? 1 : 0;
-            director.tell(new Outcome(sent.request(), 0, sent.member(), Result.OK, 110_000, true, Note.FILLED, 0,
-                    null));
+            held += sent.onlyIfCached() && i >= 20 ? 1 : 0;
+            director.tell(
+                    new AttemptEnded(sent.request(), 0, sent.member(), Result.OK, 110_000, true, CacheStatus.FILLED, 0,
+                            null));
         }
         assertThat(held).as("of 20 that ask a hub only for what it holds, after 20 that came").isLessThan(3);
     }
@@ -120,19 +123,22 @@
     void whatAHubDoesNotHoldIsRefusedAtOnceWhileTheOriginIsSpared() {
         for (int i = 0; i < 300; i++) {
             SendVia sent = (SendVia) director.tell(director.request(0, 30_000 + i, 0)).get(0);
-            if (sent.heldOnly()) {
-                List<Action> next = director.tell(new Outcome(sent.request(), 0, sent.member(), Result.MISS, 30_000,
-                        false, Note.NONE, 0, null));
-                assertThat(next).hasSize(1).first().isInstanceOf(Refuse.class);
+            if (sent.onlyIfCached()) {
+                List<Action> next =
+                        director.tell(new AttemptEnded(sent.request(), 0, sent.member(), Result.MISS, 30_000,
+                                false, CacheStatus.NONE, 0, null));
+                assertThat(next).hasSize(1).first().isInstanceOf(Reject.class);
                 return;
             }
             for (int j = 0; j < 2; j++) {
                 SendVia other = (SendVia) director.tell(director.request(0, 40_000 + 10 * i + j, 0)).get(0);
                 director.now += 1_000;
-                director.tell(new Outcome(other.request(), 0, other.member(), Result.OK, 660_000, true, Note.FILLED,
+                director.tell(new AttemptEnded(other.request(), 0, other.member(), Result.OK, 660_000, true,
+                        CacheStatus.FILLED,
                         0, null));
             }
-            director.tell(new Outcome(sent.request(), 0, sent.member(), Result.TIMED_OUT, 660_000, true, Note.NONE, 0,
+            director.tell(new AttemptEnded(sent.request(), 0, sent.member(), Result.TIMED_OUT, 660_000, true,
+                    CacheStatus.NONE, 0,
                     null));
         }
         throw new AssertionError("the origin was never spared");
--- a/src/test/java/clovermill/routing/UntoldSizeTest.java
+++ b/src/test/java/clovermill/routing/UntoldSizeTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.routing.api.Action;
-import clovermill.routing.api.Note;
-import clovermill.routing.api.Outcome;
+import clovermill.routing.api.AttemptEnded;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Request;
 import clovermill.routing.api.Result;
 import clovermill.routing.api.SendVia;
@@ -30,7 +30,8 @@
         List<Action> actions = director.tell(untold(object));
         SendVia sent = (SendVia) actions.get(0);
         director.now += elapsedUs;
-        director.tell(new Outcome(sent.request(), 0, sent.member(), Result.OK, elapsedUs, true, Note.HIT, 0, null));
+        director.tell(new AttemptEnded(sent.request(), 0, sent.member(), Result.OK, elapsedUs, true, CacheStatus.HIT, 0,
+                null));
     }
 
     @Test
