--- a/src/main/java/clovermill/controlplane/gossip/GossipCodec.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipCodec.java
@@ -13,7 +13,8 @@
 import javax.crypto.Mac;
 
 /**
- * Messages as datagrams, signed with the fleet's key (HMAC-SHA-256, RFC 2104, its first 16 bytes). Big-endian:
+ * Encodes and decodes messages as datagrams, signed with the fleet's key (the first 16 bytes of HMAC-SHA-256, RFC
+ * 2104). Big-endian:
  *
  * <pre>
  * magic:4 "CVF1"  from:2  to:2  incarnation:8  sequence:8  digest:8
@@ -23,12 +24,12 @@
  * signature:16
  * </pre>
  *
- * <p>A datagram that is not exactly this, for this director and signed by this key, causes an {@link
- * InvalidMessageException} and no other effect. Not thread-safe.
+ * <p>A datagram in any other format, for another director or with another signature causes an {@link
+ * InvalidMessageException} and has no other effect. Not thread-safe.
  */
 final class GossipCodec {
 
-    /** A datagram that is not a valid message; the text names the reason and none of its content. */
+    /** Thrown for a datagram that is not a valid message; the text gives the reason and none of the content. */
     static final class InvalidMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -37,7 +38,7 @@
         }
     }
 
-    /** Fits one frame of any link, so that no datagram is fragmented. */
+    /** Fits into one frame of any link, so that no datagram is fragmented. */
     static final int MAX_BYTES = 1400;
     static final int MAX_KEY_BYTES = 64;
     private static final int MAGIC = 0x43564631;
@@ -52,8 +53,8 @@
         mac = Peers.mac(key);
     }
 
-    /** A message to a peer, ready to be sent. */
-    ByteBuffer write(int to, GossipMessage message) {
+    /** Encodes a message to a peer. */
+    ByteBuffer encode(int to, GossipMessage message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
         out.putInt(MAGIC).putShort((short) message.from()).putShort((short) to).putLong(message.incarnation())
                 .putLong(message.sequence()).putLong(message.digest()).put((byte) message.entries().size());
@@ -71,23 +72,27 @@
         return out.put(mac.doFinal(), 0, SIGNATURE_BYTES).flip();
     }
 
-    /** Reads a datagram from its position to its limit. */
-    GossipMessage read(ByteBuffer in) throws InvalidMessageException {
+    /**
+     * Decodes a datagram from its position to its limit.
+     *
+     * @throws InvalidMessageException if it is not a valid message to this director
+     */
+    GossipMessage decode(ByteBuffer in) throws InvalidMessageException {
         if (in.remaining() < 4 + SIGNATURE_BYTES || in.remaining() > MAX_BYTES || in.getInt(in.position()) != MAGIC) {
-            throw new InvalidMessageException("not of this protocol");
+            throw new InvalidMessageException("unknown protocol or invalid length");
         }
         byte[] datagram = new byte[in.remaining()];
         in.get(datagram);
-        int signed = datagram.length - SIGNATURE_BYTES;
-        mac.update(datagram, 0, signed);
-        // Compared in constant time, so that the time does not reveal how much of a forged signature was right.
-        byte[] right = Arrays.copyOf(mac.doFinal(), SIGNATURE_BYTES);
-        if (!MessageDigest.isEqual(right, Arrays.copyOfRange(datagram, signed, datagram.length))) {
-            throw new InvalidMessageException("not signed with the fleet's key, or changed on its way");
+        int signedBytes = datagram.length - SIGNATURE_BYTES;
+        mac.update(datagram, 0, signedBytes);
+        // Compares in constant time, so that the time does not reveal how much of a forged signature was correct.
+        byte[] expected = Arrays.copyOf(mac.doFinal(), SIGNATURE_BYTES);
+        if (!MessageDigest.isEqual(expected, Arrays.copyOfRange(datagram, signedBytes, datagram.length))) {
+            throw new InvalidMessageException("not signed with the fleet's key, or changed in transit");
         }
         try {
-            return readMessage(ByteBuffer.wrap(datagram, 4, signed - 4));
-        } catch (BufferUnderflowException cut) {
+            return readMessage(ByteBuffer.wrap(datagram, 4, signedBytes - 4));
+        } catch (BufferUnderflowException truncated) {
             throw new InvalidMessageException("shorter than its counts require");
         }
     }
@@ -95,7 +100,7 @@
     private GossipMessage readMessage(ByteBuffer in) throws InvalidMessageException {
         int from = in.getShort() & 0xffff;
         if ((in.getShort() & 0xffff) != self) {
-            throw new InvalidMessageException("meant for another director");
+            throw new InvalidMessageException("addressed to another director");
         }
         long incarnation = in.getLong();
         long sequence = in.getLong();
@@ -142,7 +147,7 @@
     private static int readCount(ByteBuffer in) throws InvalidMessageException {
         int count = in.get() & 0xff;
         if (count > MAX_ITEMS) {
-            throw new InvalidMessageException("more items than any message has");
+            throw new InvalidMessageException("too many items");
         }
         return count;
     }
--- a/src/main/java/clovermill/controlplane/gossip/GossipService.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipService.java
@@ -24,16 +24,16 @@
 import java.util.function.BiConsumer;
 
 /**
- * This director as a member of its fleet: owns the UDP socket and the {@link GossipMember}, calls it once an interval,
- * and refuses requests beyond the fleet's limits. All on the loop's thread.
+ * Gossips with the other directors of the fleet: owns the UDP socket and the {@link GossipMember}, calls it once an
+ * interval, and rejects requests beyond the fleet's limits. All on the loop's thread.
  */
 public final class GossipService implements UsageListener {
 
     private static final System.Logger LOG = System.getLogger(GossipService.class.getName());
-    /** Ignored datagrams are logged at most this often. */
+    /** Minimum time between two log lines about ignored datagrams. */
     private static final long LOG_INTERVAL_US = 10_000_000;
     private static final String CACHE_PREFIX = "cache/";
-    /** Bounds on when a refused request may be retried; between them it depends on this director's share. */
+    /** Bounds on the delay after which a rejected request may be retried; it depends on this director's share. */
     private static final long MIN_RETRY_AFTER_MS = 20;
     private static final long MAX_RETRY_AFTER_MS = 1000;
 
@@ -47,14 +47,16 @@
     private final long slackUs;
     private final UsageListener next;
     private Datagrams socket;
-    private BiConsumer<String, Boolean> outageHandler = (id, out) -> {};
-    private boolean waitingForSocket;
-    private long ignored;
+    private BiConsumer<String, Boolean> outageHandler = (id, disabled) -> {};
+    private boolean bindFailedBefore;
+    private long ignoredDatagrams;
     private long lastLoggedUs = Long.MIN_VALUE / 2;
 
     /**
-     * {@code next} is asked first about each request, and sees all that end; null for none. A request has
-     * ended {@code slackUs} after its client has given up, at the latest.
+     * Creates a service that neither sends nor receives before {@link #open}.
+     *
+     * @param slackUs a request has completed this long after its client's timeout, at the latest
+     * @param next the next listener of the chain, which decides first about each request; null for none
      */
     public GossipService(GossipSettings settings, List<String> classes, long slackUs, Clock clock, Deadlines deadlines,
             UsageListener next) {
@@ -72,9 +74,10 @@
     }
 
     /**
-     * Binds the socket and gossips from now on; {@code onOutage} is called with each cache that a peer disabled
-     * (true) or enabled again. While another process of this director has the socket, this one retries, and admits no
-     * more than the reserved part that the other never lends.
+     * Binds the socket and starts to gossip. While another process of this director has the socket, this one retries,
+     * and admits no more than the reserved part, which the other never lends.
+     *
+     * @param onOutage called with the id of each cache that a peer disabled (true) or enabled (false)
      */
     public void open(EventLoop loop, BiConsumer<String, Boolean> onOutage) {
         outageHandler = onOutage;
@@ -82,23 +85,23 @@
             socket = loop.datagrams(addresses.get(membership.self()), this::receive);
             RecurringTask.start(deadlines, clock, membership.intervalUs(), this::tick);
         } catch (IOException bindFailed) {
-            if (!waitingForSocket) {
+            if (!bindFailedBefore) {
                 LOG.log(Level.WARNING, "{0} is not free ({1}): this process sends its peers nothing until it is",
                         addresses.get(membership.self()), bindFailed.getMessage());
             }
-            waitingForSocket = true;
+            bindFailedBefore = true;
             member.restart(clock.micros());
             deadlines.add(clock.micros() + membership.intervalUs(), () -> open(loop, onOutage));
         }
     }
 
-    /** Replicates to all directors that operators disabled a cache here, or enabled it again. */
-    public void putOutage(String id, boolean out) {
+    /** Replicates to all directors that operators disabled or enabled a cache at this one. */
+    public void replicateOutage(String id, boolean disabled) {
         String key = CACHE_PREFIX + id;
         boolean fits = key.getBytes(StandardCharsets.UTF_8).length <= GossipCodec.MAX_KEY_BYTES;
-        if (fits && member.put(key, out)) {
+        if (fits && member.put(key, disabled)) {
             send(member.tick(clock.micros()));
-        } else if (!fits || member.isSet(key) != out) {
+        } else if (!fits || member.isSet(key) != disabled) {
             LOG.log(Level.WARNING, "the outage of cache {0} is not replicated: {1}", id,
                     fits ? "the replicated map is full" : "its id is too long");
         }
@@ -107,8 +110,8 @@
     private void updated(ReplicatedEntry entry) {
         if (entry.key().startsWith(CACHE_PREFIX)) {
             String id = entry.key().substring(CACHE_PREFIX.length());
-            LOG.log(Level.INFO, "director {0} had cache {1} {2}", entry.origin(), id,
-                    entry.value() ? "taken out" : "put back");
+            LOG.log(Level.INFO, "director {0} {2} cache {1}", entry.origin(), id,
+                    entry.value() ? "disabled" : "enabled");
             outageHandler.accept(id, entry.value());
         }
     }
@@ -119,62 +122,60 @@
 
     private void send(List<OutgoingMessage> messages) {
         for (OutgoingMessage each : socket == null ? List.<OutgoingMessage>of() : messages) {
-            socket.send(codec.write(each.to(), each.message()), addresses.get(each.to()));
+            socket.send(codec.encode(each.to(), each.message()), addresses.get(each.to()));
         }
     }
 
     private void receive(ByteBuffer datagram) {
-        long before = member.ignored();
+        long ignoredBefore = member.ignored();
         try {
-            GossipMessage message = codec.read(datagram);
+            GossipMessage message = codec.decode(datagram);
             send(member.receive(message, clock.micros()));
-            if (member.ignored() > before) {
-                ignore("of no member of the fleet, replayed or of an earlier start");
+            if (member.ignored() > ignoredBefore) {
+                ignore("replayed, or sent by a non-member or an earlier incarnation");
             }
-        } catch (GossipCodec.InvalidMessageException bad) {
-            ignore(bad.getMessage());
+        } catch (GossipCodec.InvalidMessageException invalid) {
+            ignore(invalid.getMessage());
         }
     }
 
-    private void ignore(String why) {
-        ignored++;
+    private void ignore(String reason) {
+        ignoredDatagrams++;
         if (clock.micros() - lastLoggedUs >= LOG_INTERVAL_US) {
             lastLoggedUs = clock.micros();
-            LOG.log(Level.WARNING, "a datagram was ignored, the last of {0} so far: {1}", ignored, why);
+            LOG.log(Level.WARNING, "a datagram was ignored, the last of {0} so far: {1}", ignoredDatagrams, reason);
         }
     }
 
     @Override
-    public long retryAfterMs(ClientRequest ask) {
-        long first = next == null ? ADMITTED : next.retryAfterMs(ask);
+    public long retryAfterMs(ClientRequest request) {
+        long retryAfterMs = next == null ? ADMITTED : next.retryAfterMs(request);
         long now = clock.micros();
-        for (int i = 0; first == ADMITTED && i < limits.size(); i++) {
+        for (int i = 0; retryAfterMs == ADMITTED && i < limits.size(); i++) {
             LimitShare share = member.share(i);
-            if (appliesTo(limits.get(i), ask) && !share.admit(now, now + ask.remainingUs() + slackUs)) {
-                release(ask, i);
+            if (appliesTo(limits.get(i), request) && !share.admit(now, now + request.remainingUs() + slackUs)) {
+                release(request, i);
                 double perMs = limits.get(i).open() == null ? share.amount(now) / 1000 : 1.0 / MAX_RETRY_AFTER_MS;
                 return (long) Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, 1 / perMs));
             }
         }
-        return first;
+        return retryAfterMs;
     }
 
-    /**
-     * Releases a request from the first {@code count} limits that admitted it: it has ended, or another rejected it.
-     */
-    private void release(ClientRequest ask, int count) {
+    /** Releases a request from the first {@code count} limits, after it has completed or the next one rejected it. */
+    private void release(ClientRequest request, int count) {
         for (int i = 0; i < count; i++) {
-            if (appliesTo(limits.get(i), ask)) {
+            if (appliesTo(limits.get(i), request)) {
                 member.share(i).release();
             }
         }
     }
 
-    private static boolean appliesTo(GossipSettings.Limit limit, ClientRequest ask) {
-        return (limit.requestClass() == null || limit.requestClass().equals(ask.className()))
-                && (limit.groups() == null || ask.group() >= limit.groups().get(0)
-                        && ask.group() <= limit.groups().get(1))
-                && (!limit.repeats() || ask.repeat());
+    private static boolean appliesTo(GossipSettings.Limit limit, ClientRequest request) {
+        return (limit.requestClass() == null || limit.requestClass().equals(request.className()))
+                && (limit.groups() == null || request.group() >= limit.groups().get(0)
+                        && request.group() <= limit.groups().get(1))
+                && (!limit.repeats() || request.repeat());
     }
 
     @Override
@@ -194,7 +195,6 @@
         }
     }
 
-    /** Closes the socket. */
     public void close() {
         if (socket != null) {
             socket.close();
--- a/src/main/java/clovermill/controlplane/gossip/GossipSettings.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipSettings.java
@@ -11,16 +11,28 @@
 import java.util.List;
 
 /**
- * The fleet's part of our settings: the addresses of all directors in the same order everywhere, which of them this
- * one is, the key, how often they send, and the limits. What is absent has its default.
+ * The settings of gossip and of the limits on the fleet. Absent values have defaults.
+ *
+ * @param directors the addresses of all directors, in the same order at each
+ * @param self the index of this director
+ * @param keyFile the file with the key for signatures
+ * @param intervalMs the time between two sends
+ * @param fanout the number of peers that each send goes to
+ * @param termMs the term of a loan
+ * @param burstMs the capacity of a rate limit's token bucket, as a time at its fill rate
+ * @param drift the bound on clock drift, as a fraction
+ * @param limits the limits on the whole fleet
  */
 public record GossipSettings(List<String> directors, int self, @JsonProperty("key_file") String keyFile,
         @JsonProperty("interval_ms") Long intervalMs, Integer fanout, @JsonProperty("term_ms") Long termMs,
         @JsonProperty("burst_ms") Long burstMs, Double drift, List<Limit> limits) {
 
     /**
-     * A limit on all directors together: requests by second, or requests open at once. It counts those of a class, of
-     * a range of groups (a tenant's), or only clients' repeats, where these are given; otherwise every request.
+     * A limit on all directors together: either requests per second or open requests. It counts every request, unless
+     * it is restricted to a class, to a range of groups (a tenant's) or to clients' repeats.
+     *
+     * @param groups the first and the last group, or null for all
+     * @param repeats whether only clients' repeats are counted
      */
     public record Limit(String name, @JsonProperty("class") String requestClass, List<Integer> groups, boolean repeats,
             @JsonProperty("per_second") Double perSecond, Integer open) {}
@@ -28,10 +40,10 @@
     private static final long MAX_TERM_MS = 60_000;
 
     /**
-     * Checks what the schema cannot.
+     * Checks the conditions that the schema cannot express.
      *
      * @param classes the names of all request classes, or null if they are unknown
-     * @throws IllegalArgumentException if a value cannot be used; the message names the field and the reason
+     * @throws IllegalArgumentException if a value is invalid; the message names the field and the reason
      */
     public void check(List<String> classes) {
         if (directors == null || directors.size() < 2 || self < 0 || self >= directors.size()) {
@@ -50,27 +62,28 @@
             }
         }
         long term = termMs == null ? 2000 : termMs;
-        if (term > MAX_TERM_MS || term < 2 * interval()) {
+        if (term > MAX_TERM_MS || term < 2 * intervalMsOrDefault()) {
             throw new IllegalArgumentException("/fleet/term_ms: " + term + " is under two intervals, or over a minute");
         }
     }
 
-    /** The limits in their order, empty if none are given. */
+    /** Returns the limits in their order, empty if none are configured. */
     @Override
     public List<Limit> limits() {
         return limits == null ? List.of() : limits;
     }
 
-    private long interval() {
+    private long intervalMsOrDefault() {
         return intervalMs == null ? 200 : intervalMs;
     }
 
-    /** This director's place in the group. */
+    /** Returns this director's place in the group. */
     GossipMember.GroupMembership membership() {
-        return new GossipMember.GroupMembership(self, directors.size(), interval() * 1000, fanout == null ? 4 : fanout);
+        return new GossipMember.GroupMembership(self, directors.size(), intervalMsOrDefault() * 1000,
+                fanout == null ? 4 : fanout);
     }
 
-    /** This director's shares of the limits, in their order. */
+    /** Creates this director's shares of the limits, in their order. */
     List<LimitShare> shares(long nowUs) {
         double burstS = (burstMs == null ? 100 : burstMs) / 1000.0;
         long termUs = (termMs == null ? 2000 : termMs) * 1000;
@@ -88,12 +101,12 @@
         return shares;
     }
 
-    /** The addresses of all directors, in their order. */
+    /** Resolves the addresses of all directors, in their order. */
     List<InetSocketAddress> addresses() {
         return Peers.addresses("/fleet", directors);
     }
 
-    /** The fleet's key for signatures. */
+    /** Reads the fleet's key for signatures. */
     byte[] key() {
         return Peers.key("/fleet", keyFile);
     }
--- a/src/main/java/clovermill/controlplane/gossip/decide/GossipMember.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/GossipMember.java
@@ -8,23 +8,31 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One director's member of a gossip group: what it sends to which peer, what it lends and borrows of the limits, the
- * replicated map, and which peers it has received from lately. Does no I/O: the owner calls {@link #tick} once an
- * interval and {@link #receive} for each authenticated message, and sends what both return.
+ * One director as a member of a gossip group. It selects the peers and the content of messages, lends and borrows parts
+ * of the limits, and maintains the replicated map and the failure detector's state of each peer. Does no I/O: the owner
+ * calls {@link #tick} once an interval and {@link #receive} for each authenticated message, and sends the messages that
+ * both return.
  *
  * <p>In every interval it sends to a few peers, in a round-robin order that is shuffled anew each round (as SWIM
- * picks its probe targets: Das et al., 2002), so that each peer is sent to once in every round of {@code (n - 1) /
+ * selects its probe targets: Das et al., 2002). Each peer is sent one message in every round of {@code (n - 1) /
  * fanout} intervals, and reached by rumor mongering much sooner (Demers et al., 1987). A peer whose digest differs is
  * sent further entries (anti-entropy). Not thread-safe; times are microseconds of the owner's clock, which is never
  * compared with another.
  */
 public final class GossipMember {
 
-    /** This director's number in the group, the group's size, and how often and to how many peers it sends. */
+    /**
+     * A director's place in the group, and the group's parameters.
+     *
+     * @param self the index of this director
+     * @param directors the number of directors
+     * @param intervalUs the time between two sends
+     * @param fanout the number of peers that each send goes to
+     */
     public record GroupMembership(int self, int directors, long intervalUs, int fanout) {
 
-        /** Intervals in which every peer is sent to once. */
-        int round() {
+        /** Returns the number of intervals in which every peer is sent one message. */
+        int intervalsPerRound() {
             return (directors - 2 + fanout) / Math.max(1, fanout);
         }
     }
@@ -32,13 +40,13 @@
     /** A message to a peer. */
     public record OutgoingMessage(int to, GossipMessage message) {}
 
-    /** Called with each entry from a peer that changes the replicated map here. */
+    /** Is notified of each entry received from a peer that changes the local replica of the map. */
     public interface Listener {
-        /** The entry is in the map from now on. */
+        /** Called after the entry was merged. */
         void updated(ReplicatedEntry entry);
     }
 
-    /** Entries in one message: with the rest it fits one datagram. */
+    /** Maximum number of entries in one message, so that the message fits into one datagram. */
     static final int MAX_MESSAGE_ENTRIES = 12;
 
     private final GroupMembership membership;
@@ -49,11 +57,15 @@
     private final LoanExchange loanExchange;
     private final PeerSession[] peers;
     private final RumorQueue rumors;
-    /** Peers that are still to be sent to in this round. */
+    /** Peers that have not been sent a message in this round, in reverse order of sending. */
     private final List<Integer> sendOrder = new ArrayList<>();
     private long ignored;
 
-    /** {@code shares} are this director's shares of the limits, in the same order at all directors. */
+    /**
+     * Creates a member with an empty map.
+     *
+     * @param shares this director's shares of the limits, in the same order at all directors
+     */
     public GossipMember(GroupMembership membership, List<? extends LimitShare> shares, RandomGenerator random,
             Listener listener, long nowUs) {
         this.membership = membership;
@@ -68,24 +80,24 @@
     }
 
     /**
-     * Milliseconds after which an entry has reached all reachable directors where up to three in ten messages are
-     * lost: three rounds, or twenty intervals in a small group, and the delay of one message.
+     * Returns the milliseconds after which an entry has reached all reachable directors if up to three in ten messages
+     * are lost: three rounds, or twenty intervals in a small group, and the delay of one message.
      */
     public static long stalenessBoundMs(GroupMembership membership, long delayMs) {
-        return Math.max(3 * membership.round(), 20) * membership.intervalUs() / 1000 + delayMs;
+        return Math.max(3 * membership.intervalsPerRound(), 20) * membership.intervalUs() / 1000 + delayMs;
     }
 
-    /** Withholds all lendable parts for a term: another process of this director may still admit and lend. */
+    /** Withholds all lendable parts for one term, as another process of this director may still admit and lend. */
     public void restart(long nowUs) {
         loanExchange.restart(nowUs);
     }
 
-    /** This director's share of a limit. */
+    /** Returns this director's share of a limit. */
     public LimitShare share(int limit) {
         return loanExchange.share(limit);
     }
 
-    /** Writes a key of the replicated map; false if it has that value already or the map is full. */
+    /** Writes a key of the replicated map; returns false if the key has that value already or the map is full. */
     public boolean put(String key, boolean value) {
         ReplicatedEntry written = map.put(key, value);
         if (written != null) {
@@ -94,29 +106,29 @@
         return written != null;
     }
 
-    /** Whether a key of the replicated map is set here. */
+    /** Returns whether a key is set in the local replica of the map. */
     public boolean isSet(String key) {
         ReplicatedEntry known = map.get(key);
         return known != null && known.value();
     }
 
-    /** Equal at all directors that hold the same entries. */
+    /** Returns the map's digest, which is equal at all directors with the same entries. */
     public long digest() {
         return map.digest();
     }
 
-    /** Messages ignored since the start: of no peer, of an earlier incarnation, or replayed. */
+    /** Returns the number of ignored messages since the start: replayed, or from a non-member or an old incarnation. */
     public long ignored() {
         return ignored;
     }
 
-    /** The failure detector's state of a peer. */
+    /** Returns the failure detector's state of a peer. */
     public PeerState state(int peer, long nowUs) {
         return PeerState.afterSilentRounds(
-                peers[peer].silentUs(nowUs) / (membership.round() * membership.intervalUs()));
+                peers[peer].silentUs(nowUs) / (membership.intervalsPerRound() * membership.intervalUs()));
     }
 
-    /** Sends entries and loan requests to the next few peers. */
+    /** Returns messages with entries and loan requests to the next few peers. */
     public List<OutgoingMessage> tick(long nowUs) {
         List<OutgoingMessage> out = new ArrayList<>();
         for (int i = 0; i < membership.fanout() && i < membership.directors() - 1; i++) {
@@ -127,7 +139,7 @@
         return out;
     }
 
-    /** Handles an authenticated message; returns the replies to be sent at once. */
+    /** Handles an authenticated message and returns the replies, to be sent at once. */
     public List<OutgoingMessage> receive(GossipMessage message, long nowUs) {
         if (!isPeer(message.from()) || !peers[message.from()].accept(message)) {
             ignored++;
@@ -137,9 +149,9 @@
         message.entries().forEach(this::merge);
         message.loans().forEach(loan -> loanExchange.borrow(loan, nowUs));
         List<GossipMessage.Loan> loans = loanExchange.lend(message.loanRequests(), nowUs);
-        // A differing digest is answered once for each of the peer's, so that two maps cannot cause endless replies.
-        boolean sendsEntries = digestChanged && message.digest() != map.digest();
-        return loans.isEmpty() && !sendsEntries ? List.of()
+        // Each digest of the peer is answered at most once, so that two differing maps cannot cause endless replies.
+        boolean replyWithEntries = digestChanged && message.digest() != map.digest();
+        return loans.isEmpty() && !replyWithEntries ? List.of()
                 : List.of(new OutgoingMessage(message.from(), message(message.from(), List.of(), loans)));
     }
 
--- a/src/main/java/clovermill/controlplane/gossip/decide/LimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/LimitShare.java
@@ -1,33 +1,33 @@
 package clovermill.controlplane.gossip.decide;
 
 /**
- * One director's share of a limit on the fleet: its own part, less what it has lent, plus what it has
- * borrowed, each under a lease of a fixed term. An amount counts requests a second or open requests, as the limit
- * does.
+ * One director's share of a limit on the fleet: its own part, minus the parts that it has lent, plus the parts that it
+ * has borrowed, each under a lease of a fixed term. The unit of an amount is that of the limit: requests per second or
+ * open requests.
  */
 public interface LimitShare {
 
-    /** Whether one more request is admitted now, which ends by {@code untilUs} at the latest. */
+    /** Admits one more request, which completes by {@code untilUs} at the latest; returns false if it is rejected. */
     boolean admit(long nowUs, long untilUs);
 
-    /** An admitted request has ended. */
+    /** Releases an admitted request, which has completed. */
     void release();
 
-    /** The amount that this director may use now. */
+    /** Returns the amount that this director may use now. */
     double amount(long nowUs);
 
-    /** How much more it could use, 0 where its own amount is enough. */
+    /** Returns the amount that the demand exceeds the share by, or 0. */
     double shortfall(long nowUs);
 
-    /** The most to request from one peer. */
+    /** Returns the largest amount to request from one peer. */
     double maxRequest();
 
-    /** Lends up to so much; what it returns counts as lent from now on, whether the answer arrives or not. */
+    /** Lends up to the requested amount; the returned amount counts as lent even if the reply to the peer is lost. */
     double lend(double requested, long nowUs);
 
-    /** Accepts a loan that was requested at {@code requestedUs} of this clock, unless its lease has expired. */
+    /** Adds a loan that was requested at {@code requestedUs} of this clock, unless its lease has expired. */
     void borrow(double granted, long requestedUs, long nowUs);
 
-    /** Assumes that another process may still use and lend this share: what may be lent is withheld for a term. */
+    /** Withholds the lendable part for one term, as another process of this director may still use and lend it. */
     void restart(long nowUs);
 }
--- a/src/main/java/clovermill/controlplane/gossip/decide/LoanBook.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/LoanBook.java
@@ -2,49 +2,48 @@
 
 import java.util.PriorityQueue;
 
-/** Loans in one direction, by the time at which each expires. */
+/** The unexpired loans in one direction, ordered by expiry. */
 final class LoanBook {
 
-    /** The most loans held; at the bound nothing more is lent or borrowed. */
+    /** Maximum number of unexpired loans; at the bound nothing more is lent or borrowed. */
     static final int MAX_LOANS = 256;
 
     private record Loan(double amount, long expiryUs) {}
 
-    private final PriorityQueue<Loan> open = new PriorityQueue<>((a, b) -> Long.compare(a.expiryUs, b.expiryUs));
+    private final PriorityQueue<Loan> unexpired = new PriorityQueue<>((a, b) -> Long.compare(a.expiryUs, b.expiryUs));
     private double sum;
 
-    /** Records a loan. */
     void add(double amount, long expiryUs) {
-        open.add(new Loan(amount, expiryUs));
+        unexpired.add(new Loan(amount, expiryUs));
         sum += amount;
     }
 
-    /** Drops the loans that have expired. */
+    /** Removes the loans that have expired. */
     void expire(long nowUs) {
-        while (!open.isEmpty() && open.peek().expiryUs <= nowUs) {
-            sum -= open.poll().amount;
+        while (!unexpired.isEmpty() && unexpired.peek().expiryUs <= nowUs) {
+            sum -= unexpired.poll().amount;
         }
-        // Rounding errors of additions and subtractions must not accumulate.
-        sum = open.isEmpty() ? 0 : sum;
+        // Resets the sum, so that rounding errors of additions and subtractions do not accumulate.
+        sum = unexpired.isEmpty() ? 0 : sum;
     }
 
-    /** The sum of all loans that have not expired. */
+    /** Returns the sum of the unexpired loans. */
     double sum() {
         return sum;
     }
 
-    /** Whether the bound on loans is reached. */
+    /** Returns whether the maximum number of loans is reached. */
     boolean full() {
-        return open.size() >= MAX_LOANS;
+        return unexpired.size() >= MAX_LOANS;
     }
 
-    /** When the next loan expires; {@link Long#MAX_VALUE} if there is none. */
+    /** Returns the time at which the next loan expires, or {@link Long#MAX_VALUE} if there is none. */
     long nextExpiryUs() {
-        return open.isEmpty() ? Long.MAX_VALUE : open.peek().expiryUs;
+        return unexpired.isEmpty() ? Long.MAX_VALUE : unexpired.peek().expiryUs;
     }
 
-    /** The sum of the loans that do not expire before a time. */
+    /** Returns the sum of the loans that do not expire before {@code untilUs}. */
     double sumUntil(long untilUs) {
-        return open.stream().filter(loan -> loan.expiryUs >= untilUs).mapToDouble(Loan::amount).sum();
+        return unexpired.stream().filter(loan -> loan.expiryUs >= untilUs).mapToDouble(Loan::amount).sum();
     }
 }
--- a/src/main/java/clovermill/controlplane/gossip/decide/LoanExchange.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/LoanExchange.java
@@ -8,38 +8,43 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Borrows and lends parts of the limits by messages: requests what this director's shares fall short of, grants what
- * they can spare, and accepts each loan once, and only if this incarnation requested it (by its nonce). Not
- * thread-safe; times are microseconds of the owner's clock.
+ * Lends and borrows parts of the limits by messages: requests loans for the shortfall of this director's shares, grants
+ * loans of their spare amounts, and accepts each loan once, and only if this incarnation requested it (as its nonce
+ * shows). Not thread-safe; times are microseconds of the owner's clock.
  */
 final class LoanExchange {
 
-    /** Loan requests without an answer, by limit; older ones are dropped, and loans for them are ignored. */
+    /** Maximum unanswered loan requests per limit; the oldest are dropped, and loans for them are ignored. */
     private static final int MAX_PENDING_REQUESTS = 64;
 
     private final List<LimitShare> shares;
     private final RandomGenerator random;
-    /** By limit: when the loan of a nonce was requested. */
+    /** For each limit, the time of each unanswered request, by its nonce. */
     private final List<Map<Long, Long>> pendingRequests = new ArrayList<>();
 
-    /** {@code shares} are this director's, in the same order at all directors; nonces are drawn from {@code random}. */
+    /**
+     * Creates an exchange without pending requests.
+     *
+     * @param shares this director's shares of the limits, in the same order at all directors
+     * @param random the source of nonces
+     */
     LoanExchange(List<? extends LimitShare> shares, RandomGenerator random) {
         this.shares = List.copyOf(shares);
         this.random = random;
         shares.forEach(each -> pendingRequests.add(new LinkedHashMap<>()));
     }
 
-    /** This director's share of a limit. */
+    /** Returns this director's share of a limit. */
     LimitShare share(int limit) {
         return shares.get(limit);
     }
 
-    /** Withholds all lendable parts for a term: another process of this director may still admit and lend. */
+    /** Withholds all lendable parts for one term, as another process of this director may still admit and lend. */
     void restart(long nowUs) {
         shares.forEach(share -> share.restart(nowUs));
     }
 
-    /** Requests for each limit's shortfall, all to one peer; none to one that is unreachable. */
+    /** Returns a request to one peer for each limit with a shortfall; none if the peer is unreachable. */
     List<GossipMessage.LoanRequest> requests(PeerState peer, long nowUs) {
         List<GossipMessage.LoanRequest> requests = new ArrayList<>();
         for (int i = 0; i < shares.size(); i++) {
@@ -62,7 +67,7 @@
         }
     }
 
-    /** Accepts a loan if this director requested it, and only once. */
+    /** Adds a loan to its share, once, and only if this director requested it. */
     void borrow(GossipMessage.Loan loan, long nowUs) {
         if (!isLimit(loan.limit())) {
             return;
@@ -73,7 +78,7 @@
         }
     }
 
-    /** Grants what it can; one loan for each limit at most, so that all fit the datagram. */
+    /** Grants as many requests as possible, at most one for each limit, so that all loans fit into the datagram. */
     List<GossipMessage.Loan> lend(List<GossipMessage.LoanRequest> requests, long nowUs) {
         List<GossipMessage.Loan> loans = new ArrayList<>();
         for (GossipMessage.LoanRequest request : requests) {
--- a/src/main/java/clovermill/controlplane/gossip/decide/PeerSession.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/PeerSession.java
@@ -4,13 +4,13 @@
 import java.util.Deque;
 
 /**
- * What a member knows of one peer: its present incarnation and the last sequence number of it, by which replayed
- * messages are detected, the digest of its replicated map, and when its last message was received. Not thread-safe;
- * times are microseconds of the owner's clock.
+ * The state of one peer as a member sees it: its current incarnation and that incarnation's last sequence number, by
+ * which replayed messages are detected, the digest of its replicated map, and the time of its last message. Not
+ * thread-safe; times are microseconds of the owner's clock.
  */
 final class PeerSession {
 
-    /** Earlier incarnations of a peer that are remembered, so that their messages cannot be replayed. */
+    /** Number of earlier incarnations that are remembered, so that their messages cannot be replayed. */
     private static final int MAX_EARLIER_INCARNATIONS = 4;
 
     private final Deque<Long> earlierIncarnations = new ArrayDeque<>();
@@ -21,15 +21,15 @@
     private long digest;
     private boolean known;
 
-    /** A peer that has sent nothing yet; its silence counts from now. */
+    /** Creates the state of a peer that has sent nothing; its silence counts from {@code nowUs}. */
     PeerSession(long nowUs) {
         this.lastReceivedUs = nowUs;
     }
 
-    /** Whether a message comes from the peer's present incarnation, or a new one, and is no replay. */
+    /** Returns whether a message is from the peer's current incarnation or a new one, and is not replayed. */
     boolean accept(GossipMessage message) {
         if (known && message.incarnation() == incarnation) {
-            // Datagrams may be reordered; an overtaken one carries nothing that a later one does not.
+            // Datagrams may be reordered; one that was overtaken has no information that a later one lacks.
             boolean later = message.sequence() > lastSequence;
             lastSequence = Math.max(lastSequence, message.sequence());
             return later;
@@ -48,7 +48,7 @@
         return true;
     }
 
-    /** Records an accepted message; returns whether the peer's digest is another than in its message before. */
+    /** Records an accepted message; returns whether the peer's digest differs from that in its previous message. */
     boolean received(long newDigest, long nowUs) {
         boolean changed = !known || digest != newDigest;
         known = true;
@@ -57,17 +57,17 @@
         return changed;
     }
 
-    /** Whether the peer's replicated map differs from one of this digest, as far as is known. */
+    /** Returns whether the peer's last digest is unknown or differs from {@code ownDigest}. */
     boolean differsFrom(long ownDigest) {
         return !known || digest != ownDigest;
     }
 
-    /** Microseconds since its last message. */
+    /** Returns the microseconds since the peer's last message. */
     long silentUs(long nowUs) {
         return nowUs - lastReceivedUs;
     }
 
-    /** The sequence number of the next message to this peer. */
+    /** Returns the sequence number of the next message to this peer, and increments it. */
     long nextSequence() {
         return ++sentSequence;
     }
--- a/src/main/java/clovermill/controlplane/gossip/decide/RateLimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/RateLimitShare.java
@@ -1,43 +1,48 @@
 package clovermill.controlplane.gossip.decide;
 
 /**
- * One director's share of a limit on requests a second: an equal part of the limit, less what it has lent to peers,
- * plus what it has borrowed, each under a lease of a fixed term.
+ * One director's share of a limit on requests per second: an equal part of the limit, minus the parts lent to peers,
+ * plus the parts borrowed from them, each under a lease of a fixed term.
  *
  * <p>Leases (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism", 1989) without a server: the borrower
  * counts the term from when it <em>requested</em> the loan, the lender from when it <em>granted</em> it, and a little
- * longer for clock drift. So at every moment the shares of all directors together are at most the limit, whatever is
- * lost, delayed, duplicated or partitioned, and no two clocks are compared. A director that starts does not know what
- * it had lent, so it withholds for a term all that it may ever lend.
+ * longer for clock drift. So the sum of all directors' shares never exceeds the limit, whichever messages are lost,
+ * delayed or duplicated and however the network is partitioned, and no two clocks are compared. A director that starts
+ * does not know what it had lent, so it withholds the whole lendable part for one term.
  *
- * <p>Each share fills a token bucket. In any time of w seconds all n directors together admit at most
+ * <p>Each share fills a token bucket. In any period of w seconds all n directors together admit at most
  * {@code limit x (w + burst) + n}: see {@link #maxAdmitted}. Not thread-safe; times are microseconds of the owner's
  * clock.
  */
 public final class RateLimitShare implements LimitShare {
 
     /**
-     * What all directors of a fleet have in common: the limit by second, the number of directors, seconds of its
-     * share that a bucket holds, the term of a loan, and the bound on clock drift.
+     * The parameters that are the same at all directors of a fleet.
+     *
+     * @param perSecond the limit of the fleet, in requests per second
+     * @param directors the number of directors
+     * @param burstS the capacity of a bucket, in seconds of its fill rate
+     * @param termUs the term of a loan
+     * @param drift the bound on clock drift, as a fraction
      */
     public record Parameters(double perSecond, int directors, double burstS, long termUs, double drift) {
 
-        /** Each director's equal part, by second. */
+        /** Returns each director's equal part, in requests per second. */
         double share() {
             return perSecond / directors;
         }
 
-        /** How long a lender counts a loan: longer than any borrower uses it by its own clock. */
+        /** Returns how long a lender counts a loan: longer than any borrower uses it by its own clock. */
         long lenderTermUs() {
             return (long) Math.ceil(termUs * (1 + 2 * drift));
         }
     }
 
-    /** Part of its share that a director never lends: what it admits while cut off or just started. */
+    /** Fraction of its share that a director never lends, so that it can admit requests right after a start. */
     static final double RESERVED_PART = 0.2;
-    /** What a director reserves for itself, or requests, as a multiple of its recent demand. */
+    /** The rate that a director keeps for itself or requests, as a multiple of its recent demand. */
     private static final double DEMAND_MARGIN = 1.25;
-    /** Time constant of the exponential average of demand. */
+    /** Time constant of the exponentially weighted average of demand. */
     private static final double DEMAND_US = 1_000_000;
     private static final double SECOND_US = 1e6;
 
@@ -50,7 +55,7 @@
     private double demand;
     private long demandUs;
 
-    /** The share of a director that starts now: it withholds for a term what an earlier process may have lent. */
+    /** Creates a share that withholds its lendable part for one term, as an earlier process may have lent it. */
     public RateLimitShare(Parameters parameters, long nowUs) {
         this.parameters = parameters;
         this.startedUs = nowUs;
@@ -65,7 +70,10 @@
         capTokens(nowUs);
     }
 
-    /** What all directors together admit at most in any so many seconds, partitions and restarts included. */
+    /**
+     * Returns the maximum number of requests that all directors together admit in any period of {@code seconds},
+     * partitions and restarts included.
+     */
     public static double maxAdmitted(Parameters parameters, double seconds) {
         return parameters.perSecond() * (seconds + parameters.burstS()) + parameters.directors();
     }
@@ -75,7 +83,7 @@
         return admit(nowUs);
     }
 
-    /** A rate does not count open requests. */
+    /** Does nothing, as a rate does not count open requests. */
     @Override
     public void release() {}
 
@@ -89,7 +97,7 @@
         return parameters.share();
     }
 
-    /** Whether one more request is admitted now. */
+    /** Admits one more request; returns false if it is rejected. */
     public boolean admit(long nowUs) {
         decayDemand(nowUs);
         demand += SECOND_US / DEMAND_US;
@@ -101,7 +109,7 @@
         return true;
     }
 
-    /** The requests a second that it may admit now. */
+    /** Returns the rate at which requests may be admitted now, in requests per second. */
     public double rate(long nowUs) {
         fill(nowUs);
         return currentRate(nowUs);
@@ -113,7 +121,7 @@
         return borrowed.full() ? 0 : Math.max(0, missing);
     }
 
-    /** How much, by second, it could lend now. */
+    /** Returns the rate that could be lent now, in requests per second. */
     public double spare(long nowUs) {
         fill(nowUs);
         double lendable = (1 - RESERVED_PART) * parameters.share() - lent.sum();
@@ -140,14 +148,14 @@
         }
     }
 
-    /** Brings the average of demand, by second, up to now and returns it. */
+    /** Updates the average of demand to {@code nowUs} and returns it, in requests per second. */
     private double decayDemand(long nowUs) {
         demand *= Math.exp(-(nowUs - demandUs) / DEMAND_US);
         demandUs = nowUs;
         return demand;
     }
 
-    /** Adds tokens up to now, at each of the rates in force meanwhile. */
+    /** Adds the tokens up to {@code nowUs}, at each of the rates in force since the last call. */
     private void fill(long nowUs) {
         while (filledUs < nowUs) {
             long until = Math.min(nowUs, nextRateChangeUs());
@@ -160,8 +168,8 @@
     }
 
     private long nextRateChangeUs() {
-        long lendsAgainUs = startedUs + parameters.lenderTermUs();
-        long next = lendsAgainUs > filledUs ? lendsAgainUs : Long.MAX_VALUE;
+        long lendingResumesUs = startedUs + parameters.lenderTermUs();
+        long next = lendingResumesUs > filledUs ? lendingResumesUs : Long.MAX_VALUE;
         return Math.min(next, Math.min(lent.nextExpiryUs(), borrowed.nextExpiryUs()));
     }
 
@@ -170,13 +178,14 @@
         return own + borrowed.sum();
     }
 
-    /** Whether loans of the process before may still run, which this one does not know of. */
+    /** Returns whether loans granted by an earlier process of this director may still be in use. */
     private boolean justStarted(long atUs) {
         return atUs - startedUs < parameters.lenderTermUs();
     }
 
     /**
-     * A bucket holds the burst of the current rate, and one request at least, so that small shares admit some requests.
+     * Limits the tokens to the bucket's capacity at the current rate, but at least one, so that small shares admit some
+     * requests.
      */
     private void capTokens(long nowUs) {
         tokens = Math.min(tokens, Math.max(1, parameters.burstS() * currentRate(nowUs)));
--- a/src/main/java/clovermill/controlplane/gossip/decide/ReplicatedMap.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/ReplicatedMap.java
@@ -6,15 +6,15 @@
 
 /**
  * A last-writer-wins map, ordered by Lamport timestamps (Shapiro et al., "Conflict-free Replicated Data Types",
- * 2011): replicas that have received the same entries hold the same values, and merging an entry twice or late
- * changes nothing. An entry that was unset stays as a tombstone, so that a late copy of the earlier write cannot
- * bring it back.
+ * 2011): replicas that have received the same entries have the same values, and merging an entry twice or late
+ * changes nothing. An entry that was unset remains as a tombstone, so that a late copy of the earlier write cannot
+ * set it again.
  */
 public final class ReplicatedMap {
 
-    /** Keys held, tombstones included; at the bound a further key is refused, and {@link #put} returns null. */
+    /** Maximum number of keys, tombstones included; at the bound a new key is rejected. */
     static final int MAX_ENTRIES = 10_000;
-    /** Versions beyond this are refused: a forged one must not win for ever. */
+    /** Higher versions are rejected, so that a forged one cannot win forever. */
     private static final long MAX_VERSION = 1L << 40;
 
     private final int self;
@@ -27,7 +27,7 @@
         this.self = self;
     }
 
-    /** Writes a key here; null where it has that value already or the map is full. */
+    /** Writes a key; returns the new entry, or null if the key has that value already or the map is full. */
     ReplicatedEntry put(String key, boolean value) {
         ReplicatedEntry known = byKey.get(key);
         if (known == null ? !value : known.value() == value) {
@@ -37,7 +37,7 @@
         return merge(written) ? written : null;
     }
 
-    /** Merges an entry that another replica sent; true if it changed this map. */
+    /** Merges an entry of another replica; returns whether it changed this map. */
     boolean merge(ReplicatedEntry entry) {
         ReplicatedEntry known = byKey.get(entry.key());
         if (entry.version() < 1 || entry.version() > MAX_VERSION || !entry.supersedes(known)
@@ -50,12 +50,12 @@
         return true;
     }
 
-    /** Equal at all replicas that hold the same entries. */
+    /** Returns a digest that is equal at all replicas with the same entries. */
     long digest() {
         return digest;
     }
 
-    /** The next few entries, round and round: the anti-entropy traffic to a peer whose digest differs. */
+    /** Returns the next {@code count} entries, in cyclic key order; sent to a peer whose digest differs. */
     List<ReplicatedEntry> nextPage(int count) {
         List<ReplicatedEntry> page = new ArrayList<>(
                 byKey.tailMap(cursor, false).values().stream().limit(count).toList());
@@ -64,7 +64,7 @@
         return page;
     }
 
-    /** The entry of a key, or null. */
+    /** Returns the entry of a key, or null if there is none. */
     ReplicatedEntry get(String key) {
         return byKey.get(key);
     }
--- a/src/main/java/clovermill/controlplane/gossip/decide/RumorQueue.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/RumorQueue.java
@@ -4,13 +4,14 @@
 import java.util.Map;
 
 /**
- * New entries that the next messages carry unprompted (rumor mongering: Demers et al., "Epidemic Algorithms for
- * Replicated Database Maintenance", 1987), each so often that it very likely reaches the whole group; what it misses is
- * left to anti-entropy. Holds at most one rumor for each key of the replicated map. Not thread-safe.
+ * New entries that are sent in the next messages without a request (rumor mongering: Demers et al., "Epidemic
+ * Algorithms for Replicated Database Maintenance", 1987), each so often that it very likely reaches the whole group;
+ * members that it does not reach receive it by anti-entropy. Contains at most one rumor for each key of the replicated
+ * map. Not thread-safe.
  */
 final class RumorQueue {
 
-    /** A rumor is sent this many times the logarithm of the group's size. */
+    /** Number of sends of a rumor, as a multiple of the logarithm of the group's size. */
     private static final int SENDS_FACTOR = 4;
 
     private static final class Rumor {
@@ -26,17 +27,17 @@
     private final Map<String, Rumor> rumors = new LinkedHashMap<>();
     private final int sends;
 
-    /** For a group of so many directors. */
+    /** Creates an empty queue for a group of {@code directors}. */
     RumorQueue(int directors) {
         this.sends = SENDS_FACTOR * (int) Math.ceil(Math.log(directors + 1));
     }
 
-    /** Has the next messages carry an entry, in place of an earlier one of its key. */
+    /** Adds an entry to the next messages, in place of an earlier one of its key. */
     void start(ReplicatedEntry entry) {
         rumors.put(entry.key(), new Rumor(entry, sends));
     }
 
-    /** Adds to a message's entries up to so many in all, and counts them as sent once more. */
+    /** Adds rumors to a message's entries, up to {@code maxEntries} in all, and counts them as sent once more. */
     void addTo(Map<String, ReplicatedEntry> entries, int maxEntries) {
         rumors.values().removeIf(rumor -> rumor.sendsLeft <= 0);
         for (Rumor rumor : rumors.values()) {
--- a/src/main/java/clovermill/controlplane/gossip/decide/package-info.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/package-info.java
@@ -1,11 +1,11 @@
 /**
- * What a member of a gossip group decides, without I/O, clock or threads: the owner passes time and randomness in.
+ * The gossip protocol without I/O, clock or threads: the owner passes in time and randomness.
  *
- * <p>{@link clovermill.controlplane.gossip.decide.GossipMember} is the entry. It is made of {@code PeerSession}
+ * <p>Entry type: {@link clovermill.controlplane.gossip.decide.GossipMember}. It consists of {@code PeerSession}
  * (replay protection and liveness of one peer), {@code RumorQueue} and {@link
- * clovermill.controlplane.gossip.decide.ReplicatedMap} (a last-writer-wins map, spread by rumors and anti-entropy),
+ * clovermill.controlplane.gossip.decide.ReplicatedMap} (a last-writer-wins map, replicated by rumors and anti-entropy),
  * and {@code LoanExchange}, which lends and borrows parts of the limits under leases: {@link
- * clovermill.controlplane.gossip.decide.RateLimitShare} for requests a second, {@link
+ * clovermill.controlplane.gossip.decide.RateLimitShare} for requests per second, {@link
  * clovermill.controlplane.gossip.decide.ConcurrencyLimitShare} for requests open at once.
  */
 package clovermill.controlplane.gossip.decide;
--- a/src/main/java/clovermill/director/operations/ReplicatedOutageMarks.java
+++ b/src/main/java/clovermill/director/operations/ReplicatedOutageMarks.java
@@ -14,20 +14,20 @@
     @Override
     public void takeOut(String id) {
         marks.takeOut(id);
-        gossip.putOutage(id, true);
+        gossip.replicateOutage(id, true);
     }
 
     @Override
     public void putBack(String id, long stampMs) {
         marks.putBack(id, stampMs);
-        gossip.putOutage(id, false);
+        gossip.replicateOutage(id, false);
     }
 
     @Override
     public boolean tryPutBack(String id, long stampMs) {
         boolean recorded = marks.tryPutBack(id, stampMs);
         if (recorded) {
-            gossip.putOutage(id, false);
+            gossip.replicateOutage(id, false);
         }
         return recorded;
     }
--- a/src/test/java/clovermill/controlplane/gossip/GossipCodecTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/GossipCodecTest.java
@@ -19,7 +19,6 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams of the fleet: whatever is cut, changed or not signed gives one kind of error and nothing else. */
 class GossipCodecTest {
 
     private static final byte[] KEY = new byte[16];
@@ -28,62 +27,63 @@
             List.of(new GossipMessage.LoanRequest(0, -1, 12.5), new GossipMessage.LoanRequest(15, 8, 0)),
             List.of(new GossipMessage.Loan(1, 42, 1e9)));
 
-    private final GossipCodec one = new GossipCodec(3, KEY);
-    private final GossipCodec other = new GossipCodec(4, KEY);
+    private final GossipCodec sender = new GossipCodec(3, KEY);
+    private final GossipCodec receiver = new GossipCodec(4, KEY);
 
     private static ReplicatedEntry entry(int i) {
         return new ReplicatedEntry("cache/" + "x".repeat(50) + i, i % 2 == 0, 9 + i, 65_535);
     }
 
     @Test
-    void theWireFormatIsUnchanged() throws Exception {
-        ByteBuffer datagram = one.write(4, FULL);
+    void wireFormatIsUnchanged() throws Exception {
+        ByteBuffer datagram = sender.encode(4, FULL);
         byte[] hash = MessageDigest.getInstance("SHA-256").digest(Arrays.copyOf(datagram.array(), datagram.limit()));
         assertThat(HexFormat.of().formatHex(hash)).isEqualTo(
                 "05434e17bd97354d2979b2c098cc4fe63bae72762d66f84a7cd1795b68f29de5");
     }
 
     @Test
-    void whatIsWrittenIsRead() throws InvalidMessageException {
-        ByteBuffer datagram = one.write(4, FULL);
+    void decodesEncodedMessages() throws InvalidMessageException {
+        ByteBuffer datagram = sender.encode(4, FULL);
         assertThat(datagram.remaining()).isLessThanOrEqualTo(GossipCodec.MAX_BYTES);
-        assertThat(other.read(datagram)).isEqualTo(FULL);
+        assertThat(receiver.decode(datagram)).isEqualTo(FULL);
     }
 
     @Test
-    void aMessageWithAnotherKeyOrForAnotherDirectorIsRefused() {
+    void rejectsMessagesWithAnotherKeyOrToAnotherDirector() {
         assertThatThrownBy(() -> new GossipCodec(4, "another key here".getBytes(StandardCharsets.US_ASCII))
-                .read(one.write(4, FULL)))
+                .decode(sender.encode(4, FULL)))
                 .isInstanceOf(InvalidMessageException.class).hasMessageContaining("not signed");
-        assertThatThrownBy(() -> new GossipCodec(5, KEY).read(one.write(4, FULL)))
+        assertThatThrownBy(() -> new GossipCodec(5, KEY).decode(sender.encode(4, FULL)))
                 .isInstanceOf(InvalidMessageException.class).hasMessageContaining("another director");
     }
 
     @Test
-    void signedButMalformedMessagesAreRefused() {
+    void rejectsSignedButMalformedMessages() {
         GossipMessage forged =
                 new GossipMessage(3, 1, 1, 1, List.of(), List.of(new GossipMessage.LoanRequest(0, 1, Double.NaN)),
                         List.of());
-        assertThatThrownBy(() -> other.read(one.write(4, forged)))
+        assertThatThrownBy(() -> receiver.decode(sender.encode(4, forged)))
                 .hasMessage("an amount that is negative or not finite");
         GossipMessage withoutKey =
                 new GossipMessage(3, 1, 1, 1, List.of(new ReplicatedEntry("", true, 1, 1)), List.of(),
                         List.of());
-        assertThatThrownBy(() -> other.read(one.write(4, withoutKey))).hasMessageStartingWith("an entry without a key");
+        assertThatThrownBy(() -> receiver.decode(sender.encode(4, withoutKey)))
+                .hasMessageStartingWith("an entry without a key");
     }
 
     @Property(tries = 2000)
-    void aDatagramThatWasCutOrChangedNeverPassesNorFailsOtherwise(@ForAll long seed,
-            @ForAll @IntRange(max = 2) int how) {
+    void rejectsTruncatedAndChangedDatagramsWithTheTypedException(@ForAll long seed,
+            @ForAll @IntRange(max = 2) int damage) {
         SplittableRandom random = new SplittableRandom(seed);
-        ByteBuffer datagram = one.write(4, FULL);
+        ByteBuffer datagram = sender.encode(4, FULL);
         byte[] bytes = Arrays.copyOf(datagram.array(), datagram.limit());
-        switch (how) {
+        switch (damage) {
             case 0 -> bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
             case 1 -> bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length));
             default -> random.nextBytes(bytes);
         }
-        ByteBuffer spoilt = ByteBuffer.wrap(bytes);
-        assertThatThrownBy(() -> other.read(spoilt)).isInstanceOf(InvalidMessageException.class);
+        ByteBuffer damaged = ByteBuffer.wrap(bytes);
+        assertThatThrownBy(() -> receiver.decode(damaged)).isInstanceOf(InvalidMessageException.class);
     }
 }
--- a/src/test/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShareTest.java
+++ b/src/test/java/clovermill/controlplane/gossip/decide/ConcurrencyLimitShareTest.java
@@ -9,85 +9,85 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** A limit on what the whole fleet has open, in permits that are lent for a term. */
 class ConcurrencyLimitShareTest {
 
     private static final ConcurrencyLimitShare.Parameters PARAMETERS =
             new ConcurrencyLimitShare.Parameters(50, 4, 2_000_000, 0.01);
-    private static final long LATER = 5_000_000;
+    /** A time at which loans of an earlier process have expired. */
+    private static final long LATER_US = 5_000_000;
 
-    private static int opened(ConcurrencyLimitShare share, int asked, long nowUs, long untilUs) {
+    private static int admitted(ConcurrencyLimitShare share, int requests, long nowUs, long untilUs) {
         int admitted = 0;
-        for (int i = 0; i < asked; i++) {
+        for (int i = 0; i < requests; i++) {
             admitted += share.admit(nowUs, untilUs) ? 1 : 0;
         }
         return admitted;
     }
 
     @Test
-    void permitsAreDividedToTheLastOne() {
-        int all = 0;
+    void dividesAllPermitsAmongDirectors() {
+        int sum = 0;
         for (int i = 0; i < 4; i++) {
-            all += opened(new ConcurrencyLimitShare(PARAMETERS, i, 0), 100, LATER, LATER + 1);
+            sum += admitted(new ConcurrencyLimitShare(PARAMETERS, i, 0), 100, LATER_US, LATER_US + 1);
         }
-        assertThat(all).isEqualTo(50);
-        assertThat(opened(new ConcurrencyLimitShare(PARAMETERS, 0, 0), 100, 0, 1)).as("right after a start")
+        assertThat(sum).isEqualTo(50);
+        assertThat(admitted(new ConcurrencyLimitShare(PARAMETERS, 0, 0), 100, 0, 1)).as("right after a start")
                 .isEqualTo(3);
     }
 
     @Test
-    void aBorrowedPermitAdmitsOnlyRequestsThatEndBeforeTheLoan() {
+    void borrowedPermitsAdmitOnlyRequestsThatCompleteBeforeTheLoanExpires() {
         ConcurrencyLimitShare share = new ConcurrencyLimitShare(PARAMETERS, 0, 0);
-        opened(share, 100, LATER, LATER + 9_000_000);
-        share.borrow(2, LATER, LATER + 1);
-        assertThat(share.admit(LATER + 2, LATER + 2_000_001)).as("one that may last longer").isFalse();
-        assertThat(share.admit(LATER + 2, LATER + 2_000_000)).isTrue();
-        assertThat(share.shortfall(LATER + 2)).isPositive();
+        admitted(share, 100, LATER_US, LATER_US + 9_000_000);
+        share.borrow(2, LATER_US, LATER_US + 1);
+        assertThat(share.admit(LATER_US + 2, LATER_US + 2_000_001)).as("request that may outlast the loan").isFalse();
+        assertThat(share.admit(LATER_US + 2, LATER_US + 2_000_000)).isTrue();
+        assertThat(share.shortfall(LATER_US + 2)).isPositive();
     }
 
     @Test
-    void onlyFreePermitsAreLentAndReservedOnesNever() {
+    void lendsOnlyFreePermitsThatAreNotReserved() {
         ConcurrencyLimitShare share = new ConcurrencyLimitShare(PARAMETERS, 0, 0);
-        opened(share, 4, LATER, LATER + 1);
-        assertThat(share.lend(100, LATER)).as("13 of its own, 4 open").isEqualTo(9);
-        assertThat(share.admit(LATER, LATER + 1)).isFalse();
+        admitted(share, 4, LATER_US, LATER_US + 1);
+        assertThat(share.lend(100, LATER_US)).as("13 own permits, 4 of them in use").isEqualTo(9);
+        assertThat(share.admit(LATER_US, LATER_US + 1)).isFalse();
         ConcurrencyLimitShare idle = new ConcurrencyLimitShare(PARAMETERS, 0, 0);
-        assertThat(idle.lend(100, LATER)).as("3 it never lends").isEqualTo(10);
+        assertThat(idle.lend(100, LATER_US)).as("3 permits are reserved").isEqualTo(10);
     }
 
-    /** Requests of all lengths, loans that are lost or late, clocks that run apart. */
+    /** Simulates requests of all durations, lost and late loans, and clocks that drift. */
     @Property(tries = 200)
-    void allTogetherNeverHaveMoreOpenThanTheLimit(@ForAll long seed) {
+    void allDirectorsTogetherNeverExceedTheLimit(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        double[] pace = random.doubles(4, 0.995, 1.005).toArray();
-        List<ConcurrencyLimitShare> all = new ArrayList<>();
+        double[] clockRates = random.doubles(4, 0.995, 1.005).toArray();
+        List<ConcurrencyLimitShare> shares = new ArrayList<>();
         List<long[]> open = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            all.add(new ConcurrencyLimitShare(PARAMETERS, i, 0));
+            shares.add(new ConcurrencyLimitShare(PARAMETERS, i, 0));
         }
-        for (long now = 0; now < 15_000_000; now += 10_000) {
+        for (long nowUs = 0; nowUs < 15_000_000; nowUs += 10_000) {
             for (int i = open.size() - 1; i >= 0; i--) {
-                if (open.get(i)[1] <= now) {
-                    all.get((int) open.remove(i)[0]).release();
+                if (open.get(i)[1] <= nowUs) {
+                    shares.get((int) open.remove(i)[0]).release();
                 }
             }
-            int one = random.nextInt(4);
-            int other = random.nextInt(4);
-            if (one != other && random.nextInt(5) == 0) {
-                long askedUs = (long) ((now - random.nextInt(500_000)) * pace[other]);
-                double given = all.get(one).lend(random.nextInt(12), (long) (now * pace[one]));
+            int lender = random.nextInt(4);
+            int borrower = random.nextInt(4);
+            if (lender != borrower && random.nextInt(5) == 0) {
+                long requestedUs = (long) ((nowUs - random.nextInt(500_000)) * clockRates[borrower]);
+                double granted = shares.get(lender).lend(random.nextInt(12), (long) (nowUs * clockRates[lender]));
                 if (random.nextInt(4) > 0) {
-                    all.get(other).borrow(given, askedUs, (long) (now * pace[other]));
+                    shares.get(borrower).borrow(granted, requestedUs, (long) (nowUs * clockRates[borrower]));
                 }
             }
-            // The first two are asked for much, the others for little; all within their time by their own clock.
-            int to = random.nextInt(8) > 0 ? random.nextInt(2) : 2 + random.nextInt(2);
-            long length = 1L + random.nextInt(3_000_000);
-            long here = (long) (now * pace[to]);
-            if (all.get(to).admit(here, here + length)) {
-                open.add(new long[] {to, now + (long) (random.nextInt((int) length) / pace[to])});
+            // Most requests arrive at the first two directors; each completes before its timeout by the local clock.
+            int target = random.nextInt(8) > 0 ? random.nextInt(2) : 2 + random.nextInt(2);
+            long timeoutUs = 1L + random.nextInt(3_000_000);
+            long hereUs = (long) (nowUs * clockRates[target]);
+            if (shares.get(target).admit(hereUs, hereUs + timeoutUs)) {
+                open.add(new long[] {target, nowUs + (long) (random.nextInt((int) timeoutUs) / clockRates[target])});
             }
-            assertThat(open.size()).as("at %d us", now).isLessThanOrEqualTo(50);
+            assertThat(open.size()).as("at %d us", nowUs).isLessThanOrEqualTo(50);
         }
     }
 }
--- a/src/test/java/clovermill/prove/scale/Cluster.java
+++ b/src/test/java/clovermill/prove/scale/Cluster.java
@@ -52,8 +52,8 @@
     private static final int REQUEST_KB = 4;
     private static final double FLEET_LIMIT_EACH = 574;
     private static final String KEY = "00112233445566778899aabbccddeeff";
-    private static final Pattern EVENT = Pattern.compile("^(\\S+) .* had cache " + HollowProcess.EVENT
-            + "(\\d+) taken out");
+    private static final Pattern EVENT = Pattern.compile("^(\\S+) .* disabled cache " + HollowProcess.EVENT
+            + "(\\d+)$");
 
     private final Path root = Files.createTempDirectory("prove-scale");
     private final ObjectMapper json = new ObjectMapper();
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -104,7 +104,7 @@
 
     /** Has an event begin here that is to reach all directors. */
     void put(String id) {
-        loop.post(() -> fleet.putOutage(id, true));
+        loop.post(() -> fleet.replicateOutage(id, true));
     }
 
     /** Hands in a policy as an operator at this director would. */
