--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -70,7 +70,7 @@
 
     /** Whether operators have taken a cache out. */
     public boolean isOut(String id) {
-        return outages.isOut(id);
+        return outages.isDisabled(id);
     }
 
     /** Whether any endpoint is listed. */
@@ -80,7 +80,7 @@
 
     /** Sends nothing more to a cache, and fills nothing from it, until it is put back. */
     public void takeOut(String id) {
-        if (outages.takeOut(id)) {
+        if (outages.disable(id)) {
             publishOutages(id);
             withdrawFrom(Set.of(id));
         }
@@ -93,7 +93,7 @@
      * @param stampUnixMs identifies this return among those of the cache; it is not used as a time
      */
     public void putBack(String id, long stampUnixMs) {
-        if (outages.putBack(id, stampUnixMs, clock.micros())) {
+        if (outages.enable(id, stampUnixMs, clock.micros())) {
             publishOutages(id);
         }
     }
@@ -108,12 +108,12 @@
         for (String id : out) {
             takeOut(id);
         }
-        for (String id : outages.allOut()) {
+        for (String id : outages.disabledIds()) {
             if (!out.contains(id)) {
                 putBack(id, back.getOrDefault(id, 0L));
             }
         }
-        back.forEach((id, stamp) -> outages.mergeReturn(id, stamp, returnedUs(stamp)));
+        back.forEach((id, stamp) -> outages.mergeEnableCall(id, stamp, returnedUs(stamp)));
         outagesMerged = true;
     }
 
@@ -123,7 +123,7 @@
     }
 
     private void publishOutages(String changedId) {
-        proxy.handle(new Operated(List.copyOf(outages.allOut())));
+        proxy.handle(new Operated(List.copyOf(outages.disabledIds())));
         ListedEndpoint endpoint = listed.get(changedId);
         if (endpoint != null) {
             proxy.handle(new Members(ListScope.CHANGES, List.of(member(endpoint))));
@@ -216,7 +216,7 @@
     }
 
     private boolean isAvailable(ListedEndpoint endpoint) {
-        return endpoint.member().availability() == Availability.HEALTHY && !outages.isOut(endpoint.id());
+        return endpoint.member().availability() == Availability.HEALTHY && !outages.isDisabled(endpoint.id());
     }
 
     private void updateEndpoint(ListedEndpoint endpoint) {
--- a/src/main/java/clovermill/controlplane/outage/OutageFolder.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageFolder.java
@@ -22,49 +22,49 @@
 import java.util.function.LongSupplier;
 
 /**
- * Outages recorded in a folder that the processes of one director share.
+ * Records outages in a folder that the processes of one director share.
  *
- * <p>A cache that is out has a file {@code out-ID}, whose content tells one outage from another; one that came back
- * has a file {@code back-ID} with the stamp of its return. A file is written before the call is answered, and depends
- * on no other file, so that processes need no lock. The folder is in memory and a read that finds no change costs one
- * system call, so both are done on the loop.
+ * <p>A disabled cache has a file {@code out-ID}, whose content distinguishes one outage from another; a cache that was
+ * enabled has a file {@code back-ID} with the stamp of the enable call. A file is written before the response to the
+ * call, and depends on no other file, so that processes need no lock. The folder is in memory and a read that finds no
+ * change costs one system call, so reads and writes are done on the loop.
  */
 public final class OutageFolder implements OutageMarks {
 
     private static final System.Logger LOG = System.getLogger(OutageFolder.class.getName());
-    private static final String OUT_PREFIX = "out-";
-    private static final String BACK_PREFIX = "back-";
-    /** The resolution of the folder's time may be this coarse: within it a further change may not show. */
+    private static final String DISABLED_PREFIX = "out-";
+    private static final String ENABLED_PREFIX = "back-";
+    /** Upper bound on the resolution of the folder's time: within it a further change may not change the time. */
     private static final long TIME_RESOLUTION_US = 50_000;
-    /** The folder is read again after this long in any case: a wall clock that is stepped back may repeat a time. */
+    /** The folder is read at least this often, as a wall clock that is stepped back may repeat a time. */
     private static final long MAX_READ_INTERVAL_US = 5_000_000;
-    /** How long to wait after a failed write before it is tried again. */
+    /** Delay before a failed write is retried. */
     private static final long RETRY_INTERVAL_US = 500_000;
 
-    /** A mark that is not in the folder: an outage, or a return with its stamp. */
-    private record PendingMark(boolean out, long stampUnixMs) {}
+    /** A cache's mark; {@code stampUnixMs} identifies the enable call, 0 if the cache is disabled. */
+    private record Mark(boolean disabled, long stampUnixMs) {}
 
-    /** What the folder holds of a cache: the content of its two files, empty for one that does not exist. */
-    private record RecordedMarks(Optional<String> outage, Optional<String> back) {}
+    /** The contents of a cache's two files, empty for one that does not exist. */
+    private record RecordedMarks(Optional<String> disabled, Optional<String> enabled) {}
 
-    /** A pending mark, and what the folder held after it failed to be written; empty where that could not be read. */
-    private record Pending(PendingMark mark, Optional<RecordedMarks> found) {}
+    /** A mark that could not be written, and the recorded marks after the failure, empty if they could not be read. */
+    private record PendingMark(Mark mark, Optional<RecordedMarks> recorded) {}
 
     private final Path folder;
     private final LongSupplier monotonicUs;
-    /** Marks that could not be written: in force in this process, and written again until that succeeds. */
-    private final Map<String, Pending> pending = new LinkedHashMap<>();
+    /** Marks that could not be written, by cache: in force in this process, and retried until written. */
+    private final Map<String, PendingMark> pending = new LinkedHashMap<>();
     private long retryAtUs;
-    /** A random number for this process; with the outages that it has written, the content of an outage's file. */
-    private final long writer = ThreadLocalRandom.current().nextLong();
+    /** A random number for this process; with the number of outages written, the content of an outage's file. */
+    private final long writerId = ThreadLocalRandom.current().nextLong();
     private long outagesWritten;
-    /** The folder's time at the last read, compared for equality alone; null where it is to be read in any case. */
+    /** The folder's time at the last read, compared for equality only; null if the folder must be read again. */
     private FileTime folderTime;
-    private long folderTimeFoundUs;
+    private long folderTimeSeenUs;
     private long lastReadUs;
 
     /**
-     * Creates the folder unless it exists.
+     * Creates the folder if it does not exist.
      *
      * @param monotonicUs a clock in microseconds that is never stepped
      * @throws IOException if the folder cannot be created
@@ -75,18 +75,18 @@
     }
 
     @Override
-    public void takeOut(String id) {
-        recordOrKeep(id, new PendingMark(true, 0));
+    public void disable(String id) {
+        recordOrRetryLater(id, new Mark(true, 0));
     }
 
     @Override
-    public void putBack(String id, long stampUnixMs) {
-        recordOrKeep(id, new PendingMark(false, stampUnixMs));
+    public void enable(String id, long stampUnixMs) {
+        recordOrRetryLater(id, new Mark(false, stampUnixMs));
     }
 
     @Override
-    public boolean tryPutBack(String id, long stampUnixMs) {
-        boolean recorded = writeReturn(id, stampUnixMs) && deleteOutage(id);
+    public boolean tryEnable(String id, long stampUnixMs) {
+        boolean recorded = writeEnabled(id, stampUnixMs) && deleteDisabled(id);
         if (recorded) {
             pending.remove(id);
         }
@@ -99,21 +99,21 @@
     }
 
     /**
-     * Writes the pending marks again, unless the last failure is less than {@link #RETRY_INTERVAL_US} ago. To be
-     * called a few times a second, whether or not another process exists: a later start reads the folder, too. A mark
-     * is dropped where another process has recorded one of the same cache since: that is the later call
+     * Retries writing the pending marks, unless the last failure is less than {@link #RETRY_INTERVAL_US} ago. To be
+     * called a few times a second, whether or not another process exists, as a later start reads the folder, too. A
+     * mark is dropped if another process has since recorded a mark of the same cache, which is of a later call
      * (docs/incidents/outage-undone.md).
      */
     public void retryPending() {
         if (pending.isEmpty() || monotonicUs.getAsLong() < retryAtUs) {
             return;
         }
-        for (Map.Entry<String, Pending> each : List.copyOf(pending.entrySet())) {
+        for (Map.Entry<String, PendingMark> each : List.copyOf(pending.entrySet())) {
             String id = each.getKey();
             if (isSuperseded(id, each.getValue())) {
                 pending.remove(id);
                 LOG.log(Level.INFO, "the outage mark of {0} is dropped: another process has recorded a later one", id);
-            } else if (recordOrKeep(id, each.getValue().mark)) {
+            } else if (recordOrRetryLater(id, each.getValue().mark)) {
                 LOG.log(Level.INFO, "the outage mark of {0} is recorded in the shared folder", id);
             } else {
                 return;
@@ -121,14 +121,14 @@
         }
     }
 
-    private boolean isSuperseded(String id, Pending each) {
-        Optional<RecordedMarks> now = recordedMarks(id);
-        return each.found.isPresent() && now.isPresent() && !each.found.equals(now);
+    private boolean isSuperseded(String id, PendingMark mark) {
+        Optional<RecordedMarks> current = recordedMarks(id);
+        return mark.recorded.isPresent() && current.isPresent() && !mark.recorded.equals(current);
     }
 
     private Optional<RecordedMarks> recordedMarks(String id) {
         try {
-            return Optional.of(new RecordedMarks(content(OUT_PREFIX, id), content(BACK_PREFIX, id)));
+            return Optional.of(new RecordedMarks(content(DISABLED_PREFIX, id), content(ENABLED_PREFIX, id)));
         } catch (IOException failure) {
             logReadFailure(failure);
             return Optional.empty();
@@ -138,29 +138,29 @@
     private Optional<String> content(String prefix, String id) throws IOException {
         try {
             return Optional.of(Files.readString(file(prefix, id)));
-        } catch (NoSuchFileException none) {
+        } catch (NoSuchFileException missing) {
             return Optional.empty();
         }
     }
 
-    private boolean recordOrKeep(String id, PendingMark mark) {
+    private boolean recordOrRetryLater(String id, Mark mark) {
         boolean recorded = record(id, mark);
         if (recorded) {
             pending.remove(id);
         } else {
-            pending.put(id, new Pending(mark, recordedMarks(id)));
+            pending.put(id, new PendingMark(mark, recordedMarks(id)));
         }
         return recorded;
     }
 
-    private boolean record(String id, PendingMark mark) {
+    private boolean record(String id, Mark mark) {
         boolean recorded;
-        if (mark.out) {
-            recorded = write(OUT_PREFIX, id, writer + " " + ++outagesWritten);
+        if (mark.disabled) {
+            recorded = write(DISABLED_PREFIX, id, writerId + " " + ++outagesWritten);
         } else {
-            boolean stamped = writeReturn(id, mark.stampUnixMs);
-            // A full folder still lets the mark of the outage be deleted.
-            recorded = deleteOutage(id) && stamped;
+            boolean stamped = writeEnabled(id, mark.stampUnixMs);
+            // The file of the outage can be deleted even if the folder is full.
+            recorded = deleteDisabled(id) && stamped;
         }
         if (!recorded) {
             retryAtUs = monotonicUs.getAsLong() + RETRY_INTERVAL_US;
@@ -168,13 +168,13 @@
         return recorded;
     }
 
-    private boolean writeReturn(String id, long stampUnixMs) {
-        return write(BACK_PREFIX, id, Long.toString(stampUnixMs));
+    private boolean writeEnabled(String id, long stampUnixMs) {
+        return write(ENABLED_PREFIX, id, Long.toString(stampUnixMs));
     }
 
-    private boolean deleteOutage(String id) {
+    private boolean deleteDisabled(String id) {
         try {
-            Files.deleteIfExists(file(OUT_PREFIX, id));
+            Files.deleteIfExists(file(DISABLED_PREFIX, id));
             return true;
         } catch (IOException failure) {
             logWriteFailure(id, failure);
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Writes a file in one step: other processes see all of it or nothing. */
+    /** Writes a file atomically: other processes read all of it or nothing. */
     private boolean write(String prefix, String id, String text) {
         Path temporary = folder.resolve("new-" + ProcessHandle.current().pid());
         try {
@@ -195,12 +195,12 @@
         }
     }
 
-    /** The recorded and the pending outages; empty where none has changed since the last read, or it failed. */
+    /** Returns the recorded and the pending marks; empty if none has changed since the last read, or if it failed. */
     public Optional<OutageSnapshot> readIfChanged() {
         try {
             return mayHaveChanged() ? Optional.of(read()) : Optional.empty();
         } catch (IOException failure) {
-            // Nothing may change once it can be read again.
+            // Forces a read, as the folder's time may still be the same when it is readable again.
             folderTime = null;
             logReadFailure(failure);
         } catch (IllegalArgumentException notAMark) {
@@ -210,37 +210,37 @@
     }
 
     private OutageSnapshot read() throws IOException {
-        Set<String> out = new HashSet<>();
-        Map<String, Long> back = new HashMap<>();
+        Set<String> disabledIds = new HashSet<>();
+        Map<String, Long> enableStamps = new HashMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
             for (Path file : files) {
                 String name = file.getFileName().toString();
-                if (name.startsWith(OUT_PREFIX)) {
-                    out.add(id(name, OUT_PREFIX));
-                } else if (name.startsWith(BACK_PREFIX)) {
-                    readReturn(file, id(name, BACK_PREFIX), back);
+                if (name.startsWith(DISABLED_PREFIX)) {
+                    disabledIds.add(id(name, DISABLED_PREFIX));
+                } else if (name.startsWith(ENABLED_PREFIX)) {
+                    readEnabled(file, id(name, ENABLED_PREFIX), enableStamps);
                 }
             }
         }
         pending.forEach((id, each) -> {
-            if (each.mark.out) {
-                out.add(id);
+            if (each.mark.disabled) {
+                disabledIds.add(id);
             } else {
-                out.remove(id);
-                back.put(id, each.mark.stampUnixMs);
+                disabledIds.remove(id);
+                enableStamps.put(id, each.mark.stampUnixMs);
             }
         });
-        return new OutageSnapshot(out, back);
+        return new OutageSnapshot(disabledIds, enableStamps);
     }
 
-    /** Whether the folder's time has changed since the last read, or may not show a change; then notes a read. */
+    /** Returns whether the folder may have changed since the last read; if so, records a read at the current time. */
     private boolean mayHaveChanged() throws IOException {
         FileTime time = Files.getLastModifiedTime(folder);
         long nowUs = monotonicUs.getAsLong();
         if (!time.equals(folderTime)) {
             folderTime = time;
-            folderTimeFoundUs = nowUs;
-        } else if (lastReadUs - folderTimeFoundUs > TIME_RESOLUTION_US
+            folderTimeSeenUs = nowUs;
+        } else if (lastReadUs - folderTimeSeenUs > TIME_RESOLUTION_US
                 && nowUs - lastReadUs < MAX_READ_INTERVAL_US) {
             return false;
         }
@@ -248,11 +248,11 @@
         return true;
     }
 
-    private static void readReturn(Path file, String id, Map<String, Long> back) throws IOException {
+    private static void readEnabled(Path file, String id, Map<String, Long> enableStamps) throws IOException {
         try {
-            back.put(id, Long.parseLong(Files.readString(file)));
+            enableStamps.put(id, Long.parseLong(Files.readString(file)));
         } catch (NumberFormatException | NoSuchFileException notAMark) {
-            // Written by another program, or deleted since the folder was listed.
+            // The file was written by another program, or deleted after the folder was listed.
         }
     }
 
--- a/src/main/java/clovermill/controlplane/outage/OutageMarks.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageMarks.java
@@ -1,18 +1,18 @@
 package clovermill.controlplane.outage;
 
-/** Records outages for the other processes of this director and for its later starts. */
+/** Records which caches are disabled, for the other processes of this director and for its later starts. */
 public interface OutageMarks {
 
-    /** For a director of one process: nothing is recorded, as nothing outlives the process. */
+    /** Records nothing; for a director with a single process, whose outages do not outlive it. */
     OutageMarks NONE = new OutageMarks() {
         @Override
-        public void takeOut(String id) {}
+        public void disable(String id) {}
 
         @Override
-        public void putBack(String id, long stampUnixMs) {}
+        public void enable(String id, long stampUnixMs) {}
 
         @Override
-        public boolean tryPutBack(String id, long stampUnixMs) {
+        public boolean tryEnable(String id, long stampUnixMs) {
             return true;
         }
 
@@ -22,24 +22,24 @@
         }
     };
 
-    /** Marks a cache as out. A mark that cannot be recorded now is tried again until it is. */
-    void takeOut(String id);
+    /** Marks a cache as disabled. If the mark cannot be recorded now, recording is retried until it succeeds. */
+    void disable(String id);
 
     /**
-     * Marks a cache as back. A mark that cannot be recorded now is tried again until it is.
+     * Marks a cache as enabled. If the mark cannot be recorded now, recording is retried until it succeeds.
      *
-     * @param stampUnixMs identifies this return among those of the cache
+     * @param stampUnixMs identifies this call among the enable calls for the cache
      */
-    void putBack(String id, long stampUnixMs);
+    void enable(String id, long stampUnixMs);
 
     /**
-     * Marks a cache as back if that can be recorded now; otherwise it stays out.
+     * Marks a cache as enabled if that can be recorded now; otherwise it remains disabled.
      *
-     * @param stampUnixMs identifies this return among those of the cache
-     * @return whether it is recorded
+     * @param stampUnixMs identifies this call among the enable calls for the cache
+     * @return whether the mark is recorded
      */
-    boolean tryPutBack(String id, long stampUnixMs);
+    boolean tryEnable(String id, long stampUnixMs);
 
-    /** Whether the last mark of a cache is recorded, so that it outlives this process. */
+    /** Returns whether the last mark of a cache is recorded and therefore outlives this process. */
     boolean isRecorded(String id);
 }
--- a/src/main/java/clovermill/controlplane/outage/OutageRegistry.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageRegistry.java
@@ -6,83 +6,86 @@
 import java.util.Set;
 
 /**
- * The caches that operators have taken out, and the last returns of those that came back. Does no I/O and reads no
- * clock.
+ * The caches that operators have disabled, and the last enable call for each of the others. Does no I/O and reads no
+ * clock. Not thread-safe.
  */
 public final class OutageRegistry {
 
-    /** Returns that are remembered, more than any director has caches: a forgotten one is of a cache long warm. */
-    private static final int MAX_RETURNS = 1000;
+    /**
+     * Maximum number of remembered enable calls. No director has as many caches, so only calls for caches that were
+     * started long ago are forgotten.
+     */
+    private static final int MAX_ENABLE_CALLS = 1000;
 
-    private final Set<String> out = new HashSet<>();
-    /** The last return of each cache, the oldest first. */
-    private final Map<String, Return> returns = new LinkedHashMap<>();
+    private final Set<String> disabled = new HashSet<>();
+    /** The last enable call for each cache, the oldest first. */
+    private final Map<String, EnableCall> enableCalls = new LinkedHashMap<>();
 
-    /** A return: the stamp that identifies it, and its monotonic time. */
-    private record Return(long stampUnixMs, long returnedUs) {}
+    /** An enable call: the stamp that identifies it, and its monotonic time. */
+    private record EnableCall(long stampUnixMs, long enabledUs) {}
 
-    /** Takes a cache out; false if it was out before. */
-    public boolean takeOut(String id) {
-        return out.add(id);
+    /** Disables a cache; returns false if it was disabled before. */
+    public boolean disable(String id) {
+        return disabled.add(id);
     }
 
     /**
-     * Puts a cache back.
+     * Enables a cache.
      *
-     * @param stampUnixMs identifies this return among those of the cache
+     * @param stampUnixMs identifies this call among the enable calls for the cache
      * @param nowUs the monotonic clock
-     * @return false if it was not out
+     * @return false if it was not disabled
      */
-    public boolean putBack(String id, long stampUnixMs, long nowUs) {
-        if (!out.remove(id)) {
+    public boolean enable(String id, long stampUnixMs, long nowUs) {
+        if (!disabled.remove(id)) {
             return false;
         }
-        remember(id, new Return(stampUnixMs, nowUs));
+        remember(id, new EnableCall(stampUnixMs, nowUs));
         return true;
     }
 
     /**
-     * Merges a return that another process has recorded. The stamp of the last known return is the same return; any
-     * other stamp, also an earlier one of a wall clock that was stepped, is a further return. A return never makes a
-     * cache older than it was known to be.
+     * Merges an enable call that another process has recorded. The stamp of the last known call identifies the same
+     * call; any other stamp, also an earlier one of a wall clock that was stepped, is a further call. Merging never
+     * moves a cache's start to an earlier time.
      *
-     * @param returnedUs when it was, on the monotonic clock
+     * @param enabledUs the time of the call on the monotonic clock
      */
-    public void mergeReturn(String id, long stampUnixMs, long returnedUs) {
-        Return known = returns.get(id);
+    public void mergeEnableCall(String id, long stampUnixMs, long enabledUs) {
+        EnableCall known = enableCalls.get(id);
         if (known == null) {
-            remember(id, new Return(stampUnixMs, returnedUs));
+            remember(id, new EnableCall(stampUnixMs, enabledUs));
         } else if (known.stampUnixMs != stampUnixMs) {
-            remember(id, new Return(stampUnixMs, Math.max(known.returnedUs, returnedUs)));
+            remember(id, new EnableCall(stampUnixMs, Math.max(known.enabledUs, enabledUs)));
         }
     }
 
-    private void remember(String id, Return last) {
-        returns.remove(id);
-        returns.put(id, last);
-        if (returns.size() > MAX_RETURNS) {
-            returns.remove(returns.keySet().iterator().next());
+    private void remember(String id, EnableCall call) {
+        enableCalls.remove(id);
+        enableCalls.put(id, call);
+        if (enableCalls.size() > MAX_ENABLE_CALLS) {
+            enableCalls.remove(enableCalls.keySet().iterator().next());
         }
     }
 
-    /** Whether a cache is out. */
-    public boolean isOut(String id) {
-        return out.contains(id);
+    /** Returns whether a cache is disabled. */
+    public boolean isDisabled(String id) {
+        return disabled.contains(id);
     }
 
-    /** The ids of all caches that are out. */
-    public Set<String> allOut() {
-        return Set.copyOf(out);
+    /** Returns the ids of all disabled caches. */
+    public Set<String> disabledIds() {
+        return Set.copyOf(disabled);
     }
 
     /**
-     * When a cache counts as started on the monotonic clock, in microseconds, 0 for long ago. It is restarted while it
-     * is out, which the list may show late or not at all.
+     * Returns the time at which a cache counts as started, on the monotonic clock in microseconds, 0 for long ago. A
+     * cache is restarted while it is disabled, which the endpoint list may show late or not at all.
      *
-     * @param listedStartUs its start as the list gives it
+     * @param listedStartUs its start according to the endpoint list
      */
     public long startedUs(String id, long listedStartUs) {
-        Return known = returns.get(id);
-        return known == null ? listedStartUs : Math.max(listedStartUs, known.returnedUs);
+        EnableCall known = enableCalls.get(id);
+        return known == null ? listedStartUs : Math.max(listedStartUs, known.enabledUs);
     }
 }
--- a/src/main/java/clovermill/controlplane/outage/OutageSnapshot.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageSnapshot.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * The outages that all processes of a director have recorded.
+ * The marks that all processes of a director have recorded.
  *
- * @param out the ids of the caches that are out
- * @param back the stamp of the last return of each cache that came back, in Unix milliseconds
+ * @param disabledIds the ids of the disabled caches
+ * @param enableStampsUnixMs the stamp of the last enable call for each cache that was enabled, by id
  */
-public record OutageSnapshot(Set<String> out, Map<String, Long> back) {}
+public record OutageSnapshot(Set<String> disabledIds, Map<String, Long> enableStampsUnixMs) {}
--- a/src/main/java/clovermill/director/operations/GossipedOutages.java
+++ b/src/main/java/clovermill/director/operations/GossipedOutages.java
@@ -18,11 +18,11 @@
     @Override
     public void accept(String id, Boolean out) {
         if (out && !registry.isOut(id)) {
-            marks.takeOut(id);
+            marks.disable(id);
             registry.takeOut(id);
         } else if (!out && registry.isOut(id)) {
             long stampMs = clock.unixMillis();
-            marks.putBack(id, stampMs);
+            marks.enable(id, stampMs);
             registry.putBack(id, stampMs);
         }
     }
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -72,7 +72,8 @@
     /** Writes this process's marks that could not be written before, then applies those of the other process. */
     public void syncOutages() {
         outages.retryPending();
-        outages.readIfChanged().ifPresent(snapshot -> registry.mergeOutages(snapshot.out(), snapshot.back()));
+        outages.readIfChanged()
+                .ifPresent(snapshot -> registry.mergeOutages(snapshot.disabledIds(), snapshot.enableStampsUnixMs()));
     }
 
     /** Starts the checks; the first applies what an earlier process has marked. */
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -33,7 +33,7 @@
             return OutageCallResult.UNKNOWN_CACHE;
         }
         if (!registry.isOut(id)) {
-            marks.takeOut(id);
+            marks.disable(id);
             registry.takeOut(id);
         }
         return recorded(id);
@@ -47,7 +47,7 @@
         }
         if (registry.isOut(id)) {
             long stampMs = clock.unixMillis();
-            if (!marks.tryPutBack(id, stampMs)) {
+            if (!marks.tryEnable(id, stampMs)) {
                 return OutageCallResult.NOT_RECORDED;
             }
             registry.putBack(id, stampMs);
--- a/src/main/java/clovermill/director/operations/ReplicatedOutageMarks.java
+++ b/src/main/java/clovermill/director/operations/ReplicatedOutageMarks.java
@@ -12,20 +12,20 @@
 public record ReplicatedOutageMarks(OutageMarks marks, GossipService gossip) implements OutageMarks {
 
     @Override
-    public void takeOut(String id) {
-        marks.takeOut(id);
+    public void disable(String id) {
+        marks.disable(id);
         gossip.replicateOutage(id, true);
     }
 
     @Override
-    public void putBack(String id, long stampMs) {
-        marks.putBack(id, stampMs);
+    public void enable(String id, long stampMs) {
+        marks.enable(id, stampMs);
         gossip.replicateOutage(id, false);
     }
 
     @Override
-    public boolean tryPutBack(String id, long stampMs) {
-        boolean recorded = marks.tryPutBack(id, stampMs);
+    public boolean tryEnable(String id, long stampMs) {
+        boolean recorded = marks.tryEnable(id, stampMs);
         if (recorded) {
             gossip.replicateOutage(id, false);
         }
--- a/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
+++ b/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
@@ -20,27 +20,27 @@
     @TempDir
     private Path folder;
 
-    /** A process that starts later must find at its first read what an earlier one recorded. */
+    /** A process must read the marks of an earlier one at its first read. */
     @Test
-    void anOutageThatOneProcessRecordsIsReadByTheOther() throws Exception {
+    void processesReadEachOthersMarks() throws Exception {
         OutageFolder one = new OutageFolder(folder.resolve("shared"), clock::micros);
-        one.takeOut("s-1");
-        one.takeOut("../s 2");
-        one.putBack("s-1", 42);
+        one.disable("s-1");
+        one.disable("../s 2");
+        one.enable("s-1", 42);
         OutageFolder other = new OutageFolder(folder.resolve("shared"), clock::micros);
         assertThat(other.readIfChanged()).hasValue(new OutageSnapshot(Set.of("../s 2"), Map.of("s-1", 42L)));
-        other.putBack("../s 2", 43);
-        one.takeOut("s-1");
+        other.enable("../s 2", 43);
+        one.disable("s-1");
         assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of("s-1"), Map.of("s-1", 42L, "../s 2", 43L)));
     }
 
     @Test
-    void aFolderInWhichNothingChangedIsNotReadAgain() throws Exception {
+    void doesNotReadAnUnchangedFolderAgain() throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
-        one.takeOut("s-1");
+        one.disable("s-1");
         Files.setLastModifiedTime(folder, FileTime.fromMillis(1_000));
         assertThat(one.readIfChanged()).isPresent();
-        assertThat(one.readIfChanged()).as("the folder's time may be coarser than what changes").isPresent();
+        assertThat(one.readIfChanged()).as("within the resolution of the folder's time").isPresent();
         clock.passMs(51);
         assertThat(one.readIfChanged()).isPresent();
         Files.setLastModifiedTime(folder, FileTime.fromMillis(1_000));
@@ -49,70 +49,70 @@
         clock.passMs(4_899);
         assertThat(one.readIfChanged()).isEmpty();
         clock.passMs(1);
-        assertThat(one.readIfChanged()).as("read again in any case").isPresent();
+        assertThat(one.readIfChanged()).as("after the maximum interval").isPresent();
         clock.passMs(100);
         assertThat(one.readIfChanged()).isEmpty();
         Files.writeString(folder.resolve("back-s-9"), "not a time");
-        Files.writeString(folder.resolve("out-%zz"), "no name of ours");
-        assertThat(one.readIfChanged()).as("junk costs a line in the log").isEmpty();
+        Files.writeString(folder.resolve("out-%zz"), "not an encoded id");
+        assertThat(one.readIfChanged()).as("invalid files are only logged").isEmpty();
     }
 
-    /** Files get the wall clock's times: after a step back each change looks older than the last read, for an hour. */
+    /** File times follow the wall clock: after it is stepped back, a change has an earlier time than the last read. */
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -5_000, 5_000, 3_600_000})
-    void anOutageRecordedAfterAStepOfTheWallClockIsFoundAtTheNextRead(long stepMs) throws Exception {
+    void readsMarksRecordedAfterAStepOfTheWallClock(long stepMs) throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
         OutageFolder other = new OutageFolder(folder, clock::micros);
         FileTime before = Files.getLastModifiedTime(folder);
-        assertThat(one.readIfChanged().orElseThrow().out()).isEmpty();
+        assertThat(one.readIfChanged().orElseThrow().disabledIds()).isEmpty();
         clock.passMs(100);
         one.readIfChanged();
-        other.takeOut("s-1");
+        other.disable("s-1");
         Files.setLastModifiedTime(folder, FileTime.fromMillis(before.toMillis() + stepMs));
         clock.passMs(100);
         assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of("s-1"), Map.of()));
         clock.passMs(100);
         one.readIfChanged();
-        other.putBack("s-1", 42);
+        other.enable("s-1", 42);
         Files.setLastModifiedTime(folder, FileTime.fromMillis(before.toMillis() + 1));
         clock.passMs(100);
         assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of(), Map.of("s-1", 42L)));
     }
 
-    /** A full or read-only folder: the call is in force in this process all the same. */
+    /** The folder may be full or read-only. */
     @Test
-    void anOutageThatCannotBeRecordedIsInForceInThisProcess() throws Exception {
+    void marksThatCannotBeRecordedAreInForceInThisProcess() throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
-        one.takeOut("s-1");
-        Path inTheWay = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
-        one.takeOut("s-2");
-        one.putBack("s-1", 42);
-        assertThat(one.readIfChanged().orElseThrow().out()).containsExactly("s-2");
-        assertThat(new OutageFolder(folder, clock::micros).readIfChanged().orElseThrow().out())
-                .as("it is not recorded for the next process").isEmpty();
-        Files.delete(inTheWay);
-        one.putBack("s-2", 43);
-        one.takeOut("s-1");
+        one.disable("s-1");
+        Path obstacle = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
+        one.disable("s-2");
+        one.enable("s-1", 42);
+        assertThat(one.readIfChanged().orElseThrow().disabledIds()).containsExactly("s-2");
+        assertThat(new OutageFolder(folder, clock::micros).readIfChanged().orElseThrow().disabledIds())
+                .as("read by the next process").isEmpty();
+        Files.delete(obstacle);
+        one.enable("s-2", 43);
+        one.disable("s-1");
         assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of("s-1"), Map.of("s-2", 43L)));
     }
 
-    /** A later start, of which no process runs yet, must find what a full disk kept from being written. */
+    /** Guards against the loss of a mark at a restart when the disk was full at the time of the call. */
     @Test
-    void aPendingMarkIsWrittenOnceTheFolderCanBeWritten() throws Exception {
+    void writesPendingMarksOnceTheFolderIsWritable() throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
-        one.takeOut("s-1");
-        Path inTheWay = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
-        one.takeOut("s-2");
-        one.putBack("s-1", 42);
+        one.disable("s-1");
+        Path obstacle = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
+        one.disable("s-2");
+        one.enable("s-1", 42);
         assertThat(one.isRecorded("s-2")).isFalse();
         assertThat(one.isRecorded("s-1")).isFalse();
         clock.passMs(500);
         one.retryPending();
-        assertThat(one.isRecorded("s-2")).as("the folder still fails").isFalse();
-        Files.delete(inTheWay);
+        assertThat(one.isRecorded("s-2")).as("the folder is still not writable").isFalse();
+        Files.delete(obstacle);
         clock.passMs(499);
         one.retryPending();
-        assertThat(one.isRecorded("s-2")).as("not tried again at once").isFalse();
+        assertThat(one.isRecorded("s-2")).as("before the retry interval").isFalse();
         clock.passMs(1);
         one.retryPending();
         assertThat(one.isRecorded("s-2")).isTrue();
@@ -122,53 +122,52 @@
     }
 
     /**
-     * During a handover an operator's "disable" is answered 503 at one process, as the folder cannot be written, and
-     * "enable" then 200 at the other. The first process wrote its older mark as soon as it could, so that the cache was
-     * out again at both, and after a kill, against the last call that was answered 200
-     * (docs/incidents/outage-undone.md).
+     * During a handover a "disable" call gets status 503 at one process, as the folder cannot be written, and an
+     * "enable" call then 200 at the other. If the first process retried its older mark, the cache would be disabled
+     * again at both, contrary to the last successful call (docs/incidents/outage-undone.md).
      */
     @Test
-    void aReturnRecordedByTheOtherProcessIsNotUndoneByAnOlderOutageThatWasPending() throws Exception {
+    void olderPendingDisableDoesNotOverrideAnEnableOfTheOtherProcess() throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
         OutageFolder other = new OutageFolder(folder, clock::micros);
-        Path inTheWay = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
-        one.takeOut("s-1");
+        Path obstacle = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
+        one.disable("s-1");
         assertThat(one.isRecorded("s-1")).isFalse();
-        Files.delete(inTheWay);
-        other.putBack("s-1", 42);
+        Files.delete(obstacle);
+        other.enable("s-1", 42);
         clock.passMs(500);
         one.retryPending();
         clock.passMs(100);
-        assertThat(other.readIfChanged().orElseThrow().out()).isEmpty();
-        assertThat(one.readIfChanged().orElseThrow().out()).isEmpty();
+        assertThat(other.readIfChanged().orElseThrow().disabledIds()).isEmpty();
+        assertThat(one.readIfChanged().orElseThrow().disabledIds()).isEmpty();
     }
 
-    /** The same the other way round: a "disable" answered 200 is undone by an older "enable" answered 503. */
+    /** The reverse case: an "enable" call that got 503 must not override a later "disable" call that got 200. */
     @Test
-    void anOutageRecordedByTheOtherProcessIsNotUndoneByAnOlderReturnThatWasPending() throws Exception {
+    void olderPendingEnableDoesNotOverrideADisableOfTheOtherProcess() throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
         OutageFolder other = new OutageFolder(folder, clock::micros);
-        Path inTheWay = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
-        one.putBack("s-1", 42);
+        Path obstacle = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
+        one.enable("s-1", 42);
         assertThat(one.isRecorded("s-1")).isFalse();
-        Files.delete(inTheWay);
-        other.takeOut("s-1");
+        Files.delete(obstacle);
+        other.disable("s-1");
         clock.passMs(500);
         one.retryPending();
         clock.passMs(100);
-        assertThat(other.readIfChanged().orElseThrow().out()).containsExactly("s-1");
-        assertThat(one.readIfChanged().orElseThrow().out()).containsExactly("s-1");
+        assertThat(other.readIfChanged().orElseThrow().disabledIds()).containsExactly("s-1");
+        assertThat(one.readIfChanged().orElseThrow().disabledIds()).containsExactly("s-1");
     }
 
-    /** A disk that fails for some looks, with the folder's time unchanged: what the other process marked counts. */
+    /** Guards against missing the other process's marks if reads fail and the folder's time then is unchanged. */
     @Test
-    void afterAReadThatFailedTheFolderIsReadAtTheNextLook() throws Exception {
+    void readsTheFolderAgainAfterAFailedRead() throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
         FileTime unchanged = FileTime.fromMillis(1_000);
-        new OutageFolder(folder, clock::micros).takeOut("s-1");
+        new OutageFolder(folder, clock::micros).disable("s-1");
         Path unreadable = Files.createDirectory(folder.resolve("back-s-9"));
         Files.setLastModifiedTime(folder, unchanged);
-        for (int look = 0; look < 3; look++) {
+        for (int i = 0; i < 3; i++) {
             assertThat(one.readIfChanged()).isEmpty();
             clock.passMs(100);
         }
@@ -177,18 +176,18 @@
         assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of("s-1"), Map.of()));
     }
 
-    /** The last call counts: an outage that waits to be written must not come after the return. */
+    /** The last call is in force: a pending "disable" must not be written after an "enable". */
     @Test
-    void aReturnTakesThePlaceOfAnOutageThatWaitsToBeWritten() throws Exception {
+    void successfulEnableReplacesAPendingDisable() throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
-        Path inTheWay = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
-        one.takeOut("s-1");
-        assertThat(one.tryPutBack("s-1", 42)).isFalse();
+        Path obstacle = Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
+        one.disable("s-1");
+        assertThat(one.tryEnable("s-1", 42)).isFalse();
         assertThat(one.isRecorded("s-1")).isFalse();
-        assertThat(one.readIfChanged().orElseThrow().out()).as("a return that failed changes nothing")
+        assertThat(one.readIfChanged().orElseThrow().disabledIds()).as("after a failed enable call")
                 .containsExactly("s-1");
-        Files.delete(inTheWay);
-        assertThat(one.tryPutBack("s-1", 43)).isTrue();
+        Files.delete(obstacle);
+        assertThat(one.tryEnable("s-1", 43)).isTrue();
         clock.passMs(1_000);
         one.retryPending();
         assertThat(one.isRecorded("s-1")).isTrue();
@@ -196,42 +195,43 @@
                 .hasValue(new OutageSnapshot(Set.of(), Map.of("s-1", 43L)));
     }
 
-    /** A process that is killed between the two steps of a return leaves both marks: the cache stays out. */
+    /** A process that is killed between the two steps of an enable call leaves both marks. */
     @Test
-    void aProcessThatIsKilledHalfwayLeavesTheCacheOut() throws Exception {
+    void cacheRemainsDisabledIfTheProcessIsKilledDuringAnEnableCall() throws Exception {
         OutageFolder one = new OutageFolder(folder, clock::micros);
-        one.takeOut("s-1");
+        one.disable("s-1");
         Files.writeString(folder.resolve("back-s-1"), "42");
         Files.writeString(folder.resolve("new-7"), "4");
-        assertThat(new OutageFolder(folder, clock::micros).readIfChanged().orElseThrow().out()).containsExactly("s-1");
+        assertThat(new OutageFolder(folder, clock::micros).readIfChanged().orElseThrow().disabledIds())
+                .containsExactly("s-1");
     }
 
     @Test
-    void aCacheThatIsBackHasJustStarted() {
+    void enabledCacheCountsAsJustStarted() {
         OutageRegistry outages = new OutageRegistry();
-        assertThat(outages.takeOut("s-1")).isTrue();
-        assertThat(outages.takeOut("s-1")).isFalse();
-        assertThat(outages.isOut("s-1")).isTrue();
-        assertThat(outages.putBack("s-1", 7_000, 500)).isTrue();
-        assertThat(outages.putBack("s-1", 7_100, 600)).isFalse();
-        outages.mergeReturn("s-1", 7_000, 650);
-        assertThat(outages.startedUs("s-1", 0)).as("the same return once more").isEqualTo(500);
+        assertThat(outages.disable("s-1")).isTrue();
+        assertThat(outages.disable("s-1")).isFalse();
+        assertThat(outages.isDisabled("s-1")).isTrue();
+        assertThat(outages.enable("s-1", 7_000, 500)).isTrue();
+        assertThat(outages.enable("s-1", 7_100, 600)).isFalse();
+        outages.mergeEnableCall("s-1", 7_000, 650);
+        assertThat(outages.startedUs("s-1", 0)).as("same enable call again").isEqualTo(500);
         assertThat(outages.startedUs("s-1", 700)).isEqualTo(700);
         assertThat(outages.startedUs("s-2", 0)).isZero();
-        outages.mergeReturn("s-1", 6_000, 400);
-        assertThat(outages.startedUs("s-1", 0)).as("no return makes it older").isEqualTo(500);
-        outages.mergeReturn("s-1", 3_000, 800);
-        assertThat(outages.startedUs("s-1", 0)).as("a further return after the wall clock was stepped back")
+        outages.mergeEnableCall("s-1", 6_000, 400);
+        assertThat(outages.startedUs("s-1", 0)).as("an enable call never moves the start back").isEqualTo(500);
+        outages.mergeEnableCall("s-1", 3_000, 800);
+        assertThat(outages.startedUs("s-1", 0)).as("further enable call after the wall clock was stepped back")
                 .isEqualTo(800);
     }
 
-    /** The other process could not mark the return itself: the mark of an earlier one is still there. */
+    /** The recorded stamp may be that of an earlier enable call, if the last one could not be recorded. */
     @Test
-    void aCacheThatIsBackAgainHasJustStartedWhateverItIsMarkedWith() {
+    void repeatedlyEnabledCacheCountsAsJustStartedEvenWithTheSameStamp() {
         OutageRegistry outages = new OutageRegistry();
-        outages.mergeReturn("s-1", 7_000, 500);
-        outages.takeOut("s-1");
-        assertThat(outages.putBack("s-1", 7_000, 900)).isTrue();
+        outages.mergeEnableCall("s-1", 7_000, 500);
+        outages.disable("s-1");
+        assertThat(outages.enable("s-1", 7_000, 900)).isTrue();
         assertThat(outages.startedUs("s-1", 0)).isEqualTo(900);
     }
 }
--- a/src/test/java/clovermill/director/operations/OperatorActionsTest.java
+++ b/src/test/java/clovermill/director/operations/OperatorActionsTest.java
@@ -68,7 +68,7 @@
     }
 
     private List<String> outForLaterStarts() throws Exception {
-        return List.copyOf(new OutageFolder(folder, clock::micros).readIfChanged().orElseThrow().out());
+        return List.copyOf(new OutageFolder(folder, clock::micros).readIfChanged().orElseThrow().disabledIds());
     }
 
     /** A kill would undo what is not in the folder, so that a yes would be broken. */
