--- a/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
+++ b/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reloads the configuration file while requests are open. A signal opens a window in which the file is checked
- * repeatedly, so that one that is being replaced, half written or missing at the signal is still applied; where the
- * signal is not delivered the window never ends. A check costs one system call for the file's attributes. On the loop's
- * thread.
+ * Reloads the configuration file without interrupting requests. A signal opens a window in which the file is checked
+ * repeatedly, so that a file that is being replaced, half written or missing at the time of the signal is still
+ * applied; if the signal is not delivered, the window never closes. A check costs one system call for the file's
+ * attributes. On the loop's thread.
  */
 public final class ConfigReloader {
 
-    /** Between two checks: an eighth of the time after which the rules count the new channel's events as received. */
+    /** Time between two checks: an eighth of {@link #WINDOW_US}. */
     static final long CHECK_INTERVAL_US = 500_000;
-    /** From a signal: the rules count a new channel's events as received 4 s after it. */
+    /** Window after a signal: the rules count events of a new channel as received 4 s after the signal. */
     static final long WINDOW_US = 4_000_000;
 
     private static final System.Logger LOG = System.getLogger(ConfigReloader.class.getName());
@@ -38,24 +38,28 @@
     private Config inForce;
     private long windowEndUs;
 
-    /** What a new configuration is applied to. */
+    /** Applies new configurations to the running process. */
     @FunctionalInterface
     public interface Target {
 
         /**
          * Applies a complete and checked configuration.
          *
-         * @throws Json.Malformed if it cannot be used; nothing of it is applied then
+         * @throws Json.Malformed if it is invalid; no part of it is applied then
          */
         void apply(Config config) throws Json.Malformed;
     }
 
-    /** The file as it is now counts as read; it gave {@code inForce}. */
+    /**
+     * Creates a reloader that considers the present file as read.
+     *
+     * @param inForce the configuration that was read from the file
+     */
     public ConfigReloader(Path file, Clock clock, Deadlines deadlines, Config inForce, Target target) {
         this(file, () -> Files.readString(file), clock, deadlines, inForce, target);
     }
 
-    /** As above, with the text of the file from {@code source}. */
+    /** Creates a reloader that reads the file's text from {@code source}. */
     ConfigReloader(Path file, Config.Source source, Clock clock, Deadlines deadlines, Config inForce, Target target) {
         this.file = file;
         this.source = source;
@@ -66,14 +70,14 @@
         this.watch = new ConfigWatch(attributes());
     }
 
-    /** Reads the file now, and checks it for changes until the window ends. */
+    /** Reads the file now, and checks it for changes until the window closes. */
     public void reload() {
         watch.forceRead();
         windowEndUs = Math.max(windowEndUs, clock.micros() + WINDOW_US);
         check();
     }
 
-    /** Checks the file for changes from now on: the signal is not delivered. */
+    /** Checks the file for changes from now on, without end; for processes to which the signal is not delivered. */
     public void pollAlways() {
         windowEndUs = Long.MAX_VALUE;
         check();
@@ -84,10 +88,10 @@
         if (clock.micros() + CHECK_INTERVAL_US <= windowEndUs) {
             scheduleCheck();
         }
-        Optional<ConfigWatch.Attributes> found = attributes();
-        if (watch.shouldRead(found)) {
+        Optional<ConfigWatch.Attributes> current = attributes();
+        if (watch.shouldRead(current)) {
             read();
-        } else if (found.isEmpty()) {
+        } else if (current.isEmpty()) {
             warn("there is no such file");
         }
     }
@@ -105,7 +109,7 @@
         } catch (IOException unreadable) {
             watch.readFailed();
             deadlines.cancel(nextCheck);
-            scheduleCheck(); // also after the window: the change was signalled and is still to be applied
+            scheduleCheck(); // even after the window, as the signalled change has not been applied yet
             warn("the file can't be read: " + unreadable.getMessage());
         }
     }
--- a/src/main/java/clovermill/controlplane/reload/ConfigWatch.java
+++ b/src/main/java/clovermill/controlplane/reload/ConfigWatch.java
@@ -5,34 +5,34 @@
 /**
  * Decides when the configuration file is read and when a warning is logged, from the file's attributes at each check.
  *
- * <p>A file is read at the check that finds it changed, and once more at the next: a second write of the same size
- * within one tick of the file system's time leaves the attributes as they are. An unusable file is logged only at that
- * second reading, since it may have been half written at the first. Reads nothing itself. Not thread-safe.
+ * <p>A file is read at the check that finds it changed, and again at the next check, as a second write of the same size
+ * within one tick of the file system's time does not change the attributes. An invalid file is logged only at that
+ * second read, since it may have been half written at the first. Does no I/O. Not thread-safe.
  */
 final class ConfigWatch {
 
     /**
-     * The attributes that a change shows in.
+     * The attributes by which a change is detected.
      *
-     * @param identity which file it is (the inode, for example)
-     * @param sizeBytes its size
-     * @param modifiedNanos its modification time; compared for equality only
+     * @param identity the identity of the file (the inode, for example)
+     * @param sizeBytes the size
+     * @param modifiedNanos the modification time; compared for equality only
      */
     record Attributes(Object identity, long sizeBytes, long modifiedNanos) {}
 
     private Optional<Attributes> last;
-    /** Whether the last attributes were seen twice. */
+    /** Whether the last attributes were found by at least two checks. */
     private boolean settled = true;
     private boolean warned;
     private int checksMissing;
     private int readsFailed;
 
-    /** The file with these attributes counts as read; empty if there is none. */
+    /** Creates a watch that considers the file with these attributes as read; empty if there is no file. */
     ConfigWatch(Optional<Attributes> known) {
         this.last = known;
     }
 
-    /** The next check reads the file in any case. */
+    /** Makes the next check read the file even if it is unchanged. */
     void forceRead() {
         last = Optional.empty();
         warned = false;
@@ -40,36 +40,40 @@
         readsFailed = 0;
     }
 
-    /** The file could not be read for a moment (no descriptor, for example): the next check reads it again. */
+    /** Makes the next check read the file again, after a temporary failure (no descriptor, for example). */
     void readFailed() {
         settled = false;
         readsFailed++;
     }
 
-    /** Whether the file is to be read at this check; {@code found} is empty where there is no file. */
-    boolean shouldRead(Optional<Attributes> found) {
-        if (found.isEmpty()) {
+    /**
+     * Returns whether the file is to be read at this check.
+     *
+     * @param current its attributes; empty if there is no file
+     */
+    boolean shouldRead(Optional<Attributes> current) {
+        if (current.isEmpty()) {
             checksMissing++;
             return false;
         }
         checksMissing = 0;
-        if (!found.equals(last)) {
-            last = found;
+        if (!current.equals(last)) {
+            last = current;
             settled = false;
             warned = false;
             readsFailed = 0;
             return true;
         }
-        boolean again = !settled;
+        boolean secondRead = !settled;
         settled = true;
-        return again;
+        return secondRead;
     }
 
-    /** After a failed reading, or a check that found no file: whether to log it, once for each such state. */
+    /** Returns whether to log a failed read or a missing file, which is done once for each such state. */
     boolean shouldWarn() {
-        boolean lasting = checksMissing > 0 ? checksMissing > 1 : settled || readsFailed > 1;
-        boolean warn = lasting && !warned;
-        warned |= lasting;
+        boolean persistent = checksMissing > 0 ? checksMissing > 1 : settled || readsFailed > 1;
+        boolean warn = persistent && !warned;
+        warned |= persistent;
         return warn;
     }
 }
--- a/src/main/java/clovermill/controlplane/reload/Signals.java
+++ b/src/main/java/clovermill/controlplane/reload/Signals.java
@@ -4,30 +4,30 @@
 import java.lang.reflect.Proxy;
 
 /**
- * POSIX signals as the JVM delivers them. The only way to handle them is a class that the compiler warns of, so it is
- * looked up at run time. A process may inherit a signal as ignored (nohup does that with SIGHUP); the JVM then drops
- * the registration of a handler without an error, which shows only in the handler that it reports as replaced.
+ * Handles POSIX signals. The JVM's only interface for this is a class that the compiler warns of, so it is looked up at
+ * run time. A process may inherit a signal as ignored (from nohup in the case of SIGHUP); the JVM then ignores the
+ * registration of a handler without an error, which can be detected only by the replaced handler that it returns.
  */
 public final class Signals {
 
     /** Whether a signal reaches its handler. */
     public enum Delivery {
-        /** The handler runs at each signal. */
+        /** The handler runs on each signal. */
         DELIVERED,
         /** The process was started with the signal ignored; it is never delivered. */
         IGNORED,
-        /** This JVM does not handle a signal of that name. */
+        /** This JVM cannot handle a signal of that name. */
         UNAVAILABLE
     }
 
     private Signals() {}
 
-    /** Runs {@code task}, on a thread of the JVM, at each signal of that name ({@code HUP}, for example). */
+    /** Runs {@code task} on a thread of the JVM on each signal of that name ({@code HUP}, for example). */
     public static Delivery onSignal(String name, Runnable task) {
         return handle(name, task, false);
     }
 
-    /** Whether a signal would be delivered; the handler in force is left as it is. */
+    /** Returns whether a signal would be delivered; the handler in force remains installed. */
     public static Delivery probe(String name) {
         return handle(name, () -> {}, true);
     }
@@ -50,7 +50,7 @@
                 type.getMethod("handle", type, handler).invoke(null, signal, replaced);
             }
             return Delivery.DELIVERED;
-        } catch (InvocationTargetException | IllegalArgumentException refused) {
+        } catch (InvocationTargetException | IllegalArgumentException unsupported) {
             return Delivery.UNAVAILABLE; // an unknown name, or one that the JVM reserves
         } catch (ReflectiveOperationException missing) {
             return Delivery.UNAVAILABLE;
--- a/src/main/java/clovermill/controlplane/reload/decide/RequestClassRegistry.java
+++ b/src/main/java/clovermill/controlplane/reload/decide/RequestClassRegistry.java
@@ -10,85 +10,93 @@
 import java.util.Map;
 
 /**
- * The request classes over the life of a process. A class keeps its number by its name, whatever position
- * configurations give it, so that what is open or was learned under a number stays true; a number is never reused.
+ * The request classes of a process across reloads of the configuration. A class keeps its number, by its name, whatever
+ * its position in later configurations, so that open requests and statistics under a number remain valid; a number is
+ * never reused.
  *
- * <p>Clients follow a new configuration some time after the signal. During this overlap a class may do only what both
- * its old and its new terms allow, a request may be attempted only as often as both allow, and a class that was removed
- * is still accepted. Pure; not thread-safe.
+ * <p>Clients apply a new configuration some time after the signal. During this overlap a class is restricted to what
+ * both its old and its new definition allow, the attempts of a request to the number that both configurations allow,
+ * and a removed class is still accepted. Pure; not thread-safe.
  */
 public final class RequestClassRegistry {
 
-    /** Clients use new classes from 1.2 s after the signal; the rest covers requests on their way. */
+    /** Clients use new classes from 1.2 s after the signal; the rest covers requests in transit. */
     public static final long OVERLAP_US = 2_000_000;
-    /** Names over the life of a process: the ledger stores a number in a byte. A file that needs more is not used. */
+    /**
+     * Maximum number of names during a process, as the ledger stores a number in a byte. A configuration with more is
+     * rejected.
+     */
     private static final int MAX_NAMES = 255;
 
-    /** By number. */
+    /** The names, by number. */
     private final List<String> names = new ArrayList<>();
-    /** The terms in force, by number. */
-    private final List<RequestClass> terms = new ArrayList<>();
+    /** The definitions in force, by number. */
+    private final List<RequestClass> definitions = new ArrayList<>();
     private List<String> configuredNames;
-    private Map<String, RequestClass> nextTerms = new LinkedHashMap<>();
+    private Map<String, RequestClass> nextDefinitions = new LinkedHashMap<>();
     private int maxAttempts;
     private int nextMaxAttempts;
     private long longestDeadlineUs;
     private long nextLongestDeadlineUs;
     private boolean overlapping;
 
-    /** The classes of the start, numbered in this order, and how often a request may be attempted. */
-    public RequestClassRegistry(List<String> names, List<RequestClass> terms, int maxAttempts) {
+    /**
+     * Creates a registry with the classes of the first configuration, numbered in this order.
+     *
+     * @param maxAttempts how often a request may be attempted
+     */
+    public RequestClassRegistry(List<String> names, List<RequestClass> definitions, int maxAttempts) {
         this.names.addAll(names);
-        this.terms.addAll(terms);
+        this.definitions.addAll(definitions);
         this.configuredNames = List.copyOf(names);
         this.maxAttempts = maxAttempts;
         this.nextMaxAttempts = maxAttempts;
-        this.longestDeadlineUs = longestDeadlineUs(terms);
+        this.longestDeadlineUs = longestDeadlineUs(definitions);
         this.nextLongestDeadlineUs = longestDeadlineUs;
     }
 
-    /** Whether there is a number left for each name that is new. */
+    /** Returns whether enough numbers are left for all new names. */
     public boolean hasNumbersFor(List<String> nextNames) {
         return names.size() + nextNames.stream().filter(name -> !names.contains(name)).count() <= MAX_NAMES;
     }
 
-    /** Adds new terms; until {@link #completeChange} both the old and the new ones bind. */
-    public void beginChange(List<String> nextNames, List<RequestClass> newTerms, int newMaxAttempts) {
+    /** Adds new definitions; until {@link #completeChange} the restrictions of both the old and the new ones apply. */
+    public void beginChange(List<String> nextNames, List<RequestClass> newDefinitions, int newMaxAttempts) {
         for (int i = 0; i < nextNames.size(); i++) {
             int number = names.indexOf(nextNames.get(i));
             if (number < 0) {
                 names.add(nextNames.get(i));
-                terms.add(newTerms.get(i));
+                definitions.add(newDefinitions.get(i));
             } else {
-                terms.set(number, stricter(terms.get(number), newTerms.get(i)));
+                definitions.set(number, stricter(definitions.get(number), newDefinitions.get(i)));
             }
-            nextTerms.put(nextNames.get(i), newTerms.get(i));
+            nextDefinitions.put(nextNames.get(i), newDefinitions.get(i));
         }
         configuredNames = List.copyOf(nextNames);
         maxAttempts = Math.min(maxAttempts, newMaxAttempts);
         nextMaxAttempts = newMaxAttempts;
-        nextLongestDeadlineUs = longestDeadlineUs(newTerms);
+        nextLongestDeadlineUs = longestDeadlineUs(newDefinitions);
         longestDeadlineUs = Math.min(longestDeadlineUs, nextLongestDeadlineUs);
         overlapping = true;
     }
 
-    /** Ends the overlap: only the new terms bind, and classes that were removed are no longer accepted. */
+    /** Completes the overlap: only the new definitions apply, and removed classes are no longer accepted. */
     public void completeChange() {
-        nextTerms.forEach((name, each) -> terms.set(names.indexOf(name), each));
-        nextTerms = new LinkedHashMap<>();
+        nextDefinitions.forEach((name, each) -> definitions.set(names.indexOf(name), each));
+        nextDefinitions = new LinkedHashMap<>();
         maxAttempts = nextMaxAttempts;
         longestDeadlineUs = nextLongestDeadlineUs;
         overlapping = false;
     }
 
-    /** The terms in force by number, those of removed classes included. */
+    /** Returns the definitions in force by number, including those of removed classes. */
     public List<RequestClass> requestClasses() {
-        return List.copyOf(terms);
+        return List.copyOf(definitions);
     }
 
     /**
-     * The longest deadline of the configured classes, in microseconds; the shorter of both during an overlap. The
-     * platform's kill follows it, so a removed class does not count, however long its deadline was.
+     * Returns the longest deadline of the configured classes, in microseconds; the shorter of both during an overlap.
+     * The platform's kill timeout follows from it, so a removed class does not count, however long its deadline was.
      */
     public long longestDeadlineUs() {
         return longestDeadlineUs;
@@ -98,21 +106,21 @@
         return classes.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
     }
 
-    /** Names by number; null for those that are no longer accepted. */
+    /** Returns the names by number; null for those that are no longer accepted. */
     public List<String> acceptedNames() {
         List<String> accepted = new ArrayList<>(names);
         accepted.replaceAll(name -> overlapping || configuredNames.contains(name) ? name : null);
         return accepted;
     }
 
-    /** The permissions with the number of attempts in force in place of their own. */
+    /** Returns a copy with the maximum number of attempts that is in force. */
     public Permissions withMaxAttempts(Permissions permissions) {
         return new Permissions(permissions.straight(), permissions.joins(), permissions.cancelling(),
                 permissions.secondCopies(), permissions.probes(), permissions.peerMessages(), maxAttempts,
                 permissions.maxOpen(), permissions.maxRetryAfterUs());
     }
 
-    /** The new terms, with no more freedom to repeat than the old ones give, and the longer of both deadlines. */
+    /** Returns the new definition, with the stricter of both rules for repeats and the longer of both deadlines. */
     private static RequestClass stricter(RequestClass old, RequestClass next) {
         Effect effect = old.effect().compareTo(next.effect()) > 0 ? old.effect() : next.effect();
         KeyScope scope = old.keyScope().compareTo(next.keyScope()) > 0 ? old.keyScope() : next.keyScope();
@@ -123,12 +131,12 @@
                 Math.min(old.usableAfterUs(), next.usableAfterUs()), next.staleWorth());
     }
 
-    /** The deduplication window; it binds only a class whose repeats are recognised. */
+    /** Returns the deduplication window, which restricts only classes whose repeats are deduplicated. */
     private static long windowUs(RequestClass requestClass) {
         return requestClass.effect() == Effect.DEDUPLICATED ? requestClass.windowUs() : Long.MAX_VALUE;
     }
 
-    /** How long a copy is fresh; the settings' 0 stands for until purged. */
+    /** Returns how long a copy is fresh; 0 in the settings means until it is purged. */
     private static long freshUs(RequestClass requestClass) {
         return requestClass.freshUs() == 0 ? Long.MAX_VALUE : requestClass.freshUs();
     }
--- a/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
+++ b/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
@@ -34,9 +34,9 @@
         deadlines.sweep(clock.micros());
     }
 
-    /** Where SIGHUP is not delivered nothing else would ever read a later file. */
+    /** If SIGHUP is not delivered, only polling reads later files. */
     @Test
-    void aConfigurationThatCannotBeAppliedDoesNotEndThePolling() throws Exception {
+    void continuesPollingAfterAConfigurationThatCannotBeApplied() throws Exception {
         Path file = write("first");
         List<String> applied = new ArrayList<>();
         ConfigReloader reloader =
@@ -54,9 +54,9 @@
         assertThat(applied).containsExactly("the-third-of-all-files");
     }
 
-    /** The file stays as it is, so only a further check reads it. */
+    /** The file does not change, so only a further check reads it. */
     @Test
-    void aFileThatCannotBeReadForAWhileIsAppliedAfterwards() throws Exception {
+    void appliesAFileAfterTemporaryReadFailures() throws Exception {
         Path file = write("first");
         List<String> applied = new ArrayList<>();
         int[] failures = {10};
--- a/src/test/java/clovermill/controlplane/reload/ConfigWatchTest.java
+++ b/src/test/java/clovermill/controlplane/reload/ConfigWatchTest.java
@@ -11,14 +11,14 @@
     private final ConfigWatch watch = new ConfigWatch(file(1, 10, 100));
 
     @Test
-    void anUnchangedFileIsNotRead() {
+    void doesNotReadAnUnchangedFile() {
         assertThat(watch.shouldRead(file(1, 10, 100))).isFalse();
         assertThat(watch.shouldRead(file(1, 10, 100))).isFalse();
     }
 
-    /** Guards against a second write within one tick of the file system's time, of the same length. */
+    /** Guards against missing a second write of the same length within one tick of the file system's time. */
     @Test
-    void aChangedFileIsReadAndOnceMoreAtTheNextCheck() {
+    void readsAChangedFileAgainAtTheNextCheck() {
         Optional<Attributes> changed = file(1, 10, 101);
         assertThat(watch.shouldRead(changed)).isTrue();
         assertThat(watch.shouldRead(changed)).isTrue();
@@ -26,14 +26,14 @@
     }
 
     @Test
-    void aChangeOfIdentitySizeOrTimeIsRead() {
+    void readsAfterAChangeOfIdentitySizeOrTime() {
         assertThat(watch.shouldRead(file(2, 10, 100))).isTrue();
         assertThat(watch.shouldRead(file(2, 11, 100))).isTrue();
         assertThat(watch.shouldRead(file(2, 11, 99))).isTrue();
     }
 
     @Test
-    void aHalfWrittenFileIsLoggedOnlyIfItStaysSo() {
+    void logsAnInvalidFileOnlyIfItPersists() {
         watch.shouldRead(file(1, 4, 101));
         assertThat(watch.shouldWarn()).isFalse();
         watch.shouldRead(file(1, 8, 102));
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aFileThatIsMissingBrieflyIsNotLogged() {
+    void doesNotLogABrieflyMissingFile() {
         assertThat(watch.shouldRead(Optional.empty())).isFalse();
         assertThat(watch.shouldWarn()).isFalse();
         assertThat(watch.shouldRead(Optional.empty())).isFalse();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aForcedReadReadsTheSameFileAgain() {
+    void forcedReadReadsAnUnchangedFile() {
         watch.forceRead();
         assertThat(watch.shouldRead(file(1, 10, 100))).isTrue();
     }
