--- a/src/main/java/clovermill/controlplane/gossip/GossipService.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipService.java
@@ -195,6 +195,7 @@
         }
     }
 
+    /** Closes the socket. */
     public void close() {
         if (socket != null) {
             socket.close();
--- a/src/main/java/clovermill/controlplane/gossip/decide/RateLimitShare.java
+++ b/src/main/java/clovermill/controlplane/gossip/decide/RateLimitShare.java
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Fraction of its share that a director never lends, so that it can admit requests right after a start. */
+    /** Fraction of its share that a director never lends, for requests while it is isolated or has just started. */
     static final double RESERVED_PART = 0.2;
     /** The rate that a director keeps for itself or requests, as a multiple of its recent demand. */
     private static final double DEMAND_MARGIN = 1.25;
