--- a/src/main/java/clovermill/controlplane/handover/DescriptorShares.java
+++ b/src/main/java/clovermill/controlplane/handover/DescriptorShares.java
@@ -1,8 +1,8 @@
 package clovermill.controlplane.handover;
 
 /**
- * How many connections a process may hold, as parts of the director's limit on descriptors: half for clients and a
- * quarter for endpoints, the rest for files and the like. While two processes run each may hold half of that.
+ * Limits on a process's connections, as fractions of the director's limit on descriptors: half for clients and a
+ * quarter for endpoints; the rest is for files and other descriptors. While two processes run, each has half of that.
  */
 public final class DescriptorShares {
 
@@ -11,18 +11,22 @@
 
     private final int descriptorLimit;
 
-    /** {@code descriptorLimit} is for all processes of the director together. */
+    /**
+     * Creates the shares of one limit.
+     *
+     * @param descriptorLimit the limit for all processes of the director together
+     */
     public DescriptorShares(int descriptorLimit) {
         this.descriptorLimit = descriptorLimit;
     }
 
-    /** The limit on connections from clients. */
-    public int clientConnections(boolean besideAnother) {
-        return descriptorLimit / CLIENTS_DIVISOR / (besideAnother ? 2 : 1);
+    /** Returns the limit on connections from clients. */
+    public int clientConnections(boolean otherProcessRuns) {
+        return descriptorLimit / CLIENTS_DIVISOR / (otherProcessRuns ? 2 : 1);
     }
 
-    /** The limit on connections to endpoints. */
-    public int endpointConnections(boolean besideAnother) {
-        return descriptorLimit / ENDPOINTS_DIVISOR / (besideAnother ? 2 : 1);
+    /** Returns the limit on connections to endpoints. */
+    public int endpointConnections(boolean otherProcessRuns) {
+        return descriptorLimit / ENDPOINTS_DIVISOR / (otherProcessRuns ? 2 : 1);
     }
 }
--- a/src/main/java/clovermill/controlplane/handover/OtherProcess.java
+++ b/src/main/java/clovermill/controlplane/handover/OtherProcess.java
@@ -1,11 +1,11 @@
 package clovermill.controlplane.handover;
 
-/** Whether another process of this director runs. */
+/** The state of another process of this director, as this process sees it. */
 public enum OtherProcess {
-    /** None does. */
+    /** No other process runs. */
     NONE,
-    /** One that started before this one, or that is not ready. */
+    /** Another process runs that started before this one or is not ready. */
     PRESENT,
-    /** One that started later and is ready: new connections are for it. */
+    /** Another process runs that started later and is ready: it accepts the new connections. */
     SUCCESSOR
 }
--- a/src/main/java/clovermill/controlplane/handover/ProcessRegistry.java
+++ b/src/main/java/clovermill/controlplane/handover/ProcessRegistry.java
@@ -11,24 +11,25 @@
 
 /**
  * Finds the other process of this director in a folder that both share. Each process has a file {@code here-PID} with
- * the Unix millisecond of its start, whether it is ready, and its start in the kernel's clock ticks. The ticks decide
- * which process started later, since a wall clock may be stepped; the millisecond is for earlier versions, which read
- * two words. The file of a process that ended without deleting it is deleted by the other one.
+ * the time of its start in Unix milliseconds, its readiness, and its start in the kernel's clock ticks. The ticks
+ * determine which process started later, since a wall clock may be stepped; the milliseconds are for earlier versions,
+ * which read the first two words only. The file of a process that exited without deleting it is deleted by the other
+ * one.
  */
 public final class ProcessRegistry {
 
     private static final System.Logger LOG = System.getLogger(ProcessRegistry.class.getName());
     private static final String FILE_PREFIX = "here-";
-    /** How long to wait after a failed write before it is tried again. */
+    /** Delay before a failed write is retried. */
     static final long RETRY_INTERVAL_US = 500_000;
 
     private final Path folder;
-    private final long self;
+    private final long ownPid;
     private final long startedUnixMs;
     private final long startTicks;
     private final ProcessTable processes;
     private boolean markedReady;
-    /** When a write that failed is tried again, 0 if none failed. */
+    /** The time at which a failed write is retried, 0 if none failed. */
     private long retryAtUs;
 
     /**
@@ -41,26 +42,26 @@
                 new ProcessTable.Linux());
     }
 
-    /** Creates the folder unless it exists, and the file of the process {@code self}. */
-    ProcessRegistry(Path folder, long self, long startedUnixMs, ProcessTable processes) throws IOException {
+    /** Creates the folder if it does not exist, and the file of the process {@code ownPid}. */
+    ProcessRegistry(Path folder, long ownPid, long startedUnixMs, ProcessTable processes) throws IOException {
         this.folder = Files.createDirectories(folder);
-        this.self = self;
+        this.ownPid = ownPid;
         this.startedUnixMs = startedUnixMs;
-        this.startTicks = processes.startTicks(self)
-                .orElseThrow(() -> new IOException("process " + self + " has no start ticks"));
+        this.startTicks = processes.startTicks(ownPid)
+                .orElseThrow(() -> new IOException("process " + ownPid + " has no start ticks"));
         this.processes = processes;
         write(false);
     }
 
     private void write(boolean ready) throws IOException {
-        Path temporary = folder.resolve("new-here-" + self);
+        Path temporary = folder.resolve("new-here-" + ownPid);
         Files.writeString(temporary, startedUnixMs + (ready ? " ready " : " starts ") + startTicks);
-        Files.move(temporary, folder.resolve(FILE_PREFIX + self), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporary, folder.resolve(FILE_PREFIX + ownPid), StandardCopyOption.ATOMIC_MOVE);
     }
 
     /**
-     * Publishes whether this process accepts connections; one that shuts down does not, and is no successor. To be
-     * called repeatedly: a write that failed is tried again after {@link #RETRY_INTERVAL_US}.
+     * Publishes whether this process accepts connections. A process that shuts down does not, and is not a successor.
+     * To be called repeatedly, as a failed write is retried after {@link #RETRY_INTERVAL_US}.
      *
      * @param nowUs the monotonic clock
      */
@@ -78,16 +79,16 @@
         }
     }
 
-    /** Whether another process runs now; {@link OtherProcess#NONE} where the folder cannot be read. */
+    /** Returns the state of the other process; {@link OtherProcess#NONE} if the folder cannot be read. */
     public OtherProcess findOther() {
         OtherProcess found = OtherProcess.NONE;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PREFIX + "*")) {
             for (Path file : files) {
                 long pid = pid(file);
-                if (pid >= 0 && pid != self && processes.exists(pid)) {
+                if (pid >= 0 && pid != ownPid && processes.exists(pid)) {
                     found = found == OtherProcess.SUCCESSOR || isSuccessor(file, pid) ? OtherProcess.SUCCESSOR
                             : OtherProcess.PRESENT;
-                } else if (pid != self) {
+                } else if (pid != ownPid) {
                     Files.deleteIfExists(file);
                 }
             }
@@ -107,8 +108,8 @@
             OptionalLong ticks = words.length > 2 ? OptionalLong.of(Long.parseLong(words[2]))
                     : processes.startTicks(pid);
             return ticks.isPresent() && (ticks.getAsLong() > startTicks
-                    || ticks.getAsLong() == startTicks && pid > self);
-        } catch (NoSuchFileException | NumberFormatException endedOrMalformed) {
+                    || ticks.getAsLong() == startTicks && pid > ownPid);
+        } catch (NoSuchFileException | NumberFormatException exitedOrMalformed) {
             return false;
         }
     }
@@ -116,15 +117,15 @@
     private static long pid(Path file) {
         try {
             return Long.parseLong(file.getFileName().toString().substring(FILE_PREFIX.length()));
-        } catch (NumberFormatException notAProcess) {
+        } catch (NumberFormatException invalidPid) {
             return -1;
         }
     }
 
-    /** Deletes the file of this process, which is about to end. */
+    /** Deletes the file of this process, which is about to exit. */
     public void deregister() {
         try {
-            Files.deleteIfExists(folder.resolve(FILE_PREFIX + self));
+            Files.deleteIfExists(folder.resolve(FILE_PREFIX + ownPid));
         } catch (IOException failure) {
             warn(failure);
         }
--- a/src/main/java/clovermill/controlplane/handover/ProcessTable.java
+++ b/src/main/java/clovermill/controlplane/handover/ProcessTable.java
@@ -9,16 +9,16 @@
 /** The kernel's table of processes. */
 interface ProcessTable {
 
-    /** Whether a process exists. */
+    /** Returns whether a process exists. */
     boolean exists(long pid);
 
-    /** When a process started, in clock ticks since boot, which no step of a clock changes; empty if it has ended. */
+    /** Returns the start of a process in clock ticks since boot, unaffected by clock steps; empty if it has exited. */
     OptionalLong startTicks(long pid);
 
-    /** Reads {@code /proc}; source: proc_pid_stat(5). */
+    /** Reads {@code /proc}. Source: proc_pid_stat(5). */
     final class Linux implements ProcessTable {
 
-        /** The index of {@code starttime}, field 22, among the fields after the command's name, which is field 2. */
+        /** The index of field 22, {@code starttime}, among the fields after the command's name, which is field 2. */
         private static final int START_TIME_INDEX = 22 - 3;
 
         @Override
@@ -29,9 +29,9 @@
         @Override
         public OptionalLong startTicks(long pid) {
             try {
-                // The command's name may contain any bytes, also blanks and brackets.
+                // The command's name may contain any bytes, including spaces and parentheses.
                 return parse(Files.readString(Path.of("/proc/" + pid + "/stat"), StandardCharsets.ISO_8859_1));
-            } catch (IOException hasEnded) {
+            } catch (IOException exited) {
                 return OptionalLong.empty();
             }
         }
--- a/src/main/java/clovermill/director/Platform.java
+++ b/src/main/java/clovermill/director/Platform.java
@@ -36,7 +36,7 @@
         if (socketName != null) {
             startup.get("the passed socket", System::inheritedChannel); // the JVM caches it once this succeeds
         }
-        Optional<ServerSocketChannel> socket = Optional.ofNullable(InheritedSocket.take(socketName));
+        Optional<ServerSocketChannel> socket = Optional.ofNullable(InheritedSocket.fromDescriptor(socketName));
         String admin = environment.get(ADMIN_VARIABLE);
         InetSocketAddress adminAddress = admin == null ? config.admin() : Config.address(admin);
         String folder = environment.get(FOLDER_VARIABLE);
