--- a/src/main/java/clovermill/controlplane/placement/Placement.java
+++ b/src/main/java/clovermill/controlplane/placement/Placement.java
@@ -19,9 +19,9 @@
 import java.util.function.Predicate;
 
 /**
- * Enforces the placement rules of the policy in force at this director: rejects at once a request that no endpoint may
- * serve, and decides for each attempt, at the moment it is written, which endpoints it may use. On the loop's thread,
- * but for {@link #rejection} and {@link #guardsAllDifferences}, which any thread may call.
+ * Enforces the placement rules of the policy in force at this director: immediately rejects a request that no endpoint
+ * may serve, and decides for each attempt, at the time it is sent, which endpoints it may use. On the loop's thread,
+ * except for {@link #rejection} and {@link #sameWithoutLease}, which any thread may call.
  */
 public final class Placement implements UsageListener, EndpointFilter {
 
@@ -29,41 +29,43 @@
     private static final long LEASE_RETRY_AFTER_MS = 200;
 
     /**
-     * The rules in force, until the lease ends.
+     * The rules in force and the lease on them.
      *
-     * @param untilUs the end of the lease, on this director's clock
-     * @param rules of one policy; of two during a change, both of which bind
+     * @param leaseExpiresUs the time at which the lease expires, on this director's clock
+     * @param policies the rules of one policy; of two during a change, both of which apply
      */
-    private record InForce(long untilUs, List<PlacementRules> rules) {}
+    private record InForce(long leaseExpiresUs, List<PlacementRules> policies) {}
 
     private final Clock clock;
     private final Settings settings;
     private final List<String> zones;
     private final List<String> classes;
-    private final boolean allGuarded;
+    private final boolean leaseAlwaysRequired;
     private final UsageListener next;
     private final Map<String, Member> endpoints = new HashMap<>();
+    /** The rules of the policies in force, by their text. */
     private final Map<String, PlacementRules> parsed = new HashMap<>();
-    /** Null until a policy is known; tested for each request. */
+    /** Null until a policy is known. */
     private InForce inForce;
 
     /**
-     * Rejects everything until a policy is known.
+     * Creates a filter that rejects all requests until a policy is known.
      *
-     * @param allGuarded whether no request at all is served without a lease
+     * @param leaseAlwaysRequired whether all requests are rejected without a lease
      * @param next the next listener of the chain, or null
      */
-    public Placement(Clock clock, Settings settings, List<String> zones, List<String> classes, boolean allGuarded,
+    public Placement(Clock clock, Settings settings, List<String> zones, List<String> classes,
+            boolean leaseAlwaysRequired,
             UsageListener next) {
         this.clock = clock;
         this.settings = settings;
         this.zones = zones;
         this.classes = classes;
-        this.allGuarded = allGuarded;
+        this.leaseAlwaysRequired = leaseAlwaysRequired;
         this.next = next;
     }
 
-    /** Why this director cannot enforce a policy, with a JSON pointer; empty if it can. */
+    /** Returns the reason why this director cannot enforce a policy, with a JSON pointer; empty if it can. */
     public Optional<String> rejection(String policy) {
         try {
             PlacementRules.parse(policy, zones, classes);
@@ -73,11 +75,11 @@
         }
     }
 
-    /** Whether a director without a lease acts alike under two policies; false if one cannot be parsed. */
-    public boolean guardsAllDifferences(String one, String other) {
+    /** Returns whether a director without a lease behaves the same under two policies; false if one is invalid. */
+    public boolean sameWithoutLease(String one, String other) {
         try {
-            return allGuarded || PlacementRules.parse(one, zones, classes)
-                    .guardsAllDifferences(PlacementRules.parse(other, zones, classes));
+            return leaseAlwaysRequired || PlacementRules.parse(one, zones, classes)
+                    .sameWithoutLease(PlacementRules.parse(other, zones, classes));
         } catch (Json.Malformed malformed) {
             return false;
         }
@@ -86,33 +88,33 @@
     /**
      * Enforces these policies from now on.
      *
-     * @param untilUs the end of the lease, on this director's clock
-     * @throws IllegalStateException if {@link #rejection} has a reason against one of them
+     * @param leaseExpiresUs the time at which the lease expires, on this director's clock
+     * @throws IllegalStateException if {@link #rejection} returns a reason for one of them
      */
-    public void enforce(List<String> policies, long untilUs) {
+    public void enforce(List<String> policies, long leaseExpiresUs) {
         Map<String, PlacementRules> before = Map.copyOf(parsed);
         parsed.clear();
-        List<PlacementRules> rules = policies.stream().map(text -> parsed.computeIfAbsent(text,
+        List<PlacementRules> parsedPolicies = policies.stream().map(text -> parsed.computeIfAbsent(text,
                 key -> before.containsKey(key) ? before.get(key) : parseChecked(key))).toList();
-        inForce = new InForce(untilUs, rules);
+        inForce = new InForce(leaseExpiresUs, parsedPolicies);
     }
 
     private PlacementRules parseChecked(String policy) {
         try {
             return PlacementRules.parse(policy, zones, classes);
         } catch (Json.Malformed malformed) {
-            throw new IllegalStateException("a policy that was not checked: " + malformed.getMessage());
+            throw new IllegalStateException("the policy was not validated: " + malformed.getMessage());
         }
     }
 
     @Override
     public long retryAfterMs(ClientRequest request) {
-        if (nothingServed()) {
+        if (rejectsAll()) {
             return LEASE_RETRY_AFTER_MS;
         }
-        for (PlacementRules rules : inForce.rules) {
+        for (PlacementRules rules : inForce.policies) {
             PlacementRules.Rule rule = rules.rule(request.requestClass(), request.group());
-            if (rule != null && rule.guarded() && !leaseHeld()) {
+            if (rule != null && rule.leaseRequired() && !hasLease()) {
                 return LEASE_RETRY_AFTER_MS;
             }
             if (rule != null && !anyEndpointAllowed(request)) {
@@ -122,12 +124,12 @@
         return next == null ? ADMITTED : next.retryAfterMs(request);
     }
 
-    private boolean nothingServed() {
-        return inForce == null || allGuarded && !leaseHeld();
+    private boolean rejectsAll() {
+        return inForce == null || leaseAlwaysRequired && !hasLease();
     }
 
-    private boolean leaseHeld() {
-        return clock.micros() < inForce.untilUs;
+    private boolean hasLease() {
+        return clock.micros() < inForce.leaseExpiresUs;
     }
 
     private boolean anyEndpointAllowed(ClientRequest request) {
@@ -145,12 +147,12 @@
     }
 
     private boolean allows(ClientRequest request, Member endpoint) {
-        if (nothingServed()) {
+        if (rejectsAll()) {
             return false;
         }
-        for (PlacementRules rules : inForce.rules) {
+        for (PlacementRules rules : inForce.policies) {
             PlacementRules.Rule rule = rules.rule(request.requestClass(), request.group());
-            if (rule != null && (rule.guarded() && !leaseHeld() || !allows(rule, endpoint))) {
+            if (rule != null && (rule.leaseRequired() && !hasLease() || !allows(rule, endpoint))) {
                 return false;
             }
         }
@@ -158,8 +160,8 @@
     }
 
     private boolean allows(PlacementRules.Rule rule, Member endpoint) {
-        boolean archive = endpoint.kind() == settings.originKind();
-        return archive ? rule.archive() : rule.zones().contains(endpoint.zone());
+        boolean isOrigin = endpoint.kind() == settings.originKind();
+        return isOrigin ? rule.originAllowed() : rule.zones().contains(endpoint.zone());
     }
 
     @Override
@@ -176,7 +178,7 @@
         }
         for (Member endpoint : change.members()) {
             if (endpoint.availability() == Availability.GONE) {
-                endpoints.remove(endpoint.id()); // ids are not reused, and would accumulate
+                endpoints.remove(endpoint.id()); // ids are not reused, so entries would accumulate
             } else {
                 endpoints.put(endpoint.id(), endpoint);
             }
--- a/src/main/java/clovermill/controlplane/placement/decide/PlacementRules.java
+++ b/src/main/java/clovermill/controlplane/placement/decide/PlacementRules.java
@@ -11,23 +11,23 @@
 import java.util.Set;
 
 /**
- * The {@code tenants} and {@code placement} of one policy, with the names of a director's zones and classes as numbers.
- * A tenant without a rule is not restricted. Immutable.
+ * The {@code tenants} and {@code placement} of one policy, with the names of zones and classes replaced by a director's
+ * numbers for them. A tenant without a rule is not restricted. Immutable.
  */
 public final class PlacementRules {
 
     /**
-     * Where the data of one tenant may be.
+     * The locations that one tenant's data is restricted to.
      *
-     * @param zones of caches and hubs, by number
-     * @param archive whether the archive may be asked, past the hubs
-     * @param guarded whether none of its requests is served without a lease
+     * @param zones the numbers of the zones whose caches and hubs may be used
+     * @param originAllowed whether the origin may be used
+     * @param leaseRequired whether the tenant's requests are rejected without a lease
      */
-    public record Rule(Set<Integer> zones, boolean archive, boolean guarded) {}
+    public record Rule(Set<Integer> zones, boolean originAllowed, boolean leaseRequired) {}
 
     private static final Set<String> KNOWN_MEMBERS = Set.of("tenants", "placement");
-    /** {@link TenantRules.Rule#requestClass} for every class. */
-    private static final int EVERY_CLASS = -1;
+    /** The value of {@link TenantRules.Rule#requestClass} that stands for all classes. */
+    private static final int ALL_CLASSES = -1;
 
     private final Map<String, Rule> rules;
     private final TenantRules tenants;
@@ -42,7 +42,7 @@
     /**
      * Parses the text of a policy.
      *
-     * @throws Json.Malformed with a JSON pointer and the reason if this director cannot enforce it
+     * @throws Json.Malformed if this director cannot enforce it; the message has a JSON pointer and the reason
      */
     public static PlacementRules parse(String text, List<String> zones, List<String> classes) throws Json.Malformed {
         Map<?, ?> root = Json.object(Json.parse(text));
@@ -91,9 +91,9 @@
         List<?> groups = each.get("groups") == null ? List.of(0.0, TenantRules.GROUPS - 1.0) : Json.list(each,
                 "groups");
         try {
-            return new TenantRules.Rule(Json.string(each, "tenant"), name == null ? EVERY_CLASS : classes.indexOf(name),
+            return new TenantRules.Rule(Json.string(each, "tenant"), name == null ? ALL_CLASSES : classes.indexOf(name),
                     ((Double) groups.get(0)).intValue(), ((Double) groups.get(1)).intValue());
-        } catch (IllegalArgumentException | ClassCastException | IndexOutOfBoundsException bad) {
+        } catch (IllegalArgumentException | ClassCastException | IndexOutOfBoundsException malformed) {
             throw new Json.Malformed(pointer + "/groups: two groups are wanted, the first and the last");
         }
     }
@@ -111,26 +111,30 @@
                 Boolean.TRUE.equals(each.get("protected")));
     }
 
-    /** The rule for a request, or null if it is not restricted: called for each attempt, so without an Optional. */
+    /**
+     * Returns the rule for a request, or null if it is not restricted. Called for each attempt, so it allocates no
+     * Optional.
+     */
     public Rule rule(int requestClass, int group) {
         return rules.isEmpty() ? null : rules.get(tenants.tenant(requestClass, group));
     }
 
     /**
-     * Whether a director without a lease serves the same requests in the same way under both policies: every rule that
-     * differs is guarded in both, and the tenants are the same.
+     * Returns whether a director without a lease serves the same requests in the same way under both policies: every
+     * rule that differs requires a lease in both, and the tenants are the same.
      */
-    public boolean guardsAllDifferences(PlacementRules next) {
+    public boolean sameWithoutLease(PlacementRules next) {
         Set<String> tenantNames = new HashSet<>(rules.keySet());
         tenantNames.addAll(next.rules.keySet());
-        return ranges.equals(next.ranges) && tenantNames.stream().allMatch(tenant -> sameOrGuarded(next, tenant));
+        return ranges.equals(next.ranges) && tenantNames.stream().allMatch(tenant -> sameOrLeaseRequired(next, tenant));
     }
 
-    private boolean sameOrGuarded(PlacementRules next, String tenant) {
-        return Objects.equals(rules.get(tenant), next.rules.get(tenant)) || guarded(tenant) && next.guarded(tenant);
+    private boolean sameOrLeaseRequired(PlacementRules next, String tenant) {
+        return Objects.equals(rules.get(tenant), next.rules.get(tenant))
+                || leaseRequired(tenant) && next.leaseRequired(tenant);
     }
 
-    private boolean guarded(String tenant) {
-        return rules.get(tenant) != null && rules.get(tenant).guarded();
+    private boolean leaseRequired(String tenant) {
+        return rules.get(tenant) != null && rules.get(tenant).leaseRequired();
     }
 }
--- a/src/main/java/clovermill/director/PolicyPlane.java
+++ b/src/main/java/clovermill/director/PolicyPlane.java
@@ -32,7 +32,7 @@
                 settings.refusesAllWithoutLease(), next.orElse(null));
         PolicyRules rules = new PolicyRules(
                 document -> placement.rejection(document.text()).orElse(null),
-                (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
+                (one, other) -> placement.sameWithoutLease(one.text(), other.text()));
         store = new PolicyStore(settings, rules, runtime.clock(), runtime.loop()::post, this::apply);
         endpoint = new PolicyEndpoint(store, runtime.clock(), runtime.loop()::post);
     }
--- a/src/test/java/clovermill/controlplane/placement/PlacementTest.java
+++ b/src/test/java/clovermill/controlplane/placement/PlacementTest.java
@@ -23,16 +23,16 @@
             + "{\"tenant\":\"b\",\"groups\":[10,19]}],"
             + "\"placement\":[%s]}";
     private static final String EDGE = "{\"tenant\":\"a\",\"sites\":[\"edge\"],\"protected\":true}";
-    private static final String HUBS = "{\"tenant\":\"a\",\"sites\":[\"north\"],\"archive\":true,\"protected\":true}";
+    private static final String NORTH = "{\"tenant\":\"a\",\"sites\":[\"north\"],\"archive\":true,\"protected\":true}";
     private static final String BOTH = "{\"tenant\":\"a\","
             + "\"sites\":[\"edge\",\"north\"],\"archive\":true,\"protected\":true}";
-    private static final String LOOSE = "{\"tenant\":\"a\",\"sites\":[\"edge\"]}";
+    private static final String EDGE_WITHOUT_LEASE = "{\"tenant\":\"a\",\"sites\":[\"edge\"]}";
 
     private final ManualClock clock = new ManualClock(1000);
     private Placement placement;
 
     @BeforeEach
-    void directorOfTheEdge() throws Exception {
+    void setUp() throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         placement = new Placement(clock, config.settings(), config.zones(), config.classes(), false, null);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void nothingIsServedBeforeAPolicyIsKnownAndEverythingWithoutRules() {
+    void rejectsAllRequestsUntilAPolicyIsKnown() {
         assertThat(placement.retryAfterMs(request(0))).isPositive();
         placement.enforce(List.of("{}"), 0);
         assertThat(placement.retryAfterMs(request(0))).isEqualTo(UsageListener.ADMITTED);
@@ -63,49 +63,49 @@
     }
 
     @Test
-    void aRuleRestrictsTargetsAndSourcesOfItsTenantOnly() {
+    void ruleRestrictsTheEndpointsOfItsTenantOnly() {
         placement.enforce(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.allowedMembers(request(9));
-        assertThat(bound.test("s-1")).isTrue();
-        assertThat(bound.test("p-1")).isFalse();
-        assertThat(bound.test("o-1")).isFalse();
-        assertThat(bound.test("s-unknown")).isFalse();
+        Predicate<String> allowed = placement.allowedMembers(request(9));
+        assertThat(allowed.test("s-1")).isTrue();
+        assertThat(allowed.test("p-1")).isFalse();
+        assertThat(allowed.test("o-1")).isFalse();
+        assertThat(allowed.test("s-unknown")).isFalse();
         assertThat(placement.allowedMembers(request(10)).test("p-1")).isTrue();
     }
 
     @Test
-    void duringAChangeOnlyWhatBothPoliciesAllowIsAllowedToOpenRequestsToo() {
+    void bothPoliciesApplyToOpenRequestsDuringAChange() {
         placement.enforce(List.of(policy(BOTH)), 10_000);
-        Predicate<String> bound = placement.allowedMembers(request(0));
-        assertThat(bound.test("p-1")).isTrue();
+        Predicate<String> allowed = placement.allowedMembers(request(0));
+        assertThat(allowed.test("p-1")).isTrue();
         placement.enforce(List.of(policy(BOTH), policy(EDGE)), 10_000);
-        assertThat(bound.test("p-1")).isFalse();
-        assertThat(bound.test("s-1")).isTrue();
-        placement.enforce(List.of(policy(EDGE), policy(HUBS)), 10_000);
-        assertThat(bound.test("s-1")).isFalse();
+        assertThat(allowed.test("p-1")).isFalse();
+        assertThat(allowed.test("s-1")).isTrue();
+        placement.enforce(List.of(policy(EDGE), policy(NORTH)), 10_000);
+        assertThat(allowed.test("s-1")).isFalse();
         assertThat(placement.allowedMembers(request(0)).test("o-1")).isFalse();
     }
 
     @Test
-    void anExpiredLeaseStopsAGuardedTenantAtThatMomentAndNoOther() {
+    void leaseExpiryStopsOnlyTenantsThatRequireALease() {
         placement.enforce(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.allowedMembers(request(0));
+        Predicate<String> allowed = placement.allowedMembers(request(0));
         clock.passUs(8_999);
-        assertThat(bound.test("s-1")).isTrue();
+        assertThat(allowed.test("s-1")).isTrue();
         clock.passUs(1);
-        assertThat(bound.test("s-1")).isFalse();
+        assertThat(allowed.test("s-1")).isFalse();
         assertThat(placement.retryAfterMs(request(0))).isPositive();
         assertThat(placement.retryAfterMs(request(10))).isEqualTo(UsageListener.ADMITTED);
-        placement.enforce(List.of(policy(LOOSE)), 10_000);
+        placement.enforce(List.of(policy(EDGE_WITHOUT_LEASE)), 10_000);
         assertThat(placement.allowedMembers(request(0)).test("s-1")).isTrue();
         assertThat(placement.allowedMembers(request(0)).test("p-1")).isFalse();
     }
 
     @Test
-    void aRequestThatNoEndpointMayServeIsRejectedAtOnce() {
+    void immediatelyRejectsARequestThatNoEndpointMayServe() {
         placement.enforce(List.of(policy("{\"tenant\":\"a\",\"sites\":[]}")), 10_000);
         assertThat(placement.retryAfterMs(request(0))).isPositive();
-        placement.enforce(List.of(policy(LOOSE)), 10_000);
+        placement.enforce(List.of(policy(EDGE_WITHOUT_LEASE)), 10_000);
         assertThat(placement.retryAfterMs(request(0))).isEqualTo(UsageListener.ADMITTED);
         placement.membersChanged(
                 new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void anEndpointThatIsGoneIsNotAllowed() {
+    void deregisteredEndpointIsNotAllowed() {
         placement.enforce(List.of("{}"), 10_000);
         placement.membersChanged(
                 new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.GONE, 1, 0))));
@@ -122,15 +122,15 @@
     }
 
     @Test
-    void aCacheThatChangesItsZoneUnderTheSameIdCountsInTheNewOne() {
+    void cacheThatChangesItsZoneCountsInTheNewOne() {
         placement.enforce(List.of(policy(EDGE)), 10_000);
-        Predicate<String> bound = placement.allowedMembers(request(0));
+        Predicate<String> allowed = placement.allowedMembers(request(0));
         placement.membersChanged(new Members(ListScope.CHANGES, List.of(member("s-1", 0, 0))));
-        assertThat(bound.test("s-1")).isFalse();
+        assertThat(allowed.test("s-1")).isFalse();
     }
 
     @Test
-    void aPolicyThatCannotBeEnforcedIsRejectedWithAPointer() {
+    void rejectsInvalidPoliciesWithAJsonPointer() {
         assertThat(placement.rejection(policy("{\"tenant\":\"a\",\"sites\":[\"edge\",\"moon\"]}")))
                 .contains("/placement/0/sites/1: no location is called moon");
         assertThat(placement.rejection("{\"rota\":{}}").orElseThrow()).startsWith("/rota: ");
@@ -142,10 +142,10 @@
     }
 
     @Test
-    void onlyRulesGuardedBeforeAndAfterMayDifferWithoutEveryDirector() {
-        assertThat(placement.guardsAllDifferences(policy(EDGE), policy(HUBS))).isTrue();
-        assertThat(placement.guardsAllDifferences(policy(EDGE), policy(LOOSE))).isFalse();
-        assertThat(placement.guardsAllDifferences(policy(EDGE), policy(""))).isFalse();
-        assertThat(placement.guardsAllDifferences("{}", policy(EDGE))).isFalse();
+    void policiesAreTheSameWithoutALeaseIfAllDifferencesRequireOne() {
+        assertThat(placement.sameWithoutLease(policy(EDGE), policy(NORTH))).isTrue();
+        assertThat(placement.sameWithoutLease(policy(EDGE), policy(EDGE_WITHOUT_LEASE))).isFalse();
+        assertThat(placement.sameWithoutLease(policy(EDGE), policy(""))).isFalse();
+        assertThat(placement.sameWithoutLease("{}", policy(EDGE))).isFalse();
     }
 }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -77,7 +77,7 @@
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
                 agreed.refusesAllWithoutLease(), null);
         PolicyRules rules = new PolicyRules(document -> placement.rejection(document.text()).orElse(null),
-                (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
+                (one, other) -> placement.sameWithoutLease(one.text(), other.text()));
         accord = new PolicyStore(agreed, rules, clock, loop::post, view -> observer.policy(number, view));
         DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
         DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
