--- a/src/main/java/clovermill/controlplane/admin/AdminRequestException.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminRequestException.java
@@ -1,6 +1,6 @@
 package clovermill.controlplane.admin;
 
-/** A request that cannot be parsed; the message is the response's body. */
+/** Thrown if a request cannot be parsed; the message is the response's body. */
 final class AdminRequestException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -11,7 +11,7 @@
         this.status = status;
     }
 
-    /** The status of HTTP that says why (RFC 9110, 15.5 and 15.6). */
+    /** Returns the HTTP status of the response (RFC 9110, 15.5 and 15.6). */
     int status() {
         return status;
     }
--- a/src/main/java/clovermill/controlplane/admin/AdminRequestParser.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminRequestParser.java
@@ -10,15 +10,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Parses one request of HTTP/1.1 (RFC 9112) from buffers cut at any byte: a request line, headers, and a body that is
- * sized or chunked. Bytes after it are ignored, since a connection carries one request.
+ * Parses one HTTP/1.1 request (RFC 9112) incrementally: a request line, headers, and a body with a Content-Length or
+ * chunked encoding. Bytes after it are ignored, as each connection is used for one request. Not thread-safe.
  */
 final class AdminRequestParser {
 
     private enum State { REQUEST_LINE, HEADERS, SIZED_BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, DONE }
 
     private static final int MAX_HEAD_BYTES = 8192;
-    /** A policy has some kilobytes, other calls some hundred bytes. */
+    /** Policies have a few kilobytes, other bodies a few hundred bytes. */
     private static final int MAX_BODY_BYTES = 1 << 17;
     private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,9}");
     private static final Pattern CHUNK_SIZE = Pattern.compile("[0-9a-fA-F]{1,7}");
@@ -30,16 +30,16 @@
     private String method;
     private String path;
     private int headBytes;
-    /** Bytes of the body, or of its current chunk, that are still to come. */
+    /** Bytes of the body, or of its current chunk, that have not been received. */
     private int remainingBytes;
     private boolean chunked;
     private boolean continueExpected;
 
     /**
-     * Consumes bytes.
+     * Consumes received bytes.
      *
-     * @return the request once it is complete
-     * @throws AdminRequestException if it cannot be parsed or is too long
+     * @return the request, empty if it is incomplete
+     * @throws AdminRequestException if the request is malformed or too long
      */
     Optional<AdminRequest> parse(ByteBuffer data) throws AdminRequestException {
         while (data.hasRemaining() && state != State.DONE) {
@@ -77,7 +77,7 @@
         parseLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
     }
 
-    /** Whether the operator waits for 100 Continue before it sends the body (RFC 9110, 10.1.1); true at most once. */
+    /** Returns, at most once, true if the client expects 100 Continue before it sends the body (RFC 9110, 10.1.1). */
     boolean takeContinueExpected() {
         boolean expected =
                 continueExpected && state != State.REQUEST_LINE && state != State.HEADERS && state != State.DONE;
--- a/src/main/java/clovermill/controlplane/admin/AdminServer.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminServer.java
@@ -20,16 +20,16 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Accepts operators' connections, reads the one request of each and writes its response. On the loop's thread. */
+/** Accepts operators' connections, reads one request from each and writes the response. On the loop's thread. */
 public final class AdminServer {
 
     private static final System.Logger LOG = System.getLogger(AdminServer.class.getName());
-    /** From the accept to the response; a request that is incomplete by then gets 408. */
+    /** Timeout from the accept to the response; an incomplete request then gets 408. */
     private static final long TIMEOUT_US = 4_000_000;
-    /** For one more connection the oldest one is closed. */
+    /** Maximum number of connections; at the bound the oldest one is closed for a new one. */
     private static final int MAX_CONNECTIONS = 16;
 
-    /** Source: RFC 9110, 15. */
+    /** The reason phrases by status (RFC 9110, 15). */
     private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(entry(200, "OK"), entry(202, "Accepted"),
             entry(400, "Bad Request"), entry(404, "Not Found"), entry(405, "Method Not Allowed"),
             entry(408, "Request Timeout"), entry(409, "Conflict"), entry(413, "Content Too Large"),
@@ -43,7 +43,7 @@
     private final Set<Exchange> exchanges = new LinkedHashSet<>();
     private Listener listener;
 
-    /** A server that does not listen yet. */
+    /** Creates a server that does not listen yet. */
     public AdminServer(EventLoop loop, Clock clock, Deadlines deadlines, AdminService service) {
         this.loop = loop;
         this.clock = clock;
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Listens until the process ends.
+     * Listens until the process exits.
      *
      * @throws IOException if the address cannot be bound
      */
@@ -60,7 +60,7 @@
         listener = loop.listenWithPriority(address, MAX_CONNECTIONS, this::closeOldest, Exchange::new);
     }
 
-    /** The port that is bound. */
+    /** Returns the bound port. */
     public int port() {
         return listener.port();
     }
@@ -69,7 +69,7 @@
         exchanges.iterator().next().evict();
     }
 
-    /** One connection with its one request. */
+    /** A connection with its single request. */
     private final class Exchange implements Connection.Handler {
         private final Connection connection;
         private final AdminRequestParser parser = new AdminRequestParser();
@@ -100,12 +100,12 @@
                 } else if (parser.takeContinueExpected()) {
                     send("HTTP/1.1 100 Continue\r\n\r\n");
                 }
-            } catch (AdminRequestException refused) {
-                respond(new AdminResponse(refused.status(), refused.getMessage()));
+            } catch (AdminRequestException malformed) {
+                respond(new AdminResponse(malformed.status(), malformed.getMessage()));
             }
         }
 
-        /** The response is logged also where the operator got 504 before. */
+        /** Logs and sends the response; it is logged even if the request has timed out with 504. */
         private void complete(AdminRequest request, AdminResponse response) {
             LOG.log(request.method().equals("GET") ? Level.DEBUG : Level.INFO, "operators call {0} {1} {2}: {3}",
                     request.method(), request.path(), request.body().replaceAll("\\p{Cntrl}", " "), response.body());
@@ -128,7 +128,7 @@
             connection.send(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
         }
 
-        /** The request is incomplete, its response is late, or the response is not read. */
+        /** Handles the timeout: the request is incomplete, its response is late, or the client does not read it. */
         private void timedOut() {
             if (responded) {
                 connection.close();
@@ -139,7 +139,7 @@
             }
         }
 
-        /** Closes this connection in favour of a new one. */
+        /** Closes this connection so that a new one can be accepted. */
         private void evict() {
             exchanges.remove(this);
             if (responded) {
@@ -149,7 +149,7 @@
             }
         }
 
-        /** The operator has closed its sending side, which it may do right after a complete request. */
+        /** Handles a half-close by the client, which is allowed after a complete request. */
         @Override
         public void ended() {
             if (!requested && !responded) {
--- a/src/main/java/clovermill/controlplane/admin/decide/AdminRequest.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/AdminRequest.java
@@ -1,10 +1,10 @@
 package clovermill.controlplane.admin.decide;
 
 /**
- * One call of an operator.
+ * An operator's request.
  *
- * @param method of HTTP, as it was sent
- * @param path of the request line, without a query
- * @param body empty where there is none
+ * @param method the HTTP method, as received
+ * @param path the path of the request line, without the query
+ * @param body the body, empty if there is none
  */
 public record AdminRequest(String method, String path, String body) {}
--- a/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/AdminService.java
@@ -4,45 +4,49 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Decides the response to each admin call, and has the director carry the call out. On the loop's thread. */
+/** Handles admin requests by calling the director's operations. On the loop's thread. */
 public final class AdminService {
 
     /** The operations of a director. */
     public interface Director {
 
-        /** Whether this process can serve clients. */
+        /** Returns whether this process can serve clients. */
         boolean ready();
 
-        /** Sends a cache no more requests until it is enabled; does nothing if it is disabled already. */
+        /** Stops sending requests to a cache until it is enabled; does nothing if it is already disabled. */
         OutageCallResult disable(String id);
 
-        /** Lets a cache serve again, however often it was disabled. */
+        /** Resumes sending requests to a cache, however often it was disabled. */
         OutageCallResult enable(String id);
     }
 
-    /** The operations on the replicated policy of the fleet; responses may come later. */
+    /** The operations on the replicated policy of the fleet; responses may be asynchronous. */
     public interface Policies {
 
-        /** The policy in force at this director. */
+        /** Returns the policy in force at this director. */
         AdminResponse show();
 
-        /** Proposes a change; {@code body} has the new policy and the version that it follows. */
+        /** Proposes a change; {@code body} contains the new policy and the version that it follows. */
         void propose(String body, Consumer<AdminResponse> reply);
 
-        /** Withdraws the change that is in progress. */
+        /** Cancels the change that is in progress. */
         void withdraw(Consumer<AdminResponse> reply);
     }
 
     private final Director director;
     private final Optional<Policies> policies;
 
-    /** {@code policies} is empty where this director does not take part in a policy. */
+    /**
+     * Creates a service.
+     *
+     * @param policies empty if this director does not take part in the fleet's policy
+     */
     public AdminService(Director director, Optional<Policies> policies) {
         this.director = director;
         this.policies = policies;
     }
 
-    /** Passes exactly one response to {@code reply}, possibly later. */
+    /** Handles a request and passes exactly one response to {@code reply}, possibly asynchronously. */
     public void handle(AdminRequest request, Consumer<AdminResponse> reply) {
         if (policies.isPresent() && isPolicyPath(request.path())) {
             handlePolicy(request, policies.get(), reply);
--- a/src/main/java/clovermill/controlplane/admin/decide/OutageCallResult.java
+++ b/src/main/java/clovermill/controlplane/admin/decide/OutageCallResult.java
@@ -1,11 +1,11 @@
 package clovermill.controlplane.admin.decide;
 
-/** The result of an operator's call that disables or enables a cache. */
+/** The result of an operator's request to disable or enable a cache. */
 public enum OutageCallResult {
-    /** In force, and recorded for the other processes of this director and for later starts. */
+    /** The change is in force, and recorded for the other processes of this director and for later starts. */
     DONE,
-    /** No endpoint has that id. */
+    /** No cache is known by that id. */
     UNKNOWN_CACHE,
-    /** It cannot be recorded now, so that the end of this process would undo it; the call may be repeated. */
+    /** The change cannot be recorded now, so it would be lost at the end of this process; the call may be repeated. */
     NOT_RECORDED
 }
--- a/src/main/java/clovermill/controlplane/admin/package-info.java
+++ b/src/main/java/clovermill/controlplane/admin/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The HTTP/1.1 service on which operators call a director: readiness, caches taken out of service, the policy.
+ * The HTTP/1.1 admin service of a director: readiness, disabling and enabling of caches, the policy.
  *
- * <p>Entry type: {@link clovermill.controlplane.admin.AdminServer}, one request a connection.
- * {@link clovermill.controlplane.admin.AdminRequestParser} parses the request,
- * {@link clovermill.controlplane.admin.decide.AdminService} decides the response. Calls: docs/operate/service.md.
+ * <p>Entry type: {@link clovermill.controlplane.admin.AdminServer}, with one request per connection.
+ * {@link clovermill.controlplane.admin.AdminRequestParser} parses the request, and
+ * {@link clovermill.controlplane.admin.decide.AdminService} handles it. The calls: docs/operate/service.md.
  */
 package clovermill.controlplane.admin;
--- a/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
+++ b/src/test/java/clovermill/controlplane/admin/AdminRequestParserTest.java
@@ -25,8 +25,8 @@
         return data -> {
             Optional<AdminRequest> parsed = parser.parse(data);
             if (parsed.isPresent() && data.limit() > 0) {
-                AdminRequest call = parsed.get();
-                requests.accept(call.method() + " " + call.path() + " " + call.body());
+                AdminRequest request = parsed.get();
+                requests.accept(request.method() + " " + request.path() + " " + request.body());
             }
         };
     }
@@ -36,19 +36,19 @@
     }
 
     @Test
-    void aRequestIsTheSameWhereverItIsCut() throws Exception {
-        for (int cut = 0; cut < SIZED.length(); cut++) {
+    void parsesRequestsSplitAtAnyByte() throws Exception {
+        for (int split = 0; split < SIZED.length(); split++) {
             AdminRequestParser parser = new AdminRequestParser();
-            assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(0, cut).getBytes(StandardCharsets.US_ASCII))))
+            assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(0, split).getBytes(StandardCharsets.US_ASCII))))
                     .isEmpty();
-            assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(cut).getBytes(StandardCharsets.US_ASCII))))
+            assertThat(parser.parse(ByteBuffer.wrap(SIZED.substring(split).getBytes(StandardCharsets.US_ASCII))))
                     .contains(new AdminRequest("PUT", "/caches/disable", "{\"id\":\"s\"}"));
         }
-        for (int cut = 0; cut < CHUNKED.length(); cut++) {
+        for (int split = 0; split < CHUNKED.length(); split++) {
             AdminRequestParser parser = new AdminRequestParser();
-            assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(0, cut).getBytes(StandardCharsets.US_ASCII))))
+            assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(0, split).getBytes(StandardCharsets.US_ASCII))))
                     .isEmpty();
-            assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(cut).getBytes(StandardCharsets.US_ASCII))))
+            assertThat(parser.parse(ByteBuffer.wrap(CHUNKED.substring(split).getBytes(StandardCharsets.US_ASCII))))
                     .contains(new AdminRequest("PUT", "/x", "abc0123456789"));
         }
         assertThat(parse("GET /ready HTTP/1.0\r\n\r\n")).contains(new AdminRequest("GET", "/ready", ""));
@@ -61,12 +61,12 @@
         "GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n", "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
         "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
         "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n"})
-    void aMalformedRequestIsRejected(String text) {
+    void rejectsMalformedRequests(String text) {
         assertThatThrownBy(() -> parse(text)).isInstanceOf(AdminRequestException.class);
     }
 
     @Test
-    void anEndlessHeadIsRejectedAndRandomBytesDoNoHarm() {
+    void rejectsTooLongHeadsAndRandomBytes() {
         assertThatThrownBy(() -> parse("GET / HTTP/1.1\r\nA: " + "a".repeat(9000)))
                 .isInstanceOf(AdminRequestException.class);
         Splits.junk(CHUNKED.getBytes(StandardCharsets.US_ASCII), AdminRequestException.class,
