--- a/src/main/java/clovermill/controlplane/gossip/GossipService.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipService.java
@@ -150,12 +150,12 @@
     @Override
     public long retryAfterMs(ClientRequest request) {
         long retryAfterMs = next == null ? ADMITTED : next.retryAfterMs(request);
-        long now = clock.micros();
+        long nowUs = clock.micros();
         for (int i = 0; retryAfterMs == ADMITTED && i < limits.size(); i++) {
             LimitShare share = member.share(i);
-            if (appliesTo(limits.get(i), request) && !share.admit(now, now + request.remainingUs() + slackUs)) {
+            if (appliesTo(limits.get(i), request) && !share.admit(nowUs, nowUs + request.remainingUs() + slackUs)) {
                 release(request, i);
-                double perMs = limits.get(i).open() == null ? share.amount(now) / 1000 : 1.0 / MAX_RETRY_AFTER_MS;
+                double perMs = limits.get(i).open() == null ? share.amount(nowUs) / 1000 : 1.0 / MAX_RETRY_AFTER_MS;
                 return (long) Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, 1 / perMs));
             }
         }
--- a/src/main/java/clovermill/controlplane/reload/ConfigWatch.java
+++ b/src/main/java/clovermill/controlplane/reload/ConfigWatch.java
@@ -21,7 +21,7 @@
     record Attributes(Object identity, long sizeBytes, long modifiedNanos) {}
 
     private Optional<Attributes> last;
-    /** Whether the last attributes were found by at least two checks. */
+    /** True if the last attributes were found by at least two checks. */
     private boolean settled = true;
     private boolean warned;
     private int checksMissing;
--- a/src/main/java/clovermill/controlplane/reload/Signals.java
+++ b/src/main/java/clovermill/controlplane/reload/Signals.java
@@ -10,7 +10,7 @@
  */
 public final class Signals {
 
-    /** Whether a signal reaches its handler. */
+    /** The delivery of a signal to its handler. */
     public enum Delivery {
         /** The handler runs on each signal. */
         DELIVERED,
