--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -77,7 +77,7 @@
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
                 agreed.rejectsAllWithoutLease(), null);
         PolicyRules rules = new PolicyRules(document -> placement.rejection(document.text()).orElse(null),
-                (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
+                (one, other) -> placement.sameWithoutLease(one.text(), other.text()));
         accord = new PolicyStore(agreed, rules, clock, loop::post, view -> observer.policy(number, view));
         DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
         DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
@@ -104,7 +104,7 @@
 
     /** Has an event begin here that is to reach all directors. */
     void put(String id) {
-        loop.post(() -> fleet.putOutage(id, true));
+        loop.post(() -> fleet.replicateOutage(id, true));
     }
 
     /** Hands in a policy as an operator at this director would. */
