--- a/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
+++ b/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
@@ -70,7 +70,7 @@
     /** Accepts a request, or answers it at once; {@code handler} may be called before this returns. */
     public void submit(ClientRequest request, ResponseHandler handler) {
         if (requests.size() >= permissions.maxOpen()) {
-            handler.refused(maxRetryAfterMs());
+            handler.rejected(maxRetryAfterMs());
             recordRejected(request, UsageRecord.End.REFUSED);
             return;
         }
@@ -82,7 +82,7 @@
         long retryAfterMs =
                 usageListener == null ? UsageListener.ADMITTED : usageListener.retryAfterMs(request);
         if (retryAfterMs != UsageListener.ADMITTED) {
-            handler.refused(Math.min(retryAfterMs, maxRetryAfterMs()));
+            handler.rejected(Math.min(retryAfterMs, maxRetryAfterMs()));
             recordRejected(request, UsageRecord.End.REFUSED);
             return;
         }
--- a/src/main/java/clovermill/dataplane/proxy/RequestContext.java
+++ b/src/main/java/clovermill/dataplane/proxy/RequestContext.java
@@ -115,7 +115,7 @@
     }
 
     void refuse(long retryAfterMs) {
-        end().refused(retryAfterMs);
+        end().rejected(retryAfterMs);
         recordUsage(UsageRecord.End.REFUSED);
     }
 
--- a/src/main/java/clovermill/dataplane/server/BadRequestException.java
+++ b/src/main/java/clovermill/dataplane/server/BadRequestException.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.server;
 
-/** The fields of a client's request are missing, malformed or out of range. Without a stack trace: clients cause it. */
+/** Missing, malformed or out-of-range fields in a client's request. Has no stack trace, since clients can cause it. */
 final class BadRequestException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/clovermill/dataplane/server/BudgetWait.java
+++ b/src/main/java/clovermill/dataplane/server/BudgetWait.java
@@ -6,14 +6,17 @@
 import clovermill.runtime.net.Timeout;
 
 /**
- * Waits, for a bounded time, until the budget has memory for a large frame. The client is not read meanwhile, so its
- * end would not be seen.
+ * A bounded wait for budget memory for a large frame. Reading from the client is paused meanwhile, so a disconnect
+ * would not be detected.
  */
 final class BudgetWait {
 
-    /** After this the client may have gone unnoticed; half of the time that an attempt may begin late after that. */
-    private static final long UNNOTICED_END_US = 50_000;
-    /** Then the frame is skipped and rejected; its answer is owed half a second after its deadline at the latest. */
+    /**
+     * Time after which the client may have disconnected undetected; half of the time for which attempts may still start
+     * after a disconnect.
+     */
+    private static final long LONG_WAIT_US = 50_000;
+    /** The frame is skipped and rejected after this: an answer is due at most half a second after the deadline. */
     private static final long MAX_WAIT_US = 400_000;
 
     private final Budget budget;
@@ -23,8 +26,11 @@
     private boolean waiting;
 
     /**
-     * {@code onLongWait} runs after {@link #UNNOTICED_END_US}, {@code onMemory} when memory was returned to the
-     * budget, {@code onTimeout} once if there was none in time.
+     * Creates a wait that has not started.
+     *
+     * @param onLongWait runs after {@link #LONG_WAIT_US}
+     * @param onMemory runs when memory has been returned to the budget
+     * @param onTimeout runs once if no memory was returned in time
      */
     BudgetWait(Budget budget, Clock clock, Deadlines deadlines, Runnable onLongWait, Runnable onMemory,
             Runnable onTimeout) {
@@ -37,11 +43,11 @@
         this.onMemory = onMemory;
     }
 
-    /** Begins to wait, or continues where the memory that was returned did not suffice. */
+    /** Starts the wait, or continues it if the returned memory was not enough. */
     void begin() {
         waiting = true;
         if (!timeout.isSet()) {
-            longWait.setAfter(UNNOTICED_END_US);
+            longWait.setAfter(LONG_WAIT_US);
             timeout.setAfter(MAX_WAIT_US);
         }
         budget.await(() -> {
@@ -56,8 +62,8 @@
         return waiting;
     }
 
-    /** The frame has its memory. */
-    void end() {
+    /** Cancels the timeouts: the frame has its memory. */
+    void finish() {
         longWait.cancel();
         timeout.cancel();
     }
--- a/src/main/java/clovermill/dataplane/server/ClientStream.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStream.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A request that is open on a connection; it writes the one answer. */
+/** A request that is open on a connection. Writes its single response. */
 final class ClientStream implements ResponseHandler {
 
     final long number;
     final String requestId;
-    /** Bytes taken from the budget for the request's body. */
+    /** Budget bytes reserved for the request's body. */
     final int bodyBytes;
     private final FrameConnection connection;
 
@@ -24,7 +24,7 @@
 
     @Override
     public void served(UpstreamResponse response) {
-        connection.end(this);
+        connection.closeStream(this);
         Map<String, String> fields = new TreeMap<>();
         if (response.notModified()) {
             fields.put("notmod", "1");
@@ -44,14 +44,14 @@
     }
 
     @Override
-    public void refused(long retryAfterMs) {
-        connection.end(this);
-        connection.refuse(number, retryAfterMs);
+    public void rejected(long retryAfterMs) {
+        connection.closeStream(this);
+        connection.reject(number, retryAfterMs);
     }
 
     @Override
     public void failed() {
-        connection.end(this);
+        connection.closeStream(this);
         connection.fail(number);
     }
 }
--- a/src/main/java/clovermill/dataplane/server/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** The open requests of one connection: accepts or rejects them, and returns their memory when they end. */
+/** The open requests of one connection. Accepts or rejects requests, and releases their memory when they complete. */
 final class ClientStreams {
 
     private static final int MAX_OPEN = 32;
-    /** Retry delay during a shutdown: another director serves the request at once. */
+    /** Retry delay during a shutdown, when another director can serve the request immediately. */
     private static final long RETRY_ELSEWHERE_MS = 1;
 
     private final FrameConnection connection;
     private final ServerContext context;
-    private final StreamNumbers used = new StreamNumbers();
-    private final Map<Long, ClientStream> open = new HashMap<>();
+    private final StreamNumbers usedNumbers = new StreamNumbers();
+    private final Map<Long, ClientStream> openStreams = new HashMap<>();
 
     ClientStreams(FrameConnection connection, ServerContext context) {
         this.connection = connection;
@@ -26,40 +26,45 @@
     }
 
     boolean isEmpty() {
-        return open.isEmpty();
+        return openStreams.isEmpty();
     }
 
-    /** When a request that arrived then must have been answered, both in microseconds of the clock. */
+    /**
+     * Returns when a request must have been answered.
+     *
+     * @param arrivedUs when the request arrived, in microseconds of the clock
+     * @return the deadline on the same clock, or {@link Long#MAX_VALUE} if the request is invalid
+     */
     long answerByUs(ByteBuffer payload, long arrivedUs) throws ProtocolException {
         Map<String, String> fields = Frames.fields(payload.duplicate().order(payload.order()));
         long withinUs = context.reader().answerWithinUs(fields);
         return withinUs == Long.MAX_VALUE ? Long.MAX_VALUE : arrivedUs + withinUs;
     }
 
-    /** Rejects a request that was not accepted; {@code payload} is null if it was not read. */
+    /** Rejects a request before it is accepted; {@code payload} is null if it was skipped. */
     void reject(long stream, ByteBuffer payload) throws ProtocolException {
         if (claimNumber(stream)) {
-            connection.refuse(stream, context.retryAfterMs().getAsLong());
+            connection.reject(stream, context.retryAfterMs().getAsLong());
             if (payload != null) {
                 recordRejected(Frames.fields(payload));
             }
         }
     }
 
-    /** Marks the number of a new stream as used; a number that may not be used is answered with an error. */
+    /** Marks the number of a new stream as used; answers a number that must not be used with an error. */
     private boolean claimNumber(long stream) throws ProtocolException {
-        if (stream == 0 || open.containsKey(stream)) {
+        if (stream == 0 || openStreams.containsKey(stream)) {
             connection.fail(0);
             return false;
         }
-        if (!used.markUsed(stream)) {
+        if (!usedNumbers.markUsed(stream)) {
             connection.fail(stream);
             return false;
         }
         return true;
     }
 
-    /** Accepts a request that arrived at that time of the clock, or answers it at once. */
+    /** Accepts a request that arrived at {@code arrivedUs} on the clock, or answers it immediately. */
     void accept(long stream, ByteBuffer payload, long arrivedUs) throws ProtocolException {
         Map<String, String> fields = Frames.fields(payload);
         if (!claimNumber(stream)) {
@@ -67,9 +72,9 @@
         }
         int bodyBytes = payload.remaining();
         boolean rejectingNew = context.rejectingNew().getAsBoolean();
-        if (rejectingNew || open.size() >= MAX_OPEN || !context.budget().take(bodyBytes)) {
+        if (rejectingNew || openStreams.size() >= MAX_OPEN || !context.budget().take(bodyBytes)) {
             long retryAfterMs = context.retryAfterMs().getAsLong();
-            connection.refuse(stream,
+            connection.reject(stream,
                     rejectingNew ? Math.min(RETRY_ELSEWHERE_MS, retryAfterMs) : retryAfterMs);
             recordRejected(fields);
             return;
@@ -89,17 +94,17 @@
         int bodyBytes = request.body().length;
         if (request.remainingUs() <= 0) {
             context.budget().give(bodyBytes);
-            connection.refuse(stream, context.retryAfterMs().getAsLong());
+            connection.reject(stream, context.retryAfterMs().getAsLong());
             context.proxy().recordRejected(request, UsageRecord.End.REFUSED);
             return;
         }
         ClientStream opened = new ClientStream(connection, stream, request.id(), bodyBytes);
-        open.put(stream, opened);
+        openStreams.put(stream, opened);
         connection.requestAccepted();
         context.proxy().submit(request, opened);
     }
 
-    /** Records the usage of a request that was rejected here; an invalid one cannot be assigned to anybody. */
+    /** Records the usage of a request that was rejected here; an invalid one cannot be attributed to a tenant. */
     private void recordRejected(Map<String, String> fields) {
         if (context.proxy().recordsUsage()) {
             try {
@@ -110,39 +115,39 @@
         }
     }
 
-    /** The client no longer waits for a request; false if it is not open. */
+    /** Cancels a request at the client's demand; returns false if it is not open. */
     boolean cancel(long stream) {
-        ClientStream cancelled = open.get(stream);
+        ClientStream cancelled = openStreams.get(stream);
         if (cancelled == null) {
             return false;
         }
-        end(cancelled);
+        close(cancelled);
         context.proxy().clientGone(cancelled.requestId);
         return true;
     }
 
-    /** Marks the number of a request that was cancelled before it was accepted. */
+    /** Marks the stream number of a request that was cancelled before it was accepted as used. */
     void markUsed(long stream) throws ProtocolException {
-        used.markUsed(stream);
+        usedNumbers.markUsed(stream);
     }
 
-    /** The one place where a stream ends and the memory of its request is returned. */
-    void end(ClientStream stream) {
-        if (open.remove(stream.number, stream)) {
+    /** Closes a stream and returns its request's memory to the budget. Every stream is closed here. */
+    void close(ClientStream stream) {
+        if (openStreams.remove(stream.number, stream)) {
             context.budget().give(stream.bodyBytes);
         }
     }
 
     /**
-     * No further attempt begins for the open requests, since the client may have gone unnoticed. Attempts in flight may
-     * still be answered.
+     * Prevents new attempts for the open requests, since the client may have disconnected undetected. Attempts in
+     * flight may still be answered.
      */
     void stopNewAttempts() {
-        List.copyOf(open.values()).forEach(stream -> context.proxy().clientHalfClosed(stream.requestId));
+        List.copyOf(openStreams.values()).forEach(stream -> context.proxy().clientHalfClosed(stream.requestId));
     }
 
-    /** The client has gone. */
+    /** Cancels all open requests: the client has disconnected. */
     void cancelAll() {
-        List.copyOf(open.keySet()).forEach(this::cancel);
+        List.copyOf(openStreams.keySet()).forEach(this::cancel);
     }
 }
--- a/src/main/java/clovermill/dataplane/server/ClientThrottle.java
+++ b/src/main/java/clovermill/dataplane/server/ClientThrottle.java
@@ -5,8 +5,8 @@
 import clovermill.runtime.net.Timeout;
 
 /**
- * Throttles one client by its unserved requests (rejected, failed, cancelled) in a window, so that a storm of retries
- * or cancellations does not take processor time from other clients.
+ * Throttles one client by its unserved requests (rejected, failed, cancelled) in a time window, so that a burst of
+ * retries or cancellations does not take CPU time from other clients.
  */
 final class ClientThrottle {
 
@@ -18,13 +18,13 @@
     private long windowStartUs;
     private int unserved;
 
-    /** {@code onEnd} runs when the client is throttled no longer. */
+    /** Creates a throttle; {@code onEnd} runs when throttling ends. */
     ClientThrottle(Clock clock, Deadlines deadlines, Runnable onEnd) {
         this.clock = clock;
         this.throttled = new Timeout(clock, deadlines, onEnd);
     }
 
-    /** Counts an unserved request; above the limit the client is throttled until the end of the window. */
+    /** Counts an unserved request; throttles the client until the end of the window once the limit is exceeded. */
     void countUnserved() {
         long nowUs = clock.micros();
         if (nowUs - windowStartUs >= WINDOW_US) {
--- a/src/main/java/clovermill/dataplane/server/FrameConnection.java
+++ b/src/main/java/clovermill/dataplane/server/FrameConnection.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One client connection: its open streams, the answers written to it, and its close. */
+/** One client connection: manages its open streams, response writes and close. */
 final class FrameConnection implements Connection.Handler {
 
-    /** A client that connected less than this ago is expected to send its first request. */
+    /** Time after the connect in which a client is expected to send its first request. */
     private static final long FIRST_REQUEST_US = 100_000;
 
     private final Connection connection;
     private final ServerContext context;
     private final ClientStreams streams;
-    private final FrameIntake intake;
+    private final FrameReceiver receiver;
     private final WriteTimeout writeTimeout;
     private final LingeringClose lingeringClose;
     private final long openedUs;
@@ -29,7 +29,7 @@
         this.connection = connection;
         this.context = context;
         this.streams = new ClientStreams(this, context);
-        this.intake = new FrameIntake(this, connection, context, streams);
+        this.receiver = new FrameReceiver(this, connection, context, streams);
         this.writeTimeout = new WriteTimeout(connection, context.clock(), context.deadlines());
         this.lingeringClose = new LingeringClose(connection, context.clock(), context.deadlines());
         this.openedUs = context.clock().micros();
@@ -40,26 +40,26 @@
         connection.send(Frames.emptyFrame(Frames.GOING_AWAY, 0));
     }
 
-    /** A client that connects during the shutdown is served once before it is asked to go elsewhere. */
+    /** Defers {@link #announceShutdown} so that a client that connects during the shutdown gets one request served. */
     void announceShutdownAfterNextRequest() {
         announceAfterNextRequest = true;
     }
 
-    /** Whether this side is about to close, so that no held frame is processed any more. */
+    /** Returns whether this side is about to close; queued frames are no longer processed then. */
     boolean isClosing() {
         return closing;
     }
 
     private boolean hasNothingPending() {
-        return streams.isEmpty() && !intake.hasHeldFrames() && connection.queuedBytes() == 0;
+        return streams.isEmpty() && !receiver.hasQueuedFrames() && connection.queuedBytes() == 0;
     }
 
     /**
-     * Closes this side if no request is open, after it has read what has arrived. Not to be called from
+     * Reads the bytes that have arrived, then closes this side if no request is open. Must not be called from
      * {@link #received}.
      */
     void closeIfIdle() {
-        intake.resume();
+        receiver.resume();
         if (isIdle()) {
             connection.readNow();
             if (connection.isOpen() && isIdle()) {
@@ -69,14 +69,14 @@
     }
 
     private boolean isIdle() {
-        return !lingeringClose.hasBegun() && !closing && hasNothingPending() && !intake.isMidFrame()
+        return !lingeringClose.hasBegun() && !closing && hasNothingPending() && !receiver.isMidFrame()
                 && !connection.isPaused()
-                && (intake.hasReceivedFrame() || context.clock().micros() >= openedUs + FIRST_REQUEST_US);
+                && (receiver.hasReceivedFrame() || context.clock().micros() >= openedUs + FIRST_REQUEST_US);
     }
 
     /**
-     * Answers all that has arrived and closes this side; the second call closes the connection even if the client has
-     * not read its answers. A close that has begun is left to end in its own time.
+     * Answers all requests that have arrived and closes this side; the second call closes the connection even if the
+     * client has not read its responses. Has no effect on a lingering close in progress.
      */
     void forceClose() {
         if (lingeringClose.hasBegun()) {
@@ -87,7 +87,7 @@
             return;
         }
         forcedClose = true;
-        intake.resume();
+        receiver.resume();
         connection.readNow();
         closing = true;
         answerPending();
@@ -100,7 +100,7 @@
             return;
         }
         try {
-            intake.receive(data);
+            receiver.receive(data);
             updateIdleState();
         } catch (ProtocolException malformed) {
             data.position(data.limit());
@@ -108,26 +108,26 @@
         }
     }
 
-    /** Sends an error that belongs to no request. Requests that were accepted are still answered before the close. */
+    /** Sends a connection error and closes this side once the accepted requests have been answered. */
     void rejectProtocolError() {
         fail(0);
         closing = true;
-        intake.pause();
+        receiver.pause();
         answerPending();
     }
 
-    /** Nothing new is begun: held requests get their final answer, those with an attempt in flight may be served. */
+    /** Rejects queued requests and prevents new attempts; requests with an attempt in flight may still be served. */
     private void answerPending() {
         streams.stopNewAttempts();
-        intake.rejectHeld();
+        receiver.rejectQueued();
         closeIfDone();
     }
 
     private void updateIdleState() {
-        if (!connection.isOpen() || !intake.hasReceivedFrame()) {
+        if (!connection.isOpen() || !receiver.hasReceivedFrame()) {
             return;
         }
-        if (hasNothingPending() && !intake.isMidFrame()) {
+        if (hasNothingPending() && !receiver.isMidFrame()) {
             context.idle().markIdle(this, context.clock().micros());
         } else {
             context.idle().remove(this);
@@ -135,15 +135,17 @@
     }
 
     /**
-     * Closes a connection without open requests, after it has read what has arrived; a client in the middle of a frame
-     * gets an error. False if the connection turned out to be in use. Not to be called from {@link #received}.
+     * Reads the bytes that have arrived, then closes the connection unless it is in use. A client in the middle of a
+     * frame gets an error. Must not be called from {@link #received}.
+     *
+     * @return false if the connection is in use
      */
     boolean evict() {
         connection.readNow();
         if (connection.isOpen() && isInUse()) {
             return false;
         }
-        if (intake.isMidFrame()) {
+        if (receiver.isMidFrame()) {
             fail(0);
             connection.closeWhenFlushed();
         } else {
@@ -152,12 +154,12 @@
         return true;
     }
 
-    /** A request that waits for memory may have been sent completely: it is owed an answer. */
+    /** A request that waits for memory may have been sent completely and must be answered, so it counts as use. */
     private boolean isInUse() {
-        return !hasNothingPending() || intake.awaitsMemory() || intake.hasReceivedFrame() && intake.isMidFrame();
+        return !hasNothingPending() || receiver.awaitsMemory() || receiver.hasReceivedFrame() && receiver.isMidFrame();
     }
 
-    /** A request was accepted on this connection. */
+    /** Sends a deferred shutdown announcement; called when a request has been accepted. */
     void requestAccepted() {
         if (announceAfterNextRequest) {
             announceAfterNextRequest = false;
@@ -165,30 +167,30 @@
         }
     }
 
-    void end(ClientStream stream) {
-        streams.end(stream);
+    void closeStream(ClientStream stream) {
+        streams.close(stream);
     }
 
-    /** Sends a response; {@code written} is called once, with true if all of it was written to the socket. */
+    /** Sends a response; {@code written} is called once, with true if the whole response was written to the socket. */
     void respond(ByteBuffer head, ByteBuffer body, Consumer<Boolean> written) {
         connection.send(head);
         connection.send(body, () -> written.accept(connection.isOpen()));
         responseQueued();
     }
 
-    /** Rejects a request; it may be retried after so many milliseconds, 0 for at once. */
-    void refuse(long stream, long retryAfterMs) {
+    /** Rejects a request, which may be retried after {@code retryAfterMs} milliseconds; 0 means immediately. */
+    void reject(long stream, long retryAfterMs) {
         Map<String, String> fields =
                 retryAfterMs > 0 ? Map.of("after", Long.toString(retryAfterMs)) : Map.of();
-        connection.send(Frames.responseHead(Frames.RESPONSE, stream, Frames.REFUSED, fields, 0));
-        intake.countUnserved();
+        connection.send(Frames.responseHead(Frames.RESPONSE, stream, Frames.REJECTED, fields, 0));
+        receiver.countUnserved();
         responseQueued();
     }
 
-    /** Fails a request, or the connection as such where {@code stream} is 0. */
+    /** Sends an error for a request, or for the whole connection if {@code stream} is 0. */
     void fail(long stream) {
         connection.send(Frames.responseHead(Frames.RESPONSE, stream, Frames.FAILED, Map.of(), 0));
-        intake.countUnserved();
+        receiver.countUnserved();
         responseQueued();
     }
 
@@ -199,12 +201,12 @@
 
     @Override
     public void flushed() {
-        intake.resume();
+        receiver.resume();
         updateIdleState();
         closeIfDone();
     }
 
-    /** The client has closed its output: it may have gone, or may still read its answers. */
+    /** Handles the end of the client's output: it may have disconnected, or may still read its responses. */
     @Override
     public void ended() {
         inputEnded = true;
@@ -226,7 +228,7 @@
     public void closed(IOException cause) {
         writeTimeout.close();
         lingeringClose.close();
-        intake.close();
+        receiver.close();
         streams.cancelAll();
         context.closed().accept(this);
     }
--- a/src/main/java/clovermill/dataplane/server/FrameParser.java
+++ b/src/main/java/clovermill/dataplane/server/FrameParser.java
@@ -7,48 +7,49 @@
 import java.util.Arrays;
 
 /**
- * Incremental parser of frames: a little-endian length, a type, a stream number, and the payload. The buffer grows with
- * the bytes that arrive and is charged to the budget; a frame for which there is no memory can be skipped.
+ * Incremental parser of frames: a little-endian length, a type, a stream number, and the payload. The buffer grows as
+ * bytes arrive and is charged to the budget; a frame for which there is no memory can be skipped.
  */
 final class FrameParser {
 
-    /** Gets complete frames. */
+    /** Receives complete frames. */
     interface Sink {
-        /** A frame; the payload is valid during the call. Returns false to stop the parser after this frame. */
-        boolean frame(int type, long stream, ByteBuffer payload) throws ProtocolException;
+        /** Handles a frame, whose payload is valid during the call. Returns false to stop parsing after this frame. */
+        boolean handleFrame(int type, long stream, ByteBuffer payload) throws ProtocolException;
     }
 
-    /** Gets the header of each skipped frame when all of it has arrived. */
-    interface SkipListener {
-        void skipped(int type, long stream) throws ProtocolException;
+    /** Receives the header of each skipped frame once the whole frame has arrived. */
+    interface SkippedFrameListener {
+        void frameSkipped(int type, long stream) throws ProtocolException;
     }
 
-    /** The length field. */
+    /** Size of the length field. */
     private static final int LENGTH_BYTES = 4;
-    /** Type and stream number; the length counts them. */
+    /** Size of the type and the stream number, which the length field includes. */
     private static final int TYPE_AND_STREAM_BYTES = 5;
     private static final int HEADER_BYTES = LENGTH_BYTES + TYPE_AND_STREAM_BYTES;
     private static final int MAX_LENGTH = 262_144;
-    /** Not charged to the budget. */
+    /** Size of the part of the buffer that is not charged to the budget. */
     private static final int INITIAL_BUFFER_BYTES = 1024;
 
     private final Budget budget;
     private final Sink sink;
-    private final SkipListener skipListener;
+    private final SkippedFrameListener skippedFrameListener;
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int filled;
     private boolean awaitsMemory;
     private boolean skipping;
 
-    FrameParser(Budget budget, Sink sink, SkipListener skipListener) {
+    FrameParser(Budget budget, Sink sink, SkippedFrameListener skippedFrameListener) {
         this.budget = budget;
         this.sink = sink;
-        this.skipListener = skipListener;
+        this.skippedFrameListener = skippedFrameListener;
     }
 
     /**
-     * Reads {@code data} to its end, or to the frame after which the sink stops, or to where the budget has no memory
-     * for a large frame. Fails on a length out of range, or as the sink does.
+     * Parses {@code data} until it is exhausted, the sink stops parsing, or the budget has no memory for a large frame.
+     *
+     * @throws ProtocolException if a length is out of range, or from the sink
      */
     void parse(ByteBuffer data) throws ProtocolException {
         awaitsMemory = false;
@@ -71,7 +72,7 @@
         }
     }
 
-    /** Grows the buffer with the bytes that have arrived: a length alone must not allocate memory. */
+    /** Grows the buffer as bytes arrive: a length field alone must not allocate memory. */
     private boolean ensureCapacity(int needed, int frameBytes) {
         if (needed <= buffer.length) {
             return true;
@@ -94,19 +95,19 @@
                 .order(ByteOrder.LITTLE_ENDIAN);
         int type = frame.get() & 0xff;
         long stream = frame.getInt() & 0xffffffffL;
-        boolean proceed = sink.frame(type, stream, frame);
+        boolean proceed = sink.handleFrame(type, stream, frame);
         releaseBuffer();
         return proceed;
     }
 
-    /** Skips the rest of the frame that waits for memory, and releases its buffer. */
+    /** Skips the rest of the frame that waits for memory and releases its buffer. */
     void skipFrame() {
         skipping = true;
         awaitsMemory = false;
         releaseBuffer();
     }
 
-    /** Stores the header alone. */
+    /** Discards {@code count} bytes of the frame, except for its header. */
     private void skip(ByteBuffer data, int count, int frameBytes) throws ProtocolException {
         int stored = Math.max(0, Math.min(count, HEADER_BYTES - filled));
         data.get(buffer, Math.min(filled, HEADER_BYTES), stored);
@@ -117,21 +118,21 @@
             skipping = false;
             ByteBuffer header =
                     ByteBuffer.wrap(buffer, LENGTH_BYTES, TYPE_AND_STREAM_BYTES).order(ByteOrder.LITTLE_ENDIAN);
-            skipListener.skipped(header.get() & 0xff, header.getInt() & 0xffffffffL);
+            skippedFrameListener.frameSkipped(header.get() & 0xff, header.getInt() & 0xffffffffL);
         }
     }
 
-    /** Whether a frame waits until the budget has memory for it. */
+    /** Returns whether a frame waits until the budget has memory for it. */
     boolean awaitsMemory() {
         return awaitsMemory;
     }
 
-    /** Whether a part of a frame has been read. */
+    /** Returns whether a frame has been read in part. */
     boolean isMidFrame() {
         return filled > 0;
     }
 
-    /** The one place where the memory of a large frame is returned. The header of a skipped frame stays readable. */
+    /** Returns the memory of a large frame to the budget. The header of a skipped frame stays readable. */
     void releaseBuffer() {
         int charged = buffer.length - INITIAL_BUFFER_BYTES;
         if (charged > 0) {
@@ -143,7 +144,7 @@
     private int length() throws ProtocolException {
         int length = ByteBuffer.wrap(buffer).order(ByteOrder.LITTLE_ENDIAN).getInt();
         if (length < TYPE_AND_STREAM_BYTES || length > MAX_LENGTH) {
-            throw new ProtocolException("a frame of " + (length & 0xffffffffL) + " bytes");
+            throw new ProtocolException("frame length out of range: " + (length & 0xffffffffL) + " bytes");
         }
         return length;
     }
--- a/src/main/java/clovermill/dataplane/server/HeldFrames.java
+++ b/src/main/java/clovermill/dataplane/server/FrameQueue.java
@@ -11,24 +11,24 @@
 import java.util.function.Consumer;
 
 /**
- * Queue of the frames of a client that is throttled. They are read nevertheless, so that cancellations and the end of
- * the connection are seen behind them; the queue is bounded by bytes and by the number of frames read meanwhile.
+ * A queue of frames from a throttled client. Reading continues, so that cancellations and the end of the connection are
+ * detected; the queue is bounded by its bytes and by the number of frames read while the client is throttled.
  */
-final class HeldFrames {
+final class FrameQueue {
 
     /**
-     * A held frame.
+     * A queued frame.
      *
      * @param arrivedUs when it arrived, in microseconds of the clock
-     * @param answerByUs when its request must have been answered; {@link Long#MAX_VALUE} if it has no deadline
+     * @param answerByUs deadline of its request on the same clock; {@link Long#MAX_VALUE} if it has none
      */
     record Frame(int type, long stream, byte[] payload, long arrivedUs, long answerByUs) {}
 
-    /** Some hundreds of requests without a body; clients usually have at most 32 open. */
+    /** Enough for some hundreds of requests without a body; clients usually have at most 32 open. */
     private static final int MAX_BYTES = 1 << 16;
     /** Charged for each frame in addition to its payload. */
     private static final int FRAME_OVERHEAD_BYTES = 64;
-    /** Frames read while the client is throttled, cancelled ones included, before reading pauses. */
+    /** Limit of the frames read while the client is throttled, cancelled ones included, before reading pauses. */
     private static final int MAX_FRAMES_READ = 1000;
 
     private final Budget budget;
@@ -40,8 +40,8 @@
     private int bytes;
     private int framesRead;
 
-    /** {@code expired} gets each frame whose time is over; it has been removed by then. */
-    HeldFrames(Budget budget, Clock clock, Deadlines deadlines, Consumer<Frame> expired) {
+    /** Creates an empty queue; {@code expired} gets each frame that was removed because its deadline passed. */
+    FrameQueue(Budget budget, Clock clock, Deadlines deadlines, Consumer<Frame> expired) {
         this.budget = budget;
         this.clock = clock;
         this.expired = expired;
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Adds a copy of a frame; false if the budget has no memory for it. Times as in {@link Frame}. */
+    /** Adds a copy of a frame, with times as in {@link Frame}; returns false if the budget has no memory for it. */
     boolean add(int type, long stream, ByteBuffer payload, long arrivedUs, long answerByUs) {
         int size = payload.remaining() + FRAME_OVERHEAD_BYTES;
         if (!budget.take(size)) {
@@ -82,12 +82,12 @@
         return true;
     }
 
-    /** Counts a frame that was read while the client is throttled. */
+    /** Counts a frame read while the client is throttled. */
     void countRead() {
         framesRead++;
     }
 
-    /** Whether reading must pause. */
+    /** Returns whether reading must pause. */
     boolean isFull() {
         return bytes >= MAX_BYTES || framesRead >= MAX_FRAMES_READ;
     }
@@ -96,7 +96,7 @@
         return frames.isEmpty();
     }
 
-    /** Removes the request of a stream; false if none is held. */
+    /** Removes the request of a stream; returns false if none is queued. */
     boolean remove(long stream) {
         for (Iterator<Frame> each = frames.iterator(); each.hasNext();) {
             Frame frame = each.next();
@@ -109,7 +109,7 @@
         return false;
     }
 
-    /** Removes the eldest frame, or returns null and resets the count of frames read. */
+    /** Removes and returns the oldest frame; returns null and resets the count of frames read if there is none. */
     Frame poll() {
         Frame next = frames.poll();
         if (next != null) {
--- a/src/main/java/clovermill/dataplane/server/FrameIntake.java
+++ b/src/main/java/clovermill/dataplane/server/FrameReceiver.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * Reads the frames of one client and passes them on in their order. While the client is throttled, or does not read its
- * answers, its frames are held; cancellations are carried out at once all the same.
+ * Receives the frames of one client and processes them in order. Frames are queued while the client is throttled or
+ * does not read its responses; cancellations are processed immediately even then.
  */
-final class FrameIntake {
+final class FrameReceiver {
 
-    /** No further frame is processed for a client with so many bytes of answers that it has not read. */
+    /** Frame processing stops for a client with more than this many bytes of unread responses. */
     private static final long MAX_UNREAD_BYTES = 1 << 20;
 
     private final FrameConnection client;
@@ -22,12 +22,12 @@
     private final FrameParser parser;
     private final ReadPause reading;
     private final FrameTimeout frameTimeout;
-    private final HeldFrames held;
+    private final FrameQueue queue;
     private final ClientThrottle throttle;
     private final BudgetWait budgetWait;
     private boolean hasReceivedFrame;
 
-    FrameIntake(FrameConnection client, Connection connection, ServerContext context, ClientStreams streams) {
+    FrameReceiver(FrameConnection client, Connection connection, ServerContext context, ClientStreams streams) {
         this.client = client;
         this.connection = connection;
         this.context = context;
@@ -36,31 +36,31 @@
         this.reading = new ReadPause(connection, context.clock());
         this.frameTimeout = new FrameTimeout(connection, context.clock(), context.deadlines(), parser,
                 client::rejectProtocolError);
-        this.held = new HeldFrames(context.budget(), context.clock(), context.deadlines(), this::rejectExpired);
+        this.queue = new FrameQueue(context.budget(), context.clock(), context.deadlines(), this::rejectExpired);
         this.throttle = new ClientThrottle(context.clock(), context.deadlines(), this::resume);
         this.budgetWait = new BudgetWait(context.budget(), context.clock(), context.deadlines(),
                 streams::stopNewAttempts, this::resume, this::skipFrame);
     }
 
-    /** Reads bytes of the client, all of them unless reading was paused. */
+    /** Parses bytes from the client: all of them, unless reading gets paused. */
     void receive(ByteBuffer data) throws ProtocolException {
         parser.parse(data);
         if (parser.awaitsMemory()) {
             reading.pause();
             budgetWait.begin();
         } else {
-            budgetWait.end();
+            budgetWait.finish();
         }
         frameTimeout.update();
     }
 
-    /** Processes what was held, and continues to read. Does nothing once the connection is closing. */
+    /** Processes the queued frames and resumes reading. Does nothing once the connection is closing. */
     void resume() {
         if (client.isClosing() || !connection.isOpen()) {
             return;
         }
-        rejectOnError(this::processHeld);
-        if (!client.isClosing() && !held.isFull() && !budgetWait.isWaiting()) {
+        rejectOnError(this::processQueued);
+        if (!client.isClosing() && !queue.isFull() && !budgetWait.isWaiting()) {
             reading.resume();
         }
     }
@@ -70,69 +70,73 @@
         reading.pause();
     }
 
-    /** Rejects all requests that are held; no frame is held any more. */
-    void rejectHeld() {
-        for (HeldFrames.Frame next = held.poll(); next != null; next = held.poll()) {
+    /** Rejects all queued requests and empties the queue. */
+    void rejectQueued() {
+        for (FrameQueue.Frame next = queue.poll(); next != null; next = queue.poll()) {
             if (next.type() == Frames.REQUEST) {
-                client.refuse(next.stream(), context.retryAfterMs().getAsLong());
+                client.reject(next.stream(), context.retryAfterMs().getAsLong());
             }
         }
     }
 
-    /** Counts a request of this client that was not served, which may throttle it. */
+    /** Counts an unserved request of this client, which may throttle it. */
     void countUnserved() {
         throttle.countUnserved();
     }
 
-    boolean hasHeldFrames() {
-        return !held.isEmpty();
+    boolean hasQueuedFrames() {
+        return !queue.isEmpty();
     }
 
-    /** Whether a part of a frame has been read. */
+    /** Returns whether a frame has been read in part. */
     boolean isMidFrame() {
         return parser.isMidFrame();
     }
 
-    /** Whether a large frame waits for memory; the rest of it may lie unread in the socket. */
+    /** Returns whether a large frame waits for memory; the rest of it may be unread in the socket. */
     boolean awaitsMemory() {
         return budgetWait.isWaiting();
     }
 
-    /** Whether any complete frame has come since the connection was opened. */
+    /** Returns whether a complete frame has been received on this connection. */
     boolean hasReceivedFrame() {
         return hasReceivedFrame;
     }
 
-    /** Releases all memory and timers; the connection is closed. */
+    /** Releases all memory and timers, after the connection was closed. */
     void close() {
         frameTimeout.close();
         throttle.close();
         budgetWait.close();
         parser.releaseBuffer();
-        held.close();
+        queue.close();
     }
 
-    /** False where no more is to be read for a while, since the end of the client would not be seen behind it. */
+    /**
+     * Processes or queues a frame.
+     *
+     * @return false if reading pauses after this frame; a disconnect would not be detected meanwhile
+     */
     private boolean receiveFrame(int type, long stream, ByteBuffer payload) throws ProtocolException {
         hasReceivedFrame = true;
-        boolean mustWait = isBlocked() || !held.isEmpty();
+        boolean mustWait = isBlocked() || !queue.isEmpty();
         if (mustWait) {
-            held.countRead();
+            queue.countRead();
         }
         switch (type) {
-            case Frames.CANCEL -> cancel(stream); // not held: the request must not continue meanwhile
+            case Frames.CANCEL -> cancel(stream); // never queued: the request must not continue meanwhile
             case Frames.REQUEST, Frames.READINESS_REQUEST -> {
-                if (!mustWait || !hold(type, stream, payload)) {
+                if (!mustWait || !enqueue(type, stream, payload)) {
                     process(type, stream, payload, reading.arrivedUs());
                 }
             }
-            default -> throw new ProtocolException("an unknown type of frame");
+            default -> throw new ProtocolException("unknown frame type");
         }
-        if (held.isFull()) {
+        if (queue.isFull()) {
             reading.pause();
             streams.stopNewAttempts();
         }
-        return !held.isFull();
+        return !queue.isFull();
     }
 
     private boolean isBlocked() {
@@ -140,16 +144,16 @@
                 || connection.queuedBytes() > MAX_UNREAD_BYTES;
     }
 
-    private boolean hold(int type, long stream, ByteBuffer payload) throws ProtocolException {
+    private boolean enqueue(int type, long stream, ByteBuffer payload) throws ProtocolException {
         long arrivedUs = reading.arrivedUs();
         long answerByUs =
                 type == Frames.REQUEST ? streams.answerByUs(payload, arrivedUs) : Long.MAX_VALUE;
-        return held.add(type, stream, payload, arrivedUs, answerByUs);
+        return queue.add(type, stream, payload, arrivedUs, answerByUs);
     }
 
-    private void processHeld() throws ProtocolException {
+    private void processQueued() throws ProtocolException {
         while (!isBlocked()) {
-            HeldFrames.Frame next = held.poll();
+            FrameQueue.Frame next = queue.poll();
             if (next == null) {
                 return;
             }
@@ -161,7 +165,7 @@
         if (type == Frames.REQUEST) {
             streams.accept(stream, payload, arrivedUs);
         } else {
-            byte code = context.ready().getAsBoolean() ? Frames.SERVED : Frames.REFUSED;
+            byte code = context.ready().getAsBoolean() ? Frames.SERVED : Frames.REJECTED;
             connection.send(Frames.responseHead(Frames.READINESS_RESPONSE, stream, code, Map.of(), 0));
         }
     }
@@ -169,18 +173,18 @@
     private void cancel(long stream) throws ProtocolException {
         if (streams.cancel(stream)) {
             throttle.countUnserved();
-        } else if (held.remove(stream)) {
+        } else if (queue.remove(stream)) {
             streams.markUsed(stream);
         }
     }
 
-    /** A held request has run out of time. */
-    private void rejectExpired(HeldFrames.Frame frame) {
+    /** Rejects a queued request whose deadline has passed. */
+    private void rejectExpired(FrameQueue.Frame frame) {
         rejectOnError(() -> streams.reject(frame.stream(), payload(frame)));
-        resume(); // less is held now, which may let it read again
+        resume(); // the queue is shorter now, so reading may be possible again
     }
 
-    /** No memory was available in time for a large frame. */
+    /** Skips a large frame for which no memory was available in time. */
     private void skipFrame() {
         parser.skipFrame();
         resume();
@@ -188,7 +192,7 @@
 
     private void receiveSkipped(int type, long stream) throws ProtocolException {
         if (type != Frames.REQUEST) {
-            throw new ProtocolException("a large frame that is no request");
+            throw new ProtocolException("a large frame that is not a request");
         }
         hasReceivedFrame = true;
         streams.reject(stream, null);
@@ -206,7 +210,7 @@
         }
     }
 
-    private static ByteBuffer payload(HeldFrames.Frame frame) {
+    private static ByteBuffer payload(FrameQueue.Frame frame) {
         return ByteBuffer.wrap(frame.payload()).order(ByteOrder.LITTLE_ENDIAN);
     }
 }
--- a/src/main/java/clovermill/dataplane/server/FrameServer.java
+++ b/src/main/java/clovermill/dataplane/server/FrameServer.java
@@ -18,25 +18,25 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** Accepts the clients that speak the binary frame protocol. */
+/** The server for clients of the binary frame protocol. */
 public final class FrameServer implements ClientServer {
 
     /**
-     * How this server listens.
+     * The listening options of a server.
      *
-     * @param address where to listen, if no socket is inherited
+     * @param address the listen address, if no socket is inherited
      * @param inheritedSocket a listening socket that other processes share, or null
-     * @param maxConnections how many connections may be open
+     * @param maxConnections limit of open connections
      * @param canServe whether the director can serve requests
      */
     public record Options(InetSocketAddress address, ServerSocketChannel inheritedSocket, int maxConnections,
             BooleanSupplier canServe) {}
 
     private static final System.Logger LOG = System.getLogger(FrameServer.class.getName());
-    /** Subtracted from a client's wait for the network both ways and a busy core. */
+    /** Margin subtracted from a client's timeout for the network round trip and a busy CPU. */
     private static final long ANSWER_MARGIN_US = 20_000;
     private static final long SWEEP_INTERVAL_US = 250_000;
-    /** How often a director that inherited its socket checks whether it can serve. */
+    /** Interval at which a director with an inherited socket checks whether it can serve. */
     private static final long READINESS_INTERVAL_US = 10_000;
 
     private final EventLoop loop;
@@ -54,7 +54,7 @@
     private boolean shuttingDown;
     private boolean rejectingNew;
 
-    /** A server that passes requests to {@code proxy}; {@code classNames} as in {@link #reload}. */
+    /** Creates a server that passes requests to {@code proxy}; {@code classNames} as in {@link #reload}. */
     public FrameServer(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, ProxyCore proxy,
             Settings settings, List<String> classNames, Options options) {
         this.loop = loop;
@@ -63,14 +63,14 @@
         this.maxConnections = options.maxConnections();
         this.reader = new RequestReader(ANSWER_MARGIN_US);
         this.context = new ServerContext(proxy, reader, budget, clock, deadlines, () -> retryAfterMs,
-                this::isReady, () -> rejectingNew, idle, this::forget);
+                this::isReady, () -> rejectingNew, idle, this::removeConnection);
         this.sweep = new RecurringTask(deadlines, clock, SWEEP_INTERVAL_US,
                 () -> idle.closeExpired(clock.micros()));
         this.readinessCheck = new RecurringTask(deadlines, clock, READINESS_INTERVAL_US, this::openWhenReady);
         reload(classNames, settings);
     }
 
-    /** Accepts requests of these classes from now on; a name is null if its class is not accepted any more. */
+    /** Sets the accepted request classes; a name is null if its class is no longer accepted. */
     public void reload(List<String> classNames, Settings settings) {
         reader.reload(classNames, settings.classes(), settings.paceKbPerS());
         retryAfterMs = settings.allowed().maxRetryAfterUs() / 1000;
@@ -86,14 +86,14 @@
         sweep.start();
     }
 
-    /** Whether new connections are accepted here, or left to another process on the same socket. */
+    /** Sets whether new connections are accepted here or left to another process on the same socket. */
     public void setAccepting(boolean accepting) {
         if (listener != null) {
             listener.accepting(accepting);
         }
     }
 
-    /** Sets how many connections may be open; idle ones are closed where more are. */
+    /** Sets the limit of open connections; idle connections above it are closed. */
     public void setMaxConnections(int max) {
         maxConnections = max;
         if (listener != null && !shuttingDown) {
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Begins to accept from an inherited socket once this director can serve: until then another process on the socket
-     * serves the connections. A director that shuts down before that never begins.
+     * Starts accepting from an inherited socket once this director can serve; until then another process on the socket
+     * serves the connections. A director that shuts down earlier never starts accepting.
      */
     private void openWhenReady() {
         if (!shuttingDown && !options.canServe().getAsBoolean()) {
@@ -124,7 +124,7 @@
         idle.evictOne(clock.micros());
     }
 
-    /** The port that was bound. */
+    /** Returns the bound port. */
     public int port() {
         return listener.port();
     }
@@ -144,7 +144,7 @@
         return listener != null && !shuttingDown && options.canServe().getAsBoolean();
     }
 
-    private void forget(FrameConnection connection) {
+    private void removeConnection(FrameConnection connection) {
         connections.remove(connection);
         idle.remove(connection);
     }
--- a/src/main/java/clovermill/dataplane/server/FrameTimeout.java
+++ b/src/main/java/clovermill/dataplane/server/FrameTimeout.java
@@ -5,7 +5,7 @@
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.Timeout;
 
-/** Bounds the time from the first byte of a frame to its last. */
+/** A timeout from the first byte of a frame to its last. */
 final class FrameTimeout {
 
     private final Connection connection;
@@ -13,7 +13,9 @@
     private final Timeout timeout;
     private final Runnable onTimeout;
 
-    /** {@code onTimeout} runs when a frame is not complete in {@link IdleConnections#FIRST_FRAME_US}. */
+    /**
+     * Creates a timeout; {@code onTimeout} runs if a frame takes longer than {@link IdleConnections#FRAME_TIMEOUT_US}.
+     */
     FrameTimeout(Connection connection, Clock clock, Deadlines deadlines, FrameParser parser, Runnable onTimeout) {
         this.connection = connection;
         this.parser = parser;
@@ -21,18 +23,18 @@
         this.timeout = new Timeout(clock, deadlines, this::expire);
     }
 
-    /** Bytes have been read. */
+    /** Sets or cancels the timeout after bytes have been read. */
     void update() {
         if (!parser.isMidFrame()) {
             timeout.cancel();
         } else if (!timeout.isSet()) {
-            timeout.setAfter(IdleConnections.FIRST_FRAME_US);
+            timeout.setAfter(IdleConnections.FRAME_TIMEOUT_US);
         }
     }
 
     private void expire() {
         if (connection.isPaused()) {
-            update(); // the delay is this side's, which does not read
+            update(); // reading is paused, so the client did not cause the delay
         } else {
             onTimeout.run();
         }
--- a/src/main/java/clovermill/dataplane/server/Frames.java
+++ b/src/main/java/clovermill/dataplane/server/Frames.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The frame protocol: types, response codes, and the encoding of fields. */
+/** Frame types, response codes and field encoding of the frame protocol. */
 final class Frames {
 
     static final int REQUEST = 0;
@@ -18,12 +18,12 @@
     static final int GOING_AWAY = 9;
 
     static final byte SERVED = 79;
-    static final byte REFUSED = 66;
+    static final byte REJECTED = 66;
     static final byte FAILED = 69;
 
     private Frames() {}
 
-    /** Reads the list of fields; the payload is positioned after it. Fails if the payload is too short for them. */
+    /** Reads the fields and advances the payload past them. Throws if the payload is too short. */
     static Map<String, String> fields(ByteBuffer payload) throws ProtocolException {
         Map<String, String> fields = new HashMap<>(16);
         for (int i = readNumber(payload, 1); i > 0; i--) {
@@ -49,7 +49,7 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** A response frame up to its body; {@code bodyLength} is counted in its length field. */
+    /** Encodes a response frame without its body, whose length is included in the length field. */
     static ByteBuffer responseHead(int type, long stream, byte code, Map<String, String> fields, int bodyLength) {
         int size = 7;
         for (Map.Entry<String, String> field : fields.entrySet()) {
@@ -66,7 +66,7 @@
         return frame.flip();
     }
 
-    /** A frame with no payload. */
+    /** Encodes a frame without payload. */
     static ByteBuffer emptyFrame(int type, long stream) {
         return ByteBuffer.allocate(9).order(ByteOrder.LITTLE_ENDIAN).putInt(5).put((byte) type)
                 .putInt((int) stream).flip();
--- a/src/main/java/clovermill/dataplane/server/LingeringClose.java
+++ b/src/main/java/clovermill/dataplane/server/LingeringClose.java
@@ -7,14 +7,14 @@
 import java.nio.ByteBuffer;
 
 /**
- * Closes this side's output first and discards what the client still sends for a moment. A close with unread bytes
- * would send a reset, which destroys answers that are still on their way.
+ * A close that first shuts down this side's output and discards further input for a short time. Closing with unread
+ * input would send a reset, which destroys responses still in transit.
  */
 final class LingeringClose {
 
-    /** From the end of output to the close; what the client sent before it saw the end arrives within 50 ms. */
+    /** Delay from the end of output to the close; input sent before the client saw the end arrives within 50 ms. */
     private static final long LINGER_US = 100_000;
-    /** A client that sends more than this meanwhile is closed at once. */
+    /** Limit of discarded input, above which the connection is closed immediately. */
     private static final int MAX_DISCARDED_BYTES = 1 << 18;
 
     private final Connection connection;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Discards requests that the client sent before it saw the end; it sends them again elsewhere. */
+    /** Discards requests that the client sent before it saw the end; it retries them on another connection. */
     void discard(ByteBuffer data) {
         discardedBytes += data.remaining();
         data.position(data.limit());
--- a/src/main/java/clovermill/dataplane/server/ReadPause.java
+++ b/src/main/java/clovermill/dataplane/server/ReadPause.java
@@ -4,13 +4,13 @@
 import clovermill.runtime.net.Connection;
 
 /**
- * Pauses and resumes the reading of a client, and bounds when the bytes that are read arrived. A request's deadline
- * counts from its last byte. Bytes that waited in the socket may have arrived at any time during the pause, so its
- * beginning is used: the deadline passed to a server must not exceed the time that the client has left.
+ * Pauses and resumes reading from a client, and gives a lower bound for the arrival time of the bytes read. A request's
+ * deadline counts from its last byte. Bytes waiting in the socket may have arrived at any time during the pause, so the
+ * start of the pause is used: the deadline passed to a server must not exceed the time that the client has left.
  */
 final class ReadPause {
 
-    /** After a pause of any length all bytes that waited in the socket have been read by then. */
+    /** Time after a pause by which all bytes waiting in the socket have been read. */
     private static final long DRAIN_US = 50_000;
 
     private final Connection connection;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Lower bound of when the bytes read now arrived, in microseconds of the clock. */
+    /** Returns a lower bound for the arrival time of the bytes read now, in microseconds of the clock. */
     long arrivedUs() {
         return paused || isDraining() ? pausedSinceUs : clock.micros();
     }
--- a/src/main/java/clovermill/dataplane/server/RequestReader.java
+++ b/src/main/java/clovermill/dataplane/server/RequestReader.java
@@ -11,13 +11,13 @@
 /** Parses and validates the fields of a client's request. */
 final class RequestReader {
 
-    /** The protocol's largest body of a write. */
+    /** Largest write body that the protocol allows. */
     private static final int MAX_BODY_BYTES = 48_000;
     private static final int MAX_PART = 65_535;
     private static final int MAX_GROUP = 255;
-    /** No part takes so many times longer to send than clients of its class wait at most. */
+    /** Limit of a segment's transfer time, as a multiple of the longest timeout of its class. */
     private static final int MAX_SENDING_RATIO = 4;
-    /** The margin is at most this fraction (1/n) of the client's wait. */
+    /** Limits the margin to this fraction (1/n) of the client's timeout. */
     private static final int MARGIN_DIVISOR = 16;
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
 
@@ -26,12 +26,12 @@
     private List<RequestClass> requestClasses = List.of();
     private double paceKbPerS;
 
-    /** {@code marginUs} is subtracted from the time that a client waits, for the transfer of its answer. */
+    /** Creates a reader that subtracts {@code marginUs} from a client's timeout for the transfer of the response. */
     RequestReader(long marginUs) {
         this.marginUs = marginUs;
     }
 
-    /** Sets the classes; a name is null if its class is not accepted any more. Pace in kilobytes a second. */
+    /** Sets the classes and the pace in kilobytes per second; a name is null if its class is no longer accepted. */
     void reload(List<String> names, List<RequestClass> newClasses, double newPaceKbPerS) {
         classIndices.clear();
         for (int i = 0; i < names.size(); i++) {
@@ -44,17 +44,17 @@
     }
 
     /**
-     * Builds a request after every field has been checked. A cache closes a connection with all its exchanges on one
+     * Validates every field and builds the request. A cache closes a connection with all its exchanges after one
      * malformed line, and a value out of range would distort the statistics.
      */
     ClientRequest read(Map<String, String> fields, byte[] body) throws BadRequestException {
         String className = required(fields, "class");
         Integer index = classIndices.get(className);
         if (index == null) {
-            throw new BadRequestException("unknown class");
+            throw new BadRequestException("unknown request class");
         }
         RequestClass requestClass = requestClasses.get(index);
-        String idempotencyKey = plainWord(fields.get("once"));
+        String idempotencyKey = protocolWord(fields.get("once"));
         if (idempotencyKey == null && requestClass.effect() == Effect.DEDUPLICATED) {
             throw new BadRequestException("once is missing");
         }
@@ -64,16 +64,17 @@
                 : Integer.MAX_VALUE;
         String retry = fields.getOrDefault("retry", "0");
         if (waitUs == 0 || body.length > MAX_BODY_BYTES || !retry.equals("0") && !retry.equals("1")) {
-            throw new BadRequestException("out of range");
+            throw new BadRequestException("a field is out of range");
         }
-        return new ClientRequest(hex(required(fields, "id")), index, className, hex(required(fields, "key")),
+        return new ClientRequest(hexDigits(required(fields, "id")), index, className,
+                hexDigits(required(fields, "key")),
                 integer(fields.getOrDefault("seg", "0"), MAX_PART),
                 integer(fields.getOrDefault("bucket", "0"), MAX_GROUP),
                 number(fields.getOrDefault("kb", "0"), maxKb), withoutMargin(waitUs),
-                retry.equals("1"), idempotencyKey, plainWord(fields.get("etag")), body);
+                retry.equals("1"), idempotencyKey, protocolWord(fields.get("etag")), body);
     }
 
-    /** Time until a request must have been answered, in microseconds; {@link Long#MAX_VALUE} if it is invalid. */
+    /** Returns the time until a request's deadline in microseconds, or {@link Long#MAX_VALUE} if it is invalid. */
     long answerWithinUs(Map<String, String> fields) {
         Integer index = classIndices.get(fields.get("class"));
         try {
@@ -99,20 +100,20 @@
         return value;
     }
 
-    private static String hex(String value) throws BadRequestException {
+    private static String hexDigits(String value) throws BadRequestException {
         if (value.length() != 16 || !value.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
-            throw new BadRequestException("not 16 hexadecimal digits");
+            throw new BadRequestException("expected 16 hexadecimal digits");
         }
         return value;
     }
 
-    /** Rejects characters that would end a word or a line of the protocol spoken to the caches. */
-    private static String plainWord(String value) throws BadRequestException {
+    /** Rejects characters that delimit words or lines in the protocol of the caches. */
+    private static String protocolWord(String value) throws BadRequestException {
         if (value == null || value.isEmpty()) {
             return null;
         }
         if (value.length() > 200 || !value.chars().allMatch(c -> c > ' ' && c < 127 && c != ',' && c != '=')) {
-            throw new BadRequestException("not a plain word");
+            throw new BadRequestException("invalid characters in a field");
         }
         return value;
     }
@@ -120,7 +121,7 @@
     private static int integer(String value, int max) throws BadRequestException {
         double number = number(value, max);
         if (number != Math.rint(number)) {
-            throw new BadRequestException("not an integer");
+            throw new BadRequestException("expected an integer");
         }
         return (int) number;
     }
@@ -130,6 +131,6 @@
         if (number <= max) {
             return number;
         }
-        throw new BadRequestException("not a number in range");
+        throw new BadRequestException("expected a number in range");
     }
 }
--- a/src/main/java/clovermill/dataplane/server/ServerContext.java
+++ b/src/main/java/clovermill/dataplane/server/ServerContext.java
@@ -9,18 +9,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * What all connections of one server share.
+ * The state shared by all connections of a server.
  *
- * @param proxy gets the requests
+ * @param proxy receives the requests
  * @param reader parses and validates requests
- * @param budget memory for bodies and held frames
- * @param clock the loop's clock
- * @param deadlines the loop's timers
- * @param retryAfterMs delay that a rejected client is asked to wait, in milliseconds
+ * @param budget memory budget for bodies and queued frames
+ * @param clock the event loop's clock
+ * @param deadlines the event loop's timers
+ * @param retryAfterMs retry delay sent with a rejection, in milliseconds
  * @param ready whether the director can serve requests
- * @param rejectingNew whether new requests are rejected, during a shutdown
+ * @param rejectingNew whether new requests are rejected because of a shutdown
  * @param idle the connections without open requests
- * @param closed called with each connection that was closed
+ * @param closed called with each connection after its close
  */
 record ServerContext(ProxyCore proxy, RequestReader reader, Budget budget, Clock clock, Deadlines deadlines,
         LongSupplier retryAfterMs, BooleanSupplier ready, BooleanSupplier rejectingNew, IdleConnections idle,
--- a/src/main/java/clovermill/dataplane/server/StreamNumbers.java
+++ b/src/main/java/clovermill/dataplane/server/StreamNumbers.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The set of stream numbers used on a connection, stored as ranges: clients count up, so there are few. */
+/** The set of stream numbers used on a connection, stored as ranges, which are few because clients count up. */
 final class StreamNumbers {
 
     private static final int MAX_RANGES = 1000;
 
-    /** First number of each range -> its last. */
+    /** Maps the first number of each range to its last. */
     private final TreeMap<Long, Long> ranges = new TreeMap<>();
 
-    /** Adds a number; false if it was used before. Fails if the numbers do not count up. */
+    /** Adds a number; returns false if it was used before. Throws if there are too many gaps in the numbers. */
     boolean markUsed(long stream) throws ProtocolException {
         Map.Entry<Long, Long> below = ranges.floorEntry(stream);
         if (below != null && below.getValue() >= stream) {
@@ -22,7 +22,7 @@
         Long last = ranges.remove(stream + 1);
         ranges.put(first, last == null ? stream : last);
         if (ranges.size() > MAX_RANGES) {
-            throw new ProtocolException("the streams of a connection are scattered");
+            throw new ProtocolException("too many gaps in the stream numbers of a connection");
         }
         return true;
     }
--- a/src/main/java/clovermill/dataplane/server/WriteTimeout.java
+++ b/src/main/java/clovermill/dataplane/server/WriteTimeout.java
@@ -5,7 +5,7 @@
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.Timeout;
 
-/** Closes a connection whose client reads none of its answers for a while, which frees their memory. */
+/** A timeout that closes a connection whose client reads no responses, which frees their memory. */
 final class WriteTimeout {
 
     private static final long TIMEOUT_US = 10_000_000;
@@ -19,7 +19,7 @@
         this.check = new Timeout(clock, deadlines, this::check);
     }
 
-    /** Schedules a check if answers are queued and none is scheduled. */
+    /** Schedules a check if responses are queued and no check is scheduled. */
     void watch() {
         if (!check.isSet() && connection.isOpen() && connection.queuedBytes() > 0) {
             writtenBytesBefore = connection.writtenBytes();
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Progress counts, not an empty queue: a busy connection always has bytes queued. */
+    /** Closes the connection unless bytes were written since: a busy connection may never have an empty queue. */
     private void check() {
         if (connection.queuedBytes() > 0 && connection.writtenBytes() == writtenBytesBefore) {
             connection.close();
--- a/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -109,7 +109,7 @@
                     }
 
                     @Override
-                    public void refused(long afterMs) {
+                    public void rejected(long afterMs) {
                         answers.add("refused " + afterMs);
                     }
 
--- a/src/test/java/clovermill/dataplane/server/FrameParserTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameParserTest.java
@@ -17,11 +17,11 @@
 class FrameParserTest {
 
     private static final ByteBuffer RESPONSE =
-            Frames.responseHead(Frames.RESPONSE, 3_000_000_000L, Frames.REFUSED, Map.of("after", "100"), 2);
+            Frames.responseHead(Frames.RESPONSE, 3_000_000_000L, Frames.REJECTED, Map.of("after", "100"), 2);
     private final Budget budget = new Budget(100_000);
 
-    private static final FrameParser.SkipListener NOTHING_SKIPPED = (type, stream) -> {
-        throw new AssertionError("a frame was skipped");
+    private static final FrameParser.SkippedFrameListener FAIL_ON_SKIPPED_FRAME = (type, stream) -> {
+        throw new AssertionError("unexpectedly skipped a frame");
     };
 
     private static byte[] input() {
@@ -34,38 +34,38 @@
             String fields = type == Frames.RESPONSE ? payload.get() + " " + new TreeMap<>(Frames.fields(payload)) : "";
             seen.accept(type + " " + stream + " " + fields + " " + payload.remaining());
             return true;
-        }, NOTHING_SKIPPED);
+        }, FAIL_ON_SKIPPED_FRAME);
         return parser::parse;
     }
 
     @Test
-    void parsesTheSameFramesAtEverySplit() throws Exception {
+    void parsesTheSameFramesForEverySplitOfTheInput() throws Exception {
         Splits.same(input(), List.of("1 3000000000 66 {after=100} 2", "2 7  0"), this::parser);
     }
 
     @Test
-    void rejectsMalformedInputWithAProtocolExceptionOnly() {
+    void throwsOnlyProtocolExceptionForMalformedInput() {
         Splits.junk(input(), ProtocolException.class, this::parser);
     }
 
     @Test
-    void rejectsLengthsOutOfRange() {
+    void rejectsLengthOutOfRange() {
         for (int length : new int[] {0, 4, 262_145, -1}) {
             ByteBuffer frame = ByteBuffer.allocate(9).order(ByteOrder.LITTLE_ENDIAN).putInt(0, length);
             assertThatThrownBy(() -> parser(seen -> {}).parse(frame)).isInstanceOf(ProtocolException.class);
         }
     }
 
-    /** Many clients that each begin a large frame must not take the heap. */
+    /** Guards against heap exhaustion by many clients that each start a large frame. */
     @Test
-    void aLargeFrameTakesMemoryAsItArrivesAndReturnsIt() throws Exception {
+    void chargesLargeFrameToBudgetAsItArrivesAndReleasesIt() throws Exception {
         ByteBuffer frame = ByteBuffer.allocate(60_000).order(ByteOrder.LITTLE_ENDIAN).putInt(0, 59_996);
-        FrameParser first = new FrameParser(budget, (type, stream, payload) -> true, NOTHING_SKIPPED);
+        FrameParser first = new FrameParser(budget, (type, stream, payload) -> true, FAIL_ON_SKIPPED_FRAME);
         first.parse(frame.duplicate().limit(4));
         assertThat(budget.used()).isZero();
         first.parse(frame.duplicate().position(4).limit(59_000));
         assertThat(budget.used()).isBetween(57_000L, 60_000L);
-        FrameParser second = new FrameParser(budget, (type, stream, payload) -> true, NOTHING_SKIPPED);
+        FrameParser second = new FrameParser(budget, (type, stream, payload) -> true, FAIL_ON_SKIPPED_FRAME);
         ByteBuffer rest = frame.duplicate();
         second.parse(rest);
         assertThat(second.awaitsMemory()).isTrue();
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aStreamNumberIsNewOnlyOnce() throws Exception {
+    void marksEachStreamNumberAsUsedOnce() throws Exception {
         StreamNumbers used = new StreamNumbers();
         for (long stream : new long[] {1, 2, 5, 4, 3, 4_294_967_295L}) {
             assertThat(used.markUsed(stream)).as("stream %d", stream).isTrue();
--- a/src/test/java/clovermill/dataplane/server/FrameServerTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameServerTest.java
@@ -41,10 +41,10 @@
     private final Deadlines deadlines = new Deadlines();
     private final ManualClock clock = new ManualClock(1_700_000_000_000_000L);
 
-    private static final Upstream NOBODY = new Upstream() {
+    private static final Upstream UNUSED_UPSTREAM = new Upstream() {
         @Override
         public Exchange send(AttemptOrder order, AttemptListener listener) {
-            throw new AssertionError("nothing is sent");
+            throw new AssertionError("unexpected attempt");
         }
 
         @Override
@@ -62,22 +62,23 @@
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         ProxyCore proxy =
-                new ProxyCore((atUs, event, out) -> events.add(event), config.settings(), clock, deadlines, NOBODY);
+                new ProxyCore((atUs, event, out) -> events.add(event), config.settings(), clock, deadlines,
+                        UNUSED_UPSTREAM);
         return new FrameServer(loop, clock, deadlines, budget, proxy, config.settings(), config.classes(),
                 new FrameServer.Options(new InetSocketAddress(
                         InetAddress.getLoopbackAddress(), 0), inherited, 8, canServe));
     }
 
-    /** A process that never becomes ready would block the platform's upgrade. */
+    /** A process that never becomes ready would block a rolling upgrade. */
     @Test
-    void givenAReadinessCheckThatFailsOnceThenTheInheritedSocketIsStillAccepted() throws Exception {
+    void acceptsFromInheritedSocketAfterReadinessCheckThrewOnce() throws Exception {
         EventLoop loop = new EventLoop(clock, deadlines);
         try (ServerSocketChannel inherited = ServerSocketChannel.open()
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             FrameServer server = server(loop, inherited, () -> {
                 readinessChecks++;
                 if (readinessChecks == 2) {
-                    throw new IllegalStateException("a fault while it readinessChecks whether it can serve");
+                    throw new IllegalStateException("readiness check failed");
                 }
                 return readinessChecks > 2;
             });
@@ -99,7 +100,7 @@
         }
     }
 
-    /** A server with one client; the clock moves only in {@link #pass}. */
+    /** A server with one client. The clock advances only in {@link #advance}. */
     private final class SingleClient implements AutoCloseable {
         final EventLoop loop = new EventLoop(clock, deadlines);
         final FrameServer server = server(loop, null, () -> true);
@@ -118,8 +119,8 @@
             }
         }
 
-        void pass(long millis) throws Exception {
-            for (long i = 0; i < millis; i += 10) {
+        void advance(long ms) throws Exception {
+            for (long i = 0; i < ms; i += 10) {
                 clock.passUs(STEP_US);
                 loop.turn(0);
             }
@@ -145,7 +146,7 @@
                     bodyBytes);
         }
 
-        /** The next frame, as type, stream number and code. */
+        /** Reads the next frame and returns its type, stream number and response code. */
         String readFrame() throws Exception {
             if (socket.getInputStream().available() == 0) {
                 return "nothing";
@@ -163,31 +164,31 @@
         }
     }
 
-    /** The end of the client would not be seen behind a frame that waits for memory. */
+    /** A disconnect would not be detected behind a frame that waits for memory. */
     @Test
-    void givenAFrameThatWaits50MillisForMemoryThenNoNewAttemptBegins() throws Exception {
+    void startsNoAttemptWhenFrameWaitsMoreThan50MsForMemory() throws Exception {
         try (SingleClient client = new SingleClient()) {
             client.sendRequest(1, 0);
             budget.take(1 << 20);
             client.sendRequest(2, 20_000);
-            client.pass(40);
+            client.advance(40);
             assertThat(client.readFrame()).isEqualTo("nothing");
             assertThat(events).hasSize(1).allMatch(Request.class::isInstance);
-            client.pass(10);
+            client.advance(10);
             assertThat(events).hasSize(2).anyMatch(ClientGone.class::isInstance);
-            assertThat(client.readFrame()).as("nothing is out for it").isEqualTo("1 1 B");
+            assertThat(client.readFrame()).as("rejected, since no attempt is in flight").isEqualTo("1 1 B");
         }
     }
 
-    /** A request that was sent completely is owed an answer, however long the memory is in use. */
+    /** A request that was sent completely must be answered, however long the memory is in use. */
     @Test
-    void givenNoMemoryFor400MillisThenTheRequestIsRejectedAndItsConnectionContinues() throws Exception {
+    void rejectsRequestAfter400MsWithoutMemoryAndKeepsConnectionOpen() throws Exception {
         try (SingleClient client = new SingleClient()) {
             budget.take(1 << 20);
             client.sendRequest(1, 20_000);
-            client.pass(390);
+            client.advance(390);
             assertThat(client.readFrame()).isEqualTo("nothing");
-            client.pass(10);
+            client.advance(10);
             assertThat(client.readFrame()).isEqualTo("1 1 B");
             client.sendFrame(Frames.READINESS_REQUEST, 7, Map.of(), 0);
             assertThat(client.readFrame()).isEqualTo("7 7 O");
@@ -198,28 +199,28 @@
         }
     }
 
-    /** The rest of the request lies unread in the socket: a close would lose it. */
+    /** The rest of the request is unread in the socket: a close would lose it. */
     @Test
-    void givenAFirstRequestThatWaitsForMemoryThenItsConnectionIsNotEvicted() throws Exception {
+    void doesNotEvictConnectionWhoseFirstRequestWaitsForMemory() throws Exception {
         try (SingleClient client = new SingleClient()) {
             budget.take(1 << 20);
             client.sendRequest(1, 20_000);
-            client.pass(110);
+            client.advance(110);
             client.server.setMaxConnections(0);
             client.runLoop();
             assertThat(client.readFrame()).isEqualTo("nothing");
-            client.pass(290);
+            client.advance(290);
             assertThat(client.readFrame()).isEqualTo("1 1 B");
         }
     }
 
-    /** The deadline counts from the last byte of a request, wherever it waits. */
+    /** The deadline counts from the arrival of a request's last byte, whether or not it has been read. */
     @Test
-    void givenARequestThatWaitedForMemoryThenItsDeadlineIsShorterByTheWait() throws Exception {
+    void subtractsWaitForMemoryFromRequestDeadline() throws Exception {
         try (SingleClient client = new SingleClient()) {
             budget.take(1 << 20);
             client.sendRequest(1, 20_000);
-            client.pass(300);
+            client.advance(300);
             budget.give(1 << 20);
             client.runLoop();
             assertThat(events).hasSize(1);
@@ -227,9 +228,9 @@
         }
     }
 
-    /** A client that continues to send after a protocol error is closed before the 100 ms are over. */
+    /** A client that continues to send after a protocol error is disconnected before the linger time is over. */
     @Test
-    void givenALingeringCloseThenOnlyABoundedNumberOfBytesIsDiscarded() throws Exception {
+    void limitsBytesDiscardedDuringLingeringClose() throws Exception {
         try (SingleClient client = new SingleClient()) {
             client.socket.getOutputStream().write(new byte[] {-1, -1, -1, -1, 0});
             client.runLoop();
