--- a/src/main/java/clovermill/dataplane/upstream/CacheRequest.java
+++ b/src/main/java/clovermill/dataplane/upstream/CacheRequest.java
@@ -15,20 +15,20 @@
  * @param id id of the request in the lines protocol
  * @param clientRequest the client's request, null for a probe
  * @param source id of the member from which a miss is filled, null if it is not filled
- * @param deadlineUs end of its time, in microseconds of the monotonic clock
- * @param encoder encodes the request for a number of microseconds left
- * @param listener follows the exchange
+ * @param deadlineUs its deadline, in microseconds of the monotonic clock
+ * @param encoder encodes the request, given the remaining time in microseconds
+ * @param listener gets the result of the exchange
  */
 record CacheRequest(String member, String id, ClientRequest clientRequest, String source, long deadlineUs,
         LongFunction<List<ByteBuffer>> encoder, AttemptListener listener) {
 
-    /** Whether a miss would be filled from one of {@code members}. */
+    /** Returns whether a miss would be filled from one of {@code members}. */
     boolean isFilledFrom(Set<String> members) {
         return source != null && members.contains(source);
     }
 
-    /** Whether it is an attempt of a matching client request. */
-    boolean isFor(Predicate<ClientRequest> matches) {
-        return clientRequest != null && matches.test(clientRequest);
+    /** Returns whether this is an attempt of a matching client request. */
+    boolean matches(Predicate<ClientRequest> condition) {
+        return clientRequest != null && condition.test(clientRequest);
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
+++ b/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
@@ -6,9 +6,8 @@
 import clovermill.runtime.net.Deadlines.Deadline;
 
 /**
- * A request that waits for a dial, because this machine lacked a port, descriptor, memory or route. The dial is retried
- * at a fixed interval for the time of one dial; then the request ends as not sent, which does not count against the
- * member.
+ * A request whose dial failed because this machine lacked a port, descriptor, memory or route. The dial is retried at a
+ * fixed interval for one dial timeout; then the request ends as not sent, which does not count against the member.
  */
 final class DelayedDial implements Exchange {
 
@@ -21,7 +20,7 @@
     private Deadline nextDial;
     private Exchange sent;
 
-    /** Made after a failed dial; no dial begins at or after {@code lastDialUs} of the monotonic clock. */
+    /** Schedules a retry after a failed dial. No dial starts at or after {@code lastDialUs} of the monotonic clock. */
     DelayedDial(UpstreamPool pool, CacheRequest request, long lastDialUs) {
         this.pool = pool;
         this.request = request;
@@ -43,14 +42,14 @@
             end(Result.NOT_SENT);
             return;
         }
-        pool.removeDelayed(this); // the call may end the request, which must end only once
+        pool.removeDelayed(this); // trySend may end the request, which must end only once
         sent = pool.trySend(request);
         if (sent == null) {
             scheduleDial();
         }
     }
 
-    /** Ends the request before it is sent. */
+    /** Ends the request with {@code result} before it is sent. */
     void end(Result result) {
         pool.cancel(nextDial);
         pool.removeDelayed(this);
@@ -72,7 +71,7 @@
         return sent != null && sent.begun();
     }
 
-    /** Before it is sent it waits for this machine, which does not count against the member. */
+    /** Returns true until it is sent: it waits for this machine, which does not count against the member. */
     @Override
     public boolean isQueuedLocally() {
         return sent == null || sent.isQueuedLocally();
--- a/src/main/java/clovermill/dataplane/upstream/MemberConnections.java
+++ b/src/main/java/clovermill/dataplane/upstream/MemberConnections.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The connections to one member at one address, and the choice among them. */
+/** The connections to one member at one address. Selects the connection for a request. */
 final class MemberConnections {
 
-    /** Open exchanges on the best connection from which on a further one is dialled. */
-    private static final int DIAL_FURTHER_FROM = 2;
+    /** Open exchanges on the best connection at which a further one is dialled. */
+    private static final int DIAL_THRESHOLD = 2;
 
     private final InetSocketAddress address;
     private final long startedMs;
     private final List<UpstreamConnection> connections = new ArrayList<>();
 
-    /** {@code startedMs} is the member's start as it reports it, in Unix milliseconds. */
+    /** Creates an empty set; {@code startedMs} is the start time that the member reports, in Unix milliseconds. */
     MemberConnections(InetSocketAddress address, long startedMs) {
         this.address = address;
         this.startedMs = startedMs;
@@ -26,8 +26,8 @@
         return address;
     }
 
-    /** Whether the member still listens there and has not been restarted. */
-    boolean isOf(InetSocketAddress currentAddress, long currentStartedMs) {
+    /** Returns whether the member is still at this address and has not been restarted. */
+    boolean isAt(InetSocketAddress currentAddress, long currentStartedMs) {
         return address.equals(currentAddress) && startedMs == currentStartedMs;
     }
 
@@ -39,19 +39,19 @@
         connections.remove(connection);
     }
 
-    /** The connection added last. */
+    /** Returns the connection added last. */
     UpstreamConnection newest() {
         return connections.get(connections.size() - 1);
     }
 
-    /** A copy, for callbacks that close connections. */
+    /** Returns a copy, for callbacks that close connections. */
     List<UpstreamConnection> snapshot() {
         return List.copyOf(connections);
     }
 
     /**
-     * The connection that accepts a request with this id and has the fewest open exchanges, established ones first;
-     * null if there is none.
+     * Returns the connection that accepts a request with this id and has the fewest open exchanges, preferring
+     * established connections; null if there is none.
      */
     UpstreamConnection best(String id, int maxStreams) {
         UpstreamConnection best = null;
@@ -72,10 +72,12 @@
     }
 
     /**
-     * Whether a further connection should be dialled beside {@code best}, which may be null: a response that breaks its
-     * connection fails every exchange on it, so that no connection is to carry more than a few.
+     * Returns whether a further connection should be dialled. A malformed response closes its connection and fails
+     * every exchange on it, so no connection should carry more than a few.
+     *
+     * @param best the best existing connection, or null
      */
-    boolean wantsFurther(UpstreamConnection best, int maxConnections) {
+    boolean needsFurtherConnection(UpstreamConnection best, int maxConnections) {
         int inUse = 0;
         boolean dialling = false;
         for (int i = 0; i < connections.size(); i++) {
@@ -85,11 +87,11 @@
                 dialling |= !connection.isConnected();
             }
         }
-        boolean sufficient = best != null && (dialling || best.openExchanges() < DIAL_FURTHER_FROM);
-        return !sufficient && inUse < maxConnections;
+        boolean bestSuffices = best != null && (dialling || best.openExchanges() < DIAL_THRESHOLD);
+        return !bestSuffices && inUse < maxConnections;
     }
 
-    /** Ends the matching queued exchanges with {@code result}; matching ones that are partly written must not go on. */
+    /** Ends the matching queued exchanges with {@code result}; stops writing those that are partly written. */
     void withdraw(Predicate<UpstreamExchange> matches, Result result) {
         for (UpstreamConnection connection : snapshot()) {
             connection.withdraw(matches, result);
@@ -100,7 +102,7 @@
         snapshot().forEach(UpstreamConnection::closeIfIdle);
     }
 
-    /** Ends all queued exchanges as unconnected; those that have begun may still be answered. */
+    /** Retires all connections and ends the queued exchanges; those that have begun may still be answered. */
     void retire() {
         for (UpstreamConnection connection : snapshot()) {
             connection.withdraw(each -> true, Result.UNCONNECTED);
--- a/src/main/java/clovermill/dataplane/upstream/RecentIds.java
+++ b/src/main/java/clovermill/dataplane/upstream/RecentIds.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Ids whose response may still arrive on a connection although no exchange waits for it; they must not be reused. */
+/** Ids that must not be reused on a connection yet, since a response to a closed exchange may still arrive. */
 final class RecentIds {
 
-    /** Bound of the cancelled ids; a late response must not be taken for that of another attempt. */
+    /** Limit of retained cancelled ids; a late response must not be matched to another attempt. */
     private static final int MAX_CANCELLED = 1000;
-    /** An answered id is not reused for this long: a member may send its response twice, some milliseconds apart. */
+    /** Time before an answered id is reused: a member may send a response twice, some milliseconds apart. */
     private static final long DUPLICATE_WINDOW_US = 50_000;
 
     private final Set<String> cancelled = new HashSet<>();
@@ -22,12 +22,12 @@
         cancelled.add(id);
     }
 
-    /** Whether the bound of cancelled ids is reached. */
+    /** Returns whether the limit of cancelled ids is reached. */
     boolean isFull() {
         return cancelled.size() >= MAX_CANCELLED;
     }
 
-    /** The late response has arrived. */
+    /** Removes a cancelled id whose late response has arrived. */
     void removeCancelled(String id) {
         cancelled.remove(id);
     }
--- a/src/main/java/clovermill/dataplane/upstream/RequestLine.java
+++ b/src/main/java/clovermill/dataplane/upstream/RequestEncoder.java
@@ -7,41 +7,41 @@
 import java.util.List;
 import java.util.StringJoiner;
 
-/** Encodes requests of the lines protocol. */
-final class RequestLine {
+/** An encoder of requests in the lines protocol. */
+final class RequestEncoder {
 
-    private static final long MICROS_PER_MILLI = 1000;
+    private static final long US_PER_MS = 1000;
 
-    private RequestLine() {}
+    private RequestEncoder() {}
 
-    /** Encodes an attempt in parts; {@code leftUs} is the time that its client has left. */
-    static List<ByteBuffer> want(AttemptOrder order, long leftUs) {
+    /** Encodes an attempt in parts; {@code remainingUs} is the time until its client's deadline. */
+    static List<ByteBuffer> attempt(AttemptOrder order, long remainingUs) {
         ClientRequest request = order.request();
-        String head = "want " + request.id() + " " + fields(order, leftUs) + " " + request.body().length + "\r\n";
+        String head = "want " + request.id() + " " + fields(order, remainingUs) + " " + request.body().length + "\r\n";
         return request.body().length == 0
-                ? List.of(text(head + "\r\n"))
-                : List.of(text(head), ByteBuffer.wrap(request.body()), text("\r\n"));
+                ? List.of(bytes(head + "\r\n"))
+                : List.of(bytes(head), ByteBuffer.wrap(request.body()), bytes("\r\n"));
     }
 
     /** Encodes a probe. */
-    static List<ByteBuffer> there(String tag) {
-        return List.of(text("there " + tag + "\r\n"));
+    static List<ByteBuffer> probe(String tag) {
+        return List.of(bytes("there " + tag + "\r\n"));
     }
 
     /** Encodes the cancellation of a request. */
-    static ByteBuffer neverMind(String id) {
-        return text("never_mind " + id + "\r\n");
+    static ByteBuffer cancellation(String id) {
+        return bytes("never_mind " + id + "\r\n");
     }
 
-    private static ByteBuffer text(String text) {
+    private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String fields(AttemptOrder order, long leftUs) {
+    private static String fields(AttemptOrder order, long remainingUs) {
         ClientRequest request = order.request();
         StringJoiner fields = new StringJoiner(",");
         fields.add("kind=" + request.className()).add("obj=" + request.object()).add("seg=" + request.part());
-        fields.add("ms=" + Math.max(1, leftUs / MICROS_PER_MILLI));
+        fields.add("ms=" + Math.max(1, remainingUs / US_PER_MS));
         if (request.idempotencyKey() != null) {
             fields.add("token=" + request.idempotencyKey());
         }
@@ -52,7 +52,7 @@
             fields.add("keep=" + order.rank());
         }
         if (order.maxAgeUs() > 0) {
-            fields.add("maxage=" + Math.max(1, order.maxAgeUs() / MICROS_PER_MILLI));
+            fields.add("maxage=" + Math.max(1, order.maxAgeUs() / US_PER_MS));
         }
         StringJoiner flags = new StringJoiner("+");
         if (order.join()) {
--- a/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
@@ -5,7 +5,7 @@
 import clovermill.runtime.net.ProtocolException;
 import java.util.Map;
 
-/** Decodes the fields of responses in the lines protocol (the protocol page, "Directors to caches"). */
+/** A decoder of response fields in the lines protocol (the protocol page, "Directors to caches"). */
 final class ResponseFields {
 
     private static final Map<String, Note> NOTES = Map.of("HIT", Note.HIT, "MISS", Note.FILLED,
@@ -15,7 +15,7 @@
 
     private ResponseFields() {}
 
-    /** Decodes the word of a response. */
+    /** Decodes the result word of a response. */
     static Result result(String word) throws ProtocolException {
         return switch (word) {
             case "DONE", "KEEP", "FIT" -> Result.OK;
@@ -23,21 +23,21 @@
             case "WAIT" -> Result.REFUSED;
             case "BROKE", "UNFIT" -> Result.ERROR;
             case "PAST" -> Result.NOT_SENT;
-            default -> throw new ProtocolException("an unknown word in a response");
+            default -> throw new ProtocolException("unknown result word in a response");
         };
     }
 
-    /** Decodes a note; null and unknown texts give {@link Note#NONE}. */
+    /** Decodes a cache status; returns {@link Note#NONE} for null and unknown texts. */
     static Note note(String text) {
         return text == null ? Note.NONE : NOTES.getOrDefault(text, Note.NONE);
     }
 
-    /** Converts a time in milliseconds to microseconds; null gives 0. */
-    static long micros(String millis) throws ProtocolException {
+    /** Converts a time in milliseconds to microseconds; returns 0 for null. */
+    static long timeUs(String ms) throws ProtocolException {
         try {
-            return millis == null ? 0 : (long) (Double.parseDouble(millis) * 1000);
+            return ms == null ? 0 : (long) (Double.parseDouble(ms) * 1000);
         } catch (NumberFormatException e) {
-            throw new ProtocolException("not a time in a response");
+            throw new ProtocolException("invalid time in a response");
         }
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/ResponseParser.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseParser.java
@@ -9,18 +9,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Parses responses of the lines protocol: {@code ID WORD FIELDS LENGTH}, the body, and a line end. */
+/** An incremental parser of lines protocol responses: {@code ID WORD FIELDS LENGTH}, the body, and a line end. */
 final class ResponseParser {
 
     /** Receives complete responses. */
     interface Sink {
 
-        /** Receives a response and owns its body. */
+        /** Handles a response; the sink owns its body from now on. */
         void handleResponse(String id, String word, Map<String, String> fields, Body body) throws ProtocolException;
     }
 
     private static final int MAX_LINE_BYTES = 4096;
-    /** The largest object of the protocol, which fits into a client's frame. */
+    /** Largest object that the protocol allows, which fits into a client's frame. */
     private static final int MAX_BODY_BYTES = 240_000;
 
     private final Budget budget;
@@ -37,7 +37,7 @@
         this.sink = sink;
     }
 
-    /** Parses {@code data}; bytes are left in it only before a body that the budget does not grant yet. */
+    /** Parses {@code data}, all of it unless the budget has no memory for a body. */
     void parse(ByteBuffer data) throws ProtocolException {
         while (data.hasRemaining() || words != null && body == null) {
             if (words == null) {
@@ -60,27 +60,27 @@
         }
     }
 
-    /** Whether a response waits until the budget grants its body. */
+    /** Returns whether a response waits until the budget has memory for its body. */
     boolean awaitsBudget() {
         return words != null && body == null;
     }
 
-    /** Whether a response is partly read. */
+    /** Returns whether a response is partly read. */
     boolean isMidResponse() {
         return words != null || line.size() > 0;
     }
 
-    /** Whether the response with that id is partly read. */
+    /** Returns whether the response with this id is partly read. */
     boolean isReading(String id) {
         return words != null && words[0].equals(id);
     }
 
-    /** Body bytes still to be read of the current response. */
+    /** Returns the number of body bytes of the current response that have not been read. */
     int remainingBytes() {
         return words == null ? 0 : length - bodyBytesRead;
     }
 
-    /** Releases the body of a response that was not completed. */
+    /** Releases the body of an incomplete response. */
     void close() {
         if (body != null) {
             body.close();
@@ -96,7 +96,7 @@
             }
             line.write(next);
             if (line.size() > MAX_LINE_BYTES) {
-                throw new ProtocolException("a line of a response is too long");
+                throw new ProtocolException("response line too long");
             }
         }
         return false;
@@ -105,7 +105,7 @@
     private void parseHeader(String text) throws ProtocolException {
         String[] parts = text.endsWith("\r") ? text.substring(0, text.length() - 1).split(" ", -1) : new String[0];
         if (parts.length != 4) {
-            throw new ProtocolException("not a response");
+            throw new ProtocolException("malformed response line");
         }
         try {
             length = Integer.parseInt(parts[3]);
@@ -113,7 +113,7 @@
             length = -1;
         }
         if (length < 0 || length > MAX_BODY_BYTES) {
-            throw new ProtocolException("not a length in a response");
+            throw new ProtocolException("invalid length in a response");
         }
         words = parts;
         bodyBytesRead = 0;
@@ -122,7 +122,7 @@
 
     private void parseEnd(byte next) throws ProtocolException {
         if (next != (endBytesRead == 0 ? '\r' : '\n')) {
-            throw new ProtocolException("a response does not end after its body");
+            throw new ProtocolException("missing line end after a response body");
         }
         endBytesRead++;
         if (endBytesRead == 2) {
@@ -147,7 +147,7 @@
             for (String pair : text.split(",", -1)) {
                 int equals = pair.indexOf('=');
                 if (equals < 1) {
-                    throw new ProtocolException("not a field of a response");
+                    throw new ProtocolException("malformed field in a response");
                 }
                 fields.put(pair.substring(0, equals), pair.substring(equals + 1));
             }
--- a/src/main/java/clovermill/dataplane/upstream/ResponseWatchdog.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseWatchdog.java
@@ -4,13 +4,13 @@
 import clovermill.runtime.net.Deadlines.Deadline;
 
 /**
- * Closes a connection whose response stalls or arrives too slowly: the responses behind it on the same connection
- * cannot be read.
+ * A watchdog that closes a connection whose response stalls or arrives too slowly, since it blocks the responses behind
+ * it.
  */
 final class ResponseWatchdog {
 
-    /** A cancelled response may take this many dial times at its current rate. */
-    private static final int MAX_DIAL_TIMES = 20;
+    /** Limit of the time that a cancelled response may take at its current rate, in dial timeouts. */
+    private static final int MAX_DIAL_TIMEOUTS = 20;
 
     private final UpstreamPool pool;
     private final Connection connection;
@@ -30,7 +30,7 @@
         lastReceivedUs = pool.nowUs();
     }
 
-    /** When bytes were last received, in microseconds of the monotonic clock. */
+    /** Returns when bytes were last received, in microseconds of the monotonic clock. */
     long lastReceivedUs() {
         return lastReceivedUs;
     }
@@ -40,7 +40,7 @@
         if (stallTimeout == null && parser.isMidResponse() && connection.isOpen()) {
             stallTimeout = pool.addDialTimeout(() -> {
                 stallTimeout = null;
-                if (parser.isMidResponse() && !parser.awaitsBudget() && pool.hasDialTimePassed(lastReceivedUs)) {
+                if (parser.isMidResponse() && !parser.awaitsBudget() && pool.hasDialTimeoutPassed(lastReceivedUs)) {
                     connection.close();
                 } else {
                     watch();
@@ -49,14 +49,17 @@
         }
     }
 
-    /** Closes the connection unless the cancelled response that is being read would be complete in some dial times. */
+    /**
+     * Closes the connection unless the cancelled response being read progresses fast enough to complete within
+     * {@link #MAX_DIAL_TIMEOUTS}.
+     */
     void closeUnlessProgressing(String id) {
         int remainingBefore = parser.remainingBytes();
         pool.addDialTimeout(() -> {
             if (closed || !parser.isReading(id)) {
                 return;
             }
-            if ((remainingBefore - parser.remainingBytes()) * MAX_DIAL_TIMES < parser.remainingBytes()) {
+            if ((remainingBefore - parser.remainingBytes()) * MAX_DIAL_TIMEOUTS < parser.remainingBytes()) {
                 connection.close();
             } else {
                 closeUnlessProgressing(id);
--- a/src/main/java/clovermill/dataplane/upstream/SendQueue.java
+++ b/src/main/java/clovermill/dataplane/upstream/SendQueue.java
@@ -8,23 +8,23 @@
 import java.util.function.Consumer;
 
 /**
- * The requests queued on one connection, of which nothing has been written. They begin in batches, each only after
- * everything before it is written, so that a queued request can be withdrawn with proof that nothing of it was sent,
- * and its head carries the time left at the moment of the write.
+ * The queued requests of one connection, none of which has been written. They begin in batches, each only after all
+ * earlier bytes have been written. A queued request can thus be withdrawn with certainty that nothing of it was sent,
+ * and its head contains the time left when it is written.
  */
 final class SendQueue {
 
-    /** Requests begin together until this many bytes are queued: one gathered write. */
+    /** Bytes at which a batch is full; a batch is one gathered write. */
     private static final int BATCH_BYTES = 1 << 16;
 
     private final UpstreamPool pool;
     private final Connection connection;
     private final Consumer<UpstreamExchange> expired;
     private final ArrayDeque<UpstreamExchange> queued = new ArrayDeque<>();
-    /** Requests begun in this flush, whose write has not been reported. */
+    /** Requests begun in this flush whose write has not been reported. */
     private final List<UpstreamExchange> batch = new ArrayList<>();
 
-    /** {@code expired} is called with each request that may not begin any more, before others begin. */
+    /** Creates an empty queue; {@code expired} gets each request that may no longer begin, before others begin. */
     SendQueue(UpstreamPool pool, Connection connection, Consumer<UpstreamExchange> expired) {
         this.pool = pool;
         this.connection = connection;
@@ -35,7 +35,7 @@
         queued.add(exchange);
     }
 
-    /** Removes a queued request; false if it has begun or was not queued. */
+    /** Removes a queued request; returns false if it has begun or was not queued. */
     boolean remove(UpstreamExchange exchange) {
         return queued.remove(exchange);
     }
@@ -44,7 +44,7 @@
         return queued.isEmpty();
     }
 
-    /** A copy, for callbacks that change the queue. */
+    /** Returns a copy, for callbacks that change the queue. */
     List<UpstreamExchange> snapshot() {
         return List.copyOf(queued);
     }
@@ -54,12 +54,12 @@
         batch.clear();
     }
 
-    /** Begins requests, if nothing unwritten precedes them, until a batch is full. */
+    /** Begins requests until a batch is full, unless earlier bytes are unwritten. */
     void beginBatch(long nowUs) {
         if (connection.queuedBytes() > 0) {
             return;
         }
-        // The callback may cancel other requests; it runs before any of this batch has begun.
+        // The callback may cancel other requests, so it runs before any request of this batch begins.
         while (!queued.isEmpty() && !queued.peek().mayBegin(nowUs)) {
             expired.accept(queued.poll());
         }
@@ -78,7 +78,9 @@
         connection.send(parts.get(last), () -> exchange.writeEnded(connection.isOpen()));
     }
 
-    /** Queues the requests of the batch again of which no byte was written; they begin anew with the time left then. */
+    /**
+     * Requeues the requests of the batch of which no byte was written; their heads are encoded again when they begin.
+     */
     void retractUnwritten() {
         for (int i = batch.size() - 1; i >= 0 && connection.retractFrom(batch.get(i).head()); i--) {
             UpstreamExchange retracted = batch.remove(i);
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -20,8 +20,8 @@
 import java.util.stream.Stream;
 
 /**
- * One connection to a member. It owns its exchanges and ends each of them: by its response, or when the connection is
- * closed.
+ * One connection to a member. It owns its exchanges and ends each of them with its response, its timeout, or the close
+ * of the connection.
  */
 final class UpstreamConnection implements Connection.Handler {
 
@@ -35,13 +35,13 @@
     private final SendQueue sendQueue;
     private final RecentIds recentIds = new RecentIds();
     private final ResponseWatchdog watchdog;
-    /** Cancelled exchanges of which a part is written and a part is not. */
+    /** Cancelled exchanges that are partly written. */
     private final List<UpstreamExchange> partlyWritten = new ArrayList<>(1);
     private Deadline dialOrIdleTimeout;
     private boolean connected;
     private boolean retired;
     private boolean closed;
-    /** When the first request was written after the last received byte; 0 if none was. */
+    /** Time of the first write after the last received byte; 0 if there was none. */
     private long unansweredSinceUs;
 
     UpstreamConnection(UpstreamPool pool, Connection connection, Budget budget) {
@@ -66,13 +66,13 @@
         return openById.size();
     }
 
-    /** Whether a request may be sent here: no response to another request with its id may still arrive. */
+    /** Returns whether a request may be sent here: no response to another request with its id may still arrive. */
     boolean accepts(String id, int maxStreams) {
         return !retired && openById.size() < maxStreams && !openById.containsKey(id)
                 && !recentIds.contains(id, pool.nowUs());
     }
 
-    /** Whether queued requests wait only for the end of this turn. */
+    /** Returns whether queued requests wait only for the end of the event loop's turn. */
     boolean waitsOnlyForFlush() {
         return connected && connection.isWriteIdle();
     }
@@ -84,16 +84,16 @@
         }
         openById.put(exchange.id, exchange);
         sendQueue.add(exchange);
-        // The bound within which drains and purges take effect: a request must not begin later than a dial may take.
+        // Bounds the delay of drains and purges: a request begins within a dial timeout or not at all.
         exchange.beginTimeout = pool.addDialTimeout(() -> withdraw(exchange, Result.UNCONNECTED));
         connection.requestFlush();
         return exchange;
     }
 
-    /** Ends the matching queued exchanges with {@code result}; matching ones that are partly written must not go on. */
+    /** Ends the matching queued exchanges with {@code result}; stops writing those that are partly written. */
     void withdraw(Predicate<UpstreamExchange> matches, Result result) {
         sendQueue.snapshot().stream().filter(matches).forEach(exchange -> withdraw(exchange, result));
-        unwrittenCandidates().filter(matches).forEach(UpstreamExchange::revoke);
+        possiblyUnwritten().filter(matches).forEach(UpstreamExchange::revoke);
     }
 
     private void withdraw(UpstreamExchange exchange, Result result) {
@@ -105,11 +105,11 @@
         }
     }
 
-    private Stream<UpstreamExchange> unwrittenCandidates() {
+    private Stream<UpstreamExchange> possiblyUnwritten() {
         return Stream.concat(openById.values().stream(), partlyWritten.stream());
     }
 
-    /** Ends a request whose time is over, or which is not wanted any more, before it begins. */
+    /** Ends a request whose deadline has passed, or whose client no longer waits, before it begins. */
     private void endExpired(UpstreamExchange exchange) {
         pool.cancel(exchange.beginTimeout);
         openById.remove(exchange.id, exchange);
@@ -133,9 +133,9 @@
             partlyWritten.add(exchange);
         }
         recentIds.addCancelled(exchange.id);
-        connection.send(RequestLine.neverMind(exchange.id));
-        // A machine that vanished or hangs resets no connection: one that was silent for a dial's time is not reused.
-        boolean silent = unansweredSinceUs > 0 && pool.hasDialTimePassed(unansweredSinceUs);
+        connection.send(RequestEncoder.cancellation(exchange.id));
+        // A machine that is down or hangs resets no connection, so one without input for a dial timeout is not reused.
+        boolean silent = unansweredSinceUs > 0 && pool.hasDialTimeoutPassed(unansweredSinceUs);
         if (silent || recentIds.isFull()) {
             retire();
         }
@@ -144,7 +144,7 @@
         }
     }
 
-    /** Accepts no new requests; closes once no exchange is open. */
+    /** Stops accepting requests and closes the connection once no exchange is open. */
     void retire() {
         retired = true;
         updateAfterEnd();
@@ -176,13 +176,15 @@
         updateAfterEnd();
     }
 
-    /** Requests begin only here, at the end of a turn: those cancelled by a response read in this turn never begin. */
+    /**
+     * Begins queued requests. This is at the end of a turn, so those cancelled by a response read in it never begin.
+     */
     @Override
     public void flushing() {
         partlyWritten.removeIf(UpstreamExchange::isWritten);
         long nowUs = pool.nowUs();
-        if (connection.queuedBytes() > 0 && unwrittenCandidates().anyMatch(each -> each.mustStop(nowUs))) {
-            connection.close(); // queued bytes cannot be withdrawn one by one
+        if (connection.queuedBytes() > 0 && possiblyUnwritten().anyMatch(each -> each.mustStop(nowUs))) {
+            connection.close(); // queued bytes cannot be withdrawn individually
             return;
         }
         if (connected && !sendQueue.isEmpty()) {
@@ -226,7 +228,7 @@
     private void handleResponse(String id, String word, Map<String, String> fields, Body body)
             throws ProtocolException {
         UpstreamExchange exchange = openById.get(id);
-        if (exchange == null || !exchange.begun()) { // late, a second copy, or of an unknown id
+        if (exchange == null || !exchange.begun()) { // late, duplicate, or with an unknown id
             recentIds.removeCancelled(id);
             body.close();
             return;
@@ -239,7 +241,7 @@
             throw malformed;
         }
         Note note = ResponseFields.note(fields.get("res"));
-        long waitedUs = ResponseFields.micros(fields.get("ttfb"));
+        long waitedUs = ResponseFields.timeUs(fields.get("ttfb"));
         openById.remove(id);
         recentIds.addAnswered(id, pool.nowUs());
         unansweredSinceUs = openById.isEmpty() ? 0 : watchdog.lastReceivedUs();
@@ -248,7 +250,7 @@
         updateAfterEnd();
     }
 
-    /** The response for the listener, which owns the body; null, with the body closed, for any result but OK. */
+    /** Returns the response, whose body the listener owns; for any result but OK closes the body and returns null. */
     private static UpstreamResponse response(Result result, String word, Map<String, String> fields, Body body) {
         if (result == Result.OK) {
             return new UpstreamResponse(body, word.equals("KEEP"), fields.get("etag"));
@@ -257,7 +259,7 @@
         return null;
     }
 
-    /** Passes a load report on; an unreadable one is ignored, its response stays valid. */
+    /** Passes a load report to the listener; ignores a malformed report, since its response is still valid. */
     private static void reportLoad(UpstreamExchange exchange, String gauges) {
         if (gauges == null) {
             return;
@@ -265,7 +267,7 @@
         try {
             exchange.listener.loadReported(LoadReports.read(gauges, ";"));
         } catch (NumberFormatException unreadable) {
-            LOG.log(System.Logger.Level.DEBUG, "unreadable load report: {0}", gauges);
+            LOG.log(System.Logger.Level.DEBUG, "ignored a malformed load report: {0}", gauges);
         }
     }
 
@@ -275,8 +277,8 @@
     }
 
     /**
-     * Ends all open exchanges: a request that was not written completely was not processed, another one may have been.
-     * Only a failed or slow dial counts against the member, since a reset may come at any time.
+     * Ends all open exchanges. A request that was not written completely was not processed; any other may have been.
+     * Only a failed or slow dial counts against the member, since a reset may arrive at any time.
      */
     @Override
     public void closed(IOException cause) {
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
@@ -12,12 +12,12 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** An exchange on its connection: queued, then written, then ended or cancelled. */
+/** An exchange on a connection: queued, then written, then ended or cancelled. */
 final class UpstreamExchange implements Exchange {
 
     /**
-     * Age at which an unwritten head is not sent any more. The deadline that it passes to the member may be 150 ms
-     * older than the moment of the write, which follows within the turn.
+     * Age at which an unwritten head is no longer sent. The deadline in the head may be at most 150 ms old when it is
+     * written, which happens within the same turn.
      */
     private static final long MAX_HEAD_AGE_US = 140_000;
 
@@ -27,11 +27,11 @@
     private final CacheRequest request;
     private boolean begun;
     private long begunUs;
-    /** The first part of the request, which passes the deadline; null before it begins. */
+    /** The first part of the request, which contains the deadline; null before it begins. */
     private ByteBuffer head;
     private boolean written;
     private boolean revoked;
-    /** Ends it unless it begins in time. */
+    /** Ends the exchange unless it begins in time. */
     Deadline beginTimeout;
 
     UpstreamExchange(UpstreamConnection connection, CacheRequest request) {
@@ -57,22 +57,22 @@
         return begun;
     }
 
-    /** Whether a miss of it is to be filled from one of these members. */
+    /** Returns whether a miss would be filled from one of {@code members}. */
     boolean isFilledFrom(Set<String> members) {
         return request.isFilledFrom(members);
     }
 
-    /** Whether it is an attempt of a matching client request. */
-    boolean isFor(Predicate<ClientRequest> matches) {
-        return request.isFor(matches);
+    /** Returns whether this is an attempt of a matching client request. */
+    boolean matches(Predicate<ClientRequest> condition) {
+        return request.matches(condition);
     }
 
-    /** Whether it may begin now: its client waits for it and has time left. */
+    /** Returns whether it may begin now: its client waits for it and its deadline has not passed. */
     boolean mayBegin(long nowUs) {
         return nowUs < request.deadlineUs() && listener.mayBegin();
     }
 
-    /** Begins it: returns the parts to be written, which pass the time left at {@code nowUs} to the member. */
+    /** Begins the exchange and returns the parts to be written, which contain the time left at {@code nowUs}. */
     List<ByteBuffer> begin(long nowUs) {
         begun = true;
         begunUs = nowUs;
@@ -81,36 +81,37 @@
         return parts;
     }
 
-    /** The first of the parts returned by the last {@link #begin}. */
+    /** Returns the first of the parts returned by the last {@link #begin}. */
     ByteBuffer head() {
         return head;
     }
 
-    /** No byte was written, and its parts were retracted: it is queued again. */
+    /** Resets the exchange to queued: its parts were retracted before any byte was written. */
     void retracted() {
         begun = false;
         head = null;
     }
 
-    /** The write has ended; {@code complete} if all parts were written. */
+    /** Records the end of the write; {@code complete} if all parts were written. */
     void writeEnded(boolean complete) {
         written = complete;
     }
 
-    /** Whether all parts were written. */
+    /** Returns whether all parts were written. */
     boolean isWritten() {
         return written;
     }
 
     /**
-     * Whether unwritten parts must not be written any more: it is not wanted, or the deadline in its head is too old.
+     * Returns whether unwritten parts must no longer be written: the exchange may not continue, or the deadline in its
+     * head is too old.
      */
     boolean mustStop(long nowUs) {
         return begun && !written && (revoked || !listener.mayContinue()
                 || head.hasRemaining() && nowUs - begunUs > MAX_HEAD_AGE_US);
     }
 
-    /** Forbids further writes: its member or its source drains, or its object was purged. */
+    /** Forbids further writes: the member or the source drains, or the object was purged. */
     void revoke() {
         revoked = true;
     }
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
@@ -24,21 +24,21 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** Sends attempts and probes to the members, over a bounded number of connections in the lines protocol. */
+/** A bounded pool of connections to the members, which sends attempts and probes in the lines protocol. */
 public final class UpstreamPool implements Upstream {
 
     /**
-     * The bounds of a pool.
+     * The limits and timeouts of a pool.
      *
-     * @param streamsPerConnection open exchanges on one connection
-     * @param connections open connections to all members
-     * @param dialUs time in which a connection must be established, in microseconds
-     * @param idleUs time after which a connection without exchanges is closed, in microseconds
+     * @param streamsPerConnection limit of open exchanges on one connection
+     * @param connections limit of open connections to all members
+     * @param dialTimeoutUs time in which a connection must be established, in microseconds
+     * @param idleTimeoutUs time after which a connection without exchanges is closed, in microseconds
      */
-    public record Limits(int streamsPerConnection, int connections, long dialUs, long idleUs) {}
+    public record Limits(int streamsPerConnection, int connections, long dialTimeoutUs, long idleTimeoutUs) {}
 
-    /** One member gets this part of all connections at most, and two in any case. */
-    private static final int MEMBER_PART_OF_CONNECTIONS = 8;
+    /** Limits one member to this fraction (1/n) of all connections, but at least to two. */
+    private static final int MEMBER_SHARE_DIVISOR = 8;
     private static final int MIN_CONNECTIONS_PER_MEMBER = 2;
 
     /** Dials an address, as {@link EventLoop#connect}. */
@@ -47,7 +47,7 @@
                 throws IOException;
     }
 
-    /** An exchange that had ended when it was returned. */
+    /** An exchange that ended before it was returned. */
     private static final Exchange ENDED = () -> false;
 
     private final Dialer dialer;
@@ -56,13 +56,13 @@
     private final Budget budget;
     private final Limits limits;
     private final Map<String, MemberConnections> members = new HashMap<>();
-    /** Requests that wait for a dial, each of an attempt or probe in progress. */
+    /** Attempts and probes in progress that wait for a dial. */
     private final Set<DelayedDial> delayedDials = new LinkedHashSet<>();
     private int maxConnections;
     private int openConnections;
     private long probeCount;
 
-    /** A pool without members, which dials on {@code loop}. */
+    /** Creates a pool without members, which dials on {@code loop}. */
     public UpstreamPool(EventLoop loop, Clock clock, Deadlines deadlines, Budget budget, Limits limits) {
         this(loop::connect, clock, deadlines, budget, limits);
     }
@@ -76,9 +76,9 @@
         this.maxConnections = limits.connections();
     }
 
-    /** Sets the limit of open connections; idle ones beyond it are closed. */
-    public void limit(int connections) {
-        maxConnections = connections;
+    /** Sets the limit of open connections; idle connections above it are closed. */
+    public void setMaxConnections(int max) {
+        maxConnections = max;
         for (MemberConnections member : List.copyOf(members.values())) {
             for (UpstreamConnection connection : member.snapshot()) {
                 if (openConnections > maxConnections) {
@@ -89,18 +89,18 @@
     }
 
     /**
-     * Adds or updates a member. One that has moved or was restarted gets new connections: the old ones may lead to
-     * another member at its former address, or nowhere.
+     * Adds or updates a member. One that has moved or was restarted gets new connections, since the old ones may lead
+     * to another member at the former address or to none.
      */
     public void updateMember(String member, InetSocketAddress address, long startedMs) {
         MemberConnections known = members.get(member);
-        if (known == null || !known.isOf(address, startedMs)) {
+        if (known == null || !known.isAt(address, startedMs)) {
             removeMember(member);
             members.put(member, new MemberConnections(address, startedMs));
         }
     }
 
-    /** Removes a member; exchanges that have begun may still be answered. */
+    /** Removes a member and ends its queued exchanges; those that have begun may still be answered. */
     public void removeMember(String member) {
         MemberConnections removed = members.remove(member);
         if (removed != null) {
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Ends everything queued for {@code drained} members, or to be filled from them, before any of it is sent. The end
-     * of a request to another member does not count against that member.
+     * Ends all queued exchanges with {@code drained} members, and those to be filled from them, before they are sent. A
+     * withdrawn request to another member does not count against that member.
      */
     public void withdraw(Set<String> drained) {
         for (Map.Entry<String, MemberConnections> member : List.copyOf(members.entrySet())) {
@@ -121,12 +121,12 @@
         withdrawDelayed(each -> drained.contains(each.member()) || each.isFilledFrom(drained));
     }
 
-    /** Ends everything queued for purged objects: it could be answered from a copy that is older than the purge. */
+    /** Ends all queued exchanges for purged objects, which could be answered from a copy older than the purge. */
     public void withdraw(Predicate<ClientRequest> purged) {
         for (MemberConnections member : List.copyOf(members.values())) {
-            member.withdraw(each -> each.isFor(purged), Result.NOT_SENT);
+            member.withdraw(each -> each.matches(purged), Result.NOT_SENT);
         }
-        withdrawDelayed(each -> each.isFor(purged));
+        withdrawDelayed(each -> each.matches(purged));
     }
 
     private void withdrawDelayed(Predicate<CacheRequest> matches) {
@@ -139,7 +139,7 @@
         ClientRequest request = order.request();
         long deadlineUs = clock.micros() + order.timeoutUs();
         return send(new CacheRequest(order.member(), request.id(), request, order.source(), deadlineUs,
-                leftUs -> RequestLine.want(order, leftUs), listener));
+                remainingUs -> RequestEncoder.attempt(order, remainingUs), listener));
     }
 
     @Override
@@ -154,7 +154,7 @@
             listener.ended(result, note, waitedUs, null);
         };
         Exchange exchange = send(new CacheRequest(member, id, null, null, Long.MAX_VALUE,
-                leftUs -> RequestLine.there(id), probeListener));
+                remainingUs -> RequestEncoder.probe(id), probeListener));
         timeout[0] = addDialTimeout(() -> {
             if (exchange != ENDED) {
                 exchange.cancel();
@@ -176,11 +176,11 @@
         if (exchange != null) {
             return exchange;
         }
-        long lastDialUs = clock.micros() + limits.dialUs() - DelayedDial.RETRY_INTERVAL_US;
+        long lastDialUs = clock.micros() + limits.dialTimeoutUs() - DelayedDial.RETRY_INTERVAL_US;
         return new DelayedDial(this, request, lastDialUs);
     }
 
-    /** Sends a request, or ends it; returns null, and does neither, if this machine cannot dial for the moment. */
+    /** Sends or ends a request; returns null without doing either if this machine cannot dial at the moment. */
     Exchange trySend(CacheRequest request) {
         MemberConnections member = members.get(request.member());
         UpstreamConnection connection;
@@ -193,7 +193,7 @@
             request.listener().ended(Result.UNCONNECTED, Note.NONE, 0, null);
             return ENDED;
         }
-        if (connection == null) { // an unknown member or a limit of this pool, which does not count against the member
+        if (connection == null) { // unknown member or a limit of this pool, which does not count against the member
             request.listener().ended(Result.NOT_SENT, Note.NONE, 0, null);
             return ENDED;
         }
@@ -208,11 +208,13 @@
         delayedDials.remove(delayedDial);
     }
 
-    /** The best connection for a request, dialled if necessary; null if none is available within the limits. */
+    /**
+     * Returns the best connection for a request, dialling if necessary; null if none is available within the limits.
+     */
     private UpstreamConnection connectionFor(MemberConnections member, String id) throws IOException {
         UpstreamConnection best = member.best(id, limits.streamsPerConnection());
-        int maxOfMember = Math.max(MIN_CONNECTIONS_PER_MEMBER, maxConnections / MEMBER_PART_OF_CONNECTIONS);
-        if (openConnections >= maxConnections || !member.wantsFurther(best, maxOfMember)) {
+        int maxForMember = Math.max(MIN_CONNECTIONS_PER_MEMBER, maxConnections / MEMBER_SHARE_DIVISOR);
+        if (openConnections >= maxConnections || !member.needsFurtherConnection(best, maxForMember)) {
             return best;
         }
         try {
@@ -223,7 +225,7 @@
             }
             return best;
         }
-        return best != null ? best : member.newest(); // no request waits for a dial if it need not
+        return best != null ? best : member.newest(); // no request waits for a dial unless necessary
     }
 
     private void dial(MemberConnections member) throws IOException {
@@ -241,11 +243,11 @@
     }
 
     Deadline addDialTimeout(Runnable expired) {
-        return addTimeout(limits.dialUs(), expired);
+        return addTimeout(limits.dialTimeoutUs(), expired);
     }
 
     Deadline addIdleTimeout(Runnable expired) {
-        return addTimeout(limits.idleUs(), expired);
+        return addTimeout(limits.idleTimeoutUs(), expired);
     }
 
     Deadline addTimeout(long delayUs, Runnable expired) {
@@ -256,9 +258,9 @@
         return clock.micros();
     }
 
-    /** Whether the time in which a live member would have answered a dial has passed. */
-    boolean hasDialTimePassed(long sinceUs) {
-        return clock.micros() - sinceUs >= limits.dialUs();
+    /** Returns whether the dial timeout has passed since {@code sinceUs}. A live member would have responded. */
+    boolean hasDialTimeoutPassed(long sinceUs) {
+        return clock.micros() - sinceUs >= limits.dialTimeoutUs();
     }
 
     void cancel(Deadline deadline) {
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -93,7 +93,7 @@
     private void applyOtherProcess() {
         boolean besideAnother = otherProcess != OtherProcess.NONE;
         server.setMaxConnections(descriptors.clientConnections(besideAnother));
-        pool.limit(descriptors.endpointConnections(besideAnother));
+        pool.setMaxConnections(descriptors.endpointConnections(besideAnother));
         // If a successor ends before this process is asked to shut down, new connections are accepted here again.
         server.setAccepting(otherProcess != OtherProcess.SUCCESSOR);
         LOG.log(Level.INFO, switch (otherProcess) {
--- a/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
@@ -36,10 +36,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A dial that fails at once is retried if the fault is this machine's, which does not count against the member. */
+/** Tests that a dial is retried after a local failure, which does not count against the member. */
 class DelayedDialTest {
 
-    private static final long DIAL_US = 400_000;
+    private static final long DIAL_TIMEOUT_US = 400_000;
 
     private final ManualClock clock = new ManualClock(1_000_000);
     private final Deadlines deadlines = new Deadlines();
@@ -55,7 +55,7 @@
     void open() throws IOException {
         loop = new EventLoop(clock, deadlines);
         pool = new UpstreamPool(this::connect, clock, deadlines, new Budget(1 << 20),
-                new UpstreamPool.Limits(31, 40, DIAL_US, 30_000_000));
+                new UpstreamPool.Limits(31, 40, DIAL_TIMEOUT_US, 30_000_000));
         member = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         pool.updateMember("m", (InetSocketAddress) member.getLocalAddress(), 0);
     }
@@ -97,14 +97,14 @@
         return send("00000000000000a1", "aa", "p", 1_000_000);
     }
 
-    private void passUs(long micros) {
-        for (long end = clock.micros() + micros; clock.micros() < end;) {
+    private void passUs(long us) {
+        for (long end = clock.micros() + us; clock.micros() < end;) {
             clock.passUs(DelayedDial.RETRY_INTERVAL_US);
             deadlines.sweep(clock.micros());
         }
     }
 
-    static Stream<IOException> ofThisMachine() {
+    static Stream<IOException> localFailures() {
         return Stream.of(new BindException("Cannot assign requested address"),
                 new SocketException("Network is unreachable"), new SocketException("No buffer space available"),
                 new SocketException("Too many open files"), new SocketException("Too many open files in system"),
@@ -112,14 +112,14 @@
                 new SocketException("Resource temporarily unavailable"));
     }
 
-    static Stream<IOException> ofThePeer() {
+    static Stream<IOException> peerFailures() {
         return Stream.of(new ConnectException("Connection refused"), new ConnectException("Connection timed out"),
                 new NoRouteToHostException("No route to host"), new IOException(new IllegalArgumentException()));
     }
 
     @ParameterizedTest
-    @MethodSource("ofThisMachine")
-    void givenAFaultOfThisMachineThenTheDialIsRetried(IOException failure) throws IOException {
+    @MethodSource("localFailures")
+    void retriesDialAfterLocalFailure(IOException failure) throws IOException {
         failures.addAll(List.of(failure, failure));
         Exchange exchange = send();
         assertThat(results).isEmpty();
@@ -134,49 +134,49 @@
     }
 
     @ParameterizedTest
-    @MethodSource("ofThePeer")
-    void givenAFaultOfThePeerThenTheRequestEndsUnconnectedAtOnce(IOException failure) {
+    @MethodSource("peerFailures")
+    void endsRequestImmediatelyWhenPeerFailsDial(IOException failure) {
         failures.add(failure);
         send();
         assertThat(results).containsExactly(Result.UNCONNECTED);
     }
 
     @Test
-    void givenALastingFaultOfThisMachineThenTheRequestEndsAsNotSentWithinADialsTime() {
+    void endsRequestAsNotSentAfterDialTimeoutOfLocalFailures() {
         failures.addAll(Collections.nCopies(1000, new SocketException("No buffer space available")));
         send();
-        passUs(DIAL_US);
+        passUs(DIAL_TIMEOUT_US);
         assertThat(results).containsExactly(Result.NOT_SENT);
         assertThat(deadlines.size()).isZero();
     }
 
     @Test
-    void givenARequestWhoseTimeIsOverThenItIsNotDialledFor() {
+    void doesNotDialAfterRequestDeadline() {
         failures.addAll(Collections.nCopies(3, new SocketException("No buffer space available")));
         send("00000000000000a1", "aa", "p", 50_000);
-        passUs(DIAL_US);
+        passUs(DIAL_TIMEOUT_US);
         assertThat(results).containsExactly(Result.NOT_SENT);
         assertThat(connections).isEmpty();
     }
 
     @Test
-    void givenACancelledOrUnwantedRequestThenItIsNotDialledFor() {
+    void doesNotDialForCancelledOrAbandonedRequest() {
         failures.addAll(Collections.nCopies(2, new SocketException("No buffer space available")));
         Exchange exchange = send();
         assertThat(exchange.cancel()).isFalse();
         send("00000000000000a2", "aa", "p", 1_000_000);
         mayBegin = false;
-        passUs(DIAL_US);
+        passUs(DIAL_TIMEOUT_US);
         assertThat(results).containsExactly(Result.NOT_SENT);
         assertThat(connections).isEmpty();
     }
 
     @Test
-    void givenDelayedDialsThenAPurgeAndADrainWithdrawThem() {
+    void withdrawsDelayedDialsOnPurgeAndDrain() {
         failures.addAll(Collections.nCopies(4, new SocketException("No buffer space available")));
         send("00000000000000a1", "aa", "p", 1_000_000);
         send("00000000000000a2", "bb", "p", 1_000_000);
-        pool.withdraw(ask -> ask.object().equals("aa"));
+        pool.withdraw(request -> request.object().equals("aa"));
         assertThat(results).hasSize(1);
         pool.withdraw(Set.of("p"));
         assertThat(results).hasSize(2);
@@ -187,9 +187,9 @@
         assertThat(deadlines.size()).isZero();
     }
 
-    /** The request is sent on the established connection. */
+    /** The request must be sent on the established connection instead. */
     @Test
-    void givenAnEstablishedConnectionThenAFailedFurtherDialHasNoEffect() throws IOException {
+    void ignoresFailedFurtherDialWhileConnectionIsEstablished() throws IOException {
         Exchange first = send();
         for (int i = 0; i < 1000 && !first.begun(); i++) {
             loop.turn(1);
--- a/src/test/java/clovermill/dataplane/upstream/DeadlineFigureTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/RequestDeadlineTest.java
@@ -25,13 +25,13 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** The deadline passed to a server, {@code ms=}, is what the client has left at the moment of the write. */
-class DeadlineFigureTest {
+/** Tests that {@code ms=}, the deadline passed to a server, is the client's remaining time when it is written. */
+class RequestDeadlineTest {
 
     private static final Pattern MS_FIELD = Pattern.compile(",ms=(\\d+)");
     private static final int TIMEOUT_MS = 1000;
-    private static final long DIAL_US = 400_000;
-    private static final int LARGE = 100_000;
+    private static final long DIAL_TIMEOUT_US = 400_000;
+    private static final int LARGE_BODY_BYTES = 100_000;
 
     private final ManualClock clock = new ManualClock();
     private final Deadlines deadlines = new Deadlines();
@@ -43,7 +43,7 @@
     void open() throws IOException {
         loop = new EventLoop(clock, deadlines);
         pool = new UpstreamPool(this::dial, clock, deadlines, new Budget(1 << 20),
-                new UpstreamPool.Limits(1000, 1, DIAL_US, 30_000_000));
+                new UpstreamPool.Limits(1000, 1, DIAL_TIMEOUT_US, 30_000_000));
         pool.updateMember("m", new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), 0);
     }
 
@@ -56,7 +56,7 @@
         Result result;
 
         @Override
-        public void ended(Result reported, Note note, long waitedUs, UpstreamResponse answer) {
+        public void ended(Result reported, Note note, long waitedUs, UpstreamResponse response) {
             result = reported;
         }
     }
@@ -70,7 +70,7 @@
         return attempt;
     }
 
-    private void connected() throws IOException {
+    private void connect() throws IOException {
         socket.reportReady();
         loop.turn(0);
     }
@@ -84,45 +84,45 @@
         }
     }
 
-    /** The {@code ms=} figures written so far, in order. */
-    private List<Integer> figures() {
+    /** Returns the {@code ms=} values written so far, in order. */
+    private List<Integer> deadlinesMs() {
         return MS_FIELD.matcher(socket.written).results().map(field -> Integer.valueOf(field.group(1))).toList();
     }
 
     @Nested
-    class GivenASocketThatTakesNothing {
+    class BlockedSocket {
 
         @Test
-        void whenItTakesBytesAgainThenEachHeadHasTheTimeLeftThen() throws IOException {
+        void writesTimeLeftInEachHeadWhenSocketIsWritableAgain() throws IOException {
             Attempt first = send("00000000000000a1", 0);
             Attempt second = send("00000000000000a2", 0);
             socket.writes.add(0);
-            connected();
-            assertThat(first.exchange.begun()).as("begun, though nothing was written").isFalse();
+            connect();
+            assertThat(first.exchange.begun()).as("begun before anything was written").isFalse();
             assertThat(socket.isAwaitedWritable()).isTrue();
             clock.passMs(300);
             turns(2);
-            assertThat(figures()).containsExactly(700, 700);
+            assertThat(deadlinesMs()).containsExactly(700, 700);
             assertThat(first.exchange.begun() && second.exchange.begun()).isTrue();
         }
 
         @Test
-        void whenOneIsGivenUpThenNothingOfItIsWritten() throws IOException {
+        void writesNothingOfCancelledRequest() throws IOException {
             Attempt first = send("00000000000000a1", 0);
             send("00000000000000a2", 0);
             socket.writes.add(0);
-            connected();
+            connect();
             assertThat(first.exchange.cancel()).as("has begun").isFalse();
             turns(2);
             assertThat(socket.written.toString()).doesNotContain("00000000000000a1").contains("00000000000000a2");
         }
 
         @Test
-        void whenADialsTimePassesThenWhatHasNotBegunIsWithdrawn() throws IOException {
+        void withdrawsUnbegunRequestAfterDialTimeout() throws IOException {
             Attempt first = send("00000000000000a1", 0);
             socket.writes.add(0);
-            connected();
-            clock.passUs(DIAL_US);
+            connect();
+            clock.passUs(DIAL_TIMEOUT_US);
             loop.turn(0);
             assertThat(first.result).isEqualTo(Result.UNCONNECTED);
             turns(2);
@@ -131,78 +131,78 @@
     }
 
     @Nested
-    class GivenALargeBodyAhead {
+    class LargeBodyAhead {
 
         @Test
-        void whenItIsStuckThenTheNextHeadHasTheTimeLeftAfterIt() throws IOException {
-            send("00000000000000a1", LARGE);
+        void writesTimeLeftInNextHeadAfterBlockedBody() throws IOException {
+            send("00000000000000a1", LARGE_BODY_BYTES);
             Attempt behind = send("00000000000000a2", 0);
             socket.writes.addAll(List.of(1000, 0));
-            connected();
+            connect();
             assertThat(behind.exchange.begun()).isFalse();
             clock.passMs(300);
             turns(3);
-            assertThat(figures()).containsExactly(1000, 700);
+            assertThat(deadlinesMs()).containsExactly(1000, 700);
         }
 
         @Test
-        void whenItIsStuckBehindASmallOneOfTheSameWriteThenTheNextHeadHasTheTimeLeftAfterIt() throws IOException {
+        void writesTimeLeftInNextHeadAfterBlockedBodyInSameWrite() throws IOException {
             send("00000000000000a1", 0);
             send("00000000000000a2", 20_000);
             send("00000000000000a3", 20_000);
             socket.writes.addAll(List.of(5000, 0));
-            connected();
+            connect();
             clock.passMs(300);
             turns(3);
-            assertThat(figures()).containsExactly(1000, 1000, 700);
+            assertThat(deadlinesMs()).containsExactly(1000, 1000, 700);
         }
     }
 
     @Nested
-    class GivenAHeadOfWhichAPartIsWritten {
+    class PartlyWrittenHead {
 
         @Test
-        void whenTheRestWaitsLongerThanTheSlackThenTheConnectionIsClosed() throws IOException {
-            Attempt cut = send("00000000000000a1", 0);
+        void closesConnectionWhenRestWaitsLongerThanSlack() throws IOException {
+            Attempt partlyWritten = send("00000000000000a1", 0);
             socket.writes.addAll(List.of(10, 0));
-            connected();
+            connect();
             clock.passMs(150);
             turns(2);
-            assertThat(cut.result).isEqualTo(Result.NOT_SENT);
+            assertThat(partlyWritten.result).isEqualTo(Result.NOT_SENT);
             assertThat(socket.written).hasSize(10);
         }
 
         @Test
-        void whenTheRestWaitsLessThanTheSlackThenItGoesOn() throws IOException {
-            Attempt cut = send("00000000000000a1", 0);
+        void continuesWhenRestWaitsLessThanSlack() throws IOException {
+            Attempt partlyWritten = send("00000000000000a1", 0);
             socket.writes.addAll(List.of(10, 0));
-            connected();
+            connect();
             clock.passMs(140);
             turns(2);
-            assertThat(cut.result).isNull();
-            assertThat(figures()).containsExactly(1000);
+            assertThat(partlyWritten.result).isNull();
+            assertThat(deadlinesMs()).containsExactly(1000);
         }
     }
 
     @Test
-    void givenManySmallRequestsOfOneTurnThenTheyGoOutInOneWrite() throws IOException {
+    void sendsManySmallRequestsOfOneTurnInOneWrite() throws IOException {
         for (int i = 100; i < 200; i++) {
             send("0000000000000" + i, 0);
         }
         socket.writes.addAll(List.of(1 << 16, 0));
-        connected();
-        assertThat(figures()).hasSize(100);
-        assertThat(socket.writes).as("results of writes not made").hasSize(1);
+        connect();
+        assertThat(deadlinesMs()).hasSize(100);
+        assertThat(socket.writes).as("scripted results left after one write").hasSize(1);
     }
 
     @Test
-    void givenMoreThanOneBatchInOneTurnThenTheRestFollowsInTheNext() throws IOException {
+    void sendsSecondBatchInNextTurn() throws IOException {
         for (int i = 100; i < 104; i++) {
             send("0000000000000" + i, 40_000);
         }
-        connected();
-        assertThat(figures()).hasSize(2);
+        connect();
+        assertThat(deadlinesMs()).hasSize(2);
         loop.turn(0);
-        assertThat(figures()).hasSize(4);
+        assertThat(deadlinesMs()).hasSize(4);
     }
 }
--- a/src/test/java/clovermill/dataplane/upstream/ResponseParserTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/ResponseParserTest.java
@@ -28,26 +28,26 @@
         return data -> {
             try {
                 parser.parse(data);
-            } catch (ProtocolException refused) {
+            } catch (ProtocolException malformed) {
                 parser.close();
-                throw refused;
+                throw malformed;
             }
         };
     }
 
     @Test
-    void readsTheSameAtEverySplit() throws Exception {
+    void parsesTheSameResponsesForEverySplitOfTheInput() throws Exception {
         Splits.same(INPUT, List.of("a1 DONE {etag=t, made=5} 4", "a2 LACK {} 0"), this::parser);
         assertThat(budget.used()).isZero();
     }
 
     @Test
-    void refusesJunkWithoutAnotherFault() {
+    void throwsOnlyProtocolExceptionForMalformedInput() {
         Splits.junk(INPUT, ProtocolException.class, this::parser);
     }
 
     @Test
-    void refusesWhatIsNoAnswer() {
+    void rejectsMalformedResponses() {
         for (String bad : List.of("a1 DONE - x\r\n", "a1 DONE - -1\r\n", "a1 DONE - 99999999\r\n", "a1 DONE -\r\n",
                 "a1 DONE - 0\n", "a1 DONE - 0\r\nxx", "a1 DONE =v 0\r\n\r\n",
                 "a1 DONE a,b 0\r\n\r\n", "x".repeat(5000))) {
@@ -58,9 +58,11 @@
         assertThat(budget.used()).isZero();
     }
 
-    /** Bodies that wait for slow clients must not fill the heap: the next one is not read before there is room. */
+    /**
+     * Bodies waiting for slow clients must not fill the heap: the next is not read until the budget has memory for it.
+     */
     @Test
-    void stopsBeforeABodyThatFindsNoRoom() throws Exception {
+    void stopsBeforeBodyThatExceedsBudget() throws Exception {
         List<String> responses = new ArrayList<>();
         assertThat(budget.take(999)).isTrue();
         ResponseParser parser = new ResponseParser(budget, (id, word, fields, body) -> responses.add(id));
