--- a/src/main/java/clovermill/dataplane/proxy/ActionDispatcher.java
+++ b/src/main/java/clovermill/dataplane/proxy/ActionDispatcher.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Maps the type of an action to its handler. Actions without a handler are ignored. */
+/** A map from action types to handlers. Actions without a handler are ignored. */
 final class ActionDispatcher {
 
     private final Map<Class<? extends Action>, Consumer<Action>> handlers = new HashMap<>();
 
-    /** Registers the handler of a type; actions are records, so an action's class is exactly its type. */
+    /** Registers the handler of a type. Actions are records, so an action's class is exactly its type. */
     <A extends Action> ActionDispatcher on(Class<A> type, Consumer<? super A> handler) {
         handlers.put(type, action -> handler.accept(type.cast(action)));
         return this;
--- a/src/main/java/clovermill/dataplane/proxy/ActionExecutor.java
+++ b/src/main/java/clovermill/dataplane/proxy/ActionExecutor.java
@@ -17,7 +17,7 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Executes the actions of the router. {@code Watch}, {@code FetchMembers} and {@code Tell} have no effect: discovery
+ * The executor of the router's actions. {@code Watch}, {@code FetchMembers} and {@code Tell} have no effect: discovery
  * pushes the members anyway, and directors of one fleet exchange no router messages.
  */
 final class ActionExecutor {
@@ -63,14 +63,14 @@
                         NOT_CACHED, FRESH_TIME_OF_CLASS, false, false, false, false));
     }
 
-    /** Creates the order of an attempt once its timeout is known, in microseconds. */
+    /** Creates the order of an attempt, given its timeout in microseconds. */
     private interface OrderFactory {
         AttemptOrder create(ClientRequest request, long timeoutUs);
     }
 
     /**
-     * Starts an attempt with its timeout cut to the client's deadline; 0 is the time that the client has left. An
-     * attempt beyond the limit, after the deadline or after the client has gone ends at once as not sent.
+     * Starts an attempt with its timeout limited by the client's deadline; a timeout of 0 stands for that deadline. An
+     * attempt above the limit, after the deadline or after the client has left ends immediately as not sent.
      */
     private void startAttempt(String requestId, String member, long timeoutUs,
             OrderFactory orders) {
@@ -85,12 +85,12 @@
             attempt.ended(Result.NOT_SENT, Note.NONE, 0, null);
             return;
         }
-        long cutUs =
+        long limitedTimeoutUs =
                 timeoutUs == 0 ? remainingUs : Math.min(remainingUs, Math.max(0, timeoutUs));
-        attempt.start(upstream, orders.create(context.request, cutUs));
+        attempt.start(upstream, orders.create(context.request, limitedTimeoutUs));
     }
 
-    /** An attempt that may have begun continues if its client only half-closed: its answer may still be read. */
+    /** Cancels an attempt, unless it may have begun and its client only half-closed: its answer may still be read. */
     private void cancel(Cancel action) {
         RequestContext context = core.find(action.request());
         Attempt attempt = context == null ? null : context.inFlight.get(action.attempt());
@@ -101,14 +101,14 @@
 
     private void refuse(Refuse action) {
         RequestContext context = core.find(action.request());
-        if (context != null && !context.isOver()) {
-            context.refuse(Math.max(0, action.retryAfterUs()) / 1000);
+        if (context != null && !context.hasEnded()) {
+            context.reject(Math.max(0, action.retryAfterUs()) / 1000);
         }
     }
 
     private void fail(Fail action) {
         RequestContext context = core.find(action.request());
-        if (context != null && !context.isOver()) {
+        if (context != null && !context.hasEnded()) {
             context.fail();
         }
     }
--- a/src/main/java/clovermill/dataplane/proxy/Attempt.java
+++ b/src/main/java/clovermill/dataplane/proxy/Attempt.java
@@ -6,10 +6,10 @@
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Deadlines;
 
-/** One attempt of a request. It ends once: by its response, its timeout or its cancellation. */
+/** One attempt of a request. It ends once: with its response, its timeout or its cancellation. */
 final class Attempt implements AttemptListener {
 
-    /** An abandoned attempt must be written completely by then: a server counts it from its last byte. */
+    /** Limit for writing an abandoned attempt completely; a server counts an attempt from its last byte. */
     private static final long MAX_WRITE_AFTER_ABANDON_US = 50_000;
 
     final int number;
@@ -17,7 +17,7 @@
     final long sentUs;
     private final ProxyCore core;
     private final RequestContext context;
-    /** Time from an earlier attempt in which this one may be sent, or {@link Long#MAX_VALUE}. */
+    /** Time from the first attempt that may have run until the last retry, or {@link Long#MAX_VALUE}. */
     private final long retryWindowUs;
     /** The member from which a miss is filled, or null. */
     private String source;
@@ -38,7 +38,7 @@
         this.sentUs = core.clock.micros();
     }
 
-    /** Sends it; it may have ended when this returns. */
+    /** Sends the attempt, which may have ended when this returns. */
     void start(Upstream upstream, AttemptOrder order) {
         source = order.source();
         exchange = upstream.send(order, this);
@@ -47,12 +47,12 @@
         }
     }
 
-    /** The member from which a miss is filled, or null. */
+    /** Returns the member from which a miss is filled, or null. */
     String source() {
         return source;
     }
 
-    /** Whether any byte of it may have left this process. */
+    /** Returns whether any byte of the attempt may have left this process. */
     boolean begun() {
         return exchange != null && exchange.begun();
     }
@@ -67,12 +67,12 @@
         return abandonedForUs() < MAX_WRITE_AFTER_ABANDON_US && isPermitted();
     }
 
-    /** For how long its client, or this director, may not have waited for it any more; -1 while both wait. */
+    /** Returns how long ago its client or this director may have stopped waiting for it; -1 while both wait. */
     private long abandonedForUs() {
         return Math.max(context.abandonedForUs(), hasEnded ? core.clock.micros() - endedUs : -1);
     }
 
-    /** Whether the filter of endpoints and the retry window permit it now. */
+    /** Returns whether the endpoint filter and the retry window permit the attempt now. */
     private boolean isPermitted() {
         return isAllowed(member) && (source == null || isAllowed(source)) && isInRetryWindow();
     }
@@ -95,7 +95,7 @@
     @Override
     public void ended(Result reported, Note note, long waitedUs, UpstreamResponse response) {
         Result result = isInvalid(response) ? Result.ERROR : reported;
-        boolean serves = result == Result.OK && !hasEnded && !context.isOver();
+        boolean serves = result == Result.OK && !hasEnded && !context.hasEnded();
         if (response != null && !serves) {
             response.body().close();
         }
@@ -114,20 +114,20 @@
         } else if (context.isHalfClosed() && context.inFlight.isEmpty()) {
             context.endUnserved();
         }
-        context.forgetIfDone();
+        context.removeIfDone();
         core.deliver(new Outcome(context.request.id(), number, member, result, core.clock.micros() - sentUs,
-                context.isOver(), note, waitedUs, load));
+                context.hasEnded(), note, waitedUs, load));
     }
 
-    /** A member that reports the client's copy as valid where the client has none has served nothing. */
+    /** Returns whether a member reported the client's copy as valid although the client has none. */
     private boolean isInvalid(UpstreamResponse response) {
         return response != null && response.notModified() && context.request.cachedTag() == null;
     }
 
     /**
-     * Ends it from this side. An attempt of which nothing was sent until its timeout counts as not connected. One that
-     * was still queued in this process counts as not sent, which is no evidence against the member: many clients that
-     * cancel at once must not make members look unreachable.
+     * Ends the attempt from this side. If it times out before anything was sent, its result is that the connect failed.
+     * If it was still queued in this process, its result is that it was not sent, which does not count against the
+     * member: many cancellations at once must not make members look unreachable.
      */
     void cancel(Result result) {
         boolean queuedLocally = exchange.isQueuedLocally();
--- a/src/main/java/clovermill/dataplane/proxy/AttemptListener.java
+++ b/src/main/java/clovermill/dataplane/proxy/AttemptListener.java
@@ -4,25 +4,27 @@
 import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
 
-/** Follows one attempt or probe. {@link #ended} is called exactly once, unless the exchange was cancelled. */
+/** A listener for one attempt or probe. {@link #ended} is called exactly once, unless the exchange was cancelled. */
 public interface AttemptListener {
 
-    /** Whether the attempt may begin; asked immediately before its first bytes are written. */
+    /** Returns whether the attempt may begin; called immediately before its first bytes are written. */
     default boolean mayBegin() {
         return true;
     }
 
-    /** Whether an attempt that has begun may continue; asked each time before more of its bytes are written. */
+    /** Returns whether an attempt that has begun may continue; called each time before more of it is written. */
     default boolean mayContinue() {
         return true;
     }
 
-    /** The member reported its load; comes before {@link #ended}. */
+    /** Handles the member's load report; called before {@link #ended}. */
     default void loadReported(LoadReport load) {}
 
     /**
-     * The attempt has ended. {@code waitedUs} is the time in the member's queue in microseconds. {@code response} is
-     * not null exactly with {@link Result#OK}; this listener owns its body from now on.
+     * Handles the end of the attempt.
+     *
+     * @param waitedUs time in the member's queue, in microseconds
+     * @param response not null exactly with {@link Result#OK}; this listener owns its body from now on
      */
     void ended(Result result, Note note, long waitedUs, UpstreamResponse response);
 }
--- a/src/main/java/clovermill/dataplane/proxy/EventQueue.java
+++ b/src/main/java/clovermill/dataplane/proxy/EventQueue.java
@@ -7,8 +7,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Delivers events to the router one after another: an event that is caused by an action of the router is delivered
- * after the present event, not inside it.
+ * A queue that delivers events to the router one at a time: an event caused by one of the router's actions is delivered
+ * after the current event, not during it.
  */
 final class EventQueue {
 
@@ -26,7 +26,7 @@
         this.executor = executor;
     }
 
-    /** Delivers an event now, or after the event that is being delivered. */
+    /** Delivers an event, after the one being delivered if there is one. */
     void deliver(Event event) {
         events.add(event);
         if (delivering) {
@@ -42,7 +42,9 @@
         }
     }
 
-    /** A fault of the router must not end the process; the deadline of each request still answers it. */
+    /**
+     * Logs an exception of the router, which must not end the process; each open request is answered by its deadline.
+     */
     private void deliverOne(Event event) {
         try {
             router.handle(clock.micros(), event, executor::execute);
--- a/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
+++ b/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
@@ -19,25 +19,25 @@
 import java.util.function.Predicate;
 
 /**
- * The protocol-independent core of a director: owns the open requests and their attempts, executes the router's actions
- * and delivers events to it with the meaning that they have on the simulator's wire. Each request gets one answer, at
- * the latest half the answer slack after its deadline. Used on the loop's thread only.
+ * The protocol-independent core of a director. It owns the open requests and their attempts, executes the router's
+ * actions and delivers events to the router with the same semantics as the simulator. Each request gets one answer, at
+ * most half the answer slack after its deadline. Used only on the event loop's thread.
  */
 public final class ProxyCore {
 
     private static final System.Logger LOG = System.getLogger(ProxyCore.class.getName());
 
     private static final Predicate<String> ALL_MEMBERS = member -> true;
-    /** The delay that the router asks of rejected clients, too. */
+    /** Retry delay for rejected clients, the same as the router's. */
     private static final long RETRY_AFTER_US = 100_000;
-    /** During a shutdown another director can serve a retry at once. */
+    /** Retry delay during a shutdown, when another director can serve the request immediately. */
     private static final long RETRY_ELSEWHERE_MS = 1;
 
     final Clock clock;
     final Deadlines deadlines;
-    /** Null if usage is not recorded. */
+    /** Listener that records usage; null if usage is not recorded. */
     private final UsageListener usageListener;
-    /** Null if requests may use all members. */
+    /** Filter of members; null if requests may use all members. */
     private final EndpointFilter endpointFilter;
     private final Map<String, RequestContext> requests = new HashMap<>();
     private final EventQueue events;
@@ -45,12 +45,12 @@
     private List<RequestClass> requestClasses;
     private long answerSlackUs;
 
-    /** A core whose usage is not recorded, and whose requests may use all members. */
+    /** Creates a core that records no usage and whose requests may use all members. */
     public ProxyCore(CacheRouter router, Settings settings, Clock clock, Deadlines deadlines, Upstream upstream) {
         this(router, settings, clock, deadlines, upstream, null, null);
     }
 
-    /** {@code usageListener} and {@code endpointFilter} may be null. */
+    /** Creates a core; {@code usageListener} and {@code endpointFilter} may be null. */
     public ProxyCore(CacheRouter router, Settings settings, Clock clock, Deadlines deadlines, Upstream upstream,
             UsageListener usageListener, EndpointFilter endpointFilter) {
         this.clock = clock;
@@ -67,7 +67,7 @@
         answerSlackUs = settings.answerSlackUs();
     }
 
-    /** Accepts a request, or answers it at once; {@code handler} may be called before this returns. */
+    /** Accepts a request or answers it immediately; {@code handler} may be called before this returns. */
     public void submit(ClientRequest request, ResponseHandler handler) {
         if (requests.size() >= permissions.maxOpen()) {
             handler.rejected(maxRetryAfterMs());
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Whether usage is recorded. */
+    /** Returns whether usage is recorded. */
     public boolean recordsUsage() {
         return usageListener != null;
     }
@@ -114,10 +114,10 @@
         usageListener.requestEnded(usage);
     }
 
-    /** The client has gone or has cancelled the request: no answer is owed. */
-    public void clientGone(String requestId) {
+    /** Cancels a request whose client cancelled it or disconnected; it gets no answer. */
+    public void cancelRequest(String requestId) {
         RequestContext context = requests.get(requestId);
-        if (context != null && !context.isOver()) {
+        if (context != null && !context.hasEnded()) {
             context.end();
             context.recordUsage(UsageRecord.End.GONE);
             deliver(new ClientGone(requestId));
@@ -125,23 +125,23 @@
     }
 
     /**
-     * The client has closed its output: it may have gone, or may still read. No attempt begins any more. Attempts that
-     * have begun may still serve the request; if there are none it gets its final answer now.
+     * Handles the end of a client's output: it may have disconnected, or may still read. No further attempt begins.
+     * Attempts that have begun may still serve the request; if there are none it gets its final answer now.
      */
     public void clientHalfClosed(String requestId) {
         RequestContext context = requests.get(requestId);
-        if (context == null || context.isOver() || context.isHalfClosed()) {
+        if (context == null || context.hasEnded() || context.isHalfClosed()) {
             return;
         }
         context.halfClose();
         deliver(new ClientGone(requestId));
-        context.cancelQueuedAttempts(); // the router is not bound to cancel them
+        context.cancelQueuedAttempts(); // the router need not cancel them
         if (context.isHalfClosed() && context.inFlight.isEmpty()) {
             context.endUnserved();
         }
     }
 
-    /** Passes on an event that belongs to no request, such as a change of the members or a purge. */
+    /** Delivers an event that belongs to no request, such as a change of the members or a purge. */
     public void handle(Event event) {
         if (usageListener != null && event instanceof Members change) {
             usageListener.membersChanged(change);
@@ -149,18 +149,18 @@
         deliver(event);
     }
 
-    /** Applies other settings, for requests that are submitted from now on. */
+    /** Applies new settings for requests that are submitted from now on. */
     public void reload(Settings settings) {
         apply(settings);
         deliver(new Retuned(settings));
     }
 
-    /** Gives every open request its final answer, at the end of a shutdown. */
+    /** Sends every open request its final answer, at the end of a shutdown. */
     public void answerOpenRequests() {
         for (RequestContext context : List.copyOf(requests.values())) {
-            if (!context.isOver()) {
+            if (!context.hasEnded()) {
                 if (context.attempts == 0) {
-                    context.refuse(Math.min(RETRY_ELSEWHERE_MS, retryAfterMs()));
+                    context.reject(Math.min(RETRY_ELSEWHERE_MS, retryAfterMs()));
                 } else {
                     context.fail();
                 }
@@ -173,7 +173,7 @@
         events.deliver(event);
     }
 
-    /** The request of that id, also while only attempts of it are in flight, or null. */
+    /** Returns the request with this id, also while only attempts of it are in flight, or null. */
     RequestContext find(String requestId) {
         return requests.get(requestId);
     }
@@ -182,7 +182,7 @@
         return permissions;
     }
 
-    /** Time from an attempt that may have run until the last retry of it, {@link Long#MAX_VALUE} if unlimited. */
+    /** Returns the time from an attempt that may have run until its last retry, {@link Long#MAX_VALUE} if unlimited. */
     long retryWindowUs(ClientRequest request) {
         int index = request.requestClass();
         RequestClass requestClass = index < requestClasses.size() ? requestClasses.get(index) : null;
@@ -194,16 +194,16 @@
         return answerSlackUs;
     }
 
-    /** Delay that a rejected client is asked to wait, in milliseconds. */
+    /** Returns the retry delay for rejected clients, in milliseconds. */
     long retryAfterMs() {
         return Math.min(RETRY_AFTER_US, permissions.maxRetryAfterUs()) / 1000;
     }
 
-    void forget(RequestContext context) {
+    void removeRequest(RequestContext context) {
         requests.remove(context.request.id(), context);
     }
 
-    /** Called when the router has not answered a request by its deadline. */
+    /** Fails a request that the router has not answered by its deadline. */
     void failOverdue(RequestContext context) {
         LOG.log(Level.WARNING, "request {0} was overdue: the router gave no final answer",
                 context.request.id());
--- a/src/main/java/clovermill/dataplane/proxy/RequestContext.java
+++ b/src/main/java/clovermill/dataplane/proxy/RequestContext.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** A request from its arrival until it has its answer and all its attempts have ended. */
+/** The state of a request from its arrival until it has ended and all its attempts have ended. */
 final class RequestContext {
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -16,21 +16,21 @@
     final ClientRequest request;
     final long receivedUs;
     final long deadlineUs;
-    /** By attempt number. */
+    /** Attempts in flight, by attempt number. */
     final Map<Integer, Attempt> inFlight = new HashMap<>(2);
-    /** Null if the request may use all members. */
+    /** Filter of members; null if the request may use all members. */
     final Predicate<String> allowedMembers;
-    /** Number of attempts, those included that were not sent. */
+    /** Number of attempts, including those that were not sent. */
     int attempts;
     private final ProxyCore core;
-    /** Answers the client in time if the router does not. */
+    /** Timer that answers the client in time if the router does not. */
     private final Deadlines.Deadline overdue;
-    /** Null once the request has been answered or its client has gone. */
+    /** Handler of the answer; null once the request has been answered or cancelled. */
     private ResponseHandler handler;
-    /** Since when the client may not wait any more: answered, cancelled, or its output closed. */
+    /** Time since which the client may no longer wait: answered, cancelled, or its output closed. */
     private long abandonedSinceUs = NEVER;
     private boolean halfClosed;
-    /** When the first of the ended attempts was sent that may have run; retries are allowed in a window from then. */
+    /** Send time of the first ended attempt that may have run; the retry window starts there. */
     private long firstPossibleRunUs = NEVER;
 
     RequestContext(ProxyCore core, ClientRequest request, ResponseHandler handler, Predicate<String> allowedMembers) {
@@ -44,33 +44,35 @@
                 () -> core.failOverdue(this));
     }
 
-    /** Whether no answer is owed any more. */
-    boolean isOver() {
+    /** Returns whether the request has been answered or cancelled. */
+    boolean hasEnded() {
         return handler == null;
     }
 
-    /** Whether the client has closed its output and has not got its answer: it has gone, or only reads. */
+    /**
+     * Returns whether the client has closed its output before it got its answer: it has disconnected, or only reads.
+     */
     boolean isHalfClosed() {
-        return halfClosed && !isOver();
+        return halfClosed && !hasEnded();
     }
 
-    /** The client has closed its output; no further attempt begins. */
+    /** Records that the client has closed its output; no further attempt begins. */
     void halfClose() {
         halfClosed = true;
         abandonedSinceUs = Math.min(abandonedSinceUs, core.clock.micros());
     }
 
-    /** Whether the client may not wait any more. */
+    /** Returns whether the client may no longer wait. */
     boolean isAbandoned() {
         return abandonedSinceUs != NEVER;
     }
 
-    /** For how long the client may not have waited any more, in microseconds; -1 while it waits. */
+    /** Returns how long ago the client may have stopped waiting, in microseconds; -1 while it waits. */
     long abandonedForUs() {
         return isAbandoned() ? core.clock.micros() - abandonedSinceUs : -1;
     }
 
-    /** Adds an attempt, which is not yet sent. */
+    /** Adds an attempt without sending it. */
     Attempt newAttempt(String member) {
         Attempt attempt = new Attempt(core, this, attempts++, member);
         inFlight.put(attempt.number, attempt);
@@ -86,35 +88,39 @@
         }
     }
 
-    /** Records that an attempt sent at that time ended without proof that it never ran. */
+    /** Records that an attempt sent at {@code sentUs} ended without proof that it never ran. */
     void recordPossibleRun(long sentUs) {
         firstPossibleRunUs = Math.min(firstPossibleRunUs, sentUs);
     }
 
-    /** When the first attempt other than {@code excluded} was sent that may have run, or {@link Long#MAX_VALUE}. */
+    /**
+     * Returns the send time of the first attempt except {@code excluded} that may have run, or {@link Long#MAX_VALUE}.
+     */
     long firstPossibleRunUs(Attempt excluded) {
         return inFlight.values().stream().filter(attempt -> attempt != excluded && attempt.begun())
                 .mapToLong(attempt -> attempt.sentUs).reduce(firstPossibleRunUs, Math::min);
     }
 
-    /** The one place where a request ends; returns the handler, to be called by whoever ended it. */
+    /**
+     * Ends the request and returns its handler, which the caller calls if an answer is due. Every request ends here.
+     */
     ResponseHandler end() {
         ResponseHandler ended = handler;
         handler = null;
         abandonedSinceUs = Math.min(abandonedSinceUs, core.clock.micros());
         core.deadlines.cancel(overdue);
-        forgetIfDone();
+        removeIfDone();
         return ended;
     }
 
-    /** Frees the id once the request is over and no attempt is in flight. */
-    void forgetIfDone() {
-        if (isOver() && inFlight.isEmpty()) {
-            core.forget(this);
+    /** Removes the request once it has ended and no attempt is in flight. */
+    void removeIfDone() {
+        if (hasEnded() && inFlight.isEmpty()) {
+            core.removeRequest(this);
         }
     }
 
-    void refuse(long retryAfterMs) {
+    void reject(long retryAfterMs) {
         end().rejected(retryAfterMs);
         recordUsage(UsageRecord.End.REFUSED);
     }
@@ -124,10 +130,10 @@
         recordUsage(UsageRecord.End.FAILED);
     }
 
-    /** Gives the final answer where no attempt may follow: refused only if none may have run. */
+    /** Sends the final answer when no attempt may follow: a rejection only if no attempt may have run. */
     void endUnserved() {
         if (firstPossibleRunUs == NEVER) {
-            refuse(core.retryAfterMs());
+            reject(core.retryAfterMs());
         } else {
             fail();
         }
@@ -141,7 +147,7 @@
         }
     }
 
-    /** Serves the response of an attempt; usage is recorded when it was written, or never will be. */
+    /** Serves the response of an attempt; usage is recorded once its write has ended. */
     void serve(UpstreamResponse response, Attempt servedBy, Note note) {
         if (!core.recordsUsage()) {
             end().served(response);
@@ -150,11 +156,11 @@
         int attemptsUntilServed = attempts;
         int bodyBytes = response.notModified() ? 0 : response.body().bytes().length;
         end().served(response.withListener((writtenBytes, complete) -> core.record(new UsageRecord(request, true,
-                receivedUs, core.clock.micros(), endOf(response, complete), attemptsUntilServed, servedBy.member,
+                receivedUs, core.clock.micros(), usageEnd(response, complete), attemptsUntilServed, servedBy.member,
                 servedBy.source(), note, writtenBytes, bodyBytes))));
     }
 
-    private static UsageRecord.End endOf(UpstreamResponse response, boolean complete) {
+    private static UsageRecord.End usageEnd(UpstreamResponse response, boolean complete) {
         if (!complete) {
             return UsageRecord.End.BROKEN_OFF;
         }
--- a/src/main/java/clovermill/dataplane/proxy/ResponseHandler.java
+++ b/src/main/java/clovermill/dataplane/proxy/ResponseHandler.java
@@ -1,14 +1,14 @@
 package clovermill.dataplane.proxy;
 
-/** Answers one client: exactly one of these methods is called for each request, unless its client has gone before. */
+/** A handler for the answer of one request. Exactly one method is called, unless the request is cancelled before. */
 public interface ResponseHandler {
 
-    /** The request was served; the handler owns the response's body from now on. */
+    /** Handles the response of a served request; the handler owns its body from now on. */
     void served(UpstreamResponse response);
 
-    /** The request was rejected without effect; it may be retried after so many milliseconds. */
+    /** Handles a rejection without effect; the request may be retried after {@code retryAfterMs} milliseconds. */
     void rejected(long retryAfterMs);
 
-    /** The request failed; it may have had an effect. */
+    /** Handles a failure; the request may have had an effect. */
     void failed();
 }
--- a/src/main/java/clovermill/dataplane/proxy/UpstreamResponse.java
+++ b/src/main/java/clovermill/dataplane/proxy/UpstreamResponse.java
@@ -3,29 +3,31 @@
 import clovermill.runtime.net.Body;
 
 /**
- * A member's successful answer.
+ * A member's successful response.
  *
  * @param body the body; its memory is returned when it is closed
  * @param notModified whether the client's own copy is valid; the body is empty then
  * @param tag entity tag of the object, or null
- * @param writeListener called once when the answer has been written to the client, or null
+ * @param writeListener called once when the write to the client has ended, or null
  */
 public record UpstreamResponse(Body body, boolean notModified, String tag, WriteListener writeListener) {
 
-    /** Observes the writing of an answer to the client. */
+    /** A listener for the write of a response to the client. */
     @FunctionalInterface
     public interface WriteListener {
 
-        /** The writing ended after so many bytes of the body; {@code complete} if that was the whole answer. */
+        /**
+         * Handles the end of the write after {@code bytes} body bytes; {@code complete} if the response was written.
+         */
         void written(int bytes, boolean complete);
     }
 
-    /** A response whose writing nobody observes. */
+    /** Creates a response without a write listener. */
     public UpstreamResponse(Body body, boolean notModified, String tag) {
         this(body, notModified, tag, null);
     }
 
-    /** The same response with a listener. */
+    /** Returns a copy of the response with a write listener. */
     UpstreamResponse withListener(WriteListener listener) {
         return new UpstreamResponse(body, notModified, tag, listener);
     }
--- a/src/main/java/clovermill/dataplane/proxy/UsageListener.java
+++ b/src/main/java/clovermill/dataplane/proxy/UsageListener.java
@@ -3,8 +3,8 @@
 import clovermill.routing.api.Members;
 
 /**
- * Observes the end of every request and may reject a request before it is routed: accounting, rate limits, placement.
- * Listeners are chained by their constructors. All calls come on the loop's thread and must not block.
+ * A listener for the end of every request, which may reject a request before it is routed: accounting, rate limits,
+ * placement. Listeners are chained by their constructors. All calls are on the event loop's thread and must not block.
  */
 public interface UsageListener {
 
@@ -12,14 +12,15 @@
     long ADMITTED = -1;
 
     /**
-     * Admission of a request: {@link #ADMITTED}, or the delay in milliseconds after which a request that is rejected
-     * now may be retried.
+     * Decides on the admission of a request.
+     *
+     * @return {@link #ADMITTED}, or the retry delay in milliseconds of a rejected request
      */
     long retryAfterMs(ClientRequest request);
 
-    /** A request has ended; called exactly once for each request that was read, admitted or not. */
+    /** Handles the end of a request; called exactly once for each request that was read, admitted or not. */
     void requestEnded(UsageRecord usage);
 
-    /** The set of members has changed. */
+    /** Handles a change of the set of members. */
     void membersChanged(Members change);
 }
--- a/src/main/java/clovermill/dataplane/proxy/UsageRecord.java
+++ b/src/main/java/clovermill/dataplane/proxy/UsageRecord.java
@@ -10,12 +10,12 @@
  * @param receivedUs when it was received, in microseconds of the monotonic clock
  * @param endedUs when it ended, on the same clock
  * @param end how it ended
- * @param attempts number of attempts, those included that were not sent
+ * @param attempts number of attempts, including those that were not sent
  * @param member id of the member that served it, or null
- * @param source id of the member from which a miss was to be filled, or null
- * @param note what the serving member said about its answer, or null
- * @param writtenBytes bytes of the body that were written to the client's socket
- * @param bodyBytes bytes of the whole body
+ * @param source id of the member from which a miss would be filled, or null
+ * @param note the cache status that the serving member reported, or null
+ * @param writtenBytes number of body bytes written to the client's socket
+ * @param bodyBytes size of the whole body
  */
 public record UsageRecord(ClientRequest request, boolean admitted, long receivedUs, long endedUs, End end,
         int attempts, String member, String source, Note note, int writtenBytes, int bodyBytes) {
@@ -30,9 +30,9 @@
         REFUSED,
         /** Failed; it may have had an effect. */
         FAILED,
-        /** The client cancelled or disconnected before there was an answer. */
+        /** The client cancelled or disconnected before its request was answered. */
         GONE,
-        /** The client's connection ended before the whole answer was written. */
+        /** The client's connection closed before the whole response was written. */
         BROKEN_OFF
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/package-info.java
+++ b/src/main/java/clovermill/dataplane/proxy/package-info.java
@@ -3,13 +3,13 @@
  *
  * <p>
  * {@link clovermill.dataplane.proxy.ProxyCore} gets a {@link clovermill.dataplane.proxy.ClientRequest} and a {@link
- * clovermill.dataplane.proxy.ResponseHandler}, keeps a {@code RequestContext} for it and delivers events to the router,
+ * clovermill.dataplane.proxy.ResponseHandler}, creates a {@code RequestContext} and delivers events to the router,
  * whose actions {@code ActionExecutor} executes; an {@code Attempt} is sent by an {@link
  * clovermill.dataplane.proxy.Upstream}, which reports to an {@link clovermill.dataplane.proxy.AttemptListener}.
- * {@link clovermill.dataplane.proxy.UsageListener} and {@link clovermill.dataplane.proxy.EndpointFilter} are how
- * accounting, limits and placement take part.
+ * {@link clovermill.dataplane.proxy.UsageListener} and {@link clovermill.dataplane.proxy.EndpointFilter} are the
+ * extension points for accounting, limits and placement.
  *
  * <p>
- * All of it runs on the event loop's thread. Times are microseconds of the monotonic clock.
+ * All classes run on the event loop's thread. Times are microseconds of the monotonic clock.
  */
 package clovermill.dataplane.proxy;
--- a/src/main/java/clovermill/dataplane/server/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -122,7 +122,7 @@
             return false;
         }
         close(cancelled);
-        context.proxy().clientGone(cancelled.requestId);
+        context.proxy().cancelRequest(cancelled.requestId);
         return true;
     }
 
--- a/src/test/java/clovermill/dataplane/proxy/ActionDispatcherTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ActionDispatcherTest.java
@@ -18,7 +18,7 @@
             new ActionDispatcher().on(Fail.class, failed::add).on(Refuse.class, refused::add);
 
     @Test
-    void givenHandlersWhenAnActionIsDispatchedThenTheHandlerOfItsTypeGetsItOnce() {
+    void callsHandlerOfActionTypeOnce() {
         Action fail = new Fail("a");
         Action refuse = new Refuse("b", 1);
         dispatcher.dispatch(fail);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void givenNoHandlerOfItsTypeWhenAnActionIsDispatchedThenItIsIgnored() {
+    void ignoresActionWithoutHandler() {
         dispatcher.dispatch(new FetchMembers());
         assertThat(failed).isEmpty();
         assertThat(refused).isEmpty();
--- a/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -33,7 +33,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The core gives events the meaning that they have on the simulator's wire. */
+/** Tests the core against the semantics that events have in the simulator. */
 class ProxyCoreTest {
 
     private static final String ID = "00000000000000a1";
@@ -103,14 +103,14 @@
                 new byte[0]),
                 new ResponseHandler() {
                     @Override
-                    public void served(UpstreamResponse answer) {
+                    public void served(UpstreamResponse response) {
                         answers.add("served");
-                        answer.body().close();
+                        response.body().close();
                     }
 
                     @Override
                     public void rejected(long afterMs) {
-                        answers.add("refused " + afterMs);
+                        answers.add("rejected " + afterMs);
                     }
 
                     @Override
@@ -120,7 +120,7 @@
                 });
     }
 
-    private UpstreamResponse answer() {
+    private UpstreamResponse response() {
         assertThat(budget.take(10)).isTrue();
         return new UpstreamResponse(new Body(new byte[10], budget), false, "t");
     }
@@ -135,11 +135,11 @@
     }
 
     @Test
-    void givenTwoAttemptsWhenOneIsOkThenTheRequestEndsAndBothHaveAnOutcome() {
+    void servesFirstOfTwoResponsesAndReportsBothOutcomes() {
         submit(new Send(ID, "a", 0), new Send(ID, "b", 0));
         clock.passUs(50);
-        listeners.get(1).ended(Result.OK, Note.NONE, 0, answer());
-        listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
+        listeners.get(1).ended(Result.OK, Note.NONE, 0, response());
+        listeners.get(0).ended(Result.OK, Note.NONE, 0, response());
         assertThat(answers).containsExactly("served");
         assertThat(events.subList(1, 3)).containsExactly(outcome(1, "b", Result.OK, 50, true),
                 outcome(0, "a", Result.OK, 50, true));
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void givenATimeoutBeyondTheDeadlineThenItIsCutAndTheClientIsStillAnswered() {
+    void limitsTimeoutToDeadlineAndAnswersClient() {
         submit(new Send(ID, "a", 5_000_000));
         assertThat(orders.get(0).timeoutUs()).isEqualTo(100_000);
         replies.add(List.of(new Fail(ID)));
@@ -157,9 +157,9 @@
         assertThat(answers).containsExactly("failed");
     }
 
-    /** Otherwise a client without a copy would get an empty answer. */
+    /** Without this check a client without a copy would get an empty response. */
     @Test
-    void givenAClientWithoutACopyWhenNotModifiedIsReturnedThenTheAttemptFails() {
+    void failsAttemptThatReturnsNotModifiedToClientWithoutCopy() {
         submit(new Send(ID, "a", 0));
         assertThat(budget.take(10)).isTrue();
         listeners.get(0).ended(Result.OK, Note.HIT, 0, new UpstreamResponse(new Body(new byte[10], budget), true, "t"));
@@ -168,9 +168,9 @@
         assertThat(budget.used()).isZero();
     }
 
-    /** Only an attempt that was never sent provably did not run. */
+    /** Only an attempt that was never sent is certain not to have run. */
     @Test
-    void givenAnAttemptNeverSentWhenItTimesOutThenItIsUnconnected() {
+    void reportsUnsentAttemptAsConnectFailedAfterTimeout() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 7000));
         advanceTo(8000);
@@ -179,34 +179,34 @@
 
     /** Many cancellations at once must not make members look unreachable. */
     @Test
-    void givenAnAttemptNeverSentWhenItIsCancelledThenItIsNotSent() {
+    void reportsUnsentAttemptAsNotSentAfterCancellation() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 7000), new Cancel(ID, 0));
         assertThat(events).contains(outcome(0, "a", Result.NOT_SENT, 0, false));
     }
 
     @Test
-    void givenTheLimitOfAttemptsOrTheFinalAnswerThenFurtherAttemptsAreNotSent() {
+    void sendsNoAttemptAboveLimitOrAfterFinalAnswer() {
         submit(new Send(ID, "a", 0), new Send(ID, "b", 0), new Send(ID, "c", 0), new Refuse(ID, 250_000),
                 new Send(ID, "d", 0));
         assertThat(orders).hasSize(2);
-        assertThat(answers).containsExactly("refused 250");
+        assertThat(answers).containsExactly("rejected 250");
         assertThat(events).contains(outcome(2, "c", Result.NOT_SENT, 0, false),
                 outcome(3, "d", Result.NOT_SENT, 0, true));
     }
 
     @Test
-    void givenACancelledAttemptThenItEndsOnce() {
+    void endsCancelledAttemptOnce() {
         submit(new Send(ID, "a", 0), new Cancel(ID, 0), new Cancel(ID, 0));
-        listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
+        listeners.get(0).ended(Result.OK, Note.NONE, 0, response());
         assertThat(events.subList(1, events.size())).containsExactly(outcome(0, "a", Result.CANCELLED, 0, false));
         assertThat(answers).isEmpty();
         assertThat(budget.used()).isZero();
     }
 
-    /** The router gets the outcome after its present event, not inside it. */
+    /** The router gets the outcome after the current event, not during it. */
     @Test
-    void givenAnAttemptThatEndsInsideTheCallThenItsOutcomeIsANewEvent() {
+    void deliversOutcomeOfImmediatelyEndedAttemptAsNewEvent() {
         immediateResult = Result.UNCONNECTED;
         replies.add(List.of(new Send(ID, "a", 0), new SetTimer(10, 7)));
         submit();
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void givenARouterWithoutAnAnswerThenTheClientIsAnsweredAfterItsDeadline() {
+    void failsRequestAfterDeadlineWhenRouterDoesNotAnswer() {
         submit();
         advanceTo(101_000 + 2000);
         assertThat(answers).containsExactly("failed");
@@ -224,39 +224,39 @@
     }
 
     @Test
-    void givenAClientThatHasGoneThenNoAnswerIsGiven() {
+    void sendsNoAnswerForCancelledRequest() {
         submit(new Send(ID, "a", 0));
         replies.add(List.of(new Refuse(ID, 0)));
-        core.clientGone(ID);
-        listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
+        core.cancelRequest(ID);
+        listeners.get(0).ended(Result.OK, Note.NONE, 0, response());
         assertThat(answers).isEmpty();
         assertThat(events).last().isEqualTo(outcome(0, "a", Result.OK, 0, true));
         assertThat(budget.used()).isZero();
     }
 
     @Test
-    void givenAnOpenIdWhenItIsSubmittedAgainThenThatRequestFails() {
+    void failsRequestWithIdOfOpenRequest() {
         submit(new Send(ID, "a", 0));
         submit();
         assertThat(answers).containsExactly("failed");
         assertThat(events).hasSize(1);
     }
 
-    /** The router is not bound to cancel attempts; one that waits for its connection must not be sent. */
+    /** The router need not cancel attempts; one that waits for its connection must not be sent. */
     @Test
-    void givenAnAbandonedAttemptThenItMayNotBeginAndMayContinueForABoundedTime() {
+    void abandonedAttemptMayNotBeginButMayContinueForLimitedTime() {
         submit(new Send(ID, "a", 0));
         assertThat(listeners.get(0).mayBegin()).isTrue();
-        core.clientGone(ID);
+        core.cancelRequest(ID);
         assertThat(listeners.get(0).mayBegin()).isFalse();
         assertThat(listeners.get(0).mayContinue()).isTrue();
         clock.passUs(50_000);
         assertThat(listeners.get(0).mayContinue()).isFalse();
     }
 
-    /** A retry may wait for its connection, or be partly written: its window counts from the first attempt. */
+    /** A retry may wait for its connection or be partly written: its window counts from the first attempt. */
     @Test
-    void givenARetryAfterItsWindowThenItMayNotBeginOrContinue() {
+    void retryMayNotBeginOrContinueAfterItsWindow() {
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
         clock.passUs(1000);
@@ -270,7 +270,7 @@
     }
 
     @Test
-    void givenAFirstAttemptThatNeverRanThenTheRetryHasNoWindow() {
+    void retryHasNoWindowIfFirstAttemptNeverRan() {
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
         listeners.get(0).ended(Result.REFUSED, Note.NONE, 0, null);
@@ -279,15 +279,15 @@
     }
 
     @Test
-    void givenNoAttemptWhenTheClientHalfClosesThenTheRequestIsRefusedAtOnce() {
+    void rejectsRequestWithoutAttemptWhenClientHalfCloses() {
         submit();
         core.clientHalfClosed(ID);
-        assertThat(answers).containsExactly("refused 100");
+        assertThat(answers).containsExactly("rejected 100");
         assertThat(events).last().isEqualTo(new ClientGone(ID));
     }
 
     @Test
-    void givenAnAttemptInFlightWhenTheClientHalfClosesThenNoFurtherAttemptBegins() {
+    void startsNoFurtherAttemptAfterClientHalfCloses() {
         submit(new Send(ID, "a", 0));
         replies.add(List.of(new Cancel(ID, 0)));
         core.clientHalfClosed(ID);
@@ -299,17 +299,17 @@
     }
 
     @Test
-    void givenAQueuedAttemptWhenTheClientHalfClosesThenItIsCancelled() {
+    void cancelsQueuedAttemptWhenClientHalfCloses() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 0));
         core.clientHalfClosed(ID);
-        assertThat(answers).containsExactly("refused 100");
+        assertThat(answers).containsExactly("rejected 100");
         assertThat(events).last().isEqualTo(outcome(0, "a", Result.NOT_SENT, 0, true));
     }
 
-    /** Partly written it would arrive beside the attempt that follows it. */
+    /** A partly written attempt would otherwise arrive at the same time as the next one. */
     @Test
-    void givenATimedOutAttemptThenItMayContinueForABoundedTime() {
+    void timedOutAttemptMayContinueForLimitedTime() {
         submit(new Send(ID, "a", 5000));
         replies.add(List.of(new Send(ID, "b", 0)));
         advanceTo(6000);
