--- a/src/main/java/clovermill/dataplane/proxy/EventQueue.java
+++ b/src/main/java/clovermill/dataplane/proxy/EventQueue.java
@@ -43,7 +43,8 @@
     }
 
     /**
-     * Logs an exception of the router, which must not end the process; each open request is answered by its deadline.
+     * Delivers one event. Logs an exception of the router, which must not end the process; each open request is still
+     * answered by its deadline.
      */
     private void deliverOne(Event event) {
         try {
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -116,7 +116,7 @@
         exchange.end(Result.NOT_SENT, Note.NONE, 0, null);
     }
 
-    /** Cancels an exchange; its listener is not called any more. */
+    /** Cancels an exchange; its listener is no longer called. */
     void cancel(UpstreamExchange exchange) {
         if (openById.remove(exchange.id, exchange)) {
             pool.cancel(exchange.beginTimeout);
