--- a/src/main/java/clovermill/dataplane/proxy/AttemptListener.java
+++ b/src/main/java/clovermill/dataplane/proxy/AttemptListener.java
@@ -1,7 +1,7 @@
 package clovermill.dataplane.proxy;
 
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.LoadReport;
-import clovermill.routing.api.Note;
 import clovermill.routing.api.Result;
 
 /** A listener for one attempt or probe. {@link #ended} is called exactly once, unless the exchange was cancelled. */
@@ -26,5 +26,5 @@
      * @param waitedUs time in the member's queue, in microseconds
      * @param response not null exactly with {@link Result#OK}; this listener owns its body from now on
      */
-    void ended(Result result, Note note, long waitedUs, UpstreamResponse response);
+    void ended(Result result, CacheStatus cacheStatus, long waitedUs, UpstreamResponse response);
 }
--- a/src/main/java/clovermill/dataplane/proxy/RequestContext.java
+++ b/src/main/java/clovermill/dataplane/proxy/RequestContext.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.proxy;
 
-import clovermill.routing.api.Note;
+import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
 import clovermill.runtime.net.Deadlines;
 import java.util.HashMap;
@@ -148,7 +148,7 @@
     }
 
     /** Serves the response of an attempt; usage is recorded once its write has ended. */
-    void serve(UpstreamResponse response, Attempt servedBy, Note note) {
+    void serve(UpstreamResponse response, Attempt servedBy, CacheStatus cacheStatus) {
         if (!core.recordsUsage()) {
             end().served(response);
             return;
@@ -157,7 +157,7 @@
         int bodyBytes = response.notModified() ? 0 : response.body().bytes().length;
         end().served(response.withListener((writtenBytes, complete) -> core.record(new UsageRecord(request, true,
                 receivedUs, core.clock.micros(), usageEnd(response, complete), attemptsUntilServed, servedBy.member,
-                servedBy.source(), note, writtenBytes, bodyBytes))));
+                servedBy.source(), cacheStatus, writtenBytes, bodyBytes))));
     }
 
     private static UsageRecord.End usageEnd(UpstreamResponse response, boolean complete) {
--- a/src/main/java/clovermill/dataplane/proxy/UsageListener.java
+++ b/src/main/java/clovermill/dataplane/proxy/UsageListener.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.proxy;
 
-import clovermill.routing.api.Members;
+import clovermill.routing.api.MembersChanged;
 
 /**
  * A listener for the end of every request, which may reject a request before it is routed: accounting, rate limits,
@@ -22,5 +22,5 @@
     void requestEnded(UsageRecord usage);
 
     /** Handles a change of the set of members. */
-    void membersChanged(Members change);
+    void membersChanged(MembersChanged change);
 }
--- a/src/main/java/clovermill/dataplane/upstream/MemberConnections.java
+++ b/src/main/java/clovermill/dataplane/upstream/MemberConnections.java
@@ -105,7 +105,7 @@
     /** Retires all connections and ends the queued exchanges; those that have begun may still be answered. */
     void retire() {
         for (UpstreamConnection connection : snapshot()) {
-            connection.withdraw(each -> true, Result.UNCONNECTED);
+            connection.withdraw(each -> true, Result.CONNECT_FAILED);
             connection.retire();
         }
     }
