--- a/src/main/java/clovermill/dataplane/proxy/ActionExecutor.java
+++ b/src/main/java/clovermill/dataplane/proxy/ActionExecutor.java
@@ -37,7 +37,7 @@
                 .on(SendVia.class, this::sendVia)
                 .on(Send.class, this::send)
                 .on(Cancel.class, this::cancel)
-                .on(Reject.class, this::refuse)
+                .on(Reject.class, this::reject)
                 .on(Fail.class, this::fail)
                 .on(SetTimer.class, this::setTimer)
                 .on(Probe.class, this::probe)
@@ -99,7 +99,7 @@
         }
     }
 
-    private void refuse(Reject action) {
+    private void reject(Reject action) {
         RequestContext context = core.find(action.request());
         if (context != null && !context.hasEnded()) {
             context.reject(Math.max(0, action.retryAfterUs()) / 1000);
--- a/src/main/java/clovermill/dataplane/server/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Cancels a request at the client's demand; returns false if it is not open. */
+    /** Cancels a request that the client no longer waits for; returns false if it is not open. */
     boolean cancel(long stream) {
         ClientStream cancelled = openStreams.get(stream);
         if (cancelled == null) {
--- a/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
@@ -9,12 +9,17 @@
 final class ResponseFields {
 
     private static final Map<String, CacheStatus> CACHE_STATUSES =
-            Map.of("HIT", CacheStatus.HIT, "MISS", CacheStatus.FILLED,
-                    "MISS_ORIGIN", CacheStatus.FILLED_FROM_ORIGIN, "COLLAPSED", CacheStatus.COLLAPSED, "STALE",
-                    CacheStatus.STALE,
-                    "UP_BUSY", CacheStatus.SOURCE_REJECTED, "UP_DOWN", CacheStatus.SOURCE_UNREACHABLE, "UP_MISS",
-                    CacheStatus.SOURCE_MISS,
-                    "NO_FILL", CacheStatus.FILL_LIMIT_REACHED, "ORIGIN_ERR", CacheStatus.ORIGIN_FAILED);
+            Map.of(
+                    "HIT", CacheStatus.HIT,
+                    "MISS", CacheStatus.FILLED,
+                    "MISS_ORIGIN", CacheStatus.FILLED_FROM_ORIGIN,
+                    "COLLAPSED", CacheStatus.COLLAPSED,
+                    "STALE", CacheStatus.STALE,
+                    "UP_BUSY", CacheStatus.SOURCE_REJECTED,
+                    "UP_DOWN", CacheStatus.SOURCE_UNREACHABLE,
+                    "UP_MISS", CacheStatus.SOURCE_MISS,
+                    "NO_FILL", CacheStatus.FILL_LIMIT_REACHED,
+                    "ORIGIN_ERR", CacheStatus.ORIGIN_FAILED);
 
     private ResponseFields() {}
 
--- a/src/test/java/clovermill/dataplane/proxy/ActionDispatcherTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ActionDispatcherTest.java
@@ -13,24 +13,24 @@
 class ActionDispatcherTest {
 
     private final List<Action> failed = new ArrayList<>();
-    private final List<Action> refused = new ArrayList<>();
+    private final List<Action> rejected = new ArrayList<>();
     private final ActionDispatcher dispatcher =
-            new ActionDispatcher().on(Fail.class, failed::add).on(Reject.class, refused::add);
+            new ActionDispatcher().on(Fail.class, failed::add).on(Reject.class, rejected::add);
 
     @Test
     void callsHandlerOfActionTypeOnce() {
         Action fail = new Fail("a");
-        Action refuse = new Reject("b", 1);
+        Action reject = new Reject("b", 1);
         dispatcher.dispatch(fail);
-        dispatcher.dispatch(refuse);
+        dispatcher.dispatch(reject);
         assertThat(failed).containsExactly(fail);
-        assertThat(refused).containsExactly(refuse);
+        assertThat(rejected).containsExactly(reject);
     }
 
     @Test
     void ignoresActionWithoutHandler() {
         dispatcher.dispatch(new FetchMembers());
         assertThat(failed).isEmpty();
-        assertThat(refused).isEmpty();
+        assertThat(rejected).isEmpty();
     }
 }
--- a/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -130,8 +130,8 @@
         deadlines.sweep(us);
     }
 
-    private AttemptEnded outcome(int attempt, String member, Result result, long elapsedUs, boolean over) {
-        return new AttemptEnded(ID, attempt, member, result, elapsedUs, over, CacheStatus.NONE, 0, null);
+    private AttemptEnded attemptEnded(int attempt, String member, Result result, long elapsedUs, boolean requestEnded) {
+        return new AttemptEnded(ID, attempt, member, result, elapsedUs, requestEnded, CacheStatus.NONE, 0, null);
     }
 
     @Test
@@ -141,8 +141,8 @@
         listeners.get(1).ended(Result.OK, CacheStatus.NONE, 0, response());
         listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, response());
         assertThat(answers).containsExactly("served");
-        assertThat(events.subList(1, 3)).containsExactly(outcome(1, "b", Result.OK, 50, true),
-                outcome(0, "a", Result.OK, 50, true));
+        assertThat(events.subList(1, 3)).containsExactly(attemptEnded(1, "b", Result.OK, 50, true),
+                attemptEnded(0, "a", Result.OK, 50, true));
         assertThat(budget.used()).isZero();
         assertThat(deadlines.size()).isZero();
     }
@@ -153,7 +153,7 @@
         assertThat(orders.get(0).timeoutUs()).isEqualTo(100_000);
         replies.add(List.of(new Fail(ID)));
         advanceTo(101_000);
-        assertThat(events).contains(outcome(0, "a", Result.TIMED_OUT, 100_000, false));
+        assertThat(events).contains(attemptEnded(0, "a", Result.TIMED_OUT, 100_000, false));
         assertThat(answers).containsExactly("failed");
     }
 
@@ -175,7 +175,7 @@
         mayHaveRun = false;
         submit(new Send(ID, "a", 7000));
         advanceTo(8000);
-        assertThat(events).contains(outcome(0, "a", Result.CONNECT_FAILED, 7000, false));
+        assertThat(events).contains(attemptEnded(0, "a", Result.CONNECT_FAILED, 7000, false));
     }
 
     /** Many cancellations at once must not make members look unreachable. */
@@ -183,7 +183,7 @@
     void reportsUnsentAttemptAsNotSentAfterCancellation() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 7000), new Cancel(ID, 0));
-        assertThat(events).contains(outcome(0, "a", Result.NOT_SENT, 0, false));
+        assertThat(events).contains(attemptEnded(0, "a", Result.NOT_SENT, 0, false));
     }
 
     @Test
@@ -192,15 +192,15 @@
                 new Send(ID, "d", 0));
         assertThat(orders).hasSize(2);
         assertThat(answers).containsExactly("rejected 250");
-        assertThat(events).contains(outcome(2, "c", Result.NOT_SENT, 0, false),
-                outcome(3, "d", Result.NOT_SENT, 0, true));
+        assertThat(events).contains(attemptEnded(2, "c", Result.NOT_SENT, 0, false),
+                attemptEnded(3, "d", Result.NOT_SENT, 0, true));
     }
 
     @Test
     void endsCancelledAttemptOnce() {
         submit(new Send(ID, "a", 0), new Cancel(ID, 0), new Cancel(ID, 0));
         listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, response());
-        assertThat(events.subList(1, events.size())).containsExactly(outcome(0, "a", Result.CANCELLED, 0, false));
+        assertThat(events.subList(1, events.size())).containsExactly(attemptEnded(0, "a", Result.CANCELLED, 0, false));
         assertThat(answers).isEmpty();
         assertThat(budget.used()).isZero();
     }
@@ -211,7 +211,7 @@
         immediateResult = Result.CONNECT_FAILED;
         replies.add(List.of(new Send(ID, "a", 0), new SetTimer(10, 7)));
         submit();
-        assertThat(events).hasSize(2).last().isEqualTo(outcome(0, "a", Result.CONNECT_FAILED, 0, false));
+        assertThat(events).hasSize(2).last().isEqualTo(attemptEnded(0, "a", Result.CONNECT_FAILED, 0, false));
         advanceTo(2000);
         assertThat(events).last().isEqualTo(new TimerExpired(7));
     }
@@ -231,7 +231,7 @@
         core.cancelRequest(ID);
         listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, response());
         assertThat(answers).isEmpty();
-        assertThat(events).last().isEqualTo(outcome(0, "a", Result.OK, 0, true));
+        assertThat(events).last().isEqualTo(attemptEnded(0, "a", Result.OK, 0, true));
         assertThat(budget.used()).isZero();
     }
 
@@ -305,7 +305,7 @@
         submit(new Send(ID, "a", 0));
         core.clientHalfClosed(ID);
         assertThat(answers).containsExactly("rejected 100");
-        assertThat(events).last().isEqualTo(outcome(0, "a", Result.NOT_SENT, 0, true));
+        assertThat(events).last().isEqualTo(attemptEnded(0, "a", Result.NOT_SENT, 0, true));
     }
 
     /** A partly written attempt would otherwise arrive at the same time as the next one. */
