--- a/src/main/java/clovermill/dataplane/server/Frames.java
+++ b/src/main/java/clovermill/dataplane/server/Frames.java
@@ -35,14 +35,14 @@
 
     private static int readNumber(ByteBuffer payload, int size) throws ProtocolException {
         if (payload.remaining() < size) {
-            throw new ProtocolException("the fields of a frame are cut off");
+            throw new ProtocolException("truncated fields in a frame");
         }
         return size == 1 ? payload.get() & 0xff : payload.getShort() & 0xffff;
     }
 
     private static String readText(ByteBuffer payload, int size) throws ProtocolException {
         if (payload.remaining() < size) {
-            throw new ProtocolException("the fields of a frame are cut off");
+            throw new ProtocolException("truncated fields in a frame");
         }
         byte[] bytes = new byte[size];
         payload.get(bytes);
