--- a/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseFields.java
@@ -5,20 +5,25 @@
 import clovermill.runtime.net.ProtocolException;
 import java.util.Map;
 
-/** Decodes the fields of responses in the lines protocol (the protocol page, "Directors to caches"). */
+/** A decoder of response fields in the lines protocol (the protocol page, "Directors to caches"). */
 final class ResponseFields {
 
     private static final Map<String, CacheStatus> CACHE_STATUSES =
-            Map.of("HIT", CacheStatus.HIT, "MISS", CacheStatus.FILLED,
-                    "MISS_ORIGIN", CacheStatus.FILLED_FROM_ORIGIN, "COLLAPSED", CacheStatus.COLLAPSED, "STALE",
-                    CacheStatus.STALE,
-                    "UP_BUSY", CacheStatus.SOURCE_REJECTED, "UP_DOWN", CacheStatus.SOURCE_UNREACHABLE, "UP_MISS",
-                    CacheStatus.SOURCE_MISS,
-                    "NO_FILL", CacheStatus.FILL_LIMIT_REACHED, "ORIGIN_ERR", CacheStatus.ORIGIN_FAILED);
+            Map.of(
+                    "HIT", CacheStatus.HIT,
+                    "MISS", CacheStatus.FILLED,
+                    "MISS_ORIGIN", CacheStatus.FILLED_FROM_ORIGIN,
+                    "COLLAPSED", CacheStatus.COLLAPSED,
+                    "STALE", CacheStatus.STALE,
+                    "UP_BUSY", CacheStatus.SOURCE_REJECTED,
+                    "UP_DOWN", CacheStatus.SOURCE_UNREACHABLE,
+                    "UP_MISS", CacheStatus.SOURCE_MISS,
+                    "NO_FILL", CacheStatus.FILL_LIMIT_REACHED,
+                    "ORIGIN_ERR", CacheStatus.ORIGIN_FAILED);
 
     private ResponseFields() {}
 
-    /** Decodes the word of a response. */
+    /** Decodes the result word of a response. */
     static Result result(String word) throws ProtocolException {
         return switch (word) {
             case "DONE", "KEEP", "FIT" -> Result.OK;
@@ -26,21 +31,21 @@
             case "WAIT" -> Result.REJECTED;
             case "BROKE", "UNFIT" -> Result.ERROR;
             case "PAST" -> Result.NOT_SENT;
-            default -> throw new ProtocolException("an unknown word in a response");
+            default -> throw new ProtocolException("unknown result word in a response");
         };
     }
 
-    /** Decodes a cache status; null and unknown texts give {@link CacheStatus#NONE}. */
+    /** Decodes a cache status; returns {@link CacheStatus#NONE} for null and unknown texts. */
     static CacheStatus cacheStatus(String text) {
         return text == null ? CacheStatus.NONE : CACHE_STATUSES.getOrDefault(text, CacheStatus.NONE);
     }
 
-    /** Converts a time in milliseconds to microseconds; null gives 0. */
-    static long micros(String millis) throws ProtocolException {
+    /** Converts a time in milliseconds to microseconds; returns 0 for null. */
+    static long timeUs(String ms) throws ProtocolException {
         try {
-            return millis == null ? 0 : (long) (Double.parseDouble(millis) * 1000);
+            return ms == null ? 0 : (long) (Double.parseDouble(ms) * 1000);
         } catch (NumberFormatException e) {
-            throw new ProtocolException("not a time in a response");
+            throw new ProtocolException("invalid time in a response");
         }
     }
 }
--- a/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -33,7 +33,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The core gives events the meaning that they have on the simulator's wire. */
+/** Tests the core against the semantics that events have in the simulator. */
 class ProxyCoreTest {
 
     private static final String ID = "00000000000000a1";
@@ -103,14 +103,14 @@
                 new byte[0]),
                 new ResponseHandler() {
                     @Override
-                    public void served(UpstreamResponse answer) {
+                    public void served(UpstreamResponse response) {
                         answers.add("served");
-                        answer.body().close();
+                        response.body().close();
                     }
 
                     @Override
-                    public void refused(long afterMs) {
-                        answers.add("refused " + afterMs);
+                    public void rejected(long afterMs) {
+                        answers.add("rejected " + afterMs);
                     }
 
                     @Override
@@ -120,7 +120,7 @@
                 });
     }
 
-    private UpstreamResponse answer() {
+    private UpstreamResponse response() {
         assertThat(budget.take(10)).isTrue();
         return new UpstreamResponse(new Body(new byte[10], budget), false, "t");
     }
@@ -130,36 +130,36 @@
         deadlines.sweep(us);
     }
 
-    private AttemptEnded outcome(int attempt, String member, Result result, long elapsedUs, boolean over) {
-        return new AttemptEnded(ID, attempt, member, result, elapsedUs, over, CacheStatus.NONE, 0, null);
+    private AttemptEnded attemptEnded(int attempt, String member, Result result, long elapsedUs, boolean requestEnded) {
+        return new AttemptEnded(ID, attempt, member, result, elapsedUs, requestEnded, CacheStatus.NONE, 0, null);
     }
 
     @Test
-    void givenTwoAttemptsWhenOneIsOkThenTheRequestEndsAndBothHaveAnOutcome() {
+    void servesFirstOfTwoResponsesAndReportsBothOutcomes() {
         submit(new Send(ID, "a", 0), new Send(ID, "b", 0));
         clock.passUs(50);
-        listeners.get(1).ended(Result.OK, CacheStatus.NONE, 0, answer());
-        listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, answer());
+        listeners.get(1).ended(Result.OK, CacheStatus.NONE, 0, response());
+        listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, response());
         assertThat(answers).containsExactly("served");
-        assertThat(events.subList(1, 3)).containsExactly(outcome(1, "b", Result.OK, 50, true),
-                outcome(0, "a", Result.OK, 50, true));
+        assertThat(events.subList(1, 3)).containsExactly(attemptEnded(1, "b", Result.OK, 50, true),
+                attemptEnded(0, "a", Result.OK, 50, true));
         assertThat(budget.used()).isZero();
         assertThat(deadlines.size()).isZero();
     }
 
     @Test
-    void givenATimeoutBeyondTheDeadlineThenItIsCutAndTheClientIsStillAnswered() {
+    void limitsTimeoutToDeadlineAndAnswersClient() {
         submit(new Send(ID, "a", 5_000_000));
         assertThat(orders.get(0).timeoutUs()).isEqualTo(100_000);
         replies.add(List.of(new Fail(ID)));
         advanceTo(101_000);
-        assertThat(events).contains(outcome(0, "a", Result.TIMED_OUT, 100_000, false));
+        assertThat(events).contains(attemptEnded(0, "a", Result.TIMED_OUT, 100_000, false));
         assertThat(answers).containsExactly("failed");
     }
 
-    /** Otherwise a client without a copy would get an empty answer. */
+    /** Without this check a client without a copy would get an empty response. */
     @Test
-    void givenAClientWithoutACopyWhenNotModifiedIsReturnedThenTheAttemptFails() {
+    void failsAttemptThatReturnsNotModifiedToClientWithoutCopy() {
         submit(new Send(ID, "a", 0));
         assertThat(budget.take(10)).isTrue();
         listeners.get(0).ended(Result.OK, CacheStatus.HIT, 0,
@@ -169,55 +169,55 @@
         assertThat(budget.used()).isZero();
     }
 
-    /** Only an attempt that was never sent provably did not run. */
+    /** Only an attempt that was never sent is certain not to have run. */
     @Test
-    void givenAnAttemptNeverSentWhenItTimesOutThenItIsUnconnected() {
+    void reportsUnsentAttemptAsConnectFailedAfterTimeout() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 7000));
         advanceTo(8000);
-        assertThat(events).contains(outcome(0, "a", Result.CONNECT_FAILED, 7000, false));
+        assertThat(events).contains(attemptEnded(0, "a", Result.CONNECT_FAILED, 7000, false));
     }
 
     /** Many cancellations at once must not make members look unreachable. */
     @Test
-    void givenAnAttemptNeverSentWhenItIsCancelledThenItIsNotSent() {
+    void reportsUnsentAttemptAsNotSentAfterCancellation() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 7000), new Cancel(ID, 0));
-        assertThat(events).contains(outcome(0, "a", Result.NOT_SENT, 0, false));
+        assertThat(events).contains(attemptEnded(0, "a", Result.NOT_SENT, 0, false));
     }
 
     @Test
-    void givenTheLimitOfAttemptsOrTheFinalAnswerThenFurtherAttemptsAreNotSent() {
+    void sendsNoAttemptAboveLimitOrAfterFinalAnswer() {
         submit(new Send(ID, "a", 0), new Send(ID, "b", 0), new Send(ID, "c", 0), new Reject(ID, 250_000),
                 new Send(ID, "d", 0));
         assertThat(orders).hasSize(2);
-        assertThat(answers).containsExactly("refused 250");
-        assertThat(events).contains(outcome(2, "c", Result.NOT_SENT, 0, false),
-                outcome(3, "d", Result.NOT_SENT, 0, true));
+        assertThat(answers).containsExactly("rejected 250");
+        assertThat(events).contains(attemptEnded(2, "c", Result.NOT_SENT, 0, false),
+                attemptEnded(3, "d", Result.NOT_SENT, 0, true));
     }
 
     @Test
-    void givenACancelledAttemptThenItEndsOnce() {
+    void endsCancelledAttemptOnce() {
         submit(new Send(ID, "a", 0), new Cancel(ID, 0), new Cancel(ID, 0));
-        listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, answer());
-        assertThat(events.subList(1, events.size())).containsExactly(outcome(0, "a", Result.CANCELLED, 0, false));
+        listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, response());
+        assertThat(events.subList(1, events.size())).containsExactly(attemptEnded(0, "a", Result.CANCELLED, 0, false));
         assertThat(answers).isEmpty();
         assertThat(budget.used()).isZero();
     }
 
-    /** The router gets the outcome after its present event, not inside it. */
+    /** The router gets the outcome after the current event, not during it. */
     @Test
-    void givenAnAttemptThatEndsInsideTheCallThenItsOutcomeIsANewEvent() {
+    void deliversOutcomeOfImmediatelyEndedAttemptAsNewEvent() {
         immediateResult = Result.CONNECT_FAILED;
         replies.add(List.of(new Send(ID, "a", 0), new SetTimer(10, 7)));
         submit();
-        assertThat(events).hasSize(2).last().isEqualTo(outcome(0, "a", Result.CONNECT_FAILED, 0, false));
+        assertThat(events).hasSize(2).last().isEqualTo(attemptEnded(0, "a", Result.CONNECT_FAILED, 0, false));
         advanceTo(2000);
         assertThat(events).last().isEqualTo(new TimerExpired(7));
     }
 
     @Test
-    void givenARouterWithoutAnAnswerThenTheClientIsAnsweredAfterItsDeadline() {
+    void failsRequestAfterDeadlineWhenRouterDoesNotAnswer() {
         submit();
         advanceTo(101_000 + 2000);
         assertThat(answers).containsExactly("failed");
@@ -225,39 +225,39 @@
     }
 
     @Test
-    void givenAClientThatHasGoneThenNoAnswerIsGiven() {
+    void sendsNoAnswerForCancelledRequest() {
         submit(new Send(ID, "a", 0));
         replies.add(List.of(new Reject(ID, 0)));
-        core.clientGone(ID);
-        listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, answer());
+        core.cancelRequest(ID);
+        listeners.get(0).ended(Result.OK, CacheStatus.NONE, 0, response());
         assertThat(answers).isEmpty();
-        assertThat(events).last().isEqualTo(outcome(0, "a", Result.OK, 0, true));
+        assertThat(events).last().isEqualTo(attemptEnded(0, "a", Result.OK, 0, true));
         assertThat(budget.used()).isZero();
     }
 
     @Test
-    void givenAnOpenIdWhenItIsSubmittedAgainThenThatRequestFails() {
+    void failsRequestWithIdOfOpenRequest() {
         submit(new Send(ID, "a", 0));
         submit();
         assertThat(answers).containsExactly("failed");
         assertThat(events).hasSize(1);
     }
 
-    /** The router is not bound to cancel attempts; one that waits for its connection must not be sent. */
+    /** The router need not cancel attempts; one that waits for its connection must not be sent. */
     @Test
-    void givenAnAbandonedAttemptThenItMayNotBeginAndMayContinueForABoundedTime() {
+    void abandonedAttemptMayNotBeginButMayContinueForLimitedTime() {
         submit(new Send(ID, "a", 0));
         assertThat(listeners.get(0).mayBegin()).isTrue();
-        core.clientGone(ID);
+        core.cancelRequest(ID);
         assertThat(listeners.get(0).mayBegin()).isFalse();
         assertThat(listeners.get(0).mayContinue()).isTrue();
         clock.passUs(50_000);
         assertThat(listeners.get(0).mayContinue()).isFalse();
     }
 
-    /** A retry may wait for its connection, or be partly written: its window counts from the first attempt. */
+    /** A retry may wait for its connection or be partly written: its window counts from the first attempt. */
     @Test
-    void givenARetryAfterItsWindowThenItMayNotBeginOrContinue() {
+    void retryMayNotBeginOrContinueAfterItsWindow() {
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
         clock.passUs(1000);
@@ -271,7 +271,7 @@
     }
 
     @Test
-    void givenAFirstAttemptThatNeverRanThenTheRetryHasNoWindow() {
+    void retryHasNoWindowIfFirstAttemptNeverRan() {
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
         listeners.get(0).ended(Result.REJECTED, CacheStatus.NONE, 0, null);
@@ -280,15 +280,15 @@
     }
 
     @Test
-    void givenNoAttemptWhenTheClientHalfClosesThenTheRequestIsRefusedAtOnce() {
+    void rejectsRequestWithoutAttemptWhenClientHalfCloses() {
         submit();
         core.clientHalfClosed(ID);
-        assertThat(answers).containsExactly("refused 100");
+        assertThat(answers).containsExactly("rejected 100");
         assertThat(events).last().isEqualTo(new RequestCancelled(ID));
     }
 
     @Test
-    void givenAnAttemptInFlightWhenTheClientHalfClosesThenNoFurtherAttemptBegins() {
+    void startsNoFurtherAttemptAfterClientHalfCloses() {
         submit(new Send(ID, "a", 0));
         replies.add(List.of(new Cancel(ID, 0)));
         core.clientHalfClosed(ID);
@@ -300,17 +300,17 @@
     }
 
     @Test
-    void givenAQueuedAttemptWhenTheClientHalfClosesThenItIsCancelled() {
+    void cancelsQueuedAttemptWhenClientHalfCloses() {
         mayHaveRun = false;
         submit(new Send(ID, "a", 0));
         core.clientHalfClosed(ID);
-        assertThat(answers).containsExactly("refused 100");
-        assertThat(events).last().isEqualTo(outcome(0, "a", Result.NOT_SENT, 0, true));
+        assertThat(answers).containsExactly("rejected 100");
+        assertThat(events).last().isEqualTo(attemptEnded(0, "a", Result.NOT_SENT, 0, true));
     }
 
-    /** Partly written it would arrive beside the attempt that follows it. */
+    /** A partly written attempt would otherwise arrive at the same time as the next one. */
     @Test
-    void givenATimedOutAttemptThenItMayContinueForABoundedTime() {
+    void timedOutAttemptMayContinueForLimitedTime() {
         submit(new Send(ID, "a", 5000));
         replies.add(List.of(new Send(ID, "b", 0)));
         advanceTo(6000);
