--- a/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogReplica.java
@@ -55,7 +55,8 @@
         RaftReplica.Host host = new RaftReplica.Host(EventOperationCodec.GROUP, config, storage, scheduler, random,
                 (to, message) -> send(to.node(), new Packet.RaftPacket(to.disk(), message)));
         RaftMember.Membership members =
-                new RaftMember.Membership(membership.self(), membership.replicas(), membership.timing().roundUs());
+                new RaftMember.Membership(membership.self(), membership.replicas(),
+                        membership.timing().proofIntervalUs());
         this.member = new RaftMember<>(members, storage, host,
                 () -> new EventLogStateMachine(limits.log(), () -> random.nextLong() | 1), this::replicaStarted,
                 new JoinOutbox());
@@ -89,11 +90,11 @@
         headReads.restart();
     }
 
-    boolean leads() {
+    boolean isLeader() {
         return member.isLeader();
     }
 
-    boolean votes() {
+    boolean isVoter() {
         return member.isVoter();
     }
 
@@ -180,7 +181,7 @@
 
         @Override
         public void readIndex(EventLogMessage.ReadIndex read) {
-            if (leads()) {
+            if (isLeader()) {
                 headReads.add(member::replica, from, read.number());
             }
         }
@@ -188,7 +189,7 @@
         @Override
         public void readIndexAnswer(EventLogMessage.ReadIndexAnswer answer) {
             if (answer.number() == proofRound) {
-                feed.proven(answer.head(), proofRoundStartUs);
+                feed.headProven(answer.head(), proofRoundStartUs);
             }
         }
     }
@@ -200,7 +201,7 @@
     }
 
     private void replicate(int client, Object operation, Function<Object, EventLogMessage> answer) {
-        if (!leads()) {
+        if (!isLeader()) {
             sendMessage(client, new EventLogMessage.Redirect(member.replica().leader()));
             return;
         }
@@ -264,7 +265,7 @@
 
     /** Asks the leader, possibly this replica, for the head; an unanswered read of the round before is abandoned. */
     private void startProofRound() {
-        nextProofRoundUs = nowUs + membership.timing().roundUs();
+        nextProofRoundUs = nowUs + membership.timing().proofIntervalUs();
         int leader = member.replica().leader();
         if (leader >= 0) {
             proofRound++;
--- a/src/main/java/clovermill/controlplane/eventlog/EventLogStateMachine.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogStateMachine.java
@@ -99,7 +99,7 @@
         chunks.accept(new SnapshotHead(log.state()));
         forEachChunk(log.entries(), each -> MAX_VARINT_BYTES + each.event().bytes(),
                 some -> chunks.accept(new SnapshotEntries(some)));
-        forEachChunk(log.openSessions(), each -> SESSION_BYTES, some -> chunks.accept(new SnapshotSessions(some)));
+        forEachChunk(log.sessions(), each -> SESSION_BYTES, some -> chunks.accept(new SnapshotSessions(some)));
     }
 
     private static <T> void forEachChunk(List<T> all, ToIntFunction<T> bytesOf, Consumer<List<T>> chunk) {
--- a/src/main/java/clovermill/controlplane/eventlog/EventLogTask.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogTask.java
@@ -58,7 +58,7 @@
     private final EventLogRole role;
     private final PacketCodec codec;
     private final EventLogTaskMessage.Handler handler = new MessageHandler();
-    private long badDatagrams;
+    private long rejectedDatagrams;
 
     private EventLogTask(PacketCodec codec, EventLogReplica replica, EventLogDirector director) {
         this.codec = codec;
@@ -126,18 +126,18 @@
     }
 
     /** Whether this is a replica that believes that it leads. */
-    public boolean leads() {
-        return replica != null && replica.leads();
+    public boolean isLeader() {
+        return replica != null && replica.isLeader();
     }
 
     /** Whether this is a voting replica; one that lost its disk does not vote until the group admits it again. */
-    public boolean votes() {
-        return replica != null && replica.votes();
+    public boolean isVoter() {
+        return replica != null && replica.isVoter();
     }
 
     /** Datagrams that were rejected since the start: forged, replayed or not readable. */
-    public long badDatagrams() {
-        return badDatagrams;
+    public long rejectedDatagrams() {
+        return rejectedDatagrams;
     }
 
     @Override
@@ -152,7 +152,7 @@
             try {
                 received = codec.read(datagram.bytes());
             } catch (InvalidPacketException invalid) {
-                badDatagrams++;
+                rejectedDatagrams++;
                 return;
             }
             role.receive(received.from(), received.packet(), nowUs);
--- a/src/main/java/clovermill/controlplane/eventlog/EventLogTaskMessage.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventLogTaskMessage.java
@@ -30,7 +30,7 @@
 
     /**
      * Events of this director are to be appended as one call. {@code done} is called once, on the task's thread, with
-     * the result, or with null if the call was refused because too many are queued; it must not block.
+     * the result, or with null if the call was rejected because too many are queued; it must not block.
      */
     record AppendRequested(List<Event> events, Consumer<AppendResult> done) implements EventLogTaskMessage {
         @Override
--- a/src/main/java/clovermill/controlplane/eventlog/decide/AppendClient.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/AppendClient.java
@@ -8,12 +8,12 @@
 
 /**
  * A client that appends to the log: one call at a time, retried until it is answered, within a session that the log
- * opens (Ongaro, "Consensus: Bridging Theory and Practice", 6.3). A call that is sent again appends once. Times are
+ * opens (Ongaro, "Consensus: Bridging Theory and Practice", 6.3). A retried call appends its events once. Times are
  * microseconds. Not thread-safe.
  */
 public final class AppendClient {
 
-    /** A message for a replica. */
+    /** A message to send to a replica. */
     public record Request(int replica, EventLogMessage message) {}
 
     /** The outcome of a call; {@code token} is the one given to {@link #offer}. */
@@ -21,9 +21,9 @@
 
     private record Call(long token, List<Event> events) {}
 
-    /** Calls queued, the one in flight included; at one more the offer is refused. */
+    /** The maximum number of queued calls, the one in flight included. */
     public static final int MAX_QUEUED_CALLS = 64;
-    /** Bytes of the events of one call, so that its entry fits a datagram of Raft's. */
+    /** The maximum size of the events of one call, so that its entry fits a Raft datagram. */
     public static final int MAX_CALL_BYTES = 900;
     private static final long RETRY_INTERVAL_US = 300_000;
     private static final long REDIRECT_DELAY_US = 20_000;
@@ -37,14 +37,23 @@
     private boolean awaitingAnswer;
     private long nextSendUs;
 
-    /** A client without a session; {@code nonce} is a random number for this start. */
+    /**
+     * Creates a client without a session.
+     *
+     * @param replicas the replicas by number; the one at {@code self} modulo their count is contacted first
+     * @param nonce a random number drawn at this start of the process
+     */
     public AppendClient(List<Integer> replicas, int self, long nonce) {
         this.replicas = List.copyOf(replicas);
         this.target = self % replicas.size();
         this.nonce = nonce;
     }
 
-    /** Queues a call; false if too many are queued, or it has no events or more than {@link #MAX_CALL_BYTES}. */
+    /**
+     * Queues a call.
+     *
+     * @return false if too many are queued, or the call has no events or more than {@link #MAX_CALL_BYTES} of them
+     */
     public boolean offer(long token, List<Event> events, long nowUs) {
         boolean fits = !events.isEmpty() && events.stream().mapToInt(Event::bytes).sum() <= MAX_CALL_BYTES;
         if (!fits || calls.size() >= MAX_QUEUED_CALLS) {
@@ -58,7 +67,7 @@
         return true;
     }
 
-    /** The message to send now, or null. */
+    /** Returns the message to send now, or null. */
     public Request tick(long nowUs) {
         if (calls.isEmpty() || nowUs < nextSendUs) {
             return null;
@@ -73,12 +82,12 @@
         return new Request(replicas.get(target), message);
     }
 
-    /** When {@link #tick} is to be called again. */
+    /** Returns when {@link #tick} is due next. */
     public long nextUs() {
         return calls.isEmpty() ? Long.MAX_VALUE : nextSendUs;
     }
 
-    /** The session was opened; ignored if it answers an earlier request. */
+    /** Starts the session that the log has opened; ignores the answer to an earlier request. */
     public void sessionOpened(EventLogMessage.SessionOpened opened, long nowUs) {
         if (opened.nonce() == nonce && session == 0) {
             session = opened.session();
@@ -87,7 +96,7 @@
         }
     }
 
-    /** The call in flight was answered: returns its outcome, or null if the answer is not for it. */
+    /** Completes the call in flight and returns its outcome, or null if the answer is for another call. */
     public CallResult answered(EventLogMessage.AppendAnswer answered, long nowUs) {
         if (answered.session() != session || answered.call() != callNumber || calls.isEmpty()) {
             return null;
@@ -101,7 +110,7 @@
         return new CallResult(calls.removeFirst().token(), answered.result());
     }
 
-    /** The replica that was asked does not lead: the leader that it names is asked next. */
+    /** Sends the next attempt to the leader named by a replica that is not the leader. */
     public void redirected(EventLogMessage.Redirect redirect, long nowUs) {
         int leader = replicas.indexOf(redirect.leader());
         if (leader >= 0 && leader != target) {
--- a/src/main/java/clovermill/controlplane/eventlog/decide/EventLog.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/EventLog.java
@@ -9,45 +9,54 @@
 import java.util.TreeMap;
 
 /**
- * A replica's copy of the log: assigns sequence numbers, retains the latest event of each subject (compaction) within
- * a bound of bytes, and drops the oldest beyond it, which {@link #truncatedPrefix} then represents. Appends are
+ * A replica's copy of the log. Assigns sequence numbers, retains the latest event of each subject (compaction) up to a
+ * number of bytes, and drops the oldest entries beyond it, which {@link #truncatedPrefix} then represents. Appends are
  * idempotent by session and call number (Ongaro, "Consensus: Bridging Theory and Practice", 6.3). The same operations
- * in the same order give the same log. Not thread-safe.
+ * in the same order produce the same log. Not thread-safe.
  */
 public final class EventLog {
 
     /**
      * Bounds, the same on all replicas.
      *
-     * @param retentionBytes bytes of events as on the wire; past them the oldest entries are dropped
-     * @param maxSessions sessions of clients; past them the least recently used is dropped, and its calls are refused
-     *     from then on
+     * @param retentionBytes the maximum size of the events, as on the wire; beyond it the oldest entries are dropped
+     * @param maxSessions the maximum number of client sessions; beyond it the least recently used is dropped, and its
+     *     later calls are rejected
      */
     public record Bounds(long retentionBytes, int maxSessions) {}
 
     /** The outcome of an append. */
     public enum AppendOutcome {
-        /** Its events have sequence numbers, assigned now or when the call was first received. */
+        /** The events have sequence numbers, assigned now or when the call was first received. */
         APPENDED,
-        /** The session is unknown or was dropped: nothing was appended now; whether it was earlier is unknown. */
+        /** The session is unknown or was dropped: no event was appended now; whether one was earlier is unknown. */
         SESSION_EXPIRED,
-        /** A later call of the session was already answered: nothing was appended now. */
+        /** A later call of the session was already answered: no event was appended now. */
         OUTDATED
     }
 
-    /** The answer to an append; {@code last} is the sequence number of its last event, 0 unless appended. */
+    /**
+     * The answer to an append.
+     *
+     * @param last the sequence number of the last event, 0 unless appended
+     */
     public record AppendResult(AppendOutcome outcome, long last) {}
 
-    /** A client's latest call and the sequence number that answered it. */
+    /**
+     * A client's session.
+     *
+     * @param call the number of the latest call
+     * @param last the sequence number with which that call was answered
+     */
     public record Session(long id, long call, long last) {}
 
-    /** The state of a log without its entries and sessions. */
+    /** The state of a log apart from its entries and sessions. */
     public record LogState(long logId, long head, TruncatedPrefix truncatedPrefix, long sessionsOpened) {}
 
     private final Bounds bounds;
     private final TreeMap<Long, Event> entries = new TreeMap<>();
     private final Map<Subject, Long> latest = new HashMap<>();
-    /** By number, the least recently used first. */
+    /** Sessions by number, the least recently used first. */
     private final Map<Long, Session> sessions = new LinkedHashMap<>();
     private long logId;
     private long head;
@@ -55,47 +64,47 @@
     private long bytes;
     private long sessionsOpened;
 
-    /** An empty log. */
+    /** Creates an empty log. */
     public EventLog(Bounds bounds) {
         this.bounds = bounds;
     }
 
-    /** The log's id, a random number; 0 until one is assigned. */
+    /** Returns the log's id, a random number; 0 until one is assigned. */
     public long logId() {
         return logId;
     }
 
-    /** Assigns the log's id, unless it has one. */
+    /** Assigns the log's id unless it already has one. */
     public void assignId(long id) {
         logId = logId == 0 ? id : logId;
     }
 
-    /** The last sequence number assigned, 0 before any. */
+    /** Returns the last sequence number assigned, 0 before any. */
     public long head() {
         return head;
     }
 
-    /** Represents the entries that retention dropped. */
+    /** Returns the prefix that represents the entries dropped by retention. */
     public TruncatedPrefix truncatedPrefix() {
         return truncatedPrefix;
     }
 
-    /** Bytes of the events retained, as on the wire. */
+    /** Returns the size of the retained events, as on the wire. */
     public long bytes() {
         return bytes;
     }
 
-    /** The number of entries retained. */
+    /** Returns the number of retained entries. */
     public int size() {
         return entries.size();
     }
 
-    /** The number of sessions retained. */
+    /** Returns the number of retained sessions. */
     public int sessionCount() {
         return sessions.size();
     }
 
-    /** Opens a session for a client; returns its number. */
+    /** Opens a session for a client and returns its number. */
     public long openSession() {
         long id = ++sessionsOpened;
         sessions.put(id, new Session(id, 0, 0));
@@ -105,7 +114,7 @@
         return id;
     }
 
-    /** Appends events; a call that was already answered gets the same answer again and appends nothing. */
+    /** Appends events. A call that was already answered gets the same answer again and appends no event. */
     public AppendResult append(long session, long call, List<Event> events) {
         Session current = sessions.remove(session);
         if (current == null) {
@@ -127,7 +136,7 @@
         if (earlier != null) {
             Event replaced = entries.remove(earlier);
             bytes -= replaced.bytes();
-            retained = event.notBefore(replaced);
+            retained = event.withLatestCreationTime(replaced);
         }
         entries.put(head, retained);
         bytes += retained.bytes();
@@ -145,9 +154,10 @@
     }
 
     /**
-     * The entries after a position, up to so many bytes but at least one. The range is empty at the head.
+     * Returns the entries after a position, at least one; an empty range at the head.
      *
      * @param from a position of at most {@link #head}
+     * @param maxBytes the maximum size of the entries, which only the first may exceed
      */
     public LogRange read(long from, int maxBytes) {
         boolean beforeRetained = from < truncatedPrefix.sequence();
@@ -164,28 +174,28 @@
             read.add(entry);
             previous = entry.sequence();
         }
-        // The latest entry is never dropped nor replaced, so all of the log is read where no more entries follow.
+        // The latest entry is never dropped or replaced, so a read that finds no further entry has reached the head.
         long to = read.isEmpty() ? Math.max(start, from) : read.get(read.size() - 1).sequence();
         boolean complete = !beforeRetained && read.size() == to - from;
         return new LogRange(from, to, complete ? to : head, beforeRetained ? truncatedPrefix : null, List.copyOf(read));
     }
 
-    /** The state of the log, for a snapshot. */
+    /** Returns the state of the log, for a snapshot. */
     public LogState state() {
         return new LogState(logId, head, truncatedPrefix, sessionsOpened);
     }
 
-    /** All entries in order, for a snapshot. */
+    /** Returns all entries in order, for a snapshot. */
     public List<Entry> entries() {
         return entries.entrySet().stream().map(each -> new Entry(each.getKey(), each.getValue())).toList();
     }
 
-    /** All sessions, the least recently used first, for a snapshot. */
-    public List<Session> openSessions() {
+    /** Returns all sessions, the least recently used first, for a snapshot. */
+    public List<Session> sessions() {
         return List.copyOf(sessions.values());
     }
 
-    /** Replaces the content by a snapshot's. */
+    /** Replaces the content with that of a snapshot. */
     public void restore(LogState state, List<Entry> snapshotEntries, List<Session> snapshotSessions) {
         entries.clear();
         latest.clear();
@@ -206,7 +216,7 @@
     @Override
     public boolean equals(Object other) {
         return other instanceof EventLog log && state().equals(log.state()) && entries.equals(log.entries)
-                && openSessions().equals(log.openSessions());
+                && sessions().equals(log.sessions());
     }
 
     @Override
--- a/src/main/java/clovermill/controlplane/eventlog/decide/EventLogMessage.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/EventLogMessage.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The messages of the event log's protocol, between directors and replicas and among replicas. Each may be lost,
- * delayed, duplicated or reordered. Lengths of time are microseconds.
+ * A message of the event log's protocol, between directors and replicas or among replicas. Messages may be lost,
+ * delayed, duplicated or reordered. Durations are microseconds.
  */
 public sealed interface EventLogMessage {
 
@@ -26,19 +26,19 @@
      * @param <X> the checked exception of its methods
      */
     interface ReplicaHandler<X extends Exception> {
-        /** A follower reports its position. */
+        /** Handles a follower's report of its position. */
         void follow(Follow follow) throws X;
 
-        /** A client opens a session. */
+        /** Handles a client's request for a session. */
         void openSession(OpenSession open) throws X;
 
-        /** A client appends events. */
+        /** Handles a client's append of events. */
         void append(Append append) throws X;
 
-        /** Another replica asks the leader for the head of the log. */
+        /** Handles a replica's request to the leader for the head of the log. */
         void readIndex(ReadIndex read) throws X;
 
-        /** The leader answers a {@link ReadIndex}. */
+        /** Handles the leader's answer to a {@link ReadIndex}. */
         void readIndexAnswer(ReadIndexAnswer answer) throws X;
     }
 
@@ -48,27 +48,27 @@
      * @param <X> the checked exception of its methods
      */
     interface DirectorHandler<X extends Exception> {
-        /** A replica sends a range of the log. */
+        /** Handles a range of the log from a replica. */
         void batch(Batch batch) throws X;
 
-        /** A session was opened for this client. */
+        /** Handles the answer to a request for a session. */
         void sessionOpened(SessionOpened opened) throws X;
 
-        /** An append was answered. */
+        /** Handles the answer to an append. */
         void appendAnswer(AppendAnswer answer) throws X;
 
-        /** The replica that was asked does not lead. */
+        /** Handles the answer of a replica that is not the leader. */
         void redirect(Redirect redirect) throws X;
     }
 
     /**
-     * A follower reports its position, which acknowledges all entries up to it.
+     * A follower's report of its position, which acknowledges all entries up to it.
      *
      * @param incarnation the follower's process incarnation, a random number drawn at its start
-     * @param requestId the follower's latest request; the follower remembers when it sent it
+     * @param requestId the number of this request; the follower remembers when it sent it
      * @param logId the log of the position, 0 for none
-     * @param position all entries up to this sequence number have been applied
-     * @param wantsAnswer whether a {@link Batch} is wanted at once; otherwise this only acknowledges
+     * @param position the sequence number up to which all entries have been applied
+     * @param wantsAnswer true to request a {@link Batch} at once, false to acknowledge only
      */
     record Follow(long incarnation, long requestId, long logId, long position, boolean wantsAnswer)
             implements ToReplica {
@@ -79,23 +79,23 @@
     }
 
     /**
-     * A replica answers a follower or pushes new entries: a range of the log, maybe empty, and a proof of freshness.
+     * A range of the log, possibly empty, and a proof of freshness: an answer to a follower, or a push of new entries.
      *
      * @param incarnation the follower's process incarnation
      * @param requestId the follower's latest request that the replica has received
-     * @param provenHead every event acknowledged before the proof began has at most this sequence number; -1: no proof
-     * @param proofAgeUs how long ago the proof began, by the replica's clock
+     * @param provenHead the highest sequence number of any event acknowledged before the proof began; -1: no proof
+     * @param proofAgeUs the time since the proof began, by the replica's clock
      */
     record Batch(long incarnation, long requestId, long logId, long provenHead, long proofAgeUs, LogRange range)
             implements ToDirector {
 
         /**
-         * The most bytes of a batch on the wire beside its entries: headers of IP and UDP, the packet's own, the range,
-         * the proof and a truncated prefix.
+         * The maximum size of a batch on the wire without its entries: IP and UDP headers, the packet's envelope, and
+         * the range, proof and truncated prefix.
          */
         public static final int OVERHEAD_BYTES = 28 + 41 + 83;
 
-        /** The most bytes on the wire, headers included. */
+        /** Returns the maximum size on the wire, headers included. */
         public int bytes() {
             int size = OVERHEAD_BYTES;
             long previous = range.from();
@@ -112,7 +112,7 @@
         }
     }
 
-    /** A client asks for a session; {@code nonce} identifies the answer. */
+    /** A client's request for a session; {@code nonce} identifies the answer. */
     record OpenSession(long nonce) implements ToReplica {
         @Override
         public <X extends Exception> void dispatch(ReplicaHandler<X> handler) throws X {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** A client appends events; {@code call} numbers the calls of its session from 1. */
+    /** A client's append of events; {@code call} numbers the calls of its session from 1. */
     record Append(long session, long call, List<Event> events) implements ToReplica {
         @Override
         public <X extends Exception> void dispatch(ReplicaHandler<X> handler) throws X {
@@ -144,7 +144,7 @@
         }
     }
 
-    /** The sender does not lead; {@code leader} is the leader that it knows of, or -1. */
+    /** The answer of a replica that is not the leader; {@code leader} is the leader that it knows of, or -1. */
     record Redirect(int leader) implements ToDirector {
         @Override
         public <X extends Exception> void dispatch(DirectorHandler<X> handler) throws X {
@@ -152,7 +152,7 @@
         }
     }
 
-    /** A replica asks the leader for the head of the log, read after this was sent (Raft's ReadIndex). */
+    /** A replica's request to the leader for the head of the log, read after this was sent (Raft's ReadIndex). */
     record ReadIndex(long number) implements ToReplica {
         @Override
         public <X extends Exception> void dispatch(ReplicaHandler<X> handler) throws X {
--- a/src/main/java/clovermill/controlplane/eventlog/decide/EventLogTiming.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/EventLogTiming.java
@@ -3,30 +3,36 @@
 /**
  * Intervals and timeouts in microseconds, the same in every process.
  *
- * @param heartbeatUs interval of a follower's requests to its replica
- * @param silentUs timeout after which a follower switches to another replica
- * @param batchUs interval in which a replica batches events for its followers
- * @param roundUs interval of a replica's proofs of freshness
- * @param stalenessUs bound on the age of a proof: an event acknowledged longer ago is known wherever the copy is
+ * @param heartbeatIntervalUs the interval of a follower's requests to its replica
+ * @param replicaTimeoutUs the time without an answer after which a follower switches to another replica
+ * @param batchIntervalUs the interval at which a replica sends batches of events to its followers
+ * @param proofIntervalUs the interval of a replica's proofs of freshness
+ * @param maxStalenessUs the maximum age of a proof: an event acknowledged longer ago is applied wherever the copy is
  *     proven
- * @param homeUs how long a follower stays with another replica before it tries its home replica again
- * @param drift bound on the relative error of a span measured by any clock
+ * @param returnHomeDelayUs the time that a follower stays with another replica before it tries its home replica again
+ * @param drift the bound on the relative error of a duration measured by any clock
  */
-public record EventLogTiming(long heartbeatUs, long silentUs, long batchUs, long roundUs, long stalenessUs, long homeUs,
+public record EventLogTiming(long heartbeatIntervalUs, long replicaTimeoutUs, long batchIntervalUs,
+        long proofIntervalUs, long maxStalenessUs, long returnHomeDelayUs,
         double drift) {
 
-    /** The figures where settings name none. */
+    /** The defaults. */
     public static final EventLogTiming DEFAULT =
             new EventLogTiming(400_000, 1_000_000, 250_000, 250_000, 5_000_000, 60_000_000, 0.01);
 
-    /** Checks what must hold between them; throws {@link IllegalArgumentException}. */
+    /**
+     * Creates a timing.
+     *
+     * @throws IllegalArgumentException if a timeout is too short for the intervals that it depends on
+     */
     public EventLogTiming {
-        if (silentUs < 2 * heartbeatUs) {
+        if (replicaTimeoutUs < 2 * heartbeatIntervalUs) {
             throw new IllegalArgumentException(
-                    "silentUs: two heartbeats at least, or one lost answer causes a failover");
+                    "replicaTimeoutUs: two heartbeats at least, or one lost answer causes a failover");
         }
-        if (stalenessUs < 3 * silentUs + roundUs + heartbeatUs) {
-            throw new IllegalArgumentException("stalenessUs: three silentUs, a round and a heartbeat at least");
+        if (maxStalenessUs < 3 * replicaTimeoutUs + proofIntervalUs + heartbeatIntervalUs) {
+            throw new IllegalArgumentException(
+                    "maxStalenessUs: three replicaTimeoutUs, a round and a heartbeat at least");
         }
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/Follower.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Follower.java
@@ -11,22 +11,22 @@
 /**
  * A director's position in the log: follows one replica, applies each range once and in order, and fails over to
  * another replica when the one followed times out or cannot prove its log. As the position is a sequence number of the
- * log, not of a connection, a failover leaves no gap and repeats nothing. Times are microseconds. Not thread-safe.
+ * log, not of a connection, a failover causes no gap and no duplicate. Times are microseconds. Not thread-safe.
  */
 public final class Follower {
 
-    /** A message for a replica. */
+    /** A message to send to a replica. */
     public record Request(int replica, Follow follow) {}
 
-    /** Counters since the start: events applied, gaps, events repeated, failovers, truncated prefixes applied. */
-    public record Counts(long applied, long gaps, long repeated, long failovers, long truncations) {}
+    /** Counters since the start: events applied, gaps, duplicate events, failovers, truncated prefixes applied. */
+    public record Counts(long applied, long gaps, long duplicates, long failovers, long truncations) {}
 
-    /** Early ranges kept, a little over a window of full batches; past them the latest is dropped and sent again. */
+    /** The maximum number of early ranges, slightly over a window of full batches; the latest is dropped and resent. */
     private static final int MAX_EARLY_RANGES = 16;
 
     private final EventLogTiming timing;
     private final long incarnation;
-    /** The replicas in the order of failover, the home replica first; drawn for each director. */
+    /** The replicas in failover order, the home replica first; shuffled for each director. */
     private final List<Integer> replicaOrder;
     private final FreshnessLease freshness;
     private final long returnHomeAfterUs;
@@ -35,8 +35,8 @@
     private long logId;
     private long position;
     /**
-     * Ranges that overtook one before them, by their first position. Thrown away, they would all be sent again at once,
-     * and overtake each other again (docs/incidents/overtaken-batches.md).
+     * Ranges that arrived before a preceding one, by their start position. If they were discarded, they would all be
+     * resent at once and overtake each other again (docs/incidents/overtaken-batches.md).
      */
     private final TreeMap<Long, LogRange> earlyRanges = new TreeMap<>();
     private long lastResponseUs;
@@ -44,13 +44,13 @@
     private long nextRequestUs;
     private boolean acknowledgementDue;
     private long gaps;
-    private long repeated;
+    private long duplicates;
     private long failovers;
     private long applied;
     private long truncations;
 
     /**
-     * A follower that knows nothing yet.
+     * Creates a follower with an empty copy of the log.
      *
      * @param replicas all replicas by number; the one at {@code self} modulo their count is followed first
      * @param incarnation a random number drawn at this start of the process
@@ -65,35 +65,35 @@
         Collections.shuffle(shuffled, random);
         shuffled.add(0, home);
         this.replicaOrder = List.copyOf(shuffled);
-        this.returnHomeAfterUs = (long) (timing.homeUs() * (0.75 + 0.5 * random.nextDouble()));
+        this.returnHomeAfterUs = (long) (timing.returnHomeDelayUs() * (0.75 + 0.5 * random.nextDouble()));
         this.lastResponseUs = nowUs;
         this.followedSinceUs = nowUs;
         this.nextRequestUs = nowUs;
     }
 
-    /** The replica that it follows. */
+    /** Returns the replica that is followed. */
     public int replica() {
         return replicaOrder.get(replicaIndex);
     }
 
-    /** All up to this sequence number has been applied. */
+    /** Returns the sequence number up to which all entries have been applied. */
     public long position() {
         return position;
     }
 
-    /** The lease on the completeness of this copy. */
+    /** Returns the lease on the completeness of this copy. */
     public FreshnessLease freshness() {
         return freshness;
     }
 
-    /** The counters so far. */
+    /** Returns the counters. */
     public Counts counts() {
-        return new Counts(applied, gaps, repeated, failovers, truncations);
+        return new Counts(applied, gaps, duplicates, failovers, truncations);
     }
 
     /**
-     * Applies a batch; returns the deliveries, in order. A batch of any replica counts, as all replicas hold the same
-     * log; one for another incarnation of this director is ignored.
+     * Applies a batch and returns the deliveries, in order. A batch of any replica is accepted, as all replicas have
+     * the same log; one for another incarnation of this director is ignored.
      */
     public List<Delivery> receive(int from, Batch batch, long nowUs) {
         if (batch.incarnation() != incarnation || batch.logId() == 0) {
@@ -122,12 +122,12 @@
         earlyRanges.clear();
     }
 
-    /** Applies a range, and then those that it makes contiguous; keeps it where one before it has yet to come. */
+    /** Applies a range and the early ranges contiguous with it, or retains it while a range before it is missing. */
     private void applyRange(LogRange range, List<Delivery> deliveries) {
         if (range.from() > position) {
             gaps++;
             keepEarly(range);
-            acknowledgementDue = true; // the replica sends again from the position acknowledged
+            acknowledgementDue = true; // the replica resends from the acknowledged position
             return;
         }
         applyContiguous(range, deliveries);
@@ -145,7 +145,7 @@
 
     private void applyContiguous(LogRange range, List<Delivery> deliveries) {
         if (range.to() <= position) {
-            repeated += range.entries().size();
+            duplicates += range.entries().size();
             acknowledgementDue |= range.to() > range.from();
             return;
         }
@@ -164,19 +164,19 @@
         acknowledgementDue = true;
     }
 
-    /** The message to send now, or null. */
+    /** Returns the message to send now, or null. */
     public Request tick(long nowUs) {
         selectReplica(nowUs);
         if (nowUs >= nextRequestUs) {
-            nextRequestUs = nowUs + timing.heartbeatUs();
+            nextRequestUs = nowUs + timing.heartbeatIntervalUs();
             return request(true, nowUs);
         }
         return acknowledgementDue ? request(false, nowUs) : null;
     }
 
-    /** When {@link #tick} is to be called again. */
+    /** Returns when {@link #tick} is due next. */
     public long nextUs(long nowUs) {
-        return acknowledgementDue ? nowUs : Math.min(nextRequestUs, lastResponseUs + timing.silentUs());
+        return acknowledgementDue ? nowUs : Math.min(nextRequestUs, lastResponseUs + timing.replicaTimeoutUs());
     }
 
     private Request request(boolean wantsAnswer, long nowUs) {
@@ -186,9 +186,9 @@
     }
 
     private void selectReplica(long nowUs) {
-        boolean silent = nowUs - lastResponseUs >= timing.silentUs();
-        boolean settled = nowUs - followedSinceUs >= timing.silentUs();
-        boolean unproven = settled && nowUs - freshness.replicaAsOfUs() > timing.stalenessUs() / 2;
+        boolean silent = nowUs - lastResponseUs >= timing.replicaTimeoutUs();
+        boolean settled = nowUs - followedSinceUs >= timing.replicaTimeoutUs();
+        boolean unproven = settled && nowUs - freshness.replicaAsOfUs() > timing.maxStalenessUs() / 2;
         if (silent || unproven) {
             failovers++;
             switchTo((replicaIndex + 1) % replicaOrder.size(), nowUs);
--- a/src/main/java/clovermill/controlplane/eventlog/decide/FreshnessLease.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/FreshnessLease.java
@@ -5,15 +5,15 @@
 import java.util.Iterator;
 
 /**
- * A lease on the completeness of a director's copy of the log (Gray, Cheriton, "Leases", 1989), counted from when the
- * director sent its request, never from when the answer arrived. Without a lease the copy is unproven. Checked at the
- * moment of the effect. Times are microseconds of the owner's clock. Not thread-safe.
+ * A lease on the completeness of a director's copy of the log (Gray, Cheriton, "Leases", 1989). Its term starts when
+ * the director sends its request, never when the answer arrives. Without a lease the copy is unproven. It must be
+ * checked at the moment when the copy is used. Times are microseconds of the owner's clock. Not thread-safe.
  */
 public final class FreshnessLease {
 
-    /** No moment is proven. */
+    /** The time that stands for "never proven". */
     public static final long NEVER = Long.MIN_VALUE / 4;
-    /** Requests and proofs remembered; older ones are dropped, which can only prove less. */
+    /** The maximum number of pending requests and of proofs; dropping the oldest can only shorten the lease. */
     private static final int MAX_PENDING = 32;
 
     private record PendingRequest(long number, long sentUs) {}
@@ -28,12 +28,12 @@
     private long replicaAsOfUs = NEVER;
     private long lastUs = NEVER;
 
-    /** Nothing is proven yet. */
+    /** Creates a lease for a copy that is unproven. */
     public FreshnessLease(EventLogTiming timing) {
         this.timing = timing;
     }
 
-    /** A request was sent; its number is larger than those before. */
+    /** Records a request that was sent; its number is larger than those before. */
     public void requestSent(long number, long nowUs) {
         observeClock(nowUs);
         pendingRequests.addLast(new PendingRequest(number, nowUs));
@@ -43,10 +43,11 @@
     }
 
     /**
-     * A request was answered with a proof.
+     * Records the proof in the answer to a request.
      *
-     * @param head every event acknowledged before the proof began has at most this sequence number; -1: no proof
-     * @param ageUs how long before the answer the proof began, by the replica's clock
+     * @param number the number of the request
+     * @param head the highest sequence number of any event acknowledged before the proof began; -1: no proof
+     * @param ageUs the time from the start of the proof to the answer, by the replica's clock
      */
     public void responseReceived(long number, long head, long ageUs, long nowUs) {
         observeClock(nowUs);
@@ -59,16 +60,20 @@
             }
         }
         if (pendingProofs.size() > MAX_PENDING) {
-            pendingProofs.removeFirst(); // the oldest proves least
+            pendingProofs.removeFirst(); // the oldest proof gives the shortest lease
         }
     }
 
-    /** A compacted range was applied; the events that replaced the missing ones lie up to a position. */
+    /**
+     * Records that a compacted range was applied.
+     *
+     * @param position the sequence number up to which the events lie that replaced the missing ones
+     */
     public void incompleteUntil(long position) {
         completeAt = Math.max(completeAt, position);
     }
 
-    /** All entries up to a position have been applied. */
+    /** Extends the lease by the proofs that are valid now that all entries up to a position have been applied. */
     public void applied(long position) {
         if (position < completeAt) {
             return;
@@ -82,7 +87,7 @@
         }
     }
 
-    /** Another log is followed, or the clock ran back: nothing is proven. */
+    /** Ends the lease and drops all proofs: another log is followed, or the clock went backwards. */
     public void reset() {
         pendingRequests.clear();
         pendingProofs.clear();
@@ -98,22 +103,22 @@
         lastUs = nowUs;
     }
 
-    /** Until when the copy is proven, by the owner's clock; a past moment if it is not. */
+    /** Returns the time until which the copy is proven, by the owner's clock; a past time if it is not. */
     public long provenUntilUs() {
-        return asOfUs == NEVER ? NEVER : asOfUs + (long) (timing.stalenessUs() * (1 - timing.drift()));
+        return asOfUs == NEVER ? NEVER : asOfUs + (long) (timing.maxStalenessUs() * (1 - timing.drift()));
     }
 
-    /** Whether the copy is proven at a moment. */
+    /** Returns whether the copy is proven at a given time. */
     public boolean proven(long nowUs) {
         return nowUs >= lastUs && nowUs < provenUntilUs();
     }
 
-    /** All events acknowledged before this moment have been applied here. */
+    /** Returns the time before which every acknowledged event has been applied here. */
     public long asOfUs() {
         return asOfUs;
     }
 
-    /** As of when the replicas that answer have proven their own logs, applied here or not. */
+    /** Returns the latest time as of which an answering replica has proven its own log, applied here or not. */
     long replicaAsOfUs() {
         return replicaAsOfUs;
     }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/ReplayWindow.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/ReplayWindow.java
@@ -10,7 +10,7 @@
 public final class ReplayWindow {
 
     private static final int WIDTH = 64;
-    /** Incarnations remembered; at one more the least recently used is forgotten. */
+    /** The maximum number of incarnations remembered; the least recently used is evicted. */
     private static final int MAX_INCARNATIONS = 4;
 
     private static final class Window {
@@ -20,7 +20,7 @@
 
     private final Map<Long, Window> windows = new LinkedHashMap<>();
 
-    /** Whether a packet is accepted: it was not received before, as far as is known. */
+    /** Accepts a packet and returns true, or returns false if it was, or may have been, received before. */
     public boolean accept(long incarnation, long number) {
         Window window = windows.remove(incarnation);
         window = window == null ? new Window() : window;
--- a/src/main/java/clovermill/controlplane/eventlog/decide/ReplicaFeed.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/ReplicaFeed.java
@@ -10,20 +10,21 @@
 import java.util.Map;
 
 /**
- * Flow control of what a replica sends to its followers. For each follower it has two positions, a window and a token
- * bucket, never a queue: a slow follower gets nothing beyond the window and reads on from the log when it acknowledges,
- * or from a truncated prefix if the log no longer reaches back so far. No follower delays another. Times are
- * microseconds. Not thread-safe.
+ * The flow control of a replica's batches to its followers. A follower's state is two positions, a window and a token
+ * bucket, never a queue: a slow follower is sent no batch beyond the window, and continues from the log when it
+ * acknowledges, or from a truncated prefix if the log no longer retains its position. No follower delays another. Times
+ * are microseconds. Not thread-safe.
  */
 public final class ReplicaFeed {
 
     /**
      * Bounds of the feed.
      *
-     * @param followerRate bytes a second to one follower, headers included
-     * @param replicaRate bytes a second to all; followers near the head come first, the rest round-robin
-     * @param windowBytes unacknowledged bytes in flight to one follower
-     * @param maxFollowers incarnations of directors that are fed; past them a new one gets no answer
+     * @param followerRate the maximum bytes per second to one follower, headers included
+     * @param replicaRate the maximum bytes per second to all followers; those near the head are served first, the
+     *     others round-robin
+     * @param windowBytes the maximum unacknowledged bytes in flight to one follower
+     * @param maxFollowers the maximum number of followers (director incarnations); a further one gets no answer
      */
     public record Bounds(long followerRate, long replicaRate, int windowBytes, int maxFollowers) {
 
@@ -31,44 +32,44 @@
         public static final Bounds DEFAULT = new Bounds(7000, 1_000_000, 16_000, 2048);
     }
 
-    /** A batch for a director. */
+    /** A batch to send to a director. */
     public record Push(int director, Batch batch) {}
 
-    /** Counters since the start: batches pushed, resends, followers that fell behind, followers refused. */
-    public record Counts(long pushed, long resent, long droppedToCatchUp, long refused) {}
+    /** Counters since the start: batches pushed, resends, times a follower fell behind, followers rejected. */
+    public record Counts(long pushed, long resent, long fellBehind, long rejected) {}
 
-    /** Bytes of entries in one batch, so that a datagram is not fragmented. */
+    /** The maximum size of the entries in one batch, so that a datagram is not fragmented. */
     private static final int BATCH_BYTES = 1200;
-    /** A follower that has sent nothing for so many times {@code silentUs} is removed. */
-    private static final int EXPIRY_SILENT_PERIODS = 5;
+    /** The number of replica timeouts after which a follower that has sent no message is removed. */
+    private static final int EXPIRY_TIMEOUTS = 5;
 
-    /** Proofs that wait for the log; past them the oldest is dropped, which can only prove less. */
+    /** The maximum number of proofs that wait for the log; dropping the oldest can only prove less. */
     private static final int MAX_PENDING_PROOFS = 32;
 
     private static final LogRange EMPTY_RANGE = new LogRange(0, 0, 0, null, List.of());
 
     private record Key(int director, long incarnation) {}
 
-    /** A batch in flight. */
+    /** A batch in flight; {@code to} is its last position. */
     private record SentBatch(long to, int bytes) {}
 
     private record HeadProof(long head, long startUs) {}
 
     private static final class FollowerState {
-        private final ByteTokenBucket budget;
+        private final ByteTokenBucket rateLimit;
         private long requestId;
         private long acknowledged;
         private long sent;
-        /** Batches in flight, at most a window. */
+        /** Batches in flight, at most one window. */
         private final Deque<SentBatch> unacknowledged = new ArrayDeque<>();
         private int inFlightBytes;
         private long progressUs;
         private long lastReceivedUs;
-        /** Whether it is behind by more than a window, and thus paced by the replica's rate. */
+        /** True while the follower is behind by more than a window, and therefore paced by the replica's rate. */
         private boolean catchingUp = true;
 
-        private FollowerState(ByteTokenBucket budget) {
-            this.budget = budget;
+        private FollowerState(ByteTokenBucket rateLimit) {
+            this.rateLimit = rateLimit;
         }
 
         private void sendFrom(long position) {
@@ -81,9 +82,9 @@
     private final EventLogTiming timing;
     private final Bounds bounds;
     private final EventLog log;
-    private final ByteTokenBucket total;
+    private final ByteTokenBucket totalRateLimit;
     private final Map<Key, FollowerState> followers = new LinkedHashMap<>();
-    /** Proofs of heads that the log has not reached, in the order in which they began. */
+    /** Proofs of heads that the log has not reached yet, in the order of their start. */
     private final Deque<HeadProof> pendingProofs = new ArrayDeque<>();
     private long provenHead = -1;
     private long proofStartUs;
@@ -91,35 +92,35 @@
     private long nextPushUs;
     private long pushed;
     private long resent;
-    private long droppedToCatchUp;
-    private long refused;
+    private long fellBehind;
+    private long rejected;
 
-    /** Feeds from a log to which its owner appends. */
+    /** Creates a feed from a log to which its owner appends. */
     public ReplicaFeed(EventLogTiming timing, Bounds bounds, EventLog log, long nowUs) {
         this.timing = timing;
         this.bounds = bounds;
         this.log = log;
-        this.total = new ByteTokenBucket(bounds.replicaRate(), nowUs);
+        this.totalRateLimit = new ByteTokenBucket(bounds.replicaRate(), nowUs);
         this.nextPushUs = nowUs;
     }
 
-    /** The number of followers. */
-    public int followers() {
+    /** Returns the number of followers. */
+    public int followerCount() {
         return followers.size();
     }
 
-    /** The counters so far. */
+    /** Returns the counters. */
     public Counts counts() {
-        return new Counts(pushed, resent, droppedToCatchUp, refused);
+        return new Counts(pushed, resent, fellBehind, rejected);
     }
 
     /**
-     * This replica proved that every event acknowledged before {@code startUs} has at most the number {@code head}.
-     * Followers are told once its own log has reached that head (the wait of ReadIndex, step 4): a replica that cannot
-     * deliver what it proves would keep its followers, unproven, for as long as it is behind
-     * (docs/incidents/proof-without-events.md).
+     * Records this replica's proof that every event acknowledged before {@code startUs} has at most the sequence number
+     * {@code head}. It is sent to followers once the replica's own log has reached that head (the wait of ReadIndex,
+     * step 4): a replica that sent proofs of events that it cannot deliver would keep its followers, unproven, for as
+     * long as it is behind (docs/incidents/proof-without-events.md).
      */
-    public void proven(long head, long startUs) {
+    public void headProven(long head, long startUs) {
         pendingProofs.addLast(new HeadProof(head, startUs));
         if (pendingProofs.size() > MAX_PENDING_PROOFS) {
             pendingProofs.removeFirst();
@@ -134,13 +135,13 @@
         }
     }
 
-    /** Handles a follower's report of its position; returns the answer, or null for none. */
+    /** Handles a follower's report of its position and returns the answer, or null for none. */
     public Push receive(int director, Follow follow, long nowUs) {
         Key key = new Key(director, follow.incarnation());
         FollowerState state = followers.get(key);
         if (state == null) {
             if (followers.size() >= bounds.maxFollowers()) {
-                refused++;
+                rejected++;
                 return null;
             }
             state = new FollowerState(new ByteTokenBucket(bounds.followerRate(), nowUs));
@@ -149,14 +150,14 @@
         state.lastReceivedUs = nowUs;
         state.requestId = Math.max(state.requestId, follow.requestId());
         acknowledge(state, follow.logId() == log.logId() ? follow.position() : 0, nowUs);
-        if (!follow.wantsAnswer() || log.logId() == 0 || !state.budget.allows(nowUs)) {
+        if (!follow.wantsAnswer() || log.logId() == 0 || !state.rateLimit.allows(nowUs)) {
             return null;
         }
         return push(key, state, EMPTY_RANGE, nowUs);
     }
 
     private void acknowledge(FollowerState state, long position, long nowUs) {
-        if (position > log.head()) { // ahead of this replica: nothing to send
+        if (position > log.head()) { // ahead of this replica: there is nothing to send
             state.acknowledged = position;
             state.sendFrom(position);
         } else if (position > state.acknowledged || position == state.sent) {
@@ -171,17 +172,17 @@
         }
     }
 
-    /** The batches to send now. */
+    /** Returns the batches to send now. */
     public List<Push> tick(long nowUs) {
         List<Push> pushes = new ArrayList<>();
         if (nowUs < nextPushUs) {
             return pushes;
         }
-        nextPushUs = nowUs + timing.batchUs();
+        nextPushUs = nowUs + timing.batchIntervalUs();
         if (log.logId() == 0) {
             return pushes;
         }
-        followers.values().removeIf(each -> nowUs - each.lastReceivedUs > EXPIRY_SILENT_PERIODS * timing.silentUs());
+        followers.values().removeIf(each -> nowUs - each.lastReceivedUs > EXPIRY_TIMEOUTS * timing.replicaTimeoutUs());
         followers.values().forEach(each -> updatePacing(each, nowUs));
         followers.forEach((key, state) -> {
             if (!state.catchingUp) {
@@ -191,7 +192,7 @@
         List<Map.Entry<Key, FollowerState>> behind = new ArrayList<>();
         followers.entrySet().stream().filter(each -> each.getValue().catchingUp).forEach(behind::add);
         int fed = 0;
-        while (fed < behind.size() && total.allows(nowUs)) {
+        while (fed < behind.size() && totalRateLimit.allows(nowUs)) {
             Map.Entry<Key, FollowerState> next = behind.get((nextBehind + fed) % behind.size());
             feed(next.getKey(), next.getValue(), nowUs, pushes);
             fed++;
@@ -200,14 +201,14 @@
         return pushes;
     }
 
-    /** When {@link #tick} is to be called again. */
+    /** Returns when {@link #tick} is due next. */
     public long nextUs() {
         return nextPushUs;
     }
 
-    /** Resends from the acknowledged position after a timeout, and decides whether the follower is paced. */
+    /** Restarts from the acknowledged position after a timeout, and decides whether the follower is paced. */
     private void updatePacing(FollowerState state, long nowUs) {
-        boolean timedOut = state.sent > state.acknowledged && nowUs - state.progressUs > 3 * timing.batchUs();
+        boolean timedOut = state.sent > state.acknowledged && nowUs - state.progressUs > 3 * timing.batchIntervalUs();
         if (timedOut) {
             state.sendFrom(state.acknowledged);
             state.progressUs = nowUs;
@@ -217,12 +218,12 @@
         boolean behind = state.acknowledged < log.truncatedPrefix().sequence()
                 || state.catchingUp && state.sent < log.head() && log.read(state.sent, BATCH_BYTES).to() < log.head();
         boolean paced = full || behind || timedOut;
-        droppedToCatchUp += paced && !state.catchingUp ? 1 : 0;
+        fellBehind += paced && !state.catchingUp ? 1 : 0;
         state.catchingUp = paced;
     }
 
     private void feed(Key key, FollowerState state, long nowUs, List<Push> pushes) {
-        while (state.sent < log.head() && state.inFlightBytes < bounds.windowBytes() && state.budget.allows(nowUs)) {
+        while (state.sent < log.head() && state.inFlightBytes < bounds.windowBytes() && state.rateLimit.allows(nowUs)) {
             LogRange range = log.read(state.sent, BATCH_BYTES);
             if (state.inFlightBytes == 0) {
                 state.progressUs = nowUs;
@@ -240,14 +241,14 @@
         adoptProofs();
         long ageUs = Math.max(0, nowUs - proofStartUs);
         Batch batch = new Batch(key.incarnation, state.requestId, log.logId(), provenHead, ageUs, range);
-        state.budget.spend(batch.bytes());
-        total.allows(nowUs);
-        total.spend(batch.bytes());
+        state.rateLimit.spend(batch.bytes());
+        totalRateLimit.allows(nowUs);
+        totalRateLimit.spend(batch.bytes());
         return new Push(key.director, batch);
     }
 
-    /** The number of followers that are behind and paced. */
-    public int catchingUp() {
+    /** Returns the number of followers that are behind and paced. */
+    public int catchingUpCount() {
         return (int) followers.values().stream().filter(each -> each.catchingUp).count();
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/Subject.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Subject.java
@@ -10,11 +10,11 @@
 
     /** The kinds of events. */
     public enum Kind {
-        /** Copies of one object are purged. */
+        /** A purge of all copies of one object. */
         OBJECT_PURGE,
-        /** All copies of a group are purged. */
+        /** A purge of all copies of a group. */
         GROUP_PURGE,
-        /** Any other event that all directors apply in order; the detail defines it. */
+        /** Any other event that all directors apply in order, defined by its detail. */
         FLEET_EVENT
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/package-info.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/package-info.java
@@ -4,10 +4,10 @@
  *
  * <p>At a replica: {@link clovermill.controlplane.eventlog.decide.EventLog} is the log itself, with sequence numbers,
  * compaction by subject, retention by bytes and client sessions; {@link
- * clovermill.controlplane.eventlog.decide.ReplicaFeed} decides what is sent to which director, by window and rate.
- * At a director: {@link clovermill.controlplane.eventlog.decide.Follower} keeps the position and selects the replica,
- * {@link clovermill.controlplane.eventlog.decide.FreshnessLease} says until when the copy is proven complete, and
- * {@link clovermill.controlplane.eventlog.decide.AppendClient} appends each call once. Between them: {@link
- * clovermill.controlplane.eventlog.decide.EventLogMessage}. The invariants are in {@code docs/design/event-log.md}.
+ * clovermill.controlplane.eventlog.decide.ReplicaFeed} limits the batches to each director by window and rate.
+ * At a director: {@link clovermill.controlplane.eventlog.decide.Follower} tracks the position and selects the replica,
+ * {@link clovermill.controlplane.eventlog.decide.FreshnessLease} computes until when the copy is proven complete, and
+ * {@link clovermill.controlplane.eventlog.decide.AppendClient} appends each call once. They exchange {@link
+ * clovermill.controlplane.eventlog.decide.EventLogMessage}s. The invariants are in {@code docs/design/event-log.md}.
  */
 package clovermill.controlplane.eventlog.decide;
--- a/src/main/java/clovermill/simulation/emulator/eventlog/EventLogFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/EventLogFleet.java
@@ -25,7 +25,7 @@
     /** How many replicas there are. */
     public static final int REPLICAS = 4;
     /** A copy may be called proven for so long after a purge of it was acknowledged. */
-    public static final long STALENESS_US = EventLogTiming.DEFAULT.stalenessUs();
+    public static final long STALENESS_US = EventLogTiming.DEFAULT.maxStalenessUs();
     /** An event is in force at each director that can be reached after so long. */
     public static final long IN_FORCE_US = 7_100_000;
 
@@ -122,7 +122,7 @@
 
     /** The replica that leads and is up, or -1. */
     public int leader() {
-        return IntStream.range(0, REPLICAS).filter(i -> machines.up(i) && machines.task(i).leads()).findFirst()
+        return IntStream.range(0, REPLICAS).filter(i -> machines.up(i) && machines.task(i).isLeader()).findFirst()
                 .orElse(-1);
     }
 
@@ -225,7 +225,7 @@
     /** Whether a director is up, and reaches voters that are up and can elect a leader. */
     private boolean reachable(int machine) {
         List<Integer> voters = IntStream.range(0, REPLICAS)
-                .filter(each -> machines.up(each) && machines.task(each).votes()).boxed().toList();
+                .filter(each -> machines.up(each) && machines.task(each).isVoter()).boxed().toList();
         return machines.up(machine) && ReachableQuorum.isReachable(machine, voters, links::connected);
     }
 
--- a/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
@@ -29,7 +29,7 @@
         return fleet;
     }
 
-    private static void assertHolds(EventLogFleet fleet) {
+    private static void finishAndAssertNoViolations(EventLogFleet fleet) {
         fleet.finish();
         FleetMetrics figures = fleet.figures();
         assertThat(figures.firstViolation()).isNull();
@@ -55,7 +55,7 @@
     /** Retention drops an event, and one with an earlier time is appended on its subject: both were applied. */
     @Test
     void anOlderEventThatIsAppendedLaterLosesNothing() {
-        holdAll(74, 87);
+        assertNoViolations(74, 87);
     }
 
     /**
@@ -65,7 +65,7 @@
      */
     @Test
     void seedsWithLateEvents() {
-        holdAll(26, 45, 123, 125);
+        assertNoViolations(26, 45, 123, 125);
     }
 
     /**
@@ -75,10 +75,10 @@
      */
     @Test
     void seedsWithLateEventsOverLinksThatLoseTwoInFive() {
-        holdAll(88, 475, 534, 793, 225, 246, 267, 742, 805, 806, 912, 937);
+        assertNoViolations(88, 475, 534, 793, 225, 246, 267, 742, 805, 806, 912, 937);
     }
 
-    private static void holdAll(long... seeds) {
+    private static void assertNoViolations(long... seeds) {
         for (long seed : seeds) {
             FleetMetrics figures = EventLogFleet.play(new Scenario(SMALL, 100, RATE, 2), seed);
             assertThat(figures.firstViolation()).as("seed %s", seed).isNull();
@@ -100,7 +100,7 @@
         fleet.run(10 * SECOND);
         fleet.dieAfterSending(1, sent);
         assertAllProvenAt(fleet, 30 * SECOND, 8);
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
     }
 
     @Test
@@ -117,7 +117,7 @@
         for (long at = 14; at < 40; at++) { // over the return of the paused one, with its old answers
             assertAllProvenAt(fleet, at * SECOND, 8);
         }
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
     }
 
     private static int follows(EventLogFleet fleet, int director) {
@@ -146,7 +146,7 @@
         }
         fleet.isolate(side, false);
         assertAllProvenAt(fleet, 35 * SECOND, 8);
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
     }
 
     /** An hour of 9.1 events a second is 32,760; here a minute, with a retention that holds a third of it. */
@@ -176,7 +176,7 @@
         }
         assertAllProvenAt(fleet, 76 * SECOND, directors);
         assertThat(fleet.task(cut).followerCounts().truncations()).isEqualTo(1);
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
     }
 
     @Test
@@ -198,7 +198,7 @@
         assertThat(fleet.task(machine).position()).isZero();
         assertAllProvenAt(fleet, 50 * SECOND, 4);
         assertThat(fleet.task(machine).position()).isGreaterThan(position);
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
     }
 
     @ParameterizedTest
@@ -213,7 +213,7 @@
         fleet.start(2);
         assertAllProvenAt(fleet, 35 * SECOND, 8);
         assertThat(fleet.task(2).log()).isEqualTo(fleet.task(1).log());
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
     }
 
     @Test
@@ -232,7 +232,7 @@
         assertAllProvenAt(fleet, 20 * SECOND, 8);
         assertThat(fleet.figures().events()).isEqualTo(2);
         assertThat(fleet.task(fleet.leader()).log().head()).isEqualTo(2);
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
     }
 
     private record Seen(int from, int to, byte[] bytes) {}
@@ -258,15 +258,15 @@
                     each.bytes()));
         }
         assertAllProvenAt(fleet, 30 * SECOND, 8);
-        assertThat(IntStream.range(0, 12).mapToLong(each -> fleet.task(each).badDatagrams()).sum())
+        assertThat(IntStream.range(0, 12).mapToLong(each -> fleet.task(each).rejectedDatagrams()).sum())
                 .isGreaterThan(seen.size());
         assertThat(fleet.task(0).log().head()).isEqualTo(head);
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
     }
 
     @Test
     void aFullQueueToASlowDirectorDropsItToCatchUpAndNobodyWaits() {
-        assertThatNobodyWaitsForASlowDirector(20);
+        assertOthersStayProvenBesideASlowDirector(20);
     }
 
     /**
@@ -277,10 +277,10 @@
      */
     @Test
     void aFullQueueToASlowDirectorHoldsUpNobodyAtAHundredEventsASecond() {
-        assertThatNobodyWaitsForASlowDirector(100);
+        assertOthersStayProvenBesideASlowDirector(100);
     }
 
-    private void assertThatNobodyWaitsForASlowDirector(int eventsPerSecond) {
+    private void assertOthersStayProvenBesideASlowDirector(int eventsPerSecond) {
         EventLogFleet fleet = fleet(new FleetSize(8, 20_000, 100_000, 0.01, 40_000));
         fleet.appendEvenly(eventsPerSecond, 40 * SECOND);
         int slow = EventLogFleet.machine(0);
@@ -296,11 +296,11 @@
                 assertThat(fleet.proven(director)).isTrue();
             }
         }
-        long droppedToCatchUp = IntStream.range(0, EventLogFleet.REPLICAS)
-                .mapToLong(each -> fleet.task(each).feedCounts().droppedToCatchUp()).sum();
-        assertThat(droppedToCatchUp).isPositive();
+        long fellBehind = IntStream.range(0, EventLogFleet.REPLICAS)
+                .mapToLong(each -> fleet.task(each).feedCounts().fellBehind()).sum();
+        assertThat(fellBehind).isPositive();
         assertAllProvenAt(fleet, 50 * SECOND, 8);
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
     }
 
     /** The same with other losses and delays: 8 of 24 seeds had directors unproven, 17 and 19 for longest. */
@@ -313,7 +313,7 @@
         for (long at = 8; at <= 45; at++) {
             assertAllProvenAt(fleet, at * SECOND, 8);
         }
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
         assertThat(fleet.figures().longestMs()).isLessThan(7_100);
     }
 
@@ -335,7 +335,7 @@
             }
         }
         fleet.run(45 * SECOND); // clients still append what they had queued
-        assertHolds(fleet);
+        finishAndAssertNoViolations(fleet);
     }
 
     @Test
@@ -352,7 +352,7 @@
             in[i] = spent.bytesIn() / 20;
             assertThat(spent.bytesIn() / 20).isLessThan(9000);
             assertThat(spent.bytesOut() / 20).isLessThan(9000);
-            assertHolds(fleet);
+            finishAndAssertNoViolations(fleet);
         }
         assertThat(in[1]).isBetween(in[0] * 8 / 10, in[0] * 12 / 10);
     }
--- a/src/test/java/clovermill/controlplane/eventlog/decide/AppendClientTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/AppendClientTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aCallIsSentAgainElsewhereUntilItIsAnswered() {
+    void retriesACallAtOtherReplicasUntilItIsAnswered() {
         AppendClient appender = new AppendClient(List.of(0, 1, 2, 3), 9, 70);
         appender.offer(1, events(5), 0);
         assertThat(appender.tick(0)).isEqualTo(new AppendClient.Request(1, new EventLogMessage.OpenSession(70)));
@@ -41,19 +41,19 @@
     }
 
     @Test
-    void aSessionThatWasDroppedIsToldAndTheNextCallOpensAnother() {
+    void reportsAnExpiredSessionAndOpensAnotherForTheNextCall() {
         AppendClient appender = new AppendClient(List.of(0), 0, 70);
         appender.offer(1, events(5), 0);
         appender.offer(2, events(6), 0);
         appender.sessionOpened(new EventLogMessage.SessionOpened(70, 4), 0);
-        EventLogMessage.AppendAnswer refused =
+        EventLogMessage.AppendAnswer rejected =
                 new EventLogMessage.AppendAnswer(4, 1, new AppendResult(AppendOutcome.SESSION_EXPIRED, 0));
-        assertThat(appender.answered(refused, 0).token()).isEqualTo(1);
+        assertThat(appender.answered(rejected, 0).token()).isEqualTo(1);
         assertThat(appender.tick(0).message()).isEqualTo(new EventLogMessage.OpenSession(71));
     }
 
     @Test
-    void whatIsTooMuchIsRefused() {
+    void rejectsEmptyAndTooLargeCallsAndCallsBeyondTheQueueLimit() {
         AppendClient appender = new AppendClient(List.of(0), 0, 70);
         assertThat(appender.offer(0, List.of(), 0)).isFalse();
         List<Event> large = new ArrayList<>();
@@ -67,9 +67,9 @@
         assertThat(appender.offer(99, events(1), 0)).isFalse();
     }
 
-    /** Over a link that loses, repeats and reorders, each call is one event, in the order of the calls. */
+    /** Over a link that loses, duplicates and reorders messages, each call appends one event, in the order of calls. */
     @Property(tries = 200)
-    void eachCallIsOneEvent(@ForAll long seed) {
+    void appendsOneEventForEachCall(@ForAll long seed) {
         Random random = new Random(seed);
         EventLog log = new EventLog(new EventLog.Bounds(100_000, 10));
         AppendClient appender = new AppendClient(List.of(0, 1), 0, 70);
@@ -86,7 +86,7 @@
                 toLog.add(request.message());
             }
             if (!toLog.isEmpty() && random.nextInt(3) > 0) {
-                EventLogMessage message = toLog.get(random.nextInt(toLog.size())); // maybe an old one, and again later
+                EventLogMessage message = toLog.get(random.nextInt(toLog.size())); // may be old or repeated
                 toClient.add(message instanceof EventLogMessage.OpenSession open
                         ? new EventLogMessage.SessionOpened(open.nonce(), log.openSession())
                         : answer(log, (EventLogMessage.Append) message));
@@ -96,11 +96,11 @@
                 if (message instanceof EventLogMessage.SessionOpened opened) {
                     appender.sessionOpened(opened, now);
                 } else {
-                    AppendClient.CallResult over = appender.answered((EventLogMessage.AppendAnswer) message, now);
-                    if (over != null && over.result().outcome() == AppendOutcome.APPENDED) {
-                        assertThat(done.add(over.token())).isTrue();
-                    } else if (over != null) {
-                        done.add(over.token()); // refused for good: at most one event, checked below
+                    AppendClient.CallResult result = appender.answered((EventLogMessage.AppendAnswer) message, now);
+                    if (result != null && result.result().outcome() == AppendOutcome.APPENDED) {
+                        assertThat(done.add(result.token())).isTrue();
+                    } else if (result != null) {
+                        done.add(result.token()); // finally rejected: at most one event, checked below
                     }
                 }
             }
--- a/src/test/java/clovermill/controlplane/eventlog/decide/EventLogTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/EventLogTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The log against a plain one that keeps everything. */
+/** Compares the log with a plain list of all events. */
 class EventLogTest {
 
     private record Call(long session, long call) {}
@@ -24,27 +24,27 @@
         return new Event(new Subject(Kind.OBJECT_PURGE, key), createdAtMs);
     }
 
-    /** Checks that a range covers all events of its range, and names when what replaced the others is seen. */
+    /** Checks that a range covers all its events: each is present, truncated, or replaced up to {@code completeAt}. */
     static void assertCovers(LogRange range, List<Entry> all) {
         for (Entry each : all) {
             if (each.sequence() <= range.from() || each.sequence() > range.to()) {
                 continue;
             }
             TruncatedPrefix prefix = range.truncatedPrefix();
-            boolean cleared = prefix != null && each.sequence() <= prefix.sequence()
+            boolean truncated = prefix != null && each.sequence() <= prefix.sequence()
                     && each.event().createdAtMs() <= prefix.createdAtMs();
             boolean replaced = all.stream().anyMatch(later -> later.sequence() > each.sequence()
                     && later.sequence() <= range.completeAt()
                     && later.event().subject().equals(each.event().subject()));
-            boolean there = range.entries().stream().anyMatch(entry -> entry.sequence() == each.sequence()
+            boolean present = range.entries().stream().anyMatch(entry -> entry.sequence() == each.sequence()
                     && entry.event().subject().equals(each.event().subject())
                     && entry.event().createdAtMs() >= each.event().createdAtMs());
-            assertThat(there || replaced || cleared).as("%s in %s", each, range).isTrue();
+            assertThat(present || replaced || truncated).as("%s in %s", each, range).isTrue();
         }
     }
 
     @Property(tries = 300)
-    void eachEventHasOneNumberAndEachRangeCoversIt(@ForAll long seed,
+    void assignsOneSequenceNumberToEachEventAndCoversItInEachRange(@ForAll long seed,
             @ForAll @IntRange(min = 20, max = 400) int retentionBytes) {
         Random random = new Random(seed);
         EventLog log = new EventLog(new EventLog.Bounds(retentionBytes, 3));
@@ -80,7 +80,7 @@
     }
 
     @Property(tries = 100)
-    void aSnapshotIsTheLogAndGoesOnLikeIt(@ForAll long seed) {
+    void restoresALogFromASnapshotThatAppendsAlike(@ForAll long seed) {
         Random random = new Random(seed);
         EventLog log = new EventLog(new EventLog.Bounds(150, 2));
         EventLog copy = new EventLog(new EventLog.Bounds(150, 2));
@@ -90,7 +90,7 @@
         for (int i = 1; i < 40; i++) {
             log.append(1 + random.nextInt(2), i, List.of(event(random.nextInt(9), i)));
         }
-        copy.restore(log.state(), log.entries(), log.openSessions());
+        copy.restore(log.state(), log.entries(), log.sessions());
         assertThat(copy).isEqualTo(log);
         for (int i = 40; i < 80; i++) {
             long session = 1L + random.nextInt(3);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void theSameEventAskedForTwiceIsOneEvent() {
+    void appendsNoEventForARepeatedCall() {
         EventLog log = new EventLog(new EventLog.Bounds(1000, 4));
         long session = log.openSession();
         AppendResult first = log.append(session, 1, List.of(event(7, 1), event(8, 1)));
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aSessionThatWasDroppedIsRefusedAndNotTakenForNew() {
+    void rejectsCallsOfADroppedSession() {
         EventLog log = new EventLog(new EventLog.Bounds(1000, 1));
         long first = log.openSession();
         log.append(first, 1, List.of(event(7, 1)));
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void aCallThatCameLateIsNotAppended() {
+    void rejectsACallAfterALaterOneOfItsSession() {
         EventLog log = new EventLog(new EventLog.Bounds(1000, 1));
         long session = log.openSession();
         log.append(session, 2, List.of(event(7, 1)));
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void theLaterEventOfASubjectKeepsTheLaterTime() {
+    void keepsTheLatestCreationTimeOfASubject() {
         EventLog log = new EventLog(new EventLog.Bounds(1000, 1));
         long session = log.openSession();
         log.append(session, 1, List.of(event(7, 500), event(7, 400)));
--- a/src/test/java/clovermill/controlplane/eventlog/decide/FollowerTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/FollowerTest.java
@@ -19,12 +19,12 @@
     private static final ReplicaFeed.Bounds FEED = new ReplicaFeed.Bounds(2_000_000_000L, 2_000_000_000L, 16_000, 10);
 
     /** A director's copy of the log, built from deliveries alone. */
-    private static final class Held {
+    private static final class DirectorCopy {
         private final Map<Subject, Entry> latest = new HashMap<>();
         private TruncatedPrefix prefix = TruncatedPrefix.NONE;
         private long last;
 
-        void take(Delivery delivery) {
+        void apply(Delivery delivery) {
             if (delivery instanceof Delivery.Applied applied) {
                 assertThat(applied.entry().sequence()).isGreaterThan(last);
                 last = applied.entry().sequence();
@@ -37,8 +37,8 @@
         }
 
         boolean covers(Entry entry) {
-            Entry own = latest.get(entry.event().subject());
-            return own != null && own.sequence() >= entry.sequence()
+            Entry latestOfSubject = latest.get(entry.event().subject());
+            return latestOfSubject != null && latestOfSubject.sequence() >= entry.sequence()
                     || prefix.sequence() >= entry.sequence()
                             && prefix.createdAtMs() >= entry.event().createdAtMs();
         }
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aGapIsNotAppliedUntilItIsFilledAndWhatOverlapsIsAppliedOnce() {
+    void appliesARangeAfterAGapOnceTheGapIsFilledAndOverlapsOnce() {
         Follower follower = follower();
         assertThat(follower.receive(0, batch(0, range(0, 3), -1, 0), 1)).hasSize(3);
         assertThat(follower.receive(0, batch(0, range(5, 6), -1, 0), 2)).isEmpty();
@@ -83,12 +83,12 @@
     }
 
     /**
-     * A hundred events a second, fleet seed 17: a director lost one datagram and was unproven for 7.5 s. What came
-     * behind the gap was thrown away, so the replica sent it all again after 0.75 s, two or more batches at once; where
-     * one of these overtook the other, it was thrown away too: 52 events each second were applied of 100 that came.
+     * At 100 events a second with fleet seed 17, a director lost one datagram and was unproven for 7.5 s. It discarded
+     * the batches after the gap, so the replica resent them all after 0.75 s, two or more at once; where one of these
+     * overtook another, it was discarded too. Of 100 events appended each second, 52 were applied.
      */
     @Test
-    void batchesThatOvertakeEachOtherAreAllApplied() {
+    void appliesAllBatchesThatOvertakeEachOther() {
         Follower follower = follower();
         for (long from : new long[] {30, 10, 20, 5}) {
             assertThat(follower.receive(0, batch(0, range(from, from + 10), -1, 0), 1)).isEmpty();
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void batchesKeptForAnotherLogAreDropped() {
+    void dropsEarlyRangesOfAReplacedLog() {
         Follower follower = follower();
         follower.receive(0, batch(0, range(5, 6), -1, 0), 1);
         follower.receive(0, new Batch(77, 0, 6, -1, 0, range(0, 5)), 2);
@@ -107,14 +107,14 @@
     }
 
     @Test
-    void aBatchForAnotherStartOfTheDirectorIsIgnored() {
+    void ignoresABatchForAnotherIncarnation() {
         Follower follower = follower();
         assertThat(follower.receive(0, new Batch(78, 0, 5, 3, 0, range(0, 3)), 1)).isEmpty();
         assertThat(follower.position()).isZero();
     }
 
     @Test
-    void aSilentReplicaIsLeftForAnotherAndThePositionStays() {
+    void failsOverFromASilentReplicaWithoutChangingThePosition() {
         Follower follower = follower();
         follower.tick(0);
         follower.receive(0, batch(1, range(0, 3), 3, 0), 10);
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aReplicaThatAnswersWithoutANewProofIsLeft() {
+    void failsOverFromAReplicaThatAnswersWithoutANewProof() {
         Follower follower = follower();
         for (long now = 0; now < 10_000; now += 100) {
             Follower.Request request = follower.tick(now);
@@ -139,24 +139,24 @@
     }
 
     @Test
-    void whoWentToAnotherReplicaComesBackAfterAWhile() {
+    void returnsToTheHomeReplicaSomeTimeAfterAFailover() {
         Follower follower = follower();
-        int before = follower.replica();
-        boolean left = false;
+        int home = follower.replica();
+        boolean failedOver = false;
         for (long now = 0; now < 200_000; now += 100) {
             Follower.Request request = follower.tick(now);
-            boolean answers = request != null && (now > 5000 || request.replica() != before);
+            boolean answers = request != null && (now > 5000 || request.replica() != home);
             if (answers) {
                 follower.receive(request.replica(), batch(request.follow().requestId(), range(0, 0), 0, 0), now);
             }
-            left |= follower.replica() != before;
+            failedOver |= follower.replica() != home;
         }
-        assertThat(left).isTrue();
-        assertThat(follower.replica()).isEqualTo(before);
+        assertThat(failedOver).isTrue();
+        assertThat(follower.replica()).isEqualTo(home);
     }
 
     @Test
-    void anotherLogBeginsAnew() {
+    void startsAnewWhenAnotherLogReplacesTheFollowedOne() {
         Follower follower = follower();
         follower.tick(0);
         follower.receive(0, batch(1, range(0, 3), 3, 0), 10);
@@ -167,11 +167,11 @@
     }
 
     /**
-     * Three replicas that lag behind one log, links that lose, delay, repeat and reorder, a follower that jumps between
-     * them: what it applied covers all up to its position when complete, and what it calls proven is.
+     * Three replicas lag behind one log, the links lose, delay, duplicate and reorder batches, and a follower switches
+     * between the replicas. Whenever its copy is proven, it covers all events older than the maximum staleness.
      */
     @Property(tries = 300)
-    void whatIsProvenIsHeldAndNothingIsAppliedTwiceOrBackwards(@ForAll long seed) {
+    void provenCopiesAreCompleteAndEachEventIsAppliedOnceAndInOrder(@ForAll long seed) {
         Random random = new Random(seed);
         EventLog.Bounds bounds = new EventLog.Bounds(300, 2);
         List<EventLog> logs = new ArrayList<>();
@@ -185,8 +185,8 @@
         List<Appended> all = new ArrayList<>();
         int[] replicated = new int[3];
         Follower follower = new Follower(TIMING, random.nextInt(3), List.of(0, 1, 2), 77, random, 0);
-        Held held = new Held();
-        List<InFlight> flying = new ArrayList<>();
+        DirectorCopy copy = new DirectorCopy();
+        List<InFlight> inFlight = new ArrayList<>();
         int proven = 0;
         for (long now = 0; now < 40_000; now += 20) {
             if (random.nextInt(8) == 0) {
@@ -201,31 +201,31 @@
                     logs.get(i).append(1, entry.sequence(), List.of(entry.event()));
                 }
                 if (!lags && random.nextInt(20) == 0) {
-                    feeds.get(i).proven(all.size(), now);
+                    feeds.get(i).headProven(all.size(), now);
                 }
                 for (ReplicaFeed.Push push : feeds.get(i).tick(now)) {
-                    flying.add(new InFlight(i, push.batch()));
+                    inFlight.add(new InFlight(i, push.batch()));
                 }
             }
             Follower.Request request = follower.tick(now);
             if (request != null && random.nextInt(5) > 0) {
                 ReplicaFeed.Push push = feeds.get(request.replica()).receive(9, request.follow(), now);
                 if (push != null) {
-                    flying.add(new InFlight(request.replica(), push.batch()));
+                    inFlight.add(new InFlight(request.replica(), push.batch()));
                 }
             }
-            while (!flying.isEmpty() && random.nextInt(3) > 0) {
-                int which = random.nextInt(flying.size());
-                InFlight one = random.nextInt(10) == 0 ? flying.get(which) : flying.remove(which);
+            while (!inFlight.isEmpty() && random.nextInt(3) > 0) {
+                int index = random.nextInt(inFlight.size());
+                InFlight next = random.nextInt(10) == 0 ? inFlight.get(index) : inFlight.remove(index);
                 if (random.nextInt(6) > 0) {
-                    follower.receive(one.from(), one.batch(), now).forEach(held::take);
+                    follower.receive(next.from(), next.batch(), now).forEach(copy::apply);
                 }
             }
             if (follower.freshness().proven(now)) {
                 proven++;
                 for (Appended each : all) {
-                    if (each.atUs() < now - TIMING.stalenessUs()) {
-                        assertThat(held.covers(each.entry())).as("%s at %s", each, now).isTrue();
+                    if (each.atUs() < now - TIMING.maxStalenessUs()) {
+                        assertThat(copy.covers(each.entry())).as("%s at %s", each, now).isTrue();
                     }
                 }
             }
--- a/src/test/java/clovermill/controlplane/eventlog/decide/FreshnessLeaseTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/FreshnessLeaseTest.java
@@ -10,18 +10,18 @@
     private final FreshnessLease freshness = new FreshnessLease(TIMING);
 
     @Test
-    void itCountsFromTheQuestionAndTheAgeOfTheProofNotFromTheAnswer() {
+    void startsAtTheRequestLessTheAgeOfTheProofNotAtTheAnswer() {
         freshness.requestSent(1, 10_000);
         freshness.responseReceived(1, 0, 1000, 14_000);
         freshness.applied(0);
         assertThat(freshness.asOfUs()).isEqualTo(10_000 - 1010);
         assertThat(freshness.provenUntilUs()).isEqualTo(10_000 - 1010 + 4950);
-        assertThat(freshness.proven(10_000 - 1010 + 4949)).isFalse(); // the clock was further already
+        assertThat(freshness.proven(10_000 - 1010 + 4949)).isFalse(); // earlier than the last time passed in
         assertThat(freshness.proven(14_000)).isFalse();
     }
 
     @Test
-    void itEndsAtItsEdge() {
+    void expiresExactlyAtTheMaximumStaleness() {
         freshness.requestSent(1, 10_000);
         freshness.responseReceived(1, 0, 0, 10_100);
         freshness.applied(0);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aProofWaitsUntilAllItNamesIsApplied() {
+    void aProofCountsOnceAllEntriesUpToItsHeadAreApplied() {
         freshness.requestSent(1, 10_000);
         freshness.responseReceived(1, 7, 0, 10_100);
         freshness.applied(6);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aRangeWithHolesProvesNothingUntilWhatReplacedThemIsApplied() {
+    void aCompactedRangeIsUnprovenUntilTheReplacingEventsAreApplied() {
         freshness.requestSent(1, 10_000);
         freshness.responseReceived(1, 7, 0, 10_100);
         freshness.incompleteUntil(9);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void anAnswerToAQuestionThatWasNotAskedOrWithoutAProofProvesNothing() {
+    void ignoresAnswersToUnknownRequestsAndAnswersWithoutAValidProof() {
         freshness.requestSent(1, 10_000);
         freshness.responseReceived(2, 0, 0, 10_100);
         freshness.responseReceived(1, -1, 0, 10_100);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aClockThatRunsBackDropsTheProof() {
+    void dropsTheProofWhenTheClockGoesBackwards() {
         freshness.requestSent(1, 10_000);
         freshness.responseReceived(1, 0, 0, 10_100);
         freshness.applied(0);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void manyQuestionsAndProofsAreForgottenAndProveLessNeverMore() {
+    void dropsTheOldestOfManyRequestsAndProofsWithoutExtendingTheLease() {
         for (int i = 1; i <= 100; i++) {
             freshness.requestSent(i, 10_000 + i);
             freshness.responseReceived(i, 1000 + i, 0, 10_000 + i);
--- a/src/test/java/clovermill/controlplane/eventlog/decide/ReplayWindowTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/ReplayWindowTest.java
@@ -14,21 +14,21 @@
 class ReplayWindowTest {
 
     @Property
-    void nothingIsTakenTwiceAndNothingNewWithinTheWindowIsLost(
+    void acceptsEachNumberWithinTheWindowExactlyOnce(
             @ForAll @Size(max = 200) List<@LongRange(min = -100, max = 200) Long> numbers) {
         ReplayWindow window = new ReplayWindow();
-        Set<Long> taken = new HashSet<>();
+        Set<Long> received = new HashSet<>();
         long highest = Long.MIN_VALUE;
         for (long number : numbers) {
             boolean old = highest != Long.MIN_VALUE && highest - number >= 64;
-            assertThat(window.accept(1, number)).isEqualTo(!old && !taken.contains(number));
-            taken.add(number);
+            assertThat(window.accept(1, number)).isEqualTo(!old && !received.contains(number));
+            received.add(number);
             highest = Math.max(highest, number);
         }
     }
 
     @Test
-    void eachStartOfASenderHasItsOwnWindowAndTheFifthForgetsTheOneThatWasSilentLongest() {
+    void hasOneWindowForEachIncarnationAndEvictsTheLeastRecentlyUsedOfFive() {
         ReplayWindow window = new ReplayWindow();
         for (long incarnation = 1; incarnation <= 4; incarnation++) {
             assertThat(window.accept(incarnation, 5)).isTrue();
@@ -37,6 +37,6 @@
         assertThat(window.accept(1, 6)).isTrue();
         assertThat(window.accept(5, 5)).isTrue();
         assertThat(window.accept(1, 6)).isFalse();
-        assertThat(window.accept(2, 5)).isTrue(); // was forgotten
+        assertThat(window.accept(2, 5)).isTrue(); // evicted
     }
 }
--- a/src/test/java/clovermill/controlplane/eventlog/decide/ReplicaFeedTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/ReplicaFeedTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void whoDoesNotAcknowledgeGetsAWindowAndNobodyElseWaits() {
+    void sendsAWindowToAFollowerThatDoesNotAcknowledgeWithoutDelayingOthers() {
         ReplicaFeed feed = feed(new ReplicaFeed.Bounds(1_000_000, 10_000_000, 4000, 10));
         append(1);
         feed.receive(1, follow(1, 0, false), 0);
@@ -41,9 +41,9 @@
         long prompt = 0;
         int toSlow = 0;
         int batches = 0;
-        for (long now = 0; now < 60 * SECOND; now += TIMING.batchUs()) {
+        for (long now = 0; now < 60 * SECOND; now += TIMING.batchIntervalUs()) {
             append(25);
-            feed.receive(1, follow(1, 0, false), now); // alive, and never further
+            feed.receive(1, follow(1, 0, false), now); // reports, but its position never advances
             int slowNow = 0;
             for (ReplicaFeed.Push push : feed.tick(now)) {
                 if (push.director() == 2) {
@@ -58,35 +58,35 @@
             toSlow += slowNow;
             assertThat(prompt).isEqualTo(log.head());
         }
-        // Once by its silence, while all there was fitted the window, and then by a full window, for good.
-        assertThat(feed.counts().droppedToCatchUp()).isEqualTo(2);
-        assertThat(feed.catchingUp()).isEqualTo(1);
+        // Once by the timeout, while all events fitted the window, and then permanently by a full window.
+        assertThat(feed.counts().fellBehind()).isEqualTo(2);
+        assertThat(feed.catchingUpCount()).isEqualTo(1);
         assertThat(batches).isPositive();
         assertThat(toSlow).isLessThan(60 * 4 * 5400 / 3);
     }
 
     @Test
-    void whoFallsBehindBeyondTheWindowIsDroppedToCatchUpAndComesBack() {
+    void pacesAFollowerThatFallsBehindTheWindowUntilItHasCaughtUp() {
         ReplicaFeed feed = feed(new ReplicaFeed.Bounds(1_000_000, 10_000_000, 2000, 10));
         append(1);
         long position = 0;
         long now = 0;
         feed.receive(1, follow(1, 0, false), now);
-        for (; now < 2 * SECOND; now += TIMING.batchUs()) {
+        for (; now < 2 * SECOND; now += TIMING.batchIntervalUs()) {
             for (ReplicaFeed.Push push : feed.tick(now)) {
                 position = push.batch().range().to();
                 feed.receive(1, follow(1, position, false), now);
             }
         }
-        assertThat(feed.catchingUp()).isZero();
+        assertThat(feed.catchingUpCount()).isZero();
         append(400);
-        for (; now < 3 * SECOND; now += TIMING.batchUs()) {
+        for (; now < 3 * SECOND; now += TIMING.batchIntervalUs()) {
             feed.tick(now);
             append(1);
         }
-        assertThat(feed.catchingUp()).isEqualTo(1);
-        assertThat(feed.counts().droppedToCatchUp()).isEqualTo(1);
-        for (; now < 10 * SECOND; now += TIMING.batchUs()) {
+        assertThat(feed.catchingUpCount()).isEqualTo(1);
+        assertThat(feed.counts().fellBehind()).isEqualTo(1);
+        for (; now < 10 * SECOND; now += TIMING.batchIntervalUs()) {
             feed.receive(1, follow(1, position, false), now);
             for (ReplicaFeed.Push push : feed.tick(now)) {
                 position = push.batch().range().from() <= position ? push.batch().range().to() : position;
@@ -94,11 +94,11 @@
             }
         }
         assertThat(position).isEqualTo(log.head());
-        assertThat(feed.catchingUp()).isZero();
+        assertThat(feed.catchingUpCount()).isZero();
     }
 
     @Test
-    void whoComesBackPastRetentionIsToldToClear() {
+    void sendsTheTruncatedPrefixToAFollowerBehindRetention() {
         append(20_000);
         ReplicaFeed feed = feed(ReplicaFeed.Bounds.DEFAULT);
         feed.receive(1, follow(1, 10, false), 0);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aFollowerIsSentNoMoreThanItsRateInAnyTenSeconds() {
+    void sendsAFollowerNoMoreThanItsRateOverTenSeconds() {
         append(10_000);
         ReplicaFeed feed = feed(ReplicaFeed.Bounds.DEFAULT);
         Random random = new Random(4);
@@ -130,12 +130,12 @@
     }
 
     @Test
-    void allTogetherAreSentNoMoreThanTheReplicasRateAndEachGetsItsTurn() {
+    void sendsAllFollowersNoMoreThanTheReplicasRateAndServesEach() {
         append(4000);
         ReplicaFeed feed = feed(new ReplicaFeed.Bounds(7000, 50_000, 16_000, 200));
         long[] positions = new long[100];
         long sent = 0;
-        for (long now = 0; now < 20 * SECOND; now += TIMING.batchUs()) {
+        for (long now = 0; now < 20 * SECOND; now += TIMING.batchIntervalUs()) {
             for (int i = 0; i < positions.length; i++) {
                 feed.receive(i, follow(i, positions[i], false), now);
             }
@@ -149,20 +149,20 @@
     }
 
     @Test
-    void oneMoreThanTheMostIsRefusedAndAPlaceIsFreeWhenSomebodyHasGone() {
+    void rejectsAFollowerBeyondTheLimitUntilAnotherExpires() {
         append(1);
         ReplicaFeed feed = feed(new ReplicaFeed.Bounds(7000, 50_000, 16_000, 2));
         assertThat(feed.receive(1, follow(1, 0, true), 0)).isNotNull();
         assertThat(feed.receive(2, follow(2, 0, true), 0)).isNotNull();
         assertThat(feed.receive(3, follow(3, 0, true), 0)).isNull();
-        assertThat(feed.counts().refused()).isEqualTo(1);
+        assertThat(feed.counts().rejected()).isEqualTo(1);
         feed.tick(6 * SECOND);
         assertThat(feed.receive(3, follow(3, 0, true), 6 * SECOND)).isNotNull();
-        assertThat(feed.followers()).isEqualTo(1);
+        assertThat(feed.followerCount()).isEqualTo(1);
     }
 
     @Test
-    void aFollowerThatIsFurtherThanTheReplicaIsSentNothingOld() {
+    void sendsNoEarlierEntriesToAFollowerAheadOfTheReplica() {
         append(5);
         ReplicaFeed feed = feed(ReplicaFeed.Bounds.DEFAULT);
         feed.receive(1, follow(1, 9, false), 0);
@@ -172,18 +172,18 @@
     }
 
     /**
-     * A hundred events a second: three directors followed a replica that was 5 s behind and did not catch up. It read
-     * the head at the leader each 0.25 s and passed that proof on, so they took it for a good replica, stayed, and were
-     * unproven from 13 s on: "2:r2 p222 a5280/436", position 222 of 575, own proof 5,280 ms old, the replica's 436 ms.
+     * At 100 events a second, three directors followed a replica that was 5 s behind and did not catch up. It read the
+     * head at the leader every 0.25 s and sent that proof to them, so they did not fail over, and were unproven from
+     * 13 s on: position 222 of 575, own proof 5,280 ms old, the replica's proof 436 ms old.
      */
     @Test
-    void aProofIsPassedOnOnceTheLogHasReachedItsHead() {
+    void sendsAProofOnceTheLogHasReachedItsHead() {
         ReplicaFeed feed = feed(ReplicaFeed.Bounds.DEFAULT);
         append(10);
-        feed.proven(10, 0);
+        feed.headProven(10, 0);
         assertThat(feed.receive(1, follow(1, 0, true), SECOND).batch().provenHead()).isEqualTo(10);
-        feed.proven(14, SECOND);
-        feed.proven(16, 2 * SECOND);
+        feed.headProven(14, SECOND);
+        feed.headProven(16, 2 * SECOND);
         EventLogMessage.Batch behind = feed.receive(1, follow(1, 0, true), 3 * SECOND).batch();
         assertThat(behind.provenHead()).isEqualTo(10);
         assertThat(behind.proofAgeUs()).isEqualTo(3 * SECOND);
@@ -194,10 +194,10 @@
     }
 
     @Test
-    void proofsThatWaitAreBounded() {
+    void boundsTheNumberOfPendingProofs() {
         ReplicaFeed feed = feed(ReplicaFeed.Bounds.DEFAULT);
         for (int i = 1; i <= 10_000; i++) {
-            feed.proven(i, i);
+            feed.headProven(i, i);
         }
         append(9_990);
         assertThat(feed.receive(1, follow(1, 0, true), 10_000).batch().provenHead()).isEqualTo(9_990);
