--- a/src/main/java/clovermill/controlplane/discovery/CopiesPurged.java
+++ b/src/main/java/clovermill/controlplane/discovery/CopiesPurged.java
@@ -1,10 +1,10 @@
 package clovermill.controlplane.discovery;
 
 /**
- * A purge: copies of an object, or of all objects of a group, from before it must not be served.
+ * A purge: older copies of an object, or of all objects of a group, must not be served.
  *
- * @param object the object, null where the purge is of a group
- * @param group the group, 0 where the purge is of an object
- * @param stampUnixMs when the purge was made, by the writer's clock
+ * @param object the object, null for the purge of a group
+ * @param group the group, 0 for the purge of an object
+ * @param timestampUnixMs the time of the purge, by the publisher's clock
  */
-public record CopiesPurged(long cursor, Long object, int group, long stampUnixMs) implements DiscoveryEvent {}
+public record CopiesPurged(long cursor, Long object, int group, long timestampUnixMs) implements DiscoveryEvent {}
--- a/src/main/java/clovermill/controlplane/discovery/DiscoveryClient.java
+++ b/src/main/java/clovermill/controlplane/discovery/DiscoveryClient.java
@@ -15,19 +15,19 @@
 import java.util.function.Consumer;
 
 /**
- * Long-polls the command channel: the next poll leaves as soon as an answer is read. A broken connection is replaced
- * with backoff, and the first poll on it resumes after the last event that was applied.
+ * A client that long-polls the command channel: it sends the next poll as soon as it has read an answer. It replaces a
+ * lost connection with backoff, and the first poll on a new one resumes after the last event that was applied.
  */
 public final class DiscoveryClient implements Connection.Handler {
 
     private static final System.Logger LOG = System.getLogger(DiscoveryClient.class.getName());
     /**
-     * How long the channel may delay an answer while it has no event. It is short: events have to take effect from the
-     * moment they are made, and that a channel has gone silent shows only after this time.
+     * The time for which the channel may delay an answer while it has no event. It is short because events must take
+     * effect promptly after their creation, and a silent channel is detected only after this time.
      */
     private static final long LONG_POLL_MS = 1000;
     private static final long ANSWER_GRACE_US = 500_000;
-    /** By the protocol page events have to be applied 2 s after the end of the delay that a poll allows. */
+    /** The protocol page requires events to be applied within 2 s after the delay that a poll allows. */
     private static final long STALE_AFTER_US = LONG_POLL_MS * 1000 + 2_000_000;
 
     private final EventLoop loop;
@@ -46,10 +46,10 @@
     private long lastAnswerUs = DiscoveryEvents.NEVER_ANSWERED_US;
 
     /**
-     * A client that does nothing before {@link #start()}.
+     * Creates a client that is inactive until {@link #start()}.
      *
-     * @param cursor the number of the last event that is known
-     * @param listener gets each event by itself, on the loop
+     * @param cursor the number of the last known event
+     * @param listener receives each event separately, on the event loop
      */
     public DiscoveryClient(EventLoop loop, Clock clock, Deadlines deadlines, InetSocketAddress address,
             DiscoverySettings settings, long cursor, Consumer<DiscoveryEvents> listener) {
@@ -60,17 +60,17 @@
         this.settings = settings;
         this.cursor = cursor;
         this.listener = listener;
-        this.backoff = new ReconnectBackoff(settings.bindWindowUs(), settings.connectTimeoutUs());
+        this.backoff = new ReconnectBackoff(settings.effectWindowUs(), settings.connectTimeoutUs());
         this.staleness = new StalenessMonitor(STALE_AFTER_US, clock.micros());
     }
 
-    /** Connects, and from then on replaces each connection that ends. */
+    /** Connects, and from then on replaces each closed connection. */
     public void start() {
         checkStaleness();
         connect();
     }
 
-    /** Moves to another address and resumes there after the last event that was applied. */
+    /** Switches to another address and resumes there after the last event that was applied. */
     public void reconnectTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Whether the channel has answered at least once. */
+    /** Returns whether the channel has answered at least once. */
     public boolean hasAnswered() {
         return lastAnswerUs != DiscoveryEvents.NEVER_ANSWERED_US;
     }
@@ -161,7 +161,7 @@
         }
     }
 
-    /** An event that fails is not asked for again: it would fail again, and block the events behind it for good. */
+    /** Delivers an event. A failed event is not requested again: it would fail again and block all later events. */
     private void deliver(DiscoveryEvent event, long previousAnswerUs) {
         try {
             listener.accept(new DiscoveryEvents(event.cursor(), List.of(event), previousAnswerUs));
--- a/src/main/java/clovermill/controlplane/discovery/DiscoveryEvent.java
+++ b/src/main/java/clovermill/controlplane/discovery/DiscoveryEvent.java
@@ -1,8 +1,8 @@
 package clovermill.controlplane.discovery;
 
-/** One event of the command channel. */
+/** An event of the command channel. */
 public sealed interface DiscoveryEvent permits EndpointListChanged, CopiesPurged, UnusableEvent {
 
-    /** The number of the event; a poll resumes after it. */
+    /** Returns the number of the event, after which a poll can resume. */
     long cursor();
 }
--- a/src/main/java/clovermill/controlplane/discovery/DiscoveryEventParser.java
+++ b/src/main/java/clovermill/controlplane/discovery/DiscoveryEventParser.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Reads the JSON of the command channel, {@code {"cursor":N,"cmds":[...]}}, which is also the form of the
- * configuration's {@code known}.
+ * A parser for the JSON of the command channel, {@code {"cursor":N,"cmds":[...]}}, which is also the format of
+ * {@code known} in the configuration.
  */
 public final class DiscoveryEventParser {
 
@@ -24,13 +24,13 @@
     }
 
     /**
-     * Reads the events of an answer. A malformed event becomes an {@link UnusableEvent} in its place instead of an
-     * error: asking for it again would bring it again, and the drains and purges after it would never be applied.
-     * Events of unknown types, which later versions may add, are passed over.
+     * Parses the events of an answer. A malformed event becomes an {@link UnusableEvent} in its place instead of an
+     * error: a repeated request would return it again, and the drains and purges after it would never be applied.
+     * Events of unknown types, which later versions may add, are skipped.
      *
-     * @param zones the settings' names of zones
-     * @param kinds the settings' names of kinds of endpoints
-     * @throws Json.Malformed if not even the numbers of the events can be read
+     * @param zones the names of the zones in the settings
+     * @param kinds the names of the endpoint kinds in the settings
+     * @throws Json.Malformed if the numbers of the events cannot be read
      */
     public static DiscoveryEvents parse(Object json, List<String> zones, List<String> kinds) throws Json.Malformed {
         DiscoveryEventParser parser = new DiscoveryEventParser(zones, kinds);
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Adds a list of endpoints. A full list with an unusable entry, or without any entry, is applied as changes: it is
-     * no evidence that an endpoint which it does not name is gone.
+     * Adds a list of endpoints. A full list with an unusable entry, or without any entry, is applied as changes: the
+     * absence of an endpoint from it is not evidence that the endpoint is gone.
      */
     private void parseList(long cursor, Map<?, ?> list) throws Json.Malformed {
         List<ListedEndpoint> endpoints = new ArrayList<>();
@@ -71,7 +71,7 @@
             }
         }
         if (full && endpoints.isEmpty()) {
-            events.add(new UnusableEvent(cursor, "nodes.servers: a full list without endpoints"));
+            events.add(new UnusableEvent(cursor, "nodes.servers: the full list has no endpoints"));
             complete = false;
         }
         events.add(new EndpointListChanged(cursor, full && complete, endpoints));
@@ -99,22 +99,22 @@
     }
 
     private static CopiesPurged purge(long cursor, Map<?, ?> drop) throws Json.Malformed {
-        long stampUnixMs = (long) Json.number(drop, "when");
+        long timestampUnixMs = (long) Json.number(drop, "when");
         if (drop.get("id") == null) {
-            return new CopiesPurged(cursor, null, (int) Json.number(drop, "family"), stampUnixMs);
+            return new CopiesPurged(cursor, null, (int) Json.number(drop, "family"), timestampUnixMs);
         }
         String id = Json.string(drop, "id");
         try {
-            return new CopiesPurged(cursor, Long.parseUnsignedLong(id, 16), 0, stampUnixMs);
+            return new CopiesPurged(cursor, Long.parseUnsignedLong(id, 16), 0, timestampUnixMs);
         } catch (NumberFormatException notHexadecimal) {
-            throw new Json.Malformed("not an object: " + id);
+            throw new Json.Malformed("not an object id: " + id);
         }
     }
 
     private static int indexOf(List<String> names, Map<?, ?> server, String field) throws Json.Malformed {
         String name = Json.string(server, field);
         if (!names.contains(name)) {
-            throw new Json.Malformed(field + ": the settings name no " + name);
+            throw new Json.Malformed(field + ": not defined in the settings: " + name);
         }
         return names.indexOf(name);
     }
--- a/src/main/java/clovermill/controlplane/discovery/DiscoverySettings.java
+++ b/src/main/java/clovermill/controlplane/discovery/DiscoverySettings.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * How the command channel is read.
+ * The settings of the discovery client.
  *
- * @param zones the settings' names of zones
- * @param kinds the settings' names of kinds of endpoints
- * @param connectTimeoutUs how long a connection attempt may take
- * @param bindWindowUs the shorter of the times within which drains and purges have to take effect
+ * @param zones the names of the zones in the settings
+ * @param kinds the names of the endpoint kinds in the settings
+ * @param connectTimeoutUs the timeout of a connection attempt
+ * @param effectWindowUs the shorter of the times within which drains and purges must take effect
  */
 public record DiscoverySettings(List<String> zones, List<String> kinds, long connectTimeoutUs,
-        long bindWindowUs) {}
+        long effectWindowUs) {}
--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -19,26 +19,26 @@
 import java.util.Set;
 
 /**
- * The endpoints that are listed now. Applies discovery events and operators' outages to the routing module and to the
- * pool of connections, and withdraws queued requests that must not reach an endpoint any more.
+ * The registry of the currently listed endpoints. Applies discovery events and operators' outages to the routing module
+ * and the connection pool, and withdraws queued requests that must no longer reach an endpoint.
  */
 public final class EndpointRegistry {
 
     private static final Logger LOG = System.getLogger(EndpointRegistry.class.getName());
-    /** Cache ids that are remembered after the list has dropped them. */
+    /** The maximum number of cache ids that are remembered, also after their removal from the list. */
     private static final int MAX_KNOWN_CACHES = 1000;
 
     private final Map<String, ListedEndpoint> listed = new LinkedHashMap<>();
     private final StartTimes startTimes;
     private final PurgeAgeEstimator purgeAges = new PurgeAgeEstimator();
-    /** Whether outages were merged before: returns that are first seen later have just happened. */
+    /** True after the first merge of outages: caches found enabled later were enabled just before. */
     private boolean outagesMerged;
     private final Clock clock;
     private final UpstreamPool pool;
     private final ProxyCore proxy;
     private final OutageRegistry outages;
     private final int originKind;
-    /** Caches that were ever listed: an operator may take out or put back one that the list does not name just now. */
+    /** Caches that were ever listed: an operator may disable or enable one that is not in the current list. */
     private final Map<String, Boolean> knownCaches = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
@@ -49,10 +49,10 @@
     };
 
     /**
-     * A registry without endpoints.
+     * Creates a registry without endpoints.
      *
-     * @param outages which caches operators have taken out; they count as draining
-     * @param originKind the kind of the origin, which is no cache and cannot be taken out
+     * @param outages the caches that operators have disabled; they count as draining
+     * @param originKind the kind of the origin, which is not a cache and cannot be disabled
      */
     public EndpointRegistry(Clock clock, UpstreamPool pool, ProxyCore proxy, OutageRegistry outages, int originKind) {
         this.clock = clock;
@@ -63,23 +63,23 @@
         this.startTimes = new StartTimes(clock.micros(), clock.unixMillis());
     }
 
-    /** Whether a cache of that id was ever listed. */
+    /** Returns whether a cache with this id was ever listed. */
     public boolean isKnownCache(String id) {
         return knownCaches.containsKey(id);
     }
 
-    /** Whether operators have taken a cache out. */
-    public boolean isOut(String id) {
+    /** Returns whether operators have disabled a cache. */
+    public boolean isDisabled(String id) {
         return outages.isOut(id);
     }
 
-    /** Whether any endpoint is listed. */
+    /** Returns whether any endpoint is listed. */
     public boolean hasEndpoints() {
         return !listed.isEmpty();
     }
 
-    /** Sends nothing more to a cache, and fills nothing from it, until it is put back. */
-    public void takeOut(String id) {
+    /** Disables a cache: it gets no more requests and fills until it is enabled. */
+    public void disable(String id) {
         if (outages.takeOut(id)) {
             publishOutages(id);
             withdrawFrom(Set.of(id));
@@ -87,39 +87,42 @@
     }
 
     /**
-     * Ends an outage: the cache has the availability that the list gives it, and counts as started now, since it was
-     * restarted during the outage.
+     * Enables a cache: it has the availability given by the list, and counts as started now, since it was restarted
+     * during the outage.
      *
-     * @param stampUnixMs identifies this return among those of the cache; it is not used as a time
+     * @param timestampUnixMs identifies this call among those for the cache; it is not used as a time
      */
-    public void putBack(String id, long stampUnixMs) {
-        if (outages.putBack(id, stampUnixMs, clock.micros())) {
+    public void enable(String id, long timestampUnixMs) {
+        if (outages.putBack(id, timestampUnixMs, clock.micros())) {
             publishOutages(id);
         }
     }
 
     /**
-     * Merges the outages and returns that all processes of this director have recorded.
+     * Merges the outages that all processes of this director have recorded.
      *
-     * @param out the caches that are out; all others are put back
-     * @param back the stamp of the last return of each cache, in Unix milliseconds
+     * @param disabledIds the caches that are disabled; all others are enabled
+     * @param enabledAt the timestamp, in Unix milliseconds, of the last time that each cache was enabled
      */
-    public void mergeOutages(Set<String> out, Map<String, Long> back) {
-        for (String id : out) {
-            takeOut(id);
+    public void mergeOutages(Set<String> disabledIds, Map<String, Long> enabledAt) {
+        for (String id : disabledIds) {
+            disable(id);
         }
         for (String id : outages.allOut()) {
-            if (!out.contains(id)) {
-                putBack(id, back.getOrDefault(id, 0L));
+            if (!disabledIds.contains(id)) {
+                enable(id, enabledAt.getOrDefault(id, 0L));
             }
         }
-        back.forEach((id, stamp) -> outages.mergeReturn(id, stamp, returnedUs(stamp)));
+        enabledAt.forEach((id, timestamp) -> outages.mergeReturn(id, timestamp, enabledUs(timestamp)));
         outagesMerged = true;
     }
 
-    /** A return found at the first merge may be long ago; one found later was made since the merge before. */
-    private long returnedUs(long stampUnixMs) {
-        return outagesMerged ? clock.micros() : startTimes.beforeProcessStartUs(stampUnixMs, clock.micros());
+    /**
+     * Returns when a cache was enabled, on the monotonic clock. A timestamp found at the first merge may be old; one
+     * found later was set since the previous merge.
+     */
+    private long enabledUs(long timestampUnixMs) {
+        return outagesMerged ? clock.micros() : startTimes.beforeProcessStartUs(timestampUnixMs, clock.micros());
     }
 
     private void publishOutages(String changedId) {
@@ -130,9 +133,9 @@
         }
     }
 
-    /** Applies the configuration's events at the start: one list with all endpoints, and then the purges. */
+    /** Applies the events of the configuration at the start: one list with all endpoints, then the purges. */
     public void applyInitial(DiscoveryEvents known) {
-        known.events().forEach(this::observeStamps);
+        known.events().forEach(this::observeTimestamps);
         for (DiscoveryEvent event : known.events()) {
             if (event instanceof EndpointListChanged list) {
                 updateList(list, true);
@@ -144,33 +147,33 @@
         List<CopiesPurged> purges = known.events().stream().filter(CopiesPurged.class::isInstance)
                 .map(CopiesPurged.class::cast).toList();
         long[] agesUs = PurgeAgeEstimator.initialAgesUs(
-                purges.stream().map(CopiesPurged::stampUnixMs).toList());
+                purges.stream().map(CopiesPurged::timestampUnixMs).toList());
         for (int i = 0; i < agesUs.length; i++) {
             purge(purges.get(i), agesUs[i]);
         }
     }
 
-    private void observeStamps(DiscoveryEvent event) {
+    private void observeTimestamps(DiscoveryEvent event) {
         if (event instanceof EndpointListChanged list) {
-            list.endpoints().forEach(endpoint -> startTimes.observeStamp(endpoint.startedUnixMs(),
+            list.endpoints().forEach(endpoint -> startTimes.observeTimestamp(endpoint.startedUnixMs(),
                     clock.micros()));
         } else if (event instanceof CopiesPurged purge) {
-            startTimes.observeStamp(purge.stampUnixMs(), clock.micros());
+            startTimes.observeTimestamp(purge.timestampUnixMs(), clock.micros());
         }
     }
 
-    /** Applies the events of a poll in their order. */
+    /** Applies the events of a poll in order. */
     public void apply(DiscoveryEvents polled) {
         boolean first = polled.previousAnswerUs() == DiscoveryEvents.NEVER_ANSWERED_US;
         if (first) {
-            polled.events().forEach(this::observeStamps);
+            polled.events().forEach(this::observeTimestamps);
         }
         for (DiscoveryEvent event : polled.events()) {
             if (event instanceof EndpointListChanged list) {
                 applyList(list, first);
             } else if (event instanceof CopiesPurged purge) {
                 purge(purge,
-                        purgeAges.ageUs(purge.stampUnixMs(), clock.micros(), polled.previousAnswerUs()));
+                        purgeAges.ageUs(purge.timestampUnixMs(), clock.micros(), polled.previousAnswerUs()));
             } else if (event instanceof UnusableEvent unusable) {
                 logUnusable(unusable);
             }
@@ -190,9 +193,9 @@
     }
 
     /**
-     * Updates the list.
+     * Updates the list of endpoints.
      *
-     * @param first whether endpoints may have started before this process
+     * @param first true if endpoints may have started before this process
      * @return the ids of endpoints that must get no more requests
      */
     private Set<String> updateList(EndpointListChanged list, boolean first) {
@@ -232,8 +235,8 @@
     }
 
     /**
-     * Withdraws requests that are queued for endpoints that drain or are gone, or for fills from them. The module has
-     * to have the new list by then: it sends these requests elsewhere.
+     * Withdraws requests that are queued for unavailable endpoints, or for fills from them. The routing module must
+     * already have the new list, as it reroutes these requests.
      */
     private void withdrawFrom(Set<String> unavailable) {
         if (!unavailable.isEmpty()) {
@@ -246,7 +249,7 @@
         }
     }
 
-    /** The endpoint with its start on the monotonic clock in microseconds, 0 for long ago. */
+    /** Returns the endpoint with its start time on the monotonic clock in microseconds, 0 for long ago. */
     private Member member(ListedEndpoint endpoint) {
         Member member = endpoint.member();
         long startedUs = outages.startedUs(member.id(),
@@ -255,7 +258,7 @@
                 member.weight(), startedUs);
     }
 
-    /** Purges, and withdraws queued requests for what is purged: they might be answered with an older copy. */
+    /** Applies a purge and withdraws queued requests for purged objects, which might be answered with an older copy. */
     private void purge(CopiesPurged purge, long ageUs) {
         proxy.handle(new Purge(purge.object(), purge.group(), ageUs));
         pool.withdraw(ask -> purge.object() == null ? ask.group() == purge.group()
--- a/src/main/java/clovermill/controlplane/discovery/HttpResponseParser.java
+++ b/src/main/java/clovermill/controlplane/discovery/HttpResponseParser.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 
 /**
- * Reads HTTP/1.1 responses from bytes that arrive in pieces of any size (RFC 9112). A body has a length, comes in
- * chunks, or ends with the connection. Each method throws a {@link ProtocolException} for bytes that are no response.
+ * An incremental parser for HTTP/1.1 responses (RFC 9112). A body has a length, is chunked, or is delimited by the
+ * close of the connection. Each method throws a {@link ProtocolException} for bytes that are not a valid response.
  */
 final class HttpResponseParser {
 
-    /** Gets complete responses. */
+    /** A receiver of complete responses. */
     interface Handler {
-        /** One response; {@code last} if the connection takes no further request. */
+        /** Handles a response; {@code last} if the connection accepts no further request. */
         void response(int status, String body, boolean last) throws ProtocolException;
     }
 
@@ -39,7 +39,7 @@
         this.handler = handler;
     }
 
-    /** Reads all bytes of {@code data}. */
+    /** Parses all bytes of {@code data}, which may be split at any position of a response. */
     void parse(ByteBuffer data) throws ProtocolException {
         while (data.hasRemaining()) {
             if (state == State.SIZED || state == State.CHUNK || state == State.UNSIZED) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The peer has closed the connection, which ends a body without a length. */
+    /** Handles the close of the connection by the peer, which completes a body without a length. */
     void end() throws ProtocolException {
         if (state == State.UNSIZED) {
             finish();
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Passes the response on, unless it is an interim one (1xx), and expects the next. */
+    /** Passes the response to the handler unless it is interim (1xx), and prepares for the next one. */
     private void finish() throws ProtocolException {
         String connection = headers.getOrDefault("connection", http10 ? "close" : "").toLowerCase(Locale.ROOT);
         boolean last = state == State.UNSIZED || connection.contains("close");
--- a/src/main/java/clovermill/controlplane/discovery/ListedEndpoint.java
+++ b/src/main/java/clovermill/controlplane/discovery/ListedEndpoint.java
@@ -4,14 +4,14 @@
 import java.net.InetSocketAddress;
 
 /**
- * An endpoint as the command channel lists it.
+ * An endpoint as listed by the command channel.
  *
- * @param member its attributes for routing, zone and kind as indexes of the settings' lists; without a start time
- * @param startedUnixMs the writer's stamp of its last start, 0 for long ago
+ * @param member its routing attributes, with zone and kind as indexes into the settings' lists; without a start time
+ * @param startedUnixMs the publisher's timestamp of its last start, 0 for long ago
  */
 public record ListedEndpoint(Member member, InetSocketAddress address, long startedUnixMs) {
 
-    /** The endpoint's identifier. */
+    /** Returns the endpoint's id. */
     String id() {
         return member.id();
     }
--- a/src/main/java/clovermill/controlplane/discovery/StalenessMonitor.java
+++ b/src/main/java/clovermill/controlplane/discovery/StalenessMonitor.java
@@ -1,8 +1,8 @@
 package clovermill.controlplane.discovery;
 
 /**
- * Measures how long the command channel has not answered, and reports each period without answers twice: once when it
- * exceeds a limit, and once when it ends. Does no I/O and reads no clock; all times are of the monotonic clock.
+ * A monitor of the time since the last answer of the command channel. Reports each period without answers twice: when
+ * it exceeds a limit, and at its end. Does no I/O and reads no clock; all times are of the monotonic clock.
  */
 final class StalenessMonitor {
 
@@ -15,20 +15,20 @@
         this.lastAnswerUs = nowUs;
     }
 
-    /** When {@link #becameStale} is to be called next. */
+    /** Returns when {@link #becameStale} is due next. */
     long nextCheckUs(long nowUs) {
         long staleAtUs = lastAnswerUs + limitUs;
         return nowUs < staleAtUs ? staleAtUs : nowUs + limitUs;
     }
 
-    /** Whether the limit is exceeded and that was not reported yet. */
+    /** Returns true once for each period without answers that exceeds the limit. */
     boolean becameStale(long nowUs) {
         boolean stale = !reported && nowUs - lastAnswerUs >= limitUs;
         reported |= stale;
         return stale;
     }
 
-    /** Notes an answer; returns how long there had been none if that was reported as stale, else 0. */
+    /** Records an answer; returns the length of the period without answers if it was reported as stale, else 0. */
     long answered(long nowUs) {
         long staleUs = reported ? nowUs - lastAnswerUs : 0;
         lastAnswerUs = nowUs;
--- a/src/main/java/clovermill/controlplane/discovery/UnusableEvent.java
+++ b/src/main/java/clovermill/controlplane/discovery/UnusableEvent.java
@@ -1,4 +1,4 @@
 package clovermill.controlplane.discovery;
 
-/** An event, or one entry of a list, that cannot be used; everything else that came with it can. */
+/** An event, or one entry of a list, that cannot be used; the rest of the answer is applied. */
 public record UnusableEvent(long cursor, String reason) implements DiscoveryEvent {}
--- a/src/main/java/clovermill/director/operations/GossipedOutages.java
+++ b/src/main/java/clovermill/director/operations/GossipedOutages.java
@@ -17,13 +17,13 @@
 
     @Override
     public void accept(String id, Boolean out) {
-        if (out && !registry.isOut(id)) {
+        if (out && !registry.isDisabled(id)) {
             marks.takeOut(id);
-            registry.takeOut(id);
-        } else if (!out && registry.isOut(id)) {
+            registry.disable(id);
+        } else if (!out && registry.isDisabled(id)) {
             long stampMs = clock.unixMillis();
             marks.putBack(id, stampMs);
-            registry.putBack(id, stampMs);
+            registry.enable(id, stampMs);
         }
     }
 }
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -32,9 +32,9 @@
         if (!registry.isKnownCache(id)) {
             return OutageCallResult.UNKNOWN_CACHE;
         }
-        if (!registry.isOut(id)) {
+        if (!registry.isDisabled(id)) {
             marks.takeOut(id);
-            registry.takeOut(id);
+            registry.disable(id);
         }
         return recorded(id);
     }
@@ -45,12 +45,12 @@
         if (!registry.isKnownCache(id)) {
             return OutageCallResult.UNKNOWN_CACHE;
         }
-        if (registry.isOut(id)) {
+        if (registry.isDisabled(id)) {
             long stampMs = clock.unixMillis();
             if (!marks.tryPutBack(id, stampMs)) {
                 return OutageCallResult.NOT_RECORDED;
             }
-            registry.putBack(id, stampMs);
+            registry.enable(id, stampMs);
         }
         return recorded(id);
     }
--- a/src/test/java/clovermill/controlplane/discovery/DiscoveryClientTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/DiscoveryClientTest.java
@@ -17,7 +17,7 @@
 
 class DiscoveryClientTest {
 
-    private static final int MOST_TURNS = 500;
+    private static final int MAX_TURNS = 500;
 
     private final Deadlines deadlines = new Deadlines();
     private final ManualClock clock = new ManualClock();
@@ -38,11 +38,11 @@
         return "{\"cursor\":" + number + ",\"drop\":{\"family\":17,\"when\":5}}";
     }
 
-    /** Turns the loop until a complete request has arrived on the connection, and returns its first line. */
-    private static String request(EventLoop loop, SocketChannel peer) throws Exception {
+    /** Runs the loop until a complete request has arrived on the connection, and returns its first line. */
+    private static String awaitRequest(EventLoop loop, SocketChannel peer) throws Exception {
         StringBuilder text = new StringBuilder();
         ByteBuffer buffer = ByteBuffer.allocate(1024);
-        for (int i = 0; i < MOST_TURNS && text.indexOf("\r\n\r\n") < 0; i++) {
+        for (int i = 0; i < MAX_TURNS && text.indexOf("\r\n\r\n") < 0; i++) {
             loop.turn(1);
             peer.read(buffer.clear());
             text.append(StandardCharsets.US_ASCII.decode(buffer.flip()));
@@ -50,9 +50,9 @@
         return text.toString().lines().findFirst().orElse("");
     }
 
-    /** Asked for again it would fail again: no later drain or purge would ever be applied. */
+    /** A repeated request for it would fail again, and no later drain or purge would ever be applied. */
     @Test
-    void anEventThatFailsIsNotAskedForAgainAndThoseBehindItAreApplied() throws Exception {
+    void appliesTheEventsAfterAFailedOneAndDoesNotRequestItAgain() throws Exception {
         EventLoop loop = new EventLoop(clock, deadlines);
         try (ServerSocketChannel listener = ServerSocketChannel.open()
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
@@ -61,11 +61,11 @@
                     .start();
             try (SocketChannel peer = listener.accept()) {
                 peer.configureBlocking(false);
-                assertThat(request(loop, peer)).contains("resume=1&");
+                assertThat(awaitRequest(loop, peer)).contains("resume=1&");
                 String body = "{\"cursor\":3,\"cmds\":[" + purge(2) + "," + purge(3) + "]}";
                 peer.write(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII)));
-                assertThat(request(loop, peer)).contains("resume=3&");
+                assertThat(awaitRequest(loop, peer)).contains("resume=3&");
             }
         }
         assertThat(applied).containsExactly(3L);
@@ -77,9 +77,9 @@
                 .getBytes(StandardCharsets.US_ASCII)));
     }
 
-    /** What a poll brings was made after the answer before, also where that came on an earlier connection. */
+    /** The events of a poll are later than the previous answer, also where that arrived on an earlier connection. */
     @Test
-    void eventsComeWithTheTimeOfTheAnswerBefore() throws Exception {
+    void deliversEventsWithTheTimeOfThePreviousAnswer() throws Exception {
         EventLoop loop = new EventLoop(clock, deadlines);
         long firstUs;
         long secondUs;
@@ -90,20 +90,20 @@
                     .start();
             try (SocketChannel peer = listener.accept()) {
                 peer.configureBlocking(false);
-                assertThat(request(loop, peer)).contains("resume=2&");
+                assertThat(awaitRequest(loop, peer)).contains("resume=2&");
                 clock.passMs(70);
                 firstUs = clock.micros();
                 answer(peer, 3);
-                assertThat(request(loop, peer)).contains("resume=3&");
+                assertThat(awaitRequest(loop, peer)).contains("resume=3&");
                 clock.passMs(80);
                 clock.stepMs(3_600_000);
                 secondUs = clock.micros();
                 answer(peer, 4);
-                assertThat(request(loop, peer)).contains("resume=4&");
+                assertThat(awaitRequest(loop, peer)).contains("resume=4&");
             }
             listener.configureBlocking(false);
             SocketChannel next = null;
-            for (int i = 0; i < MOST_TURNS && next == null; i++) {
+            for (int i = 0; i < MAX_TURNS && next == null; i++) {
                 loop.turn(1);
                 clock.passMs(20);
                 deadlines.sweep(clock.micros());
@@ -111,9 +111,9 @@
             }
             try (SocketChannel peer = next) {
                 peer.configureBlocking(false);
-                assertThat(request(loop, peer)).contains("resume=4&");
+                assertThat(awaitRequest(loop, peer)).contains("resume=4&");
                 answer(peer, 5);
-                assertThat(request(loop, peer)).contains("resume=5&");
+                assertThat(awaitRequest(loop, peer)).contains("resume=5&");
             }
         }
         assertThat(previousAnswersUs).containsExactly(DiscoveryEvents.NEVER_ANSWERED_US, firstUs, secondUs);
--- a/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Ages and start times for the module. Stamps are of the true time; the director's own wall clock is stepped. */
+/**
+ * Checks the ages and start times that the routing module gets. Timestamps are of the true time; the director's own
+ * wall clock is stepped.
+ */
 class EndpointRegistryTest {
 
     private static final long HOUR_MS = 3_600_000;
@@ -38,7 +41,7 @@
     private long answeredUs = clock.micros();
 
     @BeforeEach
-    void aDirectorWithoutEndpoints() throws Exception {
+    void createRegistry() throws Exception {
         config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         processStarts();
@@ -78,7 +81,7 @@
         return "{\"cursor\":9,\"drop\":{\"family\":17,\"when\":" + madeMs + "}}";
     }
 
-    /** The event of a poll; the poll after it is answered at once, with nothing. */
+    /** Applies an event of a poll; the next poll is answered at once, without events. */
     private void poll(String event) throws Exception {
         registry.apply(commands(event));
         answeredUs = clock.micros();
@@ -89,7 +92,7 @@
         return startsUs.get(startsUs.size() - 1);
     }
 
-    /** Polls a purge with a delay after it was made; returns the age that reaches the module, in microseconds. */
+    /** Polls a purge with a delay after its creation; returns the age that the module gets, in microseconds. */
     private long pollPurge(long delayMs) throws Exception {
         long madeMs = clock.trueMs();
         clock.passMs(delayMs);
@@ -97,9 +100,9 @@
         return agesUs.get(agesUs.size() - 1);
     }
 
-    /** A later one would be taken for another start, which voids what is known of the member and its debt. */
+    /** A later time would count as another start, which voids the recorded state of the member and its debt. */
     @Test
-    void aStartThatIsToldAgainIsTheSameOnTheModulesClock() throws Exception {
+    void aRepeatedTimestampGivesTheSameStart() throws Exception {
         pollStart(clock.unixMillis() - 500);
         clock.passUs(250_050);
         pollStart(clock.unixMillis() - 750);
@@ -110,11 +113,11 @@
         assertThat(startsUs.get(2)).isGreaterThan(startsUs.get(0));
     }
 
-    /** An age over the true one lets copies from before the purge be served; one far below it costs fills. */
+    /** With an age above the true one, older copies would be served; one far below it causes needless fills. */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -5_000, 5_000, HOUR_MS})
-    void aStepOfTheWallClockMakesNoPurgeOlderThanItIs(long stepMs) throws Exception {
-        assertThat(pollPurge(40)).as("the first one proves nothing").isZero();
+    void aStepOfTheWallClockNeverOverestimatesThePurgeAge(long stepMs) throws Exception {
+        assertThat(pollPurge(40)).as("the first one has no reference").isZero();
         clock.passMs(200);
         assertThat(pollPurge(140)).as("before the step").isBetween(99_000L, 100_000L);
         clock.stepMs(stepMs);
@@ -128,24 +131,24 @@
         assertThat(pollPurge(140)).as("after a step the other way").isBetween(119_000L, 120_000L);
     }
 
-    /** A purge that arrives late, also after an outage of the channel, counts as made at its arrival. */
+    /** A purge that arrives late, also after an outage of the channel, counts as new at its arrival. */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -5_000, 0, 5_000, HOUR_MS})
-    void aStepOfTheWritersClockMakesNoPurgeOlderThanItIs(long stepMs) throws Exception {
+    void aStepOfThePublishersClockNeverOverestimatesThePurgeAge(long stepMs) throws Exception {
         pollPurge(40);
         clock.passMs(8_000);
         poll(purge(clock.trueMs() + stepMs - 20));
         assertThat(agesUs.get(1)).isZero();
         clock.passMs(1_000);
         poll(purge(clock.trueMs() + stepMs - 50));
-        assertThat(agesUs.get(2)).as("by the writer's new time").isBetween(stepMs == 0 ? 0L : 28_000L, 50_000L);
+        assertThat(agesUs.get(2)).as("by the publisher's new time").isBetween(stepMs == 0 ? 0L : 28_000L, 50_000L);
         poll(purge(clock.trueMs() - 3_000_000_000_000L));
-        assertThat(agesUs.get(3)).as("junk").isZero();
+        assertThat(agesUs.get(3)).as("invalid timestamp").isZero();
     }
 
-    /** The purge was made after the answer before, whatever its stamp says. */
+    /** A purge is later than the previous answer, whatever its timestamp. */
     @Test
-    void noPurgeIsOlderThanTheAnswerToThePollBefore() throws Exception {
+    void purgeAgeIsBoundedByTheTimeSinceThePreviousAnswer() throws Exception {
         pollPurge(40);
         pollPurge(40);
         clock.passMs(30);
@@ -155,7 +158,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -5_000, 0, 5_000, HOUR_MS})
-    void aStartSeenForTheFirstTimeIsAsOfNowWhateverTheWallClockSays(long stepMs) throws Exception {
+    void aNewTimestampCountsAsAStartNowWhateverTheWallClock(long stepMs) throws Exception {
         clock.passMs(1_000);
         clock.stepMs(stepMs);
         long startedMs = clock.trueMs() - 300;
@@ -176,10 +179,10 @@
         assertThat(pollStart(0)).as("long ago").isZero();
     }
 
-    /** The configuration's purges: proven by their order alone, so the wall clock may be off by anything. */
+    /** Ages of the configuration's purges follow from their order alone, so the wall clock may be arbitrarily wrong. */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -5_000, 0, 5_000, HOUR_MS})
-    void thePurgesKnownAtTheStartAreAsOldAsLaterOnesProve(long wrongMs) throws Exception {
+    void agesOfInitialPurgesFollowFromLaterPurges(long wrongMs) throws Exception {
         clock.stepMs(wrongMs);
         processStarts();
         long nowMs = clock.trueMs();
@@ -189,10 +192,10 @@
         assertThat(agesUs).containsExactly(2_800_000L, 1_800_000L, 1_000_000L, 1_000_000L, 0L);
     }
 
-    /** An hour lies between them by the writer's clock, and a moment in truth. */
+    /** The publisher's clock is stepped by an hour between two purges that are close together in true time. */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, HOUR_MS})
-    void ofAGapBetweenPurgesKnownAtTheStartASecondIsBelieved(long stepMs) throws Exception {
+    void acceptsAtMostOneSecondOfAGapBetweenInitialPurges(long stepMs) throws Exception {
         processStarts();
         long nowMs = clock.trueMs();
         registry.applyInitial(commands(purge(nowMs - stepMs), purge(nowMs)));
@@ -208,9 +211,9 @@
         return (clock.micros() - startsUs.get(0)) / 1000;
     }
 
-    /** A fleet that is taken for just started gets next to nothing from a director that restarts. */
+    /** A restarted director would send next to no requests to a fleet that counts as just started. */
     @Test
-    void withARightClockAMemberKnownAtTheStartIsAsOldAsItsStampLessTheMargin() throws Exception {
+    void withACorrectClockTheAgeOfAnInitialMemberIsThatOfItsTimestampLessTheMargin() throws Exception {
         assertThat(startedBefore(60_000)).isEqualTo(50_000);
         assertThat(startedBefore(1_700_000)).isEqualTo(1_690_000);
         assertThat(startedBefore(5_000)).isZero();
@@ -220,7 +223,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -10_000, -5_000, 5_000, 10_000, HOUR_MS})
-    void withAWrongClockNoMemberKnownAtTheStartIsOlderThanItIs(long wrongMs) throws Exception {
+    void aWrongClockNeverOverestimatesTheAgeOfAnInitialMember(long wrongMs) throws Exception {
         clock.stepMs(wrongMs);
         for (long agoMs : new long[] {0, 3_000, 60_000}) {
             assertThat(startedBefore(agoMs)).isBetween(0L, agoMs);
@@ -228,10 +231,10 @@
         }
     }
 
-    /** The channel was out at the start: its first answer has earlier events, but the clock is that of the start. */
+    /** The channel is down at the start: its first answer has earlier events, but the clock is that of the start. */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, 0, HOUR_MS})
-    void aStepAfterTheProcesssStartMakesNoMemberOfTheFirstAnswerOlder(long stepMs) throws Exception {
+    void aStepAfterTheProcessStartDoesNotChangeAgesInTheFirstAnswer(long stepMs) throws Exception {
         processStarts();
         clock.passMs(20_000);
         clock.stepMs(stepMs);
@@ -243,40 +246,40 @@
 
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -5_000, 5_000, HOUR_MS})
-    void aReturnHereOrAtAnotherProcessIsAsOfNow(long stepMs) throws Exception {
+    void aCacheEnabledHereOrAtAnotherProcessCountsAsStartedNow(long stepMs) throws Exception {
         pollStart(0);
         registry.mergeOutages(Set.of(), Map.of());
-        registry.takeOut("s-1");
+        registry.disable("s-1");
         clock.stepMs(stepMs);
         long stampMs = clock.unixMillis();
-        registry.putBack("s-1", stampMs);
+        registry.enable("s-1", stampMs);
         long backUs = clock.micros();
         assertThat(startsUs.get(startsUs.size() - 1)).isEqualTo(backUs);
         clock.passMs(100);
         clock.stepMs(-stepMs);
         registry.mergeOutages(Set.of(), Map.of("s-1", stampMs));
-        assertThat(pollStart(0)).as("its own mark is no further return").isEqualTo(backUs);
+        assertThat(pollStart(0)).as("its own mark is not a new start").isEqualTo(backUs);
         registry.mergeOutages(Set.of("s-1"), Map.of("s-1", stampMs));
         clock.passMs(100);
         registry.mergeOutages(Set.of(), Map.of("s-1", clock.unixMillis()));
-        assertThat(startsUs.get(startsUs.size() - 1)).as("put back at the other process").isEqualTo(clock.micros());
+        assertThat(startsUs.get(startsUs.size() - 1)).as("enabled at the other process").isEqualTo(clock.micros());
     }
 
     @Test
-    void aReturnMarkedBeforeTheProcessBeganIsBelievedWithinTheBound() throws Exception {
+    void acceptsAnEnableTimestampFromBeforeTheProcessStartWithinTheBound() throws Exception {
         pollStart(0);
         long nowMs = clock.trueMs();
-        for (long[] agoAndToldMs : new long[][] {{60_000, 50_000}, {5_000, 0}, {HOUR_MS, 0}, {-HOUR_MS, 0}}) {
+        for (long[] trueAndExpectedAgeMs : new long[][] {{60_000, 50_000}, {5_000, 0}, {HOUR_MS, 0}, {-HOUR_MS, 0}}) {
             processStarts();
             pollStart(0);
-            registry.mergeOutages(Set.of(), Map.of("s-1", nowMs - agoAndToldMs[0]));
-            assertThat(pollStart(0)).isEqualTo(clock.micros() - agoAndToldMs[1] * 1000);
+            registry.mergeOutages(Set.of(), Map.of("s-1", nowMs - trueAndExpectedAgeMs[0]));
+            assertThat(pollStart(0)).isEqualTo(clock.micros() - trueAndExpectedAgeMs[1] * 1000);
         }
     }
 
-    /** The shape of the fault as it was measured: a step forward made every purge an hour old. */
+    /** Guards against a measured fault: a step forward by an hour made every purge an hour old. */
     @Test
-    void afterAStepForwardByAnHourAPurgeIsNotAnHourOld() throws Exception {
+    void aPurgeIsNotAnHourOldAfterAStepForwardByAnHour() throws Exception {
         pollPurge(40);
         clock.stepMs(HOUR_MS);
         assertThat(pollPurge(40)).isLessThan(HOUR_US).isZero();
--- a/src/test/java/clovermill/controlplane/discovery/HttpResponseParserTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/HttpResponseParserTest.java
@@ -25,17 +25,17 @@
     }
 
     @Test
-    void readsTheSameAtEverySplit() throws Exception {
+    void parsesTheSameResponsesAtEverySplit() throws Exception {
         Splits.same(INPUT, List.of("200 hello false", "200 abcde false", "503  true"), this::parser);
     }
 
     @Test
-    void refusesJunkWithoutAnotherFault() {
+    void failsOnlyWithProtocolExceptionsForCorruptedInput() {
         Splits.junk(INPUT, ProtocolException.class, this::parser);
     }
 
     @Test
-    void anUnsizedBodyEndsWithThePeer() throws Exception {
+    void completesABodyWithoutLengthWhenThePeerCloses() throws Exception {
         List<String> received = new ArrayList<>();
         HttpResponseParser parser = new HttpResponseParser((status, body, last) -> received.add(body + " " + last));
         parser.parse(ByteBuffer.wrap("HTTP/1.0 200 OK\r\n\r\nall".getBytes(StandardCharsets.US_ASCII)));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void refusesWhatIsTooLarge() {
+    void rejectsTooLargeResponsesAndNegativeLengths() {
         for (String bad : List.of("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", "x".repeat(9000),
                 "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n")) {
             ByteBuffer data = ByteBuffer.wrap(bad.getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/clovermill/controlplane/discovery/ReconnectBackoffTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/ReconnectBackoffTest.java
@@ -8,9 +8,9 @@
 
 class ReconnectBackoffTest {
 
-    /** Centre-cache has 250 ms for drains, skip-depots 500 ms; a channel that is back is reconnected within them. */
+    /** The site centre-cache has a window of 250 ms for drains, skip-depots one of 500 ms. */
     @Property
-    void aChannelThatIsBackIsReconnectedWithinTheWindow(
+    void reconnectsWithinTheWindowOnceTheChannelIsReachable(
             @ForAll @LongRange(min = 100_000, max = 2_000_000) long windowUs,
             @ForAll @LongRange(min = 0, max = 20_000_000) long reachableUs, @ForAll boolean silent) {
         ReconnectBackoff backoff = new ReconnectBackoff(windowUs, 400_000);
--- a/src/test/java/clovermill/controlplane/discovery/StalenessMonitorTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/StalenessMonitorTest.java
@@ -4,11 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A period without answers is reported once, and its length when it ends. */
 class StalenessMonitorTest {
 
     @Test
-    void aStalePeriodIsReportedOnceAndAtItsEnd() {
+    void reportsAStalePeriodOnceAndItsLengthAtItsEnd() {
         StalenessMonitor monitor = new StalenessMonitor(100, 1000);
         assertThat(monitor.nextCheckUs(1000)).isEqualTo(1100);
         assertThat(monitor.becameStale(1099)).isFalse();
@@ -23,7 +22,7 @@
     }
 
     @Test
-    void aShortPeriodIsNotReported() {
+    void doesNotReportAShortPeriod() {
         StalenessMonitor monitor = new StalenessMonitor(100, 0);
         assertThat(monitor.becameStale(99)).isFalse();
         assertThat(monitor.answered(99)).isZero();
--- a/src/test/java/clovermill/director/operations/OperatorActionsTest.java
+++ b/src/test/java/clovermill/director/operations/OperatorActionsTest.java
@@ -76,7 +76,7 @@
     void anOutageThatCannotBeRecordedIsInForceButAnsweredNo() throws Exception {
         Path inTheWay = folderFails();
         assertThat(call("/caches/disable", "s-1")).isEqualTo(503);
-        assertThat(registry.isOut("s-1")).isTrue();
+        assertThat(registry.isDisabled("s-1")).isTrue();
         assertThat(call("/caches/disable", "s-1")).as("the call is repeated").isEqualTo(503);
         Files.delete(inTheWay);
         clock.passMs(500);
@@ -89,11 +89,11 @@
         assertThat(call("/caches/disable", "s-1")).isEqualTo(200);
         Path inTheWay = folderFails();
         assertThat(call("/caches/enable", "s-1")).isEqualTo(503);
-        assertThat(registry.isOut("s-1")).isTrue();
+        assertThat(registry.isDisabled("s-1")).isTrue();
         assertThat(outForLaterStarts()).containsExactly("s-1");
         Files.delete(inTheWay);
         assertThat(call("/caches/enable", "s-1")).isEqualTo(200);
-        assertThat(registry.isOut("s-1")).isFalse();
+        assertThat(registry.isDisabled("s-1")).isFalse();
         assertThat(outForLaterStarts()).isEmpty();
     }
 
