--- a/src/main/java/clovermill/controlplane/admin/AdminServer.java
+++ b/src/main/java/clovermill/controlplane/admin/AdminServer.java
@@ -25,7 +25,7 @@
 
     private static final System.Logger LOG = System.getLogger(AdminServer.class.getName());
     /** From the accept to the response; a request that is incomplete by then gets 408. */
-    private static final long TIMEOUT_MICROS = 4_000_000;
+    private static final long TIMEOUT_US = 4_000_000;
     /** For one more connection the oldest one is closed. */
     private static final int MAX_CONNECTIONS = 16;
 
@@ -79,7 +79,7 @@
 
         Exchange(Connection connection) {
             this.connection = connection;
-            this.timeout = deadlines.add(clock.micros() + TIMEOUT_MICROS, this::timedOut);
+            this.timeout = deadlines.add(clock.micros() + TIMEOUT_US, this::timedOut);
             exchanges.add(this);
         }
 
--- a/src/main/java/clovermill/controlplane/consensus/RaftMember.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftMember.java
@@ -39,13 +39,13 @@
      *
      * @param self this process's number
      * @param nodes the numbers of all processes, the same list everywhere
-     * @param joinRetryMicros the interval between join requests
+     * @param joinRetryUs the interval between join requests
      */
-    public record Membership(int self, List<Integer> nodes, long joinRetryMicros) {}
+    public record Membership(int self, List<Integer> nodes, long joinRetryUs) {}
 
     private static final System.Logger LOG = System.getLogger(RaftMember.class.getName());
     /** The interval between attempts to recover the storage. */
-    private static final long RECOVER_RETRY_MICROS = 1_000_000;
+    private static final long RECOVER_RETRY_US = 1_000_000;
 
     private final Membership membership;
     private final RaftStorage storage;
@@ -64,9 +64,9 @@
      * admission, and has to ask on (docs/incidents/admission-forgotten.md).
      */
     private boolean admitted;
-    private long nextJoinMicros;
+    private long nextJoinUs;
     private boolean suspended;
-    private long nextRecoverMicros;
+    private long nextRecoverUs;
 
     /**
      * A member without a replica; see {@link #restore}.
@@ -128,7 +128,7 @@
      * Restarts from the storage a replica that follows a silent leader (see {@link RaftReplica#isStuck}), or one whose
      * entries conflict with the leader's where MicroRaft cannot remove them (see {@link RaftReplica#conflictIndex}).
      */
-    public void restartIfStuck(long nowMicros) {
+    public void restartIfStuck(long nowUs) {
         if (replica == null) {
             return;
         }
@@ -136,7 +136,7 @@
         if (conflicts && !truncate(replica.conflictIndex())) {
             return;
         }
-        if (conflicts || replica.isStuck(nowMicros)) {
+        if (conflicts || replica.isStuck(nowUs)) {
             replica.stop();
             startReplica(replica.self(), storage.restored());
         }
@@ -158,14 +158,14 @@
      * Suspends this member when its storage has failed, and resumes it when all state has been rewritten; to be called
      * at each tick. Returns when it is due next, or {@link Long#MAX_VALUE} while the storage works.
      */
-    public long recover(long nowMicros) {
+    public long recover(long nowUs) {
         if (!storage.failed() && !suspended) {
             return Long.MAX_VALUE;
         }
         if (!suspended) {
-            suspend(nowMicros);
-        } else if (nowMicros >= nextRecoverMicros) {
-            nextRecoverMicros = nowMicros + RECOVER_RETRY_MICROS;
+            suspend(nowUs);
+        } else if (nowUs >= nextRecoverUs) {
+            nextRecoverUs = nowUs + RECOVER_RETRY_US;
             if (storage.recover()) {
                 suspended = false;
                 LOG.log(Level.INFO, "replica {0} resumed: its storage is writable and has been rewritten",
@@ -174,13 +174,13 @@
                 return Long.MAX_VALUE;
             }
         }
-        return nextRecoverMicros;
+        return nextRecoverUs;
     }
 
     /** Recovery is not tried at once: writes that the replica has still queued must fail. */
-    private void suspend(long nowMicros) {
+    private void suspend(long nowUs) {
         suspended = true;
-        nextRecoverMicros = nowMicros + RECOVER_RETRY_MICROS;
+        nextRecoverUs = nowUs + RECOVER_RETRY_US;
         LOG.log(Level.WARNING, "replica {0} suspended: its storage cannot be written",
                 Integer.toString(membership.self()));
         stop();
@@ -188,18 +188,18 @@
     }
 
     /** Sends join requests, if they are due; returns when the next are, or {@link Long#MAX_VALUE}. */
-    public long join(long nowMicros) {
+    public long join(long nowUs) {
         if (replica != null && admitted || isSuspended()) {
             return Long.MAX_VALUE;
         }
-        if (nowMicros >= nextJoinMicros) {
-            nextJoinMicros = nowMicros + membership.joinRetryMicros();
+        if (nowUs >= nextJoinUs) {
+            nextJoinUs = nowUs + membership.joinRetryUs();
             long disk = replica == null ? joinNonce : replica.self().disk();
             membership.nodes().stream().filter(each -> each != membership.self())
                     .forEach(each -> joinTransport.sendJoinRequest(each, disk, replica == null));
             bootstrapIfAllEmpty();
         }
-        return replica != null && admitted ? Long.MAX_VALUE : nextJoinMicros;
+        return replica != null && admitted ? Long.MAX_VALUE : nextJoinUs;
     }
 
     /** A process without state bootstraps a group only where all others have answered that they have none either. */
--- a/src/main/java/clovermill/controlplane/consensus/RaftReplica.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftReplica.java
@@ -38,7 +38,7 @@
     public static final long NO_CONFLICT = 0;
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
     /** A replica that follows a leader without a message for so long is stuck. */
-    private static final long STUCK_MICROS = 3_000_000;
+    private static final long STUCK_US = 3_000_000;
 
     /** What a replica needs from its owner; {@code send} must not block, and may lose a message. */
     public record Host(Object group, RaftConfig config, RaftStore store, RaftScheduler scheduler, Random random,
@@ -51,7 +51,7 @@
     private final boolean wasRestored;
     private final NextIndexSearch nextIndexSearch = new NextIndexSearch();
     private final AppendReceiver appends;
-    private long lastLeaderMessageMicros;
+    private long lastLeaderMessageUs;
 
     /**
      * A replica that is yet to be started.
@@ -105,9 +105,9 @@
     }
 
     /** Handles a message of another replica. */
-    public void handle(RaftMessage message, long nowMicros) {
+    public void handle(RaftMessage message, long nowUs) {
         if (isFromLeader(message)) {
-            lastLeaderMessageMicros = nowMicros;
+            lastLeaderMessageUs = nowUs;
         }
         if (message instanceof PreVoteResponse answer && isRejectedByHigherTerm(answer)) {
             node.handle(asVoteRequest(answer));
@@ -205,10 +205,10 @@
      * ever where a pre-vote and the leader's message cross (policy fleet in the emulator, seed 30); a restart from the
      * storage ends it.
      */
-    public boolean isStuck(long nowMicros) {
-        lastLeaderMessageMicros =
-                lastLeaderMessageMicros == 0 || leads() || leader() < 0 ? nowMicros : lastLeaderMessageMicros;
-        return nowMicros - lastLeaderMessageMicros > STUCK_MICROS;
+    public boolean isStuck(long nowUs) {
+        lastLeaderMessageUs =
+                lastLeaderMessageUs == 0 || leads() || leader() < 0 ? nowUs : lastLeaderMessageUs;
+        return nowUs - lastLeaderMessageUs > STUCK_US;
     }
 
     /** Whether anything was ever committed, as far as is known here. */
--- a/src/main/java/clovermill/controlplane/consensus/RaftScheduler.java
+++ b/src/main/java/clovermill/controlplane/consensus/RaftScheduler.java
@@ -18,30 +18,30 @@
     public static final long PACE = 10;
     private static final long MICROS_PER_MILLI = 1000;
 
-    private record Item(long dueMicros, long number, Runnable work) implements Comparable<Item> {
+    private record Item(long dueUs, long number, Runnable work) implements Comparable<Item> {
         @Override
         public int compareTo(Item other) {
-            return dueMicros != other.dueMicros ? Long.compare(dueMicros, other.dueMicros)
+            return dueUs != other.dueUs ? Long.compare(dueUs, other.dueUs)
                     : Long.compare(number, other.number);
         }
     }
 
     private final PriorityQueue<Item> items = new PriorityQueue<>();
     private long number;
-    private long nowMicros;
+    private long nowUs;
 
-    /** An empty scheduler; {@code nowMicros} is the owner's clock. */
-    public RaftScheduler(long nowMicros) {
-        this.nowMicros = nowMicros;
+    /** An empty scheduler; {@code nowUs} is the owner's clock. */
+    public RaftScheduler(long nowUs) {
+        this.nowUs = nowUs;
     }
 
     /** Runs what is due; returns when the next item is, or {@link Long#MAX_VALUE}. */
-    public long run(long clockMicros) {
-        nowMicros = Math.max(nowMicros, clockMicros);
-        while (!items.isEmpty() && items.peek().dueMicros <= nowMicros) {
+    public long run(long clockUs) {
+        nowUs = Math.max(nowUs, clockUs);
+        while (!items.isEmpty() && items.peek().dueUs <= nowUs) {
             items.poll().work.run();
         }
-        return items.isEmpty() ? Long.MAX_VALUE : items.peek().dueMicros;
+        return items.isEmpty() ? Long.MAX_VALUE : items.peek().dueUs;
     }
 
     @Override
@@ -51,17 +51,17 @@
 
     @Override
     public void submit(Runnable work) {
-        items.add(new Item(nowMicros, number++, work));
+        items.add(new Item(nowUs, number++, work));
     }
 
     @Override
     public void schedule(Runnable work, long delay, TimeUnit unit) {
-        items.add(new Item(nowMicros + Math.max(0, unit.toMicros(delay)) / PACE, number++, work));
+        items.add(new Item(nowUs + Math.max(0, unit.toMicros(delay)) / PACE, number++, work));
     }
 
     @Override
     public long millis() {
-        return nowMicros * PACE / MICROS_PER_MILLI;
+        return nowUs * PACE / MICROS_PER_MILLI;
     }
 
     @Override
--- a/src/main/java/clovermill/controlplane/discovery/CopiesPurged.java
+++ b/src/main/java/clovermill/controlplane/discovery/CopiesPurged.java
@@ -5,6 +5,6 @@
  *
  * @param object the object, null where the purge is of a group
  * @param group the group, 0 where the purge is of an object
- * @param stampUnixMillis when the purge was made, by the writer's clock
+ * @param stampUnixMs when the purge was made, by the writer's clock
  */
-public record CopiesPurged(long cursor, Long object, int group, long stampUnixMillis) implements DiscoveryEvent {}
+public record CopiesPurged(long cursor, Long object, int group, long stampUnixMs) implements DiscoveryEvent {}
--- a/src/main/java/clovermill/controlplane/discovery/DiscoveryClient.java
+++ b/src/main/java/clovermill/controlplane/discovery/DiscoveryClient.java
@@ -25,10 +25,10 @@
      * How long the channel may delay an answer while it has no event. It is short: events have to take effect from the
      * moment they are made, and that a channel has gone silent shows only after this time.
      */
-    private static final long LONG_POLL_MILLIS = 1000;
-    private static final long ANSWER_GRACE_MICROS = 500_000;
+    private static final long LONG_POLL_MS = 1000;
+    private static final long ANSWER_GRACE_US = 500_000;
     /** By the protocol page events have to be applied 2 s after the end of the delay that a poll allows. */
-    private static final long STALE_AFTER_MICROS = LONG_POLL_MILLIS * 1000 + 2_000_000;
+    private static final long STALE_AFTER_US = LONG_POLL_MS * 1000 + 2_000_000;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -43,7 +43,7 @@
     private Deadlines.Deadline timeout;
     private Deadlines.Deadline reconnect;
     private long cursor;
-    private long lastAnswerMicros = DiscoveryEvents.NEVER_ANSWERED_MICROS;
+    private long lastAnswerUs = DiscoveryEvents.NEVER_ANSWERED_US;
 
     /**
      * A client that does nothing before {@link #start()}.
@@ -60,8 +60,8 @@
         this.settings = settings;
         this.cursor = cursor;
         this.listener = listener;
-        this.backoff = new ReconnectBackoff(settings.bindWindowMicros(), settings.connectTimeoutMicros());
-        this.staleness = new StalenessMonitor(STALE_AFTER_MICROS, clock.micros());
+        this.backoff = new ReconnectBackoff(settings.bindWindowUs(), settings.connectTimeoutUs());
+        this.staleness = new StalenessMonitor(STALE_AFTER_US, clock.micros());
     }
 
     /** Connects, and from then on replaces each connection that ends. */
@@ -87,22 +87,22 @@
 
     /** Whether the channel has answered at least once. */
     public boolean hasAnswered() {
-        return lastAnswerMicros != DiscoveryEvents.NEVER_ANSWERED_MICROS;
+        return lastAnswerUs != DiscoveryEvents.NEVER_ANSWERED_US;
     }
 
     private void checkStaleness() {
         if (staleness.becameStale(clock.micros())) {
             LOG.log(Level.WARNING, "discovery is stale: no answer from {0} for {1} ms; drains, purges and changes of"
-                    + " the endpoint list may be missed", address, Long.toString(STALE_AFTER_MICROS / 1000));
+                    + " the endpoint list may be missed", address, Long.toString(STALE_AFTER_US / 1000));
         }
-        deadlines.add(staleness.nextCheckMicros(clock.micros()), this::checkStaleness);
+        deadlines.add(staleness.nextCheckUs(clock.micros()), this::checkStaleness);
     }
 
     private void connect() {
         parser = new HttpResponseParser(this::response);
         try {
             connection = loop.connect(address, connected -> this);
-            timeout = deadlines.add(clock.micros() + backoff.connectTimeoutMicros(), connection::close);
+            timeout = deadlines.add(clock.micros() + backoff.connectTimeoutUs(), connection::close);
         } catch (IOException failure) {
             closed(failure);
         }
@@ -115,9 +115,9 @@
 
     private void poll() {
         deadlines.cancel(timeout);
-        timeout = deadlines.add(clock.micros() + LONG_POLL_MILLIS * 1000 + ANSWER_GRACE_MICROS, connection::close);
+        timeout = deadlines.add(clock.micros() + LONG_POLL_MS * 1000 + ANSWER_GRACE_US, connection::close);
         String host = address.getHostString() + ":" + address.getPort();
-        connection.send(ByteBuffer.wrap(("GET /cmd/next?resume=" + cursor + "&block=" + LONG_POLL_MILLIS
+        connection.send(ByteBuffer.wrap(("GET /cmd/next?resume=" + cursor + "&block=" + LONG_POLL_MS
                 + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII)));
     }
 
@@ -129,12 +129,12 @@
     private void response(int status, String body, boolean last) throws ProtocolException {
         DiscoveryEvents answer = parse(status, body);
         backoff.reset();
-        long previousAnswerMicros = lastAnswerMicros;
-        lastAnswerMicros = clock.micros();
-        logRecovery(staleness.answered(lastAnswerMicros));
+        long previousAnswerUs = lastAnswerUs;
+        lastAnswerUs = clock.micros();
+        logRecovery(staleness.answered(lastAnswerUs));
         if (answer.cursor() > cursor) {
             cursor = answer.cursor();
-            answer.events().forEach(event -> deliver(event, previousAnswerMicros));
+            answer.events().forEach(event -> deliver(event, previousAnswerUs));
         }
         if (last) {
             connection.close();
@@ -154,17 +154,17 @@
         }
     }
 
-    private void logRecovery(long staleMicros) {
-        if (staleMicros > 0) {
+    private void logRecovery(long staleUs) {
+        if (staleUs > 0) {
             LOG.log(Level.INFO, "discovery has recovered: answer from {0} after {1} ms", address,
-                    Long.toString(staleMicros / 1000));
+                    Long.toString(staleUs / 1000));
         }
     }
 
     /** An event that fails is not asked for again: it would fail again, and block the events behind it for good. */
-    private void deliver(DiscoveryEvent event, long previousAnswerMicros) {
+    private void deliver(DiscoveryEvent event, long previousAnswerUs) {
         try {
-            listener.accept(new DiscoveryEvents(event.cursor(), List.of(event), previousAnswerMicros));
+            listener.accept(new DiscoveryEvents(event.cursor(), List.of(event), previousAnswerUs));
         } catch (RuntimeException fault) {
             LOG.log(Level.ERROR, "discovery event " + event.cursor() + " failed", fault);
         }
@@ -186,7 +186,7 @@
         if (cause instanceof ProtocolException) {
             logMalformed(cause);
         }
-        reconnect = deadlines.add(clock.micros() + backoff.nextDelayMicros(), this::connect);
+        reconnect = deadlines.add(clock.micros() + backoff.nextDelayUs(), this::connect);
     }
 
     private void logMalformed(IOException cause) {
--- a/src/main/java/clovermill/controlplane/discovery/DiscoveryEventParser.java
+++ b/src/main/java/clovermill/controlplane/discovery/DiscoveryEventParser.java
@@ -80,10 +80,10 @@
     private ListedEndpoint endpoint(Map<?, ?> server) throws Json.Malformed {
         String id = Json.string(server, "id");
         try {
-            long startedUnixMillis = server.get("started_ms") == null ? 0 : (long) Json.number(server, "started_ms");
+            long startedUnixMs = server.get("started_ms") == null ? 0 : (long) Json.number(server, "started_ms");
             Member member = new Member(id, indexOf(zones, server, "zone"), indexOf(kinds, server, "kind"),
                     (int) Json.number(server, "cell"), availability(server), Json.number(server, "weight"), 0);
-            return new ListedEndpoint(member, Config.address(Json.string(server, "addr")), startedUnixMillis);
+            return new ListedEndpoint(member, Config.address(Json.string(server, "addr")), startedUnixMs);
         } catch (Json.Malformed malformed) {
             throw new Json.Malformed("member " + id + ": " + malformed.getMessage());
         }
@@ -99,13 +99,13 @@
     }
 
     private static CopiesPurged purge(long cursor, Map<?, ?> drop) throws Json.Malformed {
-        long stampUnixMillis = (long) Json.number(drop, "when");
+        long stampUnixMs = (long) Json.number(drop, "when");
         if (drop.get("id") == null) {
-            return new CopiesPurged(cursor, null, (int) Json.number(drop, "family"), stampUnixMillis);
+            return new CopiesPurged(cursor, null, (int) Json.number(drop, "family"), stampUnixMs);
         }
         String id = Json.string(drop, "id");
         try {
-            return new CopiesPurged(cursor, Long.parseUnsignedLong(id, 16), 0, stampUnixMillis);
+            return new CopiesPurged(cursor, Long.parseUnsignedLong(id, 16), 0, stampUnixMs);
         } catch (NumberFormatException notHexadecimal) {
             throw new Json.Malformed("not an object: " + id);
         }
--- a/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
+++ b/src/main/java/clovermill/controlplane/discovery/EndpointRegistry.java
@@ -90,10 +90,10 @@
      * Ends an outage: the cache has the availability that the list gives it, and counts as started now, since it was
      * restarted during the outage.
      *
-     * @param stampUnixMillis identifies this return among those of the cache; it is not used as a time
+     * @param stampUnixMs identifies this return among those of the cache; it is not used as a time
      */
-    public void putBack(String id, long stampUnixMillis) {
-        if (outages.putBack(id, stampUnixMillis, clock.micros())) {
+    public void putBack(String id, long stampUnixMs) {
+        if (outages.putBack(id, stampUnixMs, clock.micros())) {
             publishOutages(id);
         }
     }
@@ -113,13 +113,13 @@
                 putBack(id, back.getOrDefault(id, 0L));
             }
         }
-        back.forEach((id, stamp) -> outages.mergeReturn(id, stamp, returnedMicros(stamp)));
+        back.forEach((id, stamp) -> outages.mergeReturn(id, stamp, returnedUs(stamp)));
         outagesMerged = true;
     }
 
     /** A return found at the first merge may be long ago; one found later was made since the merge before. */
-    private long returnedMicros(long stampUnixMillis) {
-        return outagesMerged ? clock.micros() : startTimes.beforeProcessStartMicros(stampUnixMillis, clock.micros());
+    private long returnedUs(long stampUnixMs) {
+        return outagesMerged ? clock.micros() : startTimes.beforeProcessStartUs(stampUnixMs, clock.micros());
     }
 
     private void publishOutages(String changedId) {
@@ -143,25 +143,25 @@
         proxy.handle(new Members(ListScope.REMEMBERED, listed.values().stream().map(this::member).toList()));
         List<CopiesPurged> purges = known.events().stream().filter(CopiesPurged.class::isInstance)
                 .map(CopiesPurged.class::cast).toList();
-        long[] agesMicros = PurgeAgeEstimator.initialAgesMicros(
-                purges.stream().map(CopiesPurged::stampUnixMillis).toList());
-        for (int i = 0; i < agesMicros.length; i++) {
-            purge(purges.get(i), agesMicros[i]);
+        long[] agesUs = PurgeAgeEstimator.initialAgesUs(
+                purges.stream().map(CopiesPurged::stampUnixMs).toList());
+        for (int i = 0; i < agesUs.length; i++) {
+            purge(purges.get(i), agesUs[i]);
         }
     }
 
     private void observeStamps(DiscoveryEvent event) {
         if (event instanceof EndpointListChanged list) {
-            list.endpoints().forEach(endpoint -> startTimes.observeStamp(endpoint.startedUnixMillis(),
+            list.endpoints().forEach(endpoint -> startTimes.observeStamp(endpoint.startedUnixMs(),
                     clock.micros()));
         } else if (event instanceof CopiesPurged purge) {
-            startTimes.observeStamp(purge.stampUnixMillis(), clock.micros());
+            startTimes.observeStamp(purge.stampUnixMs(), clock.micros());
         }
     }
 
     /** Applies the events of a poll in their order. */
     public void apply(DiscoveryEvents polled) {
-        boolean first = polled.previousAnswerMicros() == DiscoveryEvents.NEVER_ANSWERED_MICROS;
+        boolean first = polled.previousAnswerUs() == DiscoveryEvents.NEVER_ANSWERED_US;
         if (first) {
             polled.events().forEach(this::observeStamps);
         }
@@ -170,7 +170,7 @@
                 applyList(list, first);
             } else if (event instanceof CopiesPurged purge) {
                 purge(purge,
-                        purgeAges.ageMicros(purge.stampUnixMillis(), clock.micros(), polled.previousAnswerMicros()));
+                        purgeAges.ageUs(purge.stampUnixMs(), clock.micros(), polled.previousAnswerUs()));
             } else if (event instanceof UnusableEvent unusable) {
                 logUnusable(unusable);
             }
@@ -203,7 +203,7 @@
         }
         for (ListedEndpoint endpoint : list.endpoints()) {
             if (first) {
-                startTimes.initialStartedMicros(endpoint.id(), endpoint.startedUnixMillis(), clock.micros());
+                startTimes.initialStartedUs(endpoint.id(), endpoint.startedUnixMs(), clock.micros());
             }
             if (isAvailable(endpoint)) {
                 unavailable.remove(endpoint.id());
@@ -227,7 +227,7 @@
             listed.remove(endpoint.id());
         } else {
             listed.put(endpoint.id(), endpoint);
-            pool.updateMember(endpoint.id(), endpoint.address(), endpoint.startedUnixMillis());
+            pool.updateMember(endpoint.id(), endpoint.address(), endpoint.startedUnixMs());
         }
     }
 
@@ -249,15 +249,15 @@
     /** The endpoint with its start on the monotonic clock in microseconds, 0 for long ago. */
     private Member member(ListedEndpoint endpoint) {
         Member member = endpoint.member();
-        long startedMicros = outages.startedMicros(member.id(),
-                startTimes.startedMicros(member.id(), endpoint.startedUnixMillis(), clock.micros()));
+        long startedUs = outages.startedUs(member.id(),
+                startTimes.startedUs(member.id(), endpoint.startedUnixMs(), clock.micros()));
         return new Member(member.id(), member.zone(), member.kind(), member.cell(), member.availability(),
-                member.weight(), startedMicros);
+                member.weight(), startedUs);
     }
 
     /** Purges, and withdraws queued requests for what is purged: they might be answered with an older copy. */
-    private void purge(CopiesPurged purge, long ageMicros) {
-        proxy.handle(new Purge(purge.object(), purge.group(), ageMicros));
+    private void purge(CopiesPurged purge, long ageUs) {
+        proxy.handle(new Purge(purge.object(), purge.group(), ageUs));
         pool.withdraw(ask -> purge.object() == null ? ask.group() == purge.group()
                 : Long.parseUnsignedLong(ask.object(), 16) == purge.object());
     }
--- a/src/main/java/clovermill/controlplane/discovery/ListedEndpoint.java
+++ b/src/main/java/clovermill/controlplane/discovery/ListedEndpoint.java
@@ -7,9 +7,9 @@
  * An endpoint as the command channel lists it.
  *
  * @param member its attributes for routing, zone and kind as indexes of the settings' lists; without a start time
- * @param startedUnixMillis the writer's stamp of its last start, 0 for long ago
+ * @param startedUnixMs the writer's stamp of its last start, 0 for long ago
  */
-public record ListedEndpoint(Member member, InetSocketAddress address, long startedUnixMillis) {
+public record ListedEndpoint(Member member, InetSocketAddress address, long startedUnixMs) {
 
     /** The endpoint's identifier. */
     String id() {
--- a/src/main/java/clovermill/controlplane/discovery/StalenessMonitor.java
+++ b/src/main/java/clovermill/controlplane/discovery/StalenessMonitor.java
@@ -6,33 +6,33 @@
  */
 final class StalenessMonitor {
 
-    private final long limitMicros;
-    private long lastAnswerMicros;
+    private final long limitUs;
+    private long lastAnswerUs;
     private boolean reported;
 
-    StalenessMonitor(long limitMicros, long nowMicros) {
-        this.limitMicros = limitMicros;
-        this.lastAnswerMicros = nowMicros;
+    StalenessMonitor(long limitUs, long nowUs) {
+        this.limitUs = limitUs;
+        this.lastAnswerUs = nowUs;
     }
 
     /** When {@link #becameStale} is to be called next. */
-    long nextCheckMicros(long nowMicros) {
-        long staleAtMicros = lastAnswerMicros + limitMicros;
-        return nowMicros < staleAtMicros ? staleAtMicros : nowMicros + limitMicros;
+    long nextCheckUs(long nowUs) {
+        long staleAtUs = lastAnswerUs + limitUs;
+        return nowUs < staleAtUs ? staleAtUs : nowUs + limitUs;
     }
 
     /** Whether the limit is exceeded and that was not reported yet. */
-    boolean becameStale(long nowMicros) {
-        boolean stale = !reported && nowMicros - lastAnswerMicros >= limitMicros;
+    boolean becameStale(long nowUs) {
+        boolean stale = !reported && nowUs - lastAnswerUs >= limitUs;
         reported |= stale;
         return stale;
     }
 
     /** Notes an answer; returns how long there had been none if that was reported as stale, else 0. */
-    long answered(long nowMicros) {
-        long staleMicros = reported ? nowMicros - lastAnswerMicros : 0;
-        lastAnswerMicros = nowMicros;
+    long answered(long nowUs) {
+        long staleUs = reported ? nowUs - lastAnswerUs : 0;
+        lastAnswerUs = nowUs;
         reported = false;
-        return staleMicros;
+        return staleUs;
     }
 }
--- a/src/main/java/clovermill/controlplane/discovery/StartTimes.java
+++ b/src/main/java/clovermill/controlplane/discovery/StartTimes.java
@@ -13,13 +13,13 @@
 final class StartTimes {
 
     /** By how much the wall clock may be wrong at this process's start without any endpoint counting as too old. */
-    static final long WALL_CLOCK_MARGIN_MILLIS = 10_000;
+    static final long WALL_CLOCK_MARGIN_MS = 10_000;
     /** A longer age by the wall clock alone is not accepted: the clock may have been stepped by an hour. */
-    static final long MAX_WALL_CLOCK_AGE_MILLIS = 1_800_000;
+    static final long MAX_WALL_CLOCK_AGE_MS = 1_800_000;
     /** Starts that are remembered, more than any director has endpoints; a forgotten one would count as made now. */
     private static final int MAX_STARTS = 2_000;
 
-    private record Start(long stampUnixMillis, long startedMicros) {}
+    private record Start(long stampUnixMs, long startedUs) {}
 
     private final Map<String, Start> starts = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -29,68 +29,68 @@
             return size() > MAX_STARTS;
         }
     };
-    private final long processStartMicros;
-    private final long processStartUnixMillis;
-    private long latestStampUnixMillis = Long.MIN_VALUE;
+    private final long processStartUs;
+    private final long processStartUnixMs;
+    private long latestStampUnixMs = Long.MIN_VALUE;
 
     /**
      * No starts are known.
      *
-     * @param nowMicros the monotonic clock at the start of this process
-     * @param nowUnixMillis the wall clock at the same time; it is not read again, since it may be stepped
+     * @param nowUs the monotonic clock at the start of this process
+     * @param nowUnixMs the wall clock at the same time; it is not read again, since it may be stepped
      */
-    StartTimes(long nowMicros, long nowUnixMillis) {
-        this.processStartMicros = nowMicros;
-        this.processStartUnixMillis = nowUnixMillis;
+    StartTimes(long nowUs, long nowUnixMs) {
+        this.processStartUs = nowUs;
+        this.processStartUnixMs = nowUnixMs;
     }
 
     /** Notes any stamp of the writer: a start with an earlier stamp is at least as old as the difference. */
-    void observeStamp(long stampUnixMillis, long nowMicros) {
-        if (stampUnixMillis <= unixMillis(nowMicros)) {
-            latestStampUnixMillis = Math.max(latestStampUnixMillis, stampUnixMillis);
+    void observeStamp(long stampUnixMs, long nowUs) {
+        if (stampUnixMs <= unixMillis(nowUs)) {
+            latestStampUnixMs = Math.max(latestStampUnixMs, stampUnixMs);
         }
     }
 
     /** The monotonic time, in microseconds, of an event stamped before the start of this process. */
-    long beforeProcessStartMicros(long stampUnixMillis, long nowMicros) {
-        return Math.max(1, nowMicros - Math.max(0, wallClockAgeMillis(stampUnixMillis, nowMicros)) * 1000);
+    long beforeProcessStartUs(long stampUnixMs, long nowUs) {
+        return Math.max(1, nowUs - Math.max(0, wallClockAgeMs(stampUnixMs, nowUs)) * 1000);
     }
 
     /** When an endpoint started, in microseconds, where a new stamp has arrived just now; 0 for long ago. */
-    long startedMicros(String id, long stampUnixMillis, long nowMicros) {
-        return startedMicros(id, stampUnixMillis, nowMicros, 0);
+    long startedUs(String id, long stampUnixMs, long nowUs) {
+        return startedUs(id, stampUnixMs, nowUs, 0);
     }
 
-    /** As {@link #startedMicros}, for a stamp that may be of any time before the start of this process. */
-    long initialStartedMicros(String id, long stampUnixMillis, long nowMicros) {
-        return startedMicros(id, stampUnixMillis, nowMicros, initialAgeMillis(stampUnixMillis, nowMicros));
+    /** As {@link #startedUs}, for a stamp that may be of any time before the start of this process. */
+    long initialStartedUs(String id, long stampUnixMs, long nowUs) {
+        return startedUs(id, stampUnixMs, nowUs, initialAgeMs(stampUnixMs, nowUs));
     }
 
-    private long startedMicros(String id, long stampUnixMillis, long nowMicros, long ageMillis) {
-        if (stampUnixMillis <= 0) {
+    private long startedUs(String id, long stampUnixMs, long nowUs, long ageMs) {
+        if (stampUnixMs <= 0) {
             return 0;
         }
         Start start = starts.get(id);
-        if (start == null || start.stampUnixMillis != stampUnixMillis) {
-            start = new Start(stampUnixMillis, Math.max(1, nowMicros - ageMillis * 1000));
+        if (start == null || start.stampUnixMs != stampUnixMs) {
+            start = new Start(stampUnixMs, Math.max(1, nowUs - ageMs * 1000));
             starts.put(id, start);
         }
-        return start.startedMicros;
+        return start.startedUs;
     }
 
-    private long initialAgeMillis(long stampUnixMillis, long nowMicros) {
-        long byOtherStampsMillis = latestStampUnixMillis == Long.MIN_VALUE ? 0
-                : latestStampUnixMillis - stampUnixMillis;
-        return Math.max(0, Math.max(wallClockAgeMillis(stampUnixMillis, nowMicros), byOtherStampsMillis));
+    private long initialAgeMs(long stampUnixMs, long nowUs) {
+        long byOtherStampsMs = latestStampUnixMs == Long.MIN_VALUE ? 0
+                : latestStampUnixMs - stampUnixMs;
+        return Math.max(0, Math.max(wallClockAgeMs(stampUnixMs, nowUs), byOtherStampsMs));
     }
 
-    private long wallClockAgeMillis(long stampUnixMillis, long nowMicros) {
-        long ageMillis = unixMillis(nowMicros) - stampUnixMillis;
-        return ageMillis <= MAX_WALL_CLOCK_AGE_MILLIS ? ageMillis - WALL_CLOCK_MARGIN_MILLIS : 0;
+    private long wallClockAgeMs(long stampUnixMs, long nowUs) {
+        long ageMs = unixMillis(nowUs) - stampUnixMs;
+        return ageMs <= MAX_WALL_CLOCK_AGE_MS ? ageMs - WALL_CLOCK_MARGIN_MS : 0;
     }
 
     /** The wall clock as it would read now, had it not been stepped since the start of this process. */
-    private long unixMillis(long nowMicros) {
-        return processStartUnixMillis + (nowMicros - processStartMicros) / 1000;
+    private long unixMillis(long nowUs) {
+        return processStartUnixMs + (nowUs - processStartUs) / 1000;
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/EventCodec.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventCodec.java
@@ -14,7 +14,7 @@
  * Events as bytes, in datagrams and in Raft's log. Big-endian:
  *
  * <pre>
- * event   = kind:1  key:8  createdAtMillis:8  size:1 detail
+ * event   = kind:1  key:8  createdAtMs:8  size:1 detail
  * events  = count:2, events
  * entries = count:2, for each: difference to the sequence number before as a varint (LEB128), event
  * </pre>
@@ -30,7 +30,7 @@
     static void write(Event event, DataOutputStream out) throws IOException {
         out.writeByte(event.subject().kind().ordinal());
         out.writeLong(event.subject().key());
-        out.writeLong(event.createdAtMillis());
+        out.writeLong(event.createdAtMs());
         byte[] detail = event.detail().getBytes(StandardCharsets.US_ASCII);
         out.writeByte(detail.length);
         out.write(detail);
@@ -38,10 +38,10 @@
 
     static Event read(DataInputStream in) throws IOException {
         Subject subject = new Subject(Subject.Kind.values()[in.readUnsignedByte()], in.readLong());
-        long createdAtMillis = in.readLong();
+        long createdAtMs = in.readLong();
         byte[] detail = new byte[in.readUnsignedByte()];
         in.readFully(detail);
-        return new Event(subject, createdAtMillis, new String(detail, StandardCharsets.US_ASCII));
+        return new Event(subject, createdAtMs, new String(detail, StandardCharsets.US_ASCII));
     }
 
     static void writeEvents(List<Event> events, DataOutputStream out) throws IOException {
--- a/src/main/java/clovermill/controlplane/eventlog/EventOperationCodec.java
+++ b/src/main/java/clovermill/controlplane/eventlog/EventOperationCodec.java
@@ -61,7 +61,7 @@
         out.writeLong(head.logId());
         out.writeLong(head.head());
         out.writeLong(head.truncatedPrefix().sequence());
-        out.writeLong(head.truncatedPrefix().createdAtMillis());
+        out.writeLong(head.truncatedPrefix().createdAtMs());
         out.writeLong(head.sessionsOpened());
     }
 
--- a/src/main/java/clovermill/controlplane/eventlog/PacketBodyCodec.java
+++ b/src/main/java/clovermill/controlplane/eventlog/PacketBodyCodec.java
@@ -159,7 +159,7 @@
         out.writeBoolean(prefix != null);
         if (prefix != null) {
             out.writeLong(prefix.sequence());
-            out.writeLong(prefix.createdAtMillis());
+            out.writeLong(prefix.createdAtMs());
         }
         EventCodec.writeEntries(range.from(), range.entries(), out);
     }
--- a/src/main/java/clovermill/controlplane/eventlog/PacketCodec.java
+++ b/src/main/java/clovermill/controlplane/eventlog/PacketCodec.java
@@ -19,7 +19,7 @@
  * <pre>
  * magic:4 "CVE1"  to:2  from:2  incarnation:8  number:8  type:1  the packet's fields, in the order of its record
  * signature:16
- * a truncated prefix = present:1, and if so sequence:8 createdAtMillis:8
+ * a truncated prefix = present:1, and if so sequence:8 createdAtMs:8
  * </pre>
  *
  * <p>A datagram that is not exactly this, for this process, signed by this key and received for the first time, causes
--- a/src/main/java/clovermill/controlplane/eventlog/decide/Delivery.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Delivery.java
@@ -8,7 +8,7 @@
 
     /**
      * Events up to a sequence number that the log no longer retains, applied as one: any copy as old as the prefix's
-     * {@code createdAtMillis} may have been purged, and what other events stated before is unknown.
+     * {@code createdAtMs} may have been purged, and what other events stated before is unknown.
      */
     record Truncated(TruncatedPrefix prefix) implements Delivery {}
 
--- a/src/main/java/clovermill/controlplane/eventlog/decide/Event.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/Event.java
@@ -4,10 +4,10 @@
  * An event that all directors apply in the same order.
  *
  * @param subject what it is about
- * @param createdAtMillis when it was created at its origin, Unix milliseconds
+ * @param createdAtMs when it was created at its origin, Unix milliseconds
  * @param detail further data of the kind, maybe empty; ASCII, at most {@link #MAX_DETAIL_CHARS} characters
  */
-public record Event(Subject subject, long createdAtMillis, String detail) {
+public record Event(Subject subject, long createdAtMs, String detail) {
 
     /** The maximum length of a detail; each character is a byte. */
     public static final int MAX_DETAIL_CHARS = 64;
@@ -24,8 +24,8 @@
     }
 
     /** An event without detail. */
-    public Event(Subject subject, long createdAtMillis) {
-        this(subject, createdAtMillis, "");
+    public Event(Subject subject, long createdAtMs) {
+        this(subject, createdAtMs, "");
     }
 
     /** Bytes on the wire, by which retention and batches are bounded. */
@@ -35,6 +35,6 @@
 
     /** This event, with the later of its creation time and that of another event of its subject. */
     Event notBefore(Event other) {
-        return createdAtMillis >= other.createdAtMillis ? this : new Event(subject, other.createdAtMillis, detail);
+        return createdAtMs >= other.createdAtMs ? this : new Event(subject, other.createdAtMs, detail);
     }
 }
--- a/src/main/java/clovermill/controlplane/eventlog/decide/EventLog.java
+++ b/src/main/java/clovermill/controlplane/eventlog/decide/EventLog.java
@@ -141,7 +141,7 @@
         latest.remove(oldest.getValue().subject());
         bytes -= oldest.getValue().bytes();
         truncatedPrefix = new TruncatedPrefix(oldest.getKey(),
-                Math.max(truncatedPrefix.createdAtMillis(), oldest.getValue().createdAtMillis()));
+                Math.max(truncatedPrefix.createdAtMs(), oldest.getValue().createdAtMs()));
     }
 
     /**
--- a/src/main/java/clovermill/controlplane/gossip/GossipService.java
+++ b/src/main/java/clovermill/controlplane/gossip/GossipService.java
@@ -145,12 +145,12 @@
     }
 
     @Override
-    public long retryAfterMillis(ClientRequest ask) {
-        long first = next == null ? ADMITTED : next.retryAfterMillis(ask);
+    public long retryAfterMs(ClientRequest ask) {
+        long first = next == null ? ADMITTED : next.retryAfterMs(ask);
         long now = clock.micros();
         for (int i = 0; first == ADMITTED && i < limits.size(); i++) {
             LimitShare share = member.share(i);
-            if (appliesTo(limits.get(i), ask) && !share.admit(now, now + ask.remainingMicros() + slackUs)) {
+            if (appliesTo(limits.get(i), ask) && !share.admit(now, now + ask.remainingUs() + slackUs)) {
                 release(ask, i);
                 double perMs = limits.get(i).open() == null ? share.amount(now) / 1000 : 1.0 / MAX_RETRY_AFTER_MS;
                 return (long) Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, 1 / perMs));
--- a/src/main/java/clovermill/controlplane/handover/ProcessRegistry.java
+++ b/src/main/java/clovermill/controlplane/handover/ProcessRegistry.java
@@ -20,16 +20,16 @@
     private static final System.Logger LOG = System.getLogger(ProcessRegistry.class.getName());
     private static final String FILE_PREFIX = "here-";
     /** How long to wait after a failed write before it is tried again. */
-    static final long RETRY_INTERVAL_MICROS = 500_000;
+    static final long RETRY_INTERVAL_US = 500_000;
 
     private final Path folder;
     private final long self;
-    private final long startedUnixMillis;
+    private final long startedUnixMs;
     private final long startTicks;
     private final ProcessTable processes;
     private boolean markedReady;
     /** When a write that failed is tried again, 0 if none failed. */
-    private long retryAtMicros;
+    private long retryAtUs;
 
     /**
      * Registers this process, on Linux.
@@ -42,10 +42,10 @@
     }
 
     /** Creates the folder unless it exists, and the file of the process {@code self}. */
-    ProcessRegistry(Path folder, long self, long startedUnixMillis, ProcessTable processes) throws IOException {
+    ProcessRegistry(Path folder, long self, long startedUnixMs, ProcessTable processes) throws IOException {
         this.folder = Files.createDirectories(folder);
         this.self = self;
-        this.startedUnixMillis = startedUnixMillis;
+        this.startedUnixMs = startedUnixMs;
         this.startTicks = processes.startTicks(self)
                 .orElseThrow(() -> new IOException("process " + self + " has no start ticks"));
         this.processes = processes;
@@ -54,27 +54,27 @@
 
     private void write(boolean ready) throws IOException {
         Path temporary = folder.resolve("new-here-" + self);
-        Files.writeString(temporary, startedUnixMillis + (ready ? " ready " : " starts ") + startTicks);
+        Files.writeString(temporary, startedUnixMs + (ready ? " ready " : " starts ") + startTicks);
         Files.move(temporary, folder.resolve(FILE_PREFIX + self), StandardCopyOption.ATOMIC_MOVE);
     }
 
     /**
      * Publishes whether this process accepts connections; one that shuts down does not, and is no successor. To be
-     * called repeatedly: a write that failed is tried again after {@link #RETRY_INTERVAL_MICROS}.
+     * called repeatedly: a write that failed is tried again after {@link #RETRY_INTERVAL_US}.
      *
-     * @param nowMicros the monotonic clock
+     * @param nowUs the monotonic clock
      */
-    public void markReady(boolean ready, long nowMicros) {
-        if (ready == markedReady || retryAtMicros != 0 && nowMicros < retryAtMicros) {
+    public void markReady(boolean ready, long nowUs) {
+        if (ready == markedReady || retryAtUs != 0 && nowUs < retryAtUs) {
             return;
         }
         try {
             write(ready);
             markedReady = ready;
-            retryAtMicros = 0;
+            retryAtUs = 0;
         } catch (IOException failure) {
             warn(failure);
-            retryAtMicros = nowMicros + RETRY_INTERVAL_MICROS;
+            retryAtUs = nowUs + RETRY_INTERVAL_US;
         }
     }
 
--- a/src/main/java/clovermill/controlplane/outage/OutageFolder.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageFolder.java
@@ -35,14 +35,14 @@
     private static final String OUT_PREFIX = "out-";
     private static final String BACK_PREFIX = "back-";
     /** The resolution of the folder's time may be this coarse: within it a further change may not show. */
-    private static final long TIME_RESOLUTION_MICROS = 50_000;
+    private static final long TIME_RESOLUTION_US = 50_000;
     /** The folder is read again after this long in any case: a wall clock that is stepped back may repeat a time. */
-    private static final long MAX_READ_INTERVAL_MICROS = 5_000_000;
+    private static final long MAX_READ_INTERVAL_US = 5_000_000;
     /** How long to wait after a failed write before it is tried again. */
-    private static final long RETRY_INTERVAL_MICROS = 500_000;
+    private static final long RETRY_INTERVAL_US = 500_000;
 
     /** A mark that is not in the folder: an outage, or a return with its stamp. */
-    private record PendingMark(boolean out, long stampUnixMillis) {}
+    private record PendingMark(boolean out, long stampUnixMs) {}
 
     /** What the folder holds of a cache: the content of its two files, empty for one that does not exist. */
     private record RecordedMarks(Optional<String> outage, Optional<String> back) {}
@@ -51,26 +51,26 @@
     private record Pending(PendingMark mark, Optional<RecordedMarks> found) {}
 
     private final Path folder;
-    private final LongSupplier monotonicMicros;
+    private final LongSupplier monotonicUs;
     /** Marks that could not be written: in force in this process, and written again until that succeeds. */
     private final Map<String, Pending> pending = new LinkedHashMap<>();
-    private long retryAtMicros;
+    private long retryAtUs;
     /** A random number for this process; with the outages that it has written, the content of an outage's file. */
     private final long writer = ThreadLocalRandom.current().nextLong();
     private long outagesWritten;
     /** The folder's time at the last read, compared for equality alone; null where it is to be read in any case. */
     private FileTime folderTime;
-    private long folderTimeFoundMicros;
-    private long lastReadMicros;
+    private long folderTimeFoundUs;
+    private long lastReadUs;
 
     /**
      * Creates the folder unless it exists.
      *
-     * @param monotonicMicros a clock in microseconds that is never stepped
+     * @param monotonicUs a clock in microseconds that is never stepped
      * @throws IOException if the folder cannot be created
      */
-    public OutageFolder(Path folder, LongSupplier monotonicMicros) throws IOException {
-        this.monotonicMicros = monotonicMicros;
+    public OutageFolder(Path folder, LongSupplier monotonicUs) throws IOException {
+        this.monotonicUs = monotonicUs;
         this.folder = Files.createDirectories(folder);
     }
 
@@ -80,13 +80,13 @@
     }
 
     @Override
-    public void putBack(String id, long stampUnixMillis) {
-        recordOrKeep(id, new PendingMark(false, stampUnixMillis));
+    public void putBack(String id, long stampUnixMs) {
+        recordOrKeep(id, new PendingMark(false, stampUnixMs));
     }
 
     @Override
-    public boolean tryPutBack(String id, long stampUnixMillis) {
-        boolean recorded = writeReturn(id, stampUnixMillis) && deleteOutage(id);
+    public boolean tryPutBack(String id, long stampUnixMs) {
+        boolean recorded = writeReturn(id, stampUnixMs) && deleteOutage(id);
         if (recorded) {
             pending.remove(id);
         }
@@ -99,13 +99,13 @@
     }
 
     /**
-     * Writes the pending marks again, unless the last failure is less than {@link #RETRY_INTERVAL_MICROS} ago. To be
+     * Writes the pending marks again, unless the last failure is less than {@link #RETRY_INTERVAL_US} ago. To be
      * called a few times a second, whether or not another process exists: a later start reads the folder, too. A mark
      * is dropped where another process has recorded one of the same cache since: that is the later call
      * (docs/incidents/outage-undone.md).
      */
     public void retryPending() {
-        if (pending.isEmpty() || monotonicMicros.getAsLong() < retryAtMicros) {
+        if (pending.isEmpty() || monotonicUs.getAsLong() < retryAtUs) {
             return;
         }
         for (Map.Entry<String, Pending> each : List.copyOf(pending.entrySet())) {
@@ -158,18 +158,18 @@
         if (mark.out) {
             recorded = write(OUT_PREFIX, id, writer + " " + ++outagesWritten);
         } else {
-            boolean stamped = writeReturn(id, mark.stampUnixMillis);
+            boolean stamped = writeReturn(id, mark.stampUnixMs);
             // A full folder still lets the mark of the outage be deleted.
             recorded = deleteOutage(id) && stamped;
         }
         if (!recorded) {
-            retryAtMicros = monotonicMicros.getAsLong() + RETRY_INTERVAL_MICROS;
+            retryAtUs = monotonicUs.getAsLong() + RETRY_INTERVAL_US;
         }
         return recorded;
     }
 
-    private boolean writeReturn(String id, long stampUnixMillis) {
-        return write(BACK_PREFIX, id, Long.toString(stampUnixMillis));
+    private boolean writeReturn(String id, long stampUnixMs) {
+        return write(BACK_PREFIX, id, Long.toString(stampUnixMs));
     }
 
     private boolean deleteOutage(String id) {
@@ -227,7 +227,7 @@
                 out.add(id);
             } else {
                 out.remove(id);
-                back.put(id, each.mark.stampUnixMillis);
+                back.put(id, each.mark.stampUnixMs);
             }
         });
         return new OutageSnapshot(out, back);
@@ -236,15 +236,15 @@
     /** Whether the folder's time has changed since the last read, or may not show a change; then notes a read. */
     private boolean mayHaveChanged() throws IOException {
         FileTime time = Files.getLastModifiedTime(folder);
-        long nowMicros = monotonicMicros.getAsLong();
+        long nowUs = monotonicUs.getAsLong();
         if (!time.equals(folderTime)) {
             folderTime = time;
-            folderTimeFoundMicros = nowMicros;
-        } else if (lastReadMicros - folderTimeFoundMicros > TIME_RESOLUTION_MICROS
-                && nowMicros - lastReadMicros < MAX_READ_INTERVAL_MICROS) {
+            folderTimeFoundUs = nowUs;
+        } else if (lastReadUs - folderTimeFoundUs > TIME_RESOLUTION_US
+                && nowUs - lastReadUs < MAX_READ_INTERVAL_US) {
             return false;
         }
-        lastReadMicros = nowMicros;
+        lastReadUs = nowUs;
         return true;
     }
 
--- a/src/main/java/clovermill/controlplane/outage/OutageMarks.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageMarks.java
@@ -9,10 +9,10 @@
         public void takeOut(String id) {}
 
         @Override
-        public void putBack(String id, long stampUnixMillis) {}
+        public void putBack(String id, long stampUnixMs) {}
 
         @Override
-        public boolean tryPutBack(String id, long stampUnixMillis) {
+        public boolean tryPutBack(String id, long stampUnixMs) {
             return true;
         }
 
@@ -28,17 +28,17 @@
     /**
      * Marks a cache as back. A mark that cannot be recorded now is tried again until it is.
      *
-     * @param stampUnixMillis identifies this return among those of the cache
+     * @param stampUnixMs identifies this return among those of the cache
      */
-    void putBack(String id, long stampUnixMillis);
+    void putBack(String id, long stampUnixMs);
 
     /**
      * Marks a cache as back if that can be recorded now; otherwise it stays out.
      *
-     * @param stampUnixMillis identifies this return among those of the cache
+     * @param stampUnixMs identifies this return among those of the cache
      * @return whether it is recorded
      */
-    boolean tryPutBack(String id, long stampUnixMillis);
+    boolean tryPutBack(String id, long stampUnixMs);
 
     /** Whether the last mark of a cache is recorded, so that it outlives this process. */
     boolean isRecorded(String id);
--- a/src/main/java/clovermill/controlplane/outage/OutageRegistry.java
+++ b/src/main/java/clovermill/controlplane/outage/OutageRegistry.java
@@ -19,7 +19,7 @@
     private final Map<String, Return> returns = new LinkedHashMap<>();
 
     /** A return: the stamp that identifies it, and its monotonic time. */
-    private record Return(long stampUnixMillis, long returnedMicros) {}
+    private record Return(long stampUnixMs, long returnedUs) {}
 
     /** Takes a cache out; false if it was out before. */
     public boolean takeOut(String id) {
@@ -29,15 +29,15 @@
     /**
      * Puts a cache back.
      *
-     * @param stampUnixMillis identifies this return among those of the cache
-     * @param nowMicros the monotonic clock
+     * @param stampUnixMs identifies this return among those of the cache
+     * @param nowUs the monotonic clock
      * @return false if it was not out
      */
-    public boolean putBack(String id, long stampUnixMillis, long nowMicros) {
+    public boolean putBack(String id, long stampUnixMs, long nowUs) {
         if (!out.remove(id)) {
             return false;
         }
-        remember(id, new Return(stampUnixMillis, nowMicros));
+        remember(id, new Return(stampUnixMs, nowUs));
         return true;
     }
 
@@ -46,14 +46,14 @@
      * other stamp, also an earlier one of a wall clock that was stepped, is a further return. A return never makes a
      * cache older than it was known to be.
      *
-     * @param returnedMicros when it was, on the monotonic clock
+     * @param returnedUs when it was, on the monotonic clock
      */
-    public void mergeReturn(String id, long stampUnixMillis, long returnedMicros) {
+    public void mergeReturn(String id, long stampUnixMs, long returnedUs) {
         Return known = returns.get(id);
         if (known == null) {
-            remember(id, new Return(stampUnixMillis, returnedMicros));
-        } else if (known.stampUnixMillis != stampUnixMillis) {
-            remember(id, new Return(stampUnixMillis, Math.max(known.returnedMicros, returnedMicros)));
+            remember(id, new Return(stampUnixMs, returnedUs));
+        } else if (known.stampUnixMs != stampUnixMs) {
+            remember(id, new Return(stampUnixMs, Math.max(known.returnedUs, returnedUs)));
         }
     }
 
@@ -79,10 +79,10 @@
      * When a cache counts as started on the monotonic clock, in microseconds, 0 for long ago. It is restarted while it
      * is out, which the list may show late or not at all.
      *
-     * @param listedStartMicros its start as the list gives it
+     * @param listedStartUs its start as the list gives it
      */
-    public long startedMicros(String id, long listedStartMicros) {
+    public long startedUs(String id, long listedStartUs) {
         Return known = returns.get(id);
-        return known == null ? listedStartMicros : Math.max(listedStartMicros, known.returnedMicros);
+        return known == null ? listedStartUs : Math.max(listedStartUs, known.returnedUs);
     }
 }
--- a/src/main/java/clovermill/controlplane/placement/Placement.java
+++ b/src/main/java/clovermill/controlplane/placement/Placement.java
@@ -26,15 +26,15 @@
 public final class Placement implements UsageListener, EndpointFilter {
 
     /** A lost lease is usually renewed within this time. */
-    private static final long LEASE_RETRY_AFTER_MILLIS = 200;
+    private static final long LEASE_RETRY_AFTER_MS = 200;
 
     /**
      * The rules in force, until the lease ends.
      *
-     * @param untilMicros the end of the lease, on this director's clock
+     * @param untilUs the end of the lease, on this director's clock
      * @param rules of one policy; of two during a change, both of which bind
      */
-    private record InForce(long untilMicros, List<PlacementRules> rules) {}
+    private record InForce(long untilUs, List<PlacementRules> rules) {}
 
     private final Clock clock;
     private final Settings settings;
@@ -86,15 +86,15 @@
     /**
      * Enforces these policies from now on.
      *
-     * @param untilMicros the end of the lease, on this director's clock
+     * @param untilUs the end of the lease, on this director's clock
      * @throws IllegalStateException if {@link #rejection} has a reason against one of them
      */
-    public void enforce(List<String> policies, long untilMicros) {
+    public void enforce(List<String> policies, long untilUs) {
         Map<String, PlacementRules> before = Map.copyOf(parsed);
         parsed.clear();
         List<PlacementRules> rules = policies.stream().map(text -> parsed.computeIfAbsent(text,
                 key -> before.containsKey(key) ? before.get(key) : parseChecked(key))).toList();
-        inForce = new InForce(untilMicros, rules);
+        inForce = new InForce(untilUs, rules);
     }
 
     private PlacementRules parseChecked(String policy) {
@@ -106,20 +106,20 @@
     }
 
     @Override
-    public long retryAfterMillis(ClientRequest request) {
+    public long retryAfterMs(ClientRequest request) {
         if (nothingServed()) {
-            return LEASE_RETRY_AFTER_MILLIS;
+            return LEASE_RETRY_AFTER_MS;
         }
         for (PlacementRules rules : inForce.rules) {
             PlacementRules.Rule rule = rules.rule(request.requestClass(), request.group());
             if (rule != null && rule.guarded() && !leaseHeld()) {
-                return LEASE_RETRY_AFTER_MILLIS;
+                return LEASE_RETRY_AFTER_MS;
             }
             if (rule != null && !anyEndpointAllowed(request)) {
                 return settings.allowed().maxRetryAfterUs() / 1000;
             }
         }
-        return next == null ? ADMITTED : next.retryAfterMillis(request);
+        return next == null ? ADMITTED : next.retryAfterMs(request);
     }
 
     private boolean nothingServed() {
@@ -127,7 +127,7 @@
     }
 
     private boolean leaseHeld() {
-        return clock.micros() < inForce.untilMicros;
+        return clock.micros() < inForce.untilUs;
     }
 
     private boolean anyEndpointAllowed(ClientRequest request) {
--- a/src/main/java/clovermill/controlplane/policystore/ChangeForwarder.java
+++ b/src/main/java/clovermill/controlplane/policystore/ChangeForwarder.java
@@ -17,27 +17,27 @@
     private static final int RETRIES_PER_RENEWAL = 4;
 
     private final int self;
-    private final long retryMicros;
+    private final long retryUs;
     private final MessageTransport transport;
     private final Map<Long, PolicyTaskMessage.ChangeRequested> pending = new LinkedHashMap<>();
     private long lastRequestId;
-    private long nextSendMicros;
+    private long nextSendUs;
 
     /** Numbers its requests from {@code firstRequestId} on, so that those of two processes differ. */
     ChangeForwarder(PolicyStoreTask.Membership membership, MessageTransport transport, long firstRequestId) {
         this.self = membership.self();
-        this.retryMicros = membership.timing().renewalMicros() / RETRIES_PER_RENEWAL;
+        this.retryUs = membership.timing().renewalUs() / RETRIES_PER_RENEWAL;
         this.transport = transport;
         this.lastRequestId = firstRequestId;
     }
 
     /** Accepts a change, or refuses it with a null result where too many are pending. */
-    void request(PolicyTaskMessage.ChangeRequested change, long nowMicros) {
+    void request(PolicyTaskMessage.ChangeRequested change, long nowUs) {
         if (pending.size() >= MAX_PENDING) {
             change.onResult().accept(null, 0L);
         } else {
             pending.put(++lastRequestId, change);
-            nextSendMicros = nowMicros;
+            nextSendUs = nowUs;
         }
     }
 
@@ -52,16 +52,16 @@
     }
 
     /** Sends all pending changes to the leader, if that is due. */
-    void tick(int leader, long nowMicros) {
-        if (!pending.isEmpty() && nowMicros >= nextSendMicros) {
-            nextSendMicros = nowMicros + retryMicros;
+    void tick(int leader, long nowUs) {
+        if (!pending.isEmpty() && nowUs >= nextSendUs) {
+            nextSendUs = nowUs + retryUs;
             pending.forEach((requestId, change) -> transport.send(leader, message(requestId, change)));
         }
     }
 
     /** When {@link #tick} is due next, or {@link Long#MAX_VALUE}. */
-    long nextTickMicros() {
-        return pending.isEmpty() ? Long.MAX_VALUE : nextSendMicros;
+    long nextTickUs() {
+        return pending.isEmpty() ? Long.MAX_VALUE : nextSendUs;
     }
 
     private PolicyMessage message(long requestId, PolicyTaskMessage.ChangeRequested change) {
--- a/src/main/java/clovermill/controlplane/policystore/LeaseClient.java
+++ b/src/main/java/clovermill/controlplane/policystore/LeaseClient.java
@@ -19,7 +19,7 @@
     private static final int MAX_UNANSWERED = 2;
     private static final int PARTS_PER_FETCH = 16;
     /** The least interval between requests, however often the leader asks for one. */
-    private static final long MIN_REQUEST_INTERVAL_MICROS = 20_000;
+    private static final long MIN_REQUEST_INTERVAL_US = 20_000;
     /** Retries of a fetch, and of a search for the leader, come so many times in one renewal interval. */
     private static final int RETRIES_PER_RENEWAL = 4;
 
@@ -36,9 +36,9 @@
     /** The grant whose texts are still being fetched, or null. */
     private PolicyMessage.LeaseGrant pendingGrant;
     private String rejection;
-    private long lastTickMicros = Long.MIN_VALUE / 2;
-    private long nextRequestMicros;
-    private long nextFetchMicros;
+    private long lastTickUs = Long.MIN_VALUE / 2;
+    private long nextRequestUs;
+    private long nextFetchUs;
     private long requestId;
     private int leader;
     private int unanswered;
@@ -74,69 +74,69 @@
     }
 
     /** Sends what is due; returns when it is to be called again. */
-    long tick(long nowMicros) {
-        if (nowMicros < lastTickMicros) { // a clock that runs back would extend the lease
+    long tick(long nowUs) {
+        if (nowUs < lastTickUs) { // a clock that runs back would extend the lease
             holder = LeaseHolder.EMPTY;
             publish();
         }
-        lastTickMicros = nowMicros;
-        if (nowMicros >= nextRequestMicros) {
-            requestLease(nowMicros);
+        lastTickUs = nowUs;
+        if (nowUs >= nextRequestUs) {
+            requestLease(nowUs);
         }
-        if (pendingGrant != null && nowMicros >= nextFetchMicros) {
-            fetchMissingParts(nowMicros);
+        if (pendingGrant != null && nowUs >= nextFetchUs) {
+            fetchMissingParts(nowUs);
         }
-        return pendingGrant == null ? nextRequestMicros : Math.min(nextRequestMicros, nextFetchMicros);
+        return pendingGrant == null ? nextRequestUs : Math.min(nextRequestUs, nextFetchUs);
     }
 
-    private void requestLease(long nowMicros) {
+    private void requestLease(long nowUs) {
         if (++unanswered > MAX_UNANSWERED) {
             leader = voters.get((voters.indexOf(leader) + 1) % voters.size());
         }
-        holder = holder.request(++requestId, nowMicros);
+        holder = holder.request(++requestId, nowUs);
         long confirmedStep = holder.step() == null ? PolicyTransition.NONE : holder.step().number();
         transport.send(leader, new PolicyMessage.LeaseRequest(self, processId, requestId, confirmedStep,
                 holder.rejectedStep(), rejection));
-        long interval = unanswered > MAX_UNANSWERED ? timing.renewalMicros() / RETRIES_PER_RENEWAL
-                : timing.renewalMicros();
-        nextRequestMicros = nowMicros + interval;
+        long interval = unanswered > MAX_UNANSWERED ? timing.renewalUs() / RETRIES_PER_RENEWAL
+                : timing.renewalUs();
+        nextRequestUs = nowUs + interval;
     }
 
     /** Follows a hint to another leader, or requests a lease early because the leader asks for it. */
-    void onLeaderHint(PolicyMessage.LeaderHint hint, long nowMicros) {
+    void onLeaderHint(PolicyMessage.LeaderHint hint, long nowUs) {
         boolean requestWanted = hint.leader() == hint.from();
         if (hint.leader() >= 0 && voters.contains(hint.leader()) && (requestWanted || hint.leader() != leader)) {
             leader = hint.leader();
             unanswered = 0;
-            nextRequestMicros = Math.min(nextRequestMicros, nowMicros + MIN_REQUEST_INTERVAL_MICROS);
+            nextRequestUs = Math.min(nextRequestUs, nowUs + MIN_REQUEST_INTERVAL_US);
         }
     }
 
     /** Handles a grant; one that answers no open request is ignored. */
-    void onLeaseGrant(PolicyMessage.LeaseGrant grant, long nowMicros) {
+    void onLeaseGrant(PolicyMessage.LeaseGrant grant, long nowUs) {
         if (grant.processId() != processId || !holder.accepts(grant.requestId(), grant.step())) {
             return;
         }
         unanswered = 0;
         leader = grant.from();
         pendingGrant = grant;
-        fetchMissingParts(nowMicros);
+        fetchMissingParts(nowUs);
     }
 
     /** Handles a part of a text. */
-    void onPartResponse(PolicyMessage.PartResponse part, long nowMicros) {
+    void onPartResponse(PolicyMessage.PartResponse part, long nowUs) {
         versions.addPart(part.digest(), part.number(), part.text());
         if (pendingGrant != null) {
-            applyGrantIfComplete(nowMicros);
+            applyGrantIfComplete(nowUs);
         }
     }
 
-    private void fetchMissingParts(long nowMicros) {
-        nextFetchMicros = nowMicros + timing.renewalMicros() / RETRIES_PER_RENEWAL;
+    private void fetchMissingParts(long nowUs) {
+        nextFetchUs = nowUs + timing.renewalUs() / RETRIES_PER_RENEWAL;
         fetch(pendingGrant.policy(), pendingGrant.policyParts());
         boolean same = pendingGrant.next().equals(pendingGrant.policy());
         fetch(pendingGrant.next(), same ? pendingGrant.policyParts() : pendingGrant.nextParts());
-        applyGrantIfComplete(nowMicros);
+        applyGrantIfComplete(nowUs);
     }
 
     private void fetch(String digest, int parts) {
@@ -145,7 +145,7 @@
         }
     }
 
-    private void applyGrantIfComplete(long nowMicros) {
+    private void applyGrantIfComplete(long nowUs) {
         PolicyTransition step = pendingGrant.step();
         PolicyDocument policy = versions.find(pendingGrant.policy()).orElse(null);
         PolicyDocument next = step.inTransition() ? versions.find(pendingGrant.next()).orElse(null) : null;
@@ -164,18 +164,18 @@
                 versions.retain(step.inTransition() ? List.of(grant.policy(), grant.next())
                         : List.of(grant.policy()));
             }
-            view = new PolicyView(step, policy, next, holder.expiresAtMicros(), grant.unconfirmed(),
-                    grant.remainingMicros(), grant.lastAbortReason());
+            view = new PolicyView(step, policy, next, holder.expiresAtUs(), grant.unconfirmed(),
+                    grant.remainingUs(), grant.lastAbortReason());
             publish();
         }
         if (newStep) {
-            nextRequestMicros = Math.min(nextRequestMicros, nowMicros); // confirms or rejects the step at once
+            nextRequestUs = Math.min(nextRequestUs, nowUs); // confirms or rejects the step at once
         }
     }
 
     private void publish() {
-        view = new PolicyView(holder.step(), view.policy(), view.next(), holder.expiresAtMicros(), view.unconfirmed(),
-                view.remainingMicros(), view.lastAbortReason());
+        view = new PolicyView(holder.step(), view.policy(), view.next(), holder.expiresAtUs(), view.unconfirmed(),
+                view.remainingUs(), view.lastAbortReason());
         listener.accept(view);
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyLeader.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyLeader.java
@@ -28,7 +28,7 @@
     private static final int TICKS_PER_RENEWAL_NOTIFYING = 10;
     private static final int TICKS_PER_RENEWAL = 2;
     /** The longest step that counts in full as elapsed time. */
-    private static final long MAX_CLOCK_STEP_MICROS = 1_000_000;
+    private static final long MAX_CLOCK_STEP_US = 1_000_000;
     private static final long NO_REQUEST = -1;
 
     private final int self;
@@ -41,44 +41,44 @@
     private Coordinator coordinator = Coordinator.IDLE;
     private boolean reading;
     private boolean replicating;
-    private long nextNoticeMicros;
+    private long nextNoticeUs;
     private int noticesLeft;
 
     PolicyLeader(PolicyStoreTask.Membership membership, RaftReplica<PolicyStateMachine> replica,
-            MessageTransport transport, BiPredicate<PolicyDocument, PolicyDocument> enforcedByLease, long nowMicros) {
+            MessageTransport transport, BiPredicate<PolicyDocument, PolicyDocument> enforcedByLease, long nowUs) {
         this.self = membership.self();
         this.timing = membership.timing();
         this.replica = replica;
         this.transport = transport;
         this.enforcedByLease = enforcedByLease;
-        this.clock = new MonotonicClock(nowMicros, Math.min(timing.renewalMicros(), MAX_CLOCK_STEP_MICROS));
+        this.clock = new MonotonicClock(nowUs, Math.min(timing.renewalUs(), MAX_CLOCK_STEP_US));
     }
 
     /** Does what is due if this voter leads; returns when it is to be called again. */
-    long tick(long nowMicros) {
-        long elapsedMicros = clock.advance(nowMicros);
+    long tick(long nowUs) {
+        long elapsedUs = clock.advance(nowUs);
         PolicyRegister register = replica.machine().register();
-        coordinator = coordinator.observe(register.step(), elapsedMicros);
+        coordinator = coordinator.observe(register.step(), elapsedUs);
         if (!replica.leads()) {
             waiting.clear();
-            return nowMicros + timing.renewalMicros() / TICKS_PER_RENEWAL;
+            return nowUs + timing.renewalUs() / TICKS_PER_RENEWAL;
         }
         readRegister();
         if (register.step().inTransition() && !replicating) {
-            replicateNextChange(register, elapsedMicros);
+            replicateNextChange(register, elapsedUs);
         }
         boolean notifying = register.step().inTransition() || noticesLeft > 0;
-        if (notifying && nowMicros >= nextNoticeMicros) {
-            nextNoticeMicros = nowMicros + timing.renewalMicros() / NOTICES_PER_RENEWAL;
+        if (notifying && nowUs >= nextNoticeUs) {
+            nextNoticeUs = nowUs + timing.renewalUs() / NOTICES_PER_RENEWAL;
             noticesLeft--;
             notifyDirectors(register);
         }
-        return nowMicros + timing.renewalMicros() / (notifying ? TICKS_PER_RENEWAL_NOTIFYING : TICKS_PER_RENEWAL);
+        return nowUs + timing.renewalUs() / (notifying ? TICKS_PER_RENEWAL_NOTIFYING : TICKS_PER_RENEWAL);
     }
 
-    private void replicateNextChange(PolicyRegister register, long elapsedMicros) {
+    private void replicateNextChange(PolicyRegister register, long elapsedUs) {
         Optional<PolicyChange> change = coordinator.nextChange(register, timing,
-                enforcedByLease.test(register.policy(), register.pending()), elapsedMicros);
+                enforcedByLease.test(register.policy(), register.pending()), elapsedUs);
         if (change.isPresent()) {
             replicating = true;
             replica.replicate(change.get(), result -> replicating = false);
@@ -96,7 +96,7 @@
 
     /** The register has changed: directors are notified with the next tick. */
     void onRegisterChanged() {
-        nextNoticeMicros = 0;
+        nextNoticeUs = 0;
         noticesLeft = NOTICES;
     }
 
@@ -140,12 +140,12 @@
         String next = inTransition ? register.pending().digest() : "";
         int nextParts = inTransition ? register.pending().parts().size() : 0;
         Set<Integer> unconfirmed = inTransition ? unconfirmed() : Set.of();
-        long remainingMicros = inTransition
-                ? Math.max(0, timing.expiryWaitMicros() - coordinator.elapsedMicros(clock))
+        long remainingUs = inTransition
+                ? Math.max(0, timing.expiryWaitUs() - coordinator.elapsedUs(clock))
                 : 0;
         return new PolicyMessage.LeaseGrant(self, request.processId(), request.requestId(), register.step(),
                 register.policy().digest(), register.policy().parts().size(), next, nextParts, unconfirmed,
-                remainingMicros, register.lastChange().abortReason());
+                remainingUs, register.lastChange().abortReason());
     }
 
     private Set<Integer> unconfirmed() {
--- a/src/main/java/clovermill/controlplane/policystore/PolicyMessage.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyMessage.java
@@ -31,11 +31,11 @@
      * @param policy the digest of the policy in force, or the previous one in a transition
      * @param next the digest of the policy that a transition introduces; empty without one
      * @param unconfirmed the directors that have not confirmed the transition
-     * @param remainingMicros how long the transition may still wait for them
+     * @param remainingUs how long the transition may still wait for them
      * @param lastAbortReason why the last transition was aborted, or null
      */
     record LeaseGrant(int from, long processId, long requestId, PolicyTransition step, String policy, int policyParts,
-            String next, int nextParts, Set<Integer> unconfirmed, long remainingMicros, String lastAbortReason)
+            String next, int nextParts, Set<Integer> unconfirmed, long remainingUs, String lastAbortReason)
             implements PolicyMessage {}
 
     /**
--- a/src/main/java/clovermill/controlplane/policystore/PolicyMessageBody.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyMessageBody.java
@@ -75,7 +75,7 @@
         for (int director : grant.unconfirmed()) {
             out.writeShort(director);
         }
-        out.writeLong(grant.remainingMicros());
+        out.writeLong(grant.remainingUs());
         writeNullable(grant.lastAbortReason(), out);
     }
 
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStore.java
@@ -30,7 +30,7 @@
     static final String MAGIC = "CVACCOR1";
     private static final String THREAD_NAME = "policy-store";
     private static final int MAILBOX_CAPACITY = 1024;
-    private static final long STOP_TIMEOUT_MILLIS = 500;
+    private static final long STOP_TIMEOUT_MS = 500;
 
     private final DatagramChannel socket;
     private final FileRaftStorage storage;
@@ -106,7 +106,7 @@
     @Override
     public void close() {
         try {
-            thread.stop(STOP_TIMEOUT_MILLIS);
+            thread.stop(STOP_TIMEOUT_MS);
             if (storage != null) {
                 storage.close();
             }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreSettings.java
@@ -15,20 +15,20 @@
  * @param voters the indices of the directors that vote
  * @param keyFile the file with the key that signs datagrams
  * @param folder a voter's durable folder
- * @param leaseMillis how long a lease lasts
- * @param renewalMillis the interval between lease requests
+ * @param leaseMs how long a lease lasts
+ * @param renewalMs the interval between lease requests
  * @param drift the largest deviation of a clock's rate from true time, as a fraction
  * @param withoutLease {@code refuse} for every tenant, or {@code protected} for protected tenants only
  */
 public record PolicyStoreSettings(List<String> directors, int self, List<Integer> voters,
-        @JsonProperty("key_file") String keyFile, String folder, @JsonProperty("lease_ms") Long leaseMillis,
-        @JsonProperty("ask_ms") Long renewalMillis, Double drift, @JsonProperty("without_lease") String withoutLease) {
+        @JsonProperty("key_file") String keyFile, String folder, @JsonProperty("lease_ms") Long leaseMs,
+        @JsonProperty("ask_ms") Long renewalMs, Double drift, @JsonProperty("without_lease") String withoutLease) {
 
     private static final List<Integer> VOTER_COUNTS = List.of(3, 5, 7);
     private static final int MIN_DIRECTORS = 3;
     private static final int MIN_RENEWALS_PER_LEASE = 3;
-    private static final long DEFAULT_LEASE_MILLIS = 10_000;
-    private static final long DEFAULT_RENEWAL_MILLIS = 1000;
+    private static final long DEFAULT_LEASE_MS = 10_000;
+    private static final long DEFAULT_RENEWAL_MS = 1000;
     private static final double DEFAULT_DRIFT = 0.01;
     private static final long MICROS_PER_MILLI = 1000;
 
@@ -48,7 +48,7 @@
         if (isVoter() && folder == null) {
             throw new IllegalArgumentException("/accord/folder: a voter needs a folder that lasts");
         }
-        if (timing().leaseMicros() < MIN_RENEWALS_PER_LEASE * timing().renewalMicros()) {
+        if (timing().leaseUs() < MIN_RENEWALS_PER_LEASE * timing().renewalUs()) {
             throw new IllegalArgumentException(
                     "/accord/lease_ms: three times ask_ms at least, or a lost question ends a lease");
         }
@@ -68,8 +68,8 @@
 
     LeaseTiming timing() {
         return new LeaseTiming(directors.size(),
-                (leaseMillis == null ? DEFAULT_LEASE_MILLIS : leaseMillis) * MICROS_PER_MILLI,
-                (renewalMillis == null ? DEFAULT_RENEWAL_MILLIS : renewalMillis) * MICROS_PER_MILLI,
+                (leaseMs == null ? DEFAULT_LEASE_MS : leaseMs) * MICROS_PER_MILLI,
+                (renewalMs == null ? DEFAULT_RENEWAL_MS : renewalMs) * MICROS_PER_MILLI,
                 drift == null ? DEFAULT_DRIFT : drift);
     }
 
--- a/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyStoreTask.java
@@ -44,21 +44,21 @@
     /** Null as long as there is no replica, as are the next two. */
     private PolicyLeader policyLeader;
     private ChangeProposer changeProposer;
-    private long nowMicros;
+    private long nowUs;
 
     /**
-     * Starts at {@code nowMicros}; a voter restores its state from its storage.
+     * Starts at {@code nowUs}; a voter restores its state from its storage.
      *
      * @param storage a voter's durable storage; null at a director that does not vote
      * @param listener is called with each change of the policy in force here
      */
     public PolicyStoreTask(Membership membership, PolicyRules rules, MessageTransport transport, RaftStorage storage,
-            Random random, Consumer<PolicyView> listener, long nowMicros) {
+            Random random, Consumer<PolicyView> listener, long nowUs) {
         this.membership = membership;
         this.rules = rules;
         this.transport = transport;
-        this.scheduler = new RaftScheduler(nowMicros);
-        this.nowMicros = nowMicros;
+        this.scheduler = new RaftScheduler(nowUs);
+        this.nowUs = nowUs;
         versions.add(PolicyDocument.EMPTY);
         leaseClient = new LeaseClient(membership, random.nextLong(), versions, transport, rules.validate(), listener);
         changeForwarder = new ChangeForwarder(membership, transport, random.nextLong() >>> 1);
@@ -74,7 +74,7 @@
                         new PolicyMessage.RaftEnvelope(membership.self(), to.disk(), message)));
         return new RaftMember<>(
                 new RaftMember.Membership(membership.self(), membership.voters(),
-                        membership.timing().renewalMicros() / 2),
+                        membership.timing().renewalUs() / 2),
                 storage, host, () -> new PolicyStateMachine(this::onRegisterChanged), this::onReplicaCreated,
                 new JoinMessages());
     }
@@ -107,7 +107,7 @@
     }
 
     private void onReplicaCreated(RaftReplica<PolicyStateMachine> replica) {
-        policyLeader = new PolicyLeader(membership, replica, transport, rules.enforcedByLease(), nowMicros);
+        policyLeader = new PolicyLeader(membership, replica, transport, rules.enforcedByLease(), nowUs);
         changeProposer = new ChangeProposer(membership.self(), replica, versions, transport);
     }
 
@@ -122,24 +122,24 @@
     }
 
     @Override
-    public void on(PolicyTaskMessage event, long eventMicros) {
-        nowMicros = eventMicros;
-        scheduler.run(nowMicros);
+    public void on(PolicyTaskMessage event, long eventUs) {
+        nowUs = eventUs;
+        scheduler.run(nowUs);
         if (event instanceof PolicyTaskMessage.MessageReceived received) {
             receive(received.message());
         } else if (event instanceof PolicyTaskMessage.ChangeRequested change) {
-            changeForwarder.request(change, nowMicros);
+            changeForwarder.request(change, nowUs);
         }
-        scheduler.run(nowMicros);
+        scheduler.run(nowUs);
     }
 
     private void receive(PolicyMessage message) {
         if (message instanceof PolicyMessage.LeaseGrant grant) {
-            leaseClient.onLeaseGrant(grant, nowMicros);
+            leaseClient.onLeaseGrant(grant, nowUs);
         } else if (message instanceof PolicyMessage.LeaderHint hint) {
-            leaseClient.onLeaderHint(hint, nowMicros);
+            leaseClient.onLeaderHint(hint, nowUs);
         } else if (message instanceof PolicyMessage.PartResponse part) {
-            leaseClient.onPartResponse(part, nowMicros);
+            leaseClient.onPartResponse(part, nowUs);
         } else if (message instanceof PolicyMessage.PartRequest request) {
             sendPart(request);
         } else if (message instanceof PolicyMessage.ChangeResponse response) {
@@ -161,7 +161,7 @@
 
     private void receiveAsReplica(PolicyMessage message) {
         if (message instanceof PolicyMessage.RaftEnvelope raft && raft.disk() == replica().self().disk()) {
-            replica().handle(raft.message(), nowMicros);
+            replica().handle(raft.message(), nowUs);
         } else if (message instanceof PolicyMessage.LeaseRequest request) {
             policyLeader.onLeaseRequest(request);
         } else if (message instanceof PolicyMessage.ChangeRequest request) {
@@ -182,36 +182,36 @@
     }
 
     @Override
-    public long tick(long tickMicros) {
-        nowMicros = tickMicros;
-        long next = scheduler.run(nowMicros);
+    public long tick(long tickUs) {
+        nowUs = tickUs;
+        long next = scheduler.run(nowUs);
         next = Math.min(next, member == null ? Long.MAX_VALUE : tickMember());
-        changeForwarder.tick(leaseClient.leader(), nowMicros);
-        next = Math.min(next, leaseClient.tick(nowMicros));
+        changeForwarder.tick(leaseClient.leader(), nowUs);
+        next = Math.min(next, leaseClient.tick(nowUs));
         if (policyLeader != null) {
             changeProposer.tick();
-            next = Math.min(next, policyLeader.tick(nowMicros));
+            next = Math.min(next, policyLeader.tick(nowUs));
         }
-        next = Math.min(next, scheduler.run(nowMicros));
-        return Math.min(next, changeForwarder.nextTickMicros());
+        next = Math.min(next, scheduler.run(nowUs));
+        return Math.min(next, changeForwarder.nextTickUs());
     }
 
     /** A voter whose storage has failed has no replica, and leads nothing, until the storage has recovered. */
     private long tickMember() {
-        long recoverAtMicros = member.recover(nowMicros);
+        long recoverAtUs = member.recover(nowUs);
         if (replica() == null) {
             policyLeader = null;
             changeProposer = null;
         }
-        member.restartIfStuck(nowMicros);
-        return Math.min(recoverAtMicros, member.join(nowMicros));
+        member.restartIfStuck(nowUs);
+        return Math.min(recoverAtUs, member.join(nowUs));
     }
 
     @Override
-    public void stop(long stopMicros) {
+    public void stop(long stopUs) {
         if (member != null) {
             member.stop();
         }
-        scheduler.run(stopMicros);
+        scheduler.run(stopUs);
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/PolicyView.java
+++ b/src/main/java/clovermill/controlplane/policystore/PolicyView.java
@@ -11,19 +11,19 @@
  * @param step null before the first lease
  * @param policy the policy in force; in a transition the previous one
  * @param next the policy that a transition introduces, or null
- * @param leaseExpiresAtMicros when the lease expires, on the director's clock
+ * @param leaseExpiresAtUs when the lease expires, on the director's clock
  * @param unconfirmed the directors that have not confirmed the transition
- * @param remainingMicros how long the transition may still wait for them
+ * @param remainingUs how long the transition may still wait for them
  * @param lastAbortReason why the last transition was aborted, or null
  */
-public record PolicyView(PolicyTransition step, PolicyDocument policy, PolicyDocument next, long leaseExpiresAtMicros,
-        Set<Integer> unconfirmed, long remainingMicros, String lastAbortReason) {
+public record PolicyView(PolicyTransition step, PolicyDocument policy, PolicyDocument next, long leaseExpiresAtUs,
+        Set<Integer> unconfirmed, long remainingUs, String lastAbortReason) {
 
     /** Before the first lease. */
     public static final PolicyView NONE = new PolicyView(null, PolicyDocument.EMPTY, null, 0, Set.of(), 0, null);
 
     /** Whether the lease is valid now; to be checked at the moment at which an attempt is written. */
-    public boolean isValid(long nowMicros) {
-        return step != null && nowMicros < leaseExpiresAtMicros;
+    public boolean isValid(long nowUs) {
+        return step != null && nowUs < leaseExpiresAtUs;
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/Coordinator.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/Coordinator.java
@@ -11,23 +11,23 @@
  * of the step.
  *
  * @param step the number of the observed step
- * @param learnedAtMicros when this replica learned of it
+ * @param learnedAtUs when this replica learned of it
  * @param confirmed the directors that have confirmed it, with the id of the confirming process
  * @param rejection why a director rejects it, or null
  */
-public record Coordinator(long step, long learnedAtMicros, Map<Integer, Long> confirmed, String rejection) {
+public record Coordinator(long step, long learnedAtUs, Map<Integer, Long> confirmed, String rejection) {
 
     /** Observes no step yet. */
     public static final Coordinator IDLE = new Coordinator(PolicyTransition.NONE, 0, Map.of(), null);
 
     /** Starts over where the agreed step is another one. */
-    public Coordinator observe(PolicyTransition agreed, long nowMicros) {
-        return agreed.number() == step ? this : new Coordinator(agreed.number(), nowMicros, Map.of(), null);
+    public Coordinator observe(PolicyTransition agreed, long nowUs) {
+        return agreed.number() == step ? this : new Coordinator(agreed.number(), nowUs, Map.of(), null);
     }
 
-    /** How long the step has been known, on the clock that gave {@link #learnedAtMicros}. */
-    public long elapsedMicros(MonotonicClock clock) {
-        return clock.elapsedMicros() - learnedAtMicros;
+    /** How long the step has been known, on the clock that gave {@link #learnedAtUs}. */
+    public long elapsedUs(MonotonicClock clock) {
+        return clock.elapsedUs() - learnedAtUs;
     }
 
     /** Records that a director process has given up every step before {@code confirmedStep}. */
@@ -37,12 +37,12 @@
         }
         Map<Integer, Long> more = new TreeMap<>(confirmed);
         more.put(director, processId);
-        return new Coordinator(step, learnedAtMicros, Map.copyOf(more), rejection);
+        return new Coordinator(step, learnedAtUs, Map.copyOf(more), rejection);
     }
 
     /** Records that a director rejects a step; the first reason is the one that is reported. */
     public Coordinator reject(long rejectedStep, String reason) {
-        return rejectedStep == step && rejection == null ? new Coordinator(step, learnedAtMicros, confirmed, reason)
+        return rejectedStep == step && rejection == null ? new Coordinator(step, learnedAtUs, confirmed, reason)
                 : this;
     }
 
@@ -53,7 +53,7 @@
      *        differently; if not, every director has to confirm, and a silent one aborts the transition
      */
     public Optional<PolicyChange> nextChange(PolicyRegister register, LeaseTiming timing, boolean enforcedByLease,
-            long nowMicros) {
+            long nowUs) {
         if (!register.step().inTransition() || register.step().number() != step) {
             return Optional.empty();
         }
@@ -63,7 +63,7 @@
         if (confirmed.size() == timing.directors()) {
             return Optional.of(new PolicyChange.Complete(step));
         }
-        if (nowMicros - learnedAtMicros < timing.expiryWaitMicros()) {
+        if (nowUs - learnedAtUs < timing.expiryWaitUs()) {
             return Optional.empty();
         }
         return Optional.of(enforcedByLease ? new PolicyChange.Complete(step)
--- a/src/main/java/clovermill/controlplane/policystore/decide/LeaseHolder.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/LeaseHolder.java
@@ -9,11 +9,11 @@
  * never leads back to an earlier step.
  *
  * @param step the step in force here, or null before the first grant
- * @param expiresAtMicros when the lease ends
+ * @param expiresAtUs when the lease ends
  * @param requests the send time of each unanswered request, by request number
  * @param rejectedStep the step that this director has rejected, or {@link PolicyTransition#NONE}
  */
-public record LeaseHolder(PolicyTransition step, long expiresAtMicros, Map<Long, Long> requests, long rejectedStep) {
+public record LeaseHolder(PolicyTransition step, long expiresAtUs, Map<Long, Long> requests, long rejectedStep) {
 
     /** No lease and no request. */
     public static final LeaseHolder EMPTY = new LeaseHolder(null, 0, Map.of(), PolicyTransition.NONE);
@@ -21,13 +21,13 @@
     private static final int MAX_REQUESTS = 16;
 
     /** Records a request that is sent now. */
-    public LeaseHolder request(long requestId, long nowMicros) {
+    public LeaseHolder request(long requestId, long nowUs) {
         TreeMap<Long, Long> open = new TreeMap<>(requests);
-        open.put(requestId, nowMicros);
+        open.put(requestId, nowUs);
         while (open.size() > MAX_REQUESTS) {
             open.pollFirstEntry();
         }
-        return new LeaseHolder(step, expiresAtMicros, Map.copyOf(open), rejectedStep);
+        return new LeaseHolder(step, expiresAtUs, Map.copyOf(open), rejectedStep);
     }
 
     /** Whether a grant would be accepted. */
@@ -42,20 +42,20 @@
             return this;
         }
         TreeMap<Long, Long> open = new TreeMap<>(requests);
-        long sentMicros = open.remove(requestId);
+        long sentUs = open.remove(requestId);
         boolean same = step != null && step.number() == granted.number();
-        long expires = sentMicros + timing.leaseMicros();
-        return new LeaseHolder(granted, same ? Math.max(expiresAtMicros, expires) : expires, Map.copyOf(open),
+        long expires = sentUs + timing.leaseUs();
+        return new LeaseHolder(granted, same ? Math.max(expiresAtUs, expires) : expires, Map.copyOf(open),
                 rejectedStep);
     }
 
     /** Rejects a step: the lease on the previous step expires, since one rejection aborts the transition. */
     public LeaseHolder reject(PolicyTransition rejected) {
-        return new LeaseHolder(step, expiresAtMicros, requests, rejected.number());
+        return new LeaseHolder(step, expiresAtUs, requests, rejected.number());
     }
 
     /** Whether the lease is valid at this moment. */
-    public boolean isValid(long nowMicros) {
-        return step != null && nowMicros < expiresAtMicros;
+    public boolean isValid(long nowUs) {
+        return step != null && nowUs < expiresAtUs;
     }
 }
--- a/src/main/java/clovermill/controlplane/policystore/decide/MonotonicClock.java
+++ b/src/main/java/clovermill/controlplane/policystore/decide/MonotonicClock.java
@@ -7,25 +7,25 @@
  */
 public final class MonotonicClock {
 
-    private final long maxStepMicros;
-    private long lastMicros;
-    private long elapsedMicros;
+    private final long maxStepUs;
+    private long lastUs;
+    private long elapsedUs;
 
-    /** Starts at {@code nowMicros}; one call of {@link #advance} adds at most {@code maxStepMicros}. */
-    public MonotonicClock(long nowMicros, long maxStepMicros) {
-        this.lastMicros = nowMicros;
-        this.maxStepMicros = maxStepMicros;
+    /** Starts at {@code nowUs}; one call of {@link #advance} adds at most {@code maxStepUs}. */
+    public MonotonicClock(long nowUs, long maxStepUs) {
+        this.lastUs = nowUs;
+        this.maxStepUs = maxStepUs;
     }
 
     /** Advances to a reading of the underlying clock and returns the elapsed microseconds. */
-    public long advance(long nowMicros) {
-        elapsedMicros += Math.max(0, Math.min(maxStepMicros, nowMicros - lastMicros));
-        lastMicros = nowMicros;
-        return elapsedMicros;
+    public long advance(long nowUs) {
+        elapsedUs += Math.max(0, Math.min(maxStepUs, nowUs - lastUs));
+        lastUs = nowUs;
+        return elapsedUs;
     }
 
     /** The elapsed microseconds at the last call of {@link #advance}. */
-    public long elapsedMicros() {
-        return elapsedMicros;
+    public long elapsedUs() {
+        return elapsedUs;
     }
 }
--- a/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
+++ b/src/main/java/clovermill/controlplane/reload/ConfigReloader.java
@@ -22,9 +22,9 @@
 public final class ConfigReloader {
 
     /** Between two checks: an eighth of the time after which the rules count the new channel's events as received. */
-    static final long CHECK_INTERVAL_MICROS = 500_000;
+    static final long CHECK_INTERVAL_US = 500_000;
     /** From a signal: the rules count a new channel's events as received 4 s after it. */
-    static final long WINDOW_MICROS = 4_000_000;
+    static final long WINDOW_US = 4_000_000;
 
     private static final System.Logger LOG = System.getLogger(ConfigReloader.class.getName());
 
@@ -36,7 +36,7 @@
     private final ConfigWatch watch;
     private Deadlines.Deadline nextCheck;
     private Config inForce;
-    private long windowEndMicros;
+    private long windowEndUs;
 
     /** What a new configuration is applied to. */
     @FunctionalInterface
@@ -69,19 +69,19 @@
     /** Reads the file now, and checks it for changes until the window ends. */
     public void reload() {
         watch.forceRead();
-        windowEndMicros = Math.max(windowEndMicros, clock.micros() + WINDOW_MICROS);
+        windowEndUs = Math.max(windowEndUs, clock.micros() + WINDOW_US);
         check();
     }
 
     /** Checks the file for changes from now on: the signal is not delivered. */
     public void pollAlways() {
-        windowEndMicros = Long.MAX_VALUE;
+        windowEndUs = Long.MAX_VALUE;
         check();
     }
 
     private void check() {
         deadlines.cancel(nextCheck);
-        if (clock.micros() + CHECK_INTERVAL_MICROS <= windowEndMicros) {
+        if (clock.micros() + CHECK_INTERVAL_US <= windowEndUs) {
             scheduleCheck();
         }
         Optional<ConfigWatch.Attributes> found = attributes();
@@ -111,7 +111,7 @@
     }
 
     private void scheduleCheck() {
-        nextCheck = deadlines.add(clock.micros() + CHECK_INTERVAL_MICROS, this::check);
+        nextCheck = deadlines.add(clock.micros() + CHECK_INTERVAL_US, this::check);
     }
 
     private void warn(String reason) {
--- a/src/main/java/clovermill/controlplane/reload/decide/RequestClassRegistry.java
+++ b/src/main/java/clovermill/controlplane/reload/decide/RequestClassRegistry.java
@@ -20,7 +20,7 @@
 public final class RequestClassRegistry {
 
     /** Clients use new classes from 1.2 s after the signal; the rest covers requests on their way. */
-    public static final long OVERLAP_MICROS = 2_000_000;
+    public static final long OVERLAP_US = 2_000_000;
     /** Names over the life of a process: the ledger stores a number in a byte. A file that needs more is not used. */
     private static final int MAX_NAMES = 255;
 
@@ -32,8 +32,8 @@
     private Map<String, RequestClass> nextTerms = new LinkedHashMap<>();
     private int maxAttempts;
     private int nextMaxAttempts;
-    private long longestDeadlineMicros;
-    private long nextLongestDeadlineMicros;
+    private long longestDeadlineUs;
+    private long nextLongestDeadlineUs;
     private boolean overlapping;
 
     /** The classes of the start, numbered in this order, and how often a request may be attempted. */
@@ -43,8 +43,8 @@
         this.configuredNames = List.copyOf(names);
         this.maxAttempts = maxAttempts;
         this.nextMaxAttempts = maxAttempts;
-        this.longestDeadlineMicros = longestDeadlineMicros(terms);
-        this.nextLongestDeadlineMicros = longestDeadlineMicros;
+        this.longestDeadlineUs = longestDeadlineUs(terms);
+        this.nextLongestDeadlineUs = longestDeadlineUs;
     }
 
     /** Whether there is a number left for each name that is new. */
@@ -67,8 +67,8 @@
         configuredNames = List.copyOf(nextNames);
         maxAttempts = Math.min(maxAttempts, newMaxAttempts);
         nextMaxAttempts = newMaxAttempts;
-        nextLongestDeadlineMicros = longestDeadlineMicros(newTerms);
-        longestDeadlineMicros = Math.min(longestDeadlineMicros, nextLongestDeadlineMicros);
+        nextLongestDeadlineUs = longestDeadlineUs(newTerms);
+        longestDeadlineUs = Math.min(longestDeadlineUs, nextLongestDeadlineUs);
         overlapping = true;
     }
 
@@ -77,7 +77,7 @@
         nextTerms.forEach((name, each) -> terms.set(names.indexOf(name), each));
         nextTerms = new LinkedHashMap<>();
         maxAttempts = nextMaxAttempts;
-        longestDeadlineMicros = nextLongestDeadlineMicros;
+        longestDeadlineUs = nextLongestDeadlineUs;
         overlapping = false;
     }
 
@@ -90,11 +90,11 @@
      * The longest deadline of the configured classes, in microseconds; the shorter of both during an overlap. The
      * platform's kill follows it, so a removed class does not count, however long its deadline was.
      */
-    public long longestDeadlineMicros() {
-        return longestDeadlineMicros;
+    public long longestDeadlineUs() {
+        return longestDeadlineUs;
     }
 
-    private static long longestDeadlineMicros(List<RequestClass> classes) {
+    private static long longestDeadlineUs(List<RequestClass> classes) {
         return classes.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
     }
 
@@ -116,20 +116,20 @@
     private static RequestClass stricter(RequestClass old, RequestClass next) {
         Effect effect = old.effect().compareTo(next.effect()) > 0 ? old.effect() : next.effect();
         KeyScope scope = old.keyScope().compareTo(next.keyScope()) > 0 ? old.keyScope() : next.keyScope();
-        long freshMicros = Math.min(freshMicros(old), freshMicros(next));
+        long freshUs = Math.min(freshUs(old), freshUs(next));
         return new RequestClass(next.aimUs(), next.aimStretch(), Math.max(old.deadlineUs(), next.deadlineUs()),
-                next.worth(), next.lateWorth(), effect, scope, Math.min(windowMicros(old), windowMicros(next)),
-                next.streamed(), next.goesThrough(), next.inParts(), freshMicros == Long.MAX_VALUE ? 0 : freshMicros,
+                next.worth(), next.lateWorth(), effect, scope, Math.min(windowUs(old), windowUs(next)),
+                next.streamed(), next.goesThrough(), next.inParts(), freshUs == Long.MAX_VALUE ? 0 : freshUs,
                 Math.min(old.usableAfterUs(), next.usableAfterUs()), next.staleWorth());
     }
 
     /** The deduplication window; it binds only a class whose repeats are recognised. */
-    private static long windowMicros(RequestClass requestClass) {
+    private static long windowUs(RequestClass requestClass) {
         return requestClass.effect() == Effect.DEDUPLICATED ? requestClass.windowUs() : Long.MAX_VALUE;
     }
 
     /** How long a copy is fresh; the settings' 0 stands for until purged. */
-    private static long freshMicros(RequestClass requestClass) {
+    private static long freshUs(RequestClass requestClass) {
         return requestClass.freshUs() == 0 ? Long.MAX_VALUE : requestClass.freshUs();
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/ActionExecutor.java
+++ b/src/main/java/clovermill/dataplane/proxy/ActionExecutor.java
@@ -52,27 +52,27 @@
     private void sendVia(SendVia action) {
         String source = action.source().equals(action.member()) ? null : action.source();
         startAttempt(action.request(), action.member(), action.timeoutUs(),
-                (request, timeoutMicros) -> new AttemptOrder(request, action.member(), timeoutMicros, source,
+                (request, timeoutUs) -> new AttemptOrder(request, action.member(), timeoutUs, source,
                         action.rank(), action.maxAgeUs(), action.join(), action.heldOnly(),
                         action.parentKeepsNone(), action.renew()));
     }
 
     private void send(Send action) {
         startAttempt(action.request(), action.member(), action.timeoutUs(),
-                (request, timeoutMicros) -> new AttemptOrder(request, action.member(), timeoutMicros, null,
+                (request, timeoutUs) -> new AttemptOrder(request, action.member(), timeoutUs, null,
                         NOT_CACHED, FRESH_TIME_OF_CLASS, false, false, false, false));
     }
 
     /** Creates the order of an attempt once its timeout is known, in microseconds. */
     private interface OrderFactory {
-        AttemptOrder create(ClientRequest request, long timeoutMicros);
+        AttemptOrder create(ClientRequest request, long timeoutUs);
     }
 
     /**
      * Starts an attempt with its timeout cut to the client's deadline; 0 is the time that the client has left. An
      * attempt beyond the limit, after the deadline or after the client has gone ends at once as not sent.
      */
-    private void startAttempt(String requestId, String member, long timeoutMicros,
+    private void startAttempt(String requestId, String member, long timeoutUs,
             OrderFactory orders) {
         RequestContext context = core.find(requestId);
         if (context == null) {
@@ -80,14 +80,14 @@
             return;
         }
         Attempt attempt = context.newAttempt(member);
-        long remainingMicros = context.deadlineMicros - attempt.sentMicros;
-        if (context.isAbandoned() || attempt.number >= core.permissions().maxAttempts() || remainingMicros <= 0) {
+        long remainingUs = context.deadlineUs - attempt.sentUs;
+        if (context.isAbandoned() || attempt.number >= core.permissions().maxAttempts() || remainingUs <= 0) {
             attempt.ended(Result.NOT_SENT, Note.NONE, 0, null);
             return;
         }
-        long cutMicros =
-                timeoutMicros == 0 ? remainingMicros : Math.min(remainingMicros, Math.max(0, timeoutMicros));
-        attempt.start(upstream, orders.create(context.request, cutMicros));
+        long cutUs =
+                timeoutUs == 0 ? remainingUs : Math.min(remainingUs, Math.max(0, timeoutUs));
+        attempt.start(upstream, orders.create(context.request, cutUs));
     }
 
     /** An attempt that may have begun continues if its client only half-closed: its answer may still be read. */
@@ -118,8 +118,8 @@
     }
 
     private void probe(Probe action) {
-        long sentMicros = core.clock.micros();
+        long sentUs = core.clock.micros();
         upstream.probe(action.member(), (result, note, waitedUs, response) -> core.deliver(
-                new Probed(action.member(), result, core.clock.micros() - sentMicros, null)));
+                new Probed(action.member(), result, core.clock.micros() - sentUs, null)));
     }
 }
--- a/src/main/java/clovermill/dataplane/proxy/Attempt.java
+++ b/src/main/java/clovermill/dataplane/proxy/Attempt.java
@@ -10,15 +10,15 @@
 final class Attempt implements AttemptListener {
 
     /** An abandoned attempt must be written completely by then: a server counts it from its last byte. */
-    private static final long MAX_WRITE_AFTER_ABANDON_MICROS = 50_000;
+    private static final long MAX_WRITE_AFTER_ABANDON_US = 50_000;
 
     final int number;
     final String member;
-    final long sentMicros;
+    final long sentUs;
     private final ProxyCore core;
     private final RequestContext context;
     /** Time from an earlier attempt in which this one may be sent, or {@link Long#MAX_VALUE}. */
-    private final long retryWindowMicros;
+    private final long retryWindowUs;
     /** The member from which a miss is filled, or null. */
     private String source;
     /** Null until it is sent. */
@@ -26,7 +26,7 @@
     /** Null until it is sent. */
     private Deadlines.Deadline timeout;
     private boolean hasEnded;
-    private long endedMicros;
+    private long endedUs;
     private LoadReport load;
 
     Attempt(ProxyCore core, RequestContext context, int number, String member) {
@@ -34,8 +34,8 @@
         this.context = context;
         this.number = number;
         this.member = member;
-        this.retryWindowMicros = core.retryWindowMicros(context.request);
-        this.sentMicros = core.clock.micros();
+        this.retryWindowUs = core.retryWindowUs(context.request);
+        this.sentUs = core.clock.micros();
     }
 
     /** Sends it; it may have ended when this returns. */
@@ -43,7 +43,7 @@
         source = order.source();
         exchange = upstream.send(order, this);
         if (!hasEnded) {
-            timeout = core.deadlines.add(sentMicros + order.timeoutMicros(), () -> cancel(Result.TIMED_OUT));
+            timeout = core.deadlines.add(sentUs + order.timeoutUs(), () -> cancel(Result.TIMED_OUT));
         }
     }
 
@@ -59,17 +59,17 @@
 
     @Override
     public boolean mayBegin() {
-        return abandonedForMicros() < 0 && isPermitted();
+        return abandonedForUs() < 0 && isPermitted();
     }
 
     @Override
     public boolean mayContinue() {
-        return abandonedForMicros() < MAX_WRITE_AFTER_ABANDON_MICROS && isPermitted();
+        return abandonedForUs() < MAX_WRITE_AFTER_ABANDON_US && isPermitted();
     }
 
     /** For how long its client, or this director, may not have waited for it any more; -1 while both wait. */
-    private long abandonedForMicros() {
-        return Math.max(context.abandonedForMicros(), hasEnded ? core.clock.micros() - endedMicros : -1);
+    private long abandonedForUs() {
+        return Math.max(context.abandonedForUs(), hasEnded ? core.clock.micros() - endedUs : -1);
     }
 
     /** Whether the filter of endpoints and the retry window permit it now. */
@@ -82,9 +82,9 @@
     }
 
     private boolean isInRetryWindow() {
-        long firstRunMicros =
-                retryWindowMicros == Long.MAX_VALUE ? Long.MAX_VALUE : context.firstPossibleRunMicros(this);
-        return firstRunMicros >= sentMicros || core.clock.micros() - firstRunMicros < retryWindowMicros;
+        long firstRunUs =
+                retryWindowUs == Long.MAX_VALUE ? Long.MAX_VALUE : context.firstPossibleRunUs(this);
+        return firstRunUs >= sentUs || core.clock.micros() - firstRunUs < retryWindowUs;
     }
 
     @Override
@@ -103,11 +103,11 @@
             return;
         }
         hasEnded = true;
-        endedMicros = core.clock.micros();
+        endedUs = core.clock.micros();
         core.deadlines.cancel(timeout);
         context.inFlight.remove(number);
         if (!result.neverRan()) {
-            context.recordPossibleRun(sentMicros);
+            context.recordPossibleRun(sentUs);
         }
         if (serves) {
             context.serve(response, this, note);
@@ -115,7 +115,7 @@
             context.endUnserved();
         }
         context.forgetIfDone();
-        core.deliver(new Outcome(context.request.id(), number, member, result, core.clock.micros() - sentMicros,
+        core.deliver(new Outcome(context.request.id(), number, member, result, core.clock.micros() - sentUs,
                 context.isOver(), note, waitedUs, load));
     }
 
--- a/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
+++ b/src/main/java/clovermill/dataplane/proxy/ProxyCore.java
@@ -29,9 +29,9 @@
 
     private static final Predicate<String> ALL_MEMBERS = member -> true;
     /** The delay that the router asks of rejected clients, too. */
-    private static final long RETRY_AFTER_MICROS = 100_000;
+    private static final long RETRY_AFTER_US = 100_000;
     /** During a shutdown another director can serve a retry at once. */
-    private static final long RETRY_ELSEWHERE_MILLIS = 1;
+    private static final long RETRY_ELSEWHERE_MS = 1;
 
     final Clock clock;
     final Deadlines deadlines;
@@ -43,7 +43,7 @@
     private final EventQueue events;
     private Permissions permissions;
     private List<RequestClass> requestClasses;
-    private long answerSlackMicros;
+    private long answerSlackUs;
 
     /** A core whose usage is not recorded, and whose requests may use all members. */
     public ProxyCore(CacheRouter router, Settings settings, Clock clock, Deadlines deadlines, Upstream upstream) {
@@ -64,13 +64,13 @@
     private void apply(Settings settings) {
         permissions = settings.allowed();
         requestClasses = settings.classes();
-        answerSlackMicros = settings.answerSlackUs();
+        answerSlackUs = settings.answerSlackUs();
     }
 
     /** Accepts a request, or answers it at once; {@code handler} may be called before this returns. */
     public void submit(ClientRequest request, ResponseHandler handler) {
         if (requests.size() >= permissions.maxOpen()) {
-            handler.refused(maxRetryAfterMillis());
+            handler.refused(maxRetryAfterMs());
             recordRejected(request, UsageRecord.End.REFUSED);
             return;
         }
@@ -79,29 +79,29 @@
             recordRejected(request, UsageRecord.End.FAILED);
             return;
         }
-        long retryAfterMillis =
-                usageListener == null ? UsageListener.ADMITTED : usageListener.retryAfterMillis(request);
-        if (retryAfterMillis != UsageListener.ADMITTED) {
-            handler.refused(Math.min(retryAfterMillis, maxRetryAfterMillis()));
+        long retryAfterMs =
+                usageListener == null ? UsageListener.ADMITTED : usageListener.retryAfterMs(request);
+        if (retryAfterMs != UsageListener.ADMITTED) {
+            handler.refused(Math.min(retryAfterMs, maxRetryAfterMs()));
             recordRejected(request, UsageRecord.End.REFUSED);
             return;
         }
         Predicate<String> allowed = endpointFilter == null ? null : endpointFilter.allowedMembers(request);
         requests.put(request.id(), new RequestContext(this, request, handler, allowed));
         deliver(new Request(request.id(), request.requestClass(), 0, Long.parseUnsignedLong(request.object(), 16),
-                request.part(), request.group(), request.sizeKb(), request.remainingMicros(), request.repeat(),
+                request.part(), request.group(), request.sizeKb(), request.remainingUs(), request.repeat(),
                 allowed == null ? ALL_MEMBERS : allowed));
     }
 
-    private long maxRetryAfterMillis() {
+    private long maxRetryAfterMs() {
         return permissions.maxRetryAfterUs() / 1000;
     }
 
     /** Records the usage of a request that was rejected before it was routed, here or by a server. */
     public void recordRejected(ClientRequest request, UsageRecord.End end) {
         if (usageListener != null) {
-            long nowMicros = clock.micros();
-            record(new UsageRecord(request, false, nowMicros, nowMicros, end, 0, null, null, null, 0, 0));
+            long nowUs = clock.micros();
+            record(new UsageRecord(request, false, nowUs, nowUs, end, 0, null, null, null, 0, 0));
         }
     }
 
@@ -160,7 +160,7 @@
         for (RequestContext context : List.copyOf(requests.values())) {
             if (!context.isOver()) {
                 if (context.attempts == 0) {
-                    context.refuse(Math.min(RETRY_ELSEWHERE_MILLIS, retryAfterMillis()));
+                    context.refuse(Math.min(RETRY_ELSEWHERE_MS, retryAfterMs()));
                 } else {
                     context.fail();
                 }
@@ -183,20 +183,20 @@
     }
 
     /** Time from an attempt that may have run until the last retry of it, {@link Long#MAX_VALUE} if unlimited. */
-    long retryWindowMicros(ClientRequest request) {
+    long retryWindowUs(ClientRequest request) {
         int index = request.requestClass();
         RequestClass requestClass = index < requestClasses.size() ? requestClasses.get(index) : null;
         return requestClass == null || requestClass.effect() != Effect.DEDUPLICATED ? Long.MAX_VALUE
                 : requestClass.windowUs();
     }
 
-    long answerSlackMicros() {
-        return answerSlackMicros;
+    long answerSlackUs() {
+        return answerSlackUs;
     }
 
     /** Delay that a rejected client is asked to wait, in milliseconds. */
-    long retryAfterMillis() {
-        return Math.min(RETRY_AFTER_MICROS, permissions.maxRetryAfterUs()) / 1000;
+    long retryAfterMs() {
+        return Math.min(RETRY_AFTER_US, permissions.maxRetryAfterUs()) / 1000;
     }
 
     void forget(RequestContext context) {
--- a/src/main/java/clovermill/dataplane/proxy/RequestContext.java
+++ b/src/main/java/clovermill/dataplane/proxy/RequestContext.java
@@ -14,8 +14,8 @@
     private static final long NEVER = Long.MAX_VALUE;
 
     final ClientRequest request;
-    final long receivedMicros;
-    final long deadlineMicros;
+    final long receivedUs;
+    final long deadlineUs;
     /** By attempt number. */
     final Map<Integer, Attempt> inFlight = new HashMap<>(2);
     /** Null if the request may use all members. */
@@ -28,19 +28,19 @@
     /** Null once the request has been answered or its client has gone. */
     private ResponseHandler handler;
     /** Since when the client may not wait any more: answered, cancelled, or its output closed. */
-    private long abandonedSinceMicros = NEVER;
+    private long abandonedSinceUs = NEVER;
     private boolean halfClosed;
     /** When the first of the ended attempts was sent that may have run; retries are allowed in a window from then. */
-    private long firstPossibleRunMicros = NEVER;
+    private long firstPossibleRunUs = NEVER;
 
     RequestContext(ProxyCore core, ClientRequest request, ResponseHandler handler, Predicate<String> allowedMembers) {
         this.core = core;
         this.request = request;
         this.handler = handler;
         this.allowedMembers = allowedMembers;
-        this.receivedMicros = core.clock.micros();
-        this.deadlineMicros = receivedMicros + request.remainingMicros();
-        this.overdue = core.deadlines.add(deadlineMicros + core.answerSlackMicros() / 2,
+        this.receivedUs = core.clock.micros();
+        this.deadlineUs = receivedUs + request.remainingUs();
+        this.overdue = core.deadlines.add(deadlineUs + core.answerSlackUs() / 2,
                 () -> core.failOverdue(this));
     }
 
@@ -57,17 +57,17 @@
     /** The client has closed its output; no further attempt begins. */
     void halfClose() {
         halfClosed = true;
-        abandonedSinceMicros = Math.min(abandonedSinceMicros, core.clock.micros());
+        abandonedSinceUs = Math.min(abandonedSinceUs, core.clock.micros());
     }
 
     /** Whether the client may not wait any more. */
     boolean isAbandoned() {
-        return abandonedSinceMicros != NEVER;
+        return abandonedSinceUs != NEVER;
     }
 
     /** For how long the client may not have waited any more, in microseconds; -1 while it waits. */
-    long abandonedForMicros() {
-        return isAbandoned() ? core.clock.micros() - abandonedSinceMicros : -1;
+    long abandonedForUs() {
+        return isAbandoned() ? core.clock.micros() - abandonedSinceUs : -1;
     }
 
     /** Adds an attempt, which is not yet sent. */
@@ -87,21 +87,21 @@
     }
 
     /** Records that an attempt sent at that time ended without proof that it never ran. */
-    void recordPossibleRun(long sentMicros) {
-        firstPossibleRunMicros = Math.min(firstPossibleRunMicros, sentMicros);
+    void recordPossibleRun(long sentUs) {
+        firstPossibleRunUs = Math.min(firstPossibleRunUs, sentUs);
     }
 
     /** When the first attempt other than {@code excluded} was sent that may have run, or {@link Long#MAX_VALUE}. */
-    long firstPossibleRunMicros(Attempt excluded) {
+    long firstPossibleRunUs(Attempt excluded) {
         return inFlight.values().stream().filter(attempt -> attempt != excluded && attempt.begun())
-                .mapToLong(attempt -> attempt.sentMicros).reduce(firstPossibleRunMicros, Math::min);
+                .mapToLong(attempt -> attempt.sentUs).reduce(firstPossibleRunUs, Math::min);
     }
 
     /** The one place where a request ends; returns the handler, to be called by whoever ended it. */
     ResponseHandler end() {
         ResponseHandler ended = handler;
         handler = null;
-        abandonedSinceMicros = Math.min(abandonedSinceMicros, core.clock.micros());
+        abandonedSinceUs = Math.min(abandonedSinceUs, core.clock.micros());
         core.deadlines.cancel(overdue);
         forgetIfDone();
         return ended;
@@ -114,8 +114,8 @@
         }
     }
 
-    void refuse(long retryAfterMillis) {
-        end().refused(retryAfterMillis);
+    void refuse(long retryAfterMs) {
+        end().refused(retryAfterMs);
         recordUsage(UsageRecord.End.REFUSED);
     }
 
@@ -126,8 +126,8 @@
 
     /** Gives the final answer where no attempt may follow: refused only if none may have run. */
     void endUnserved() {
-        if (firstPossibleRunMicros == NEVER) {
-            refuse(core.retryAfterMillis());
+        if (firstPossibleRunUs == NEVER) {
+            refuse(core.retryAfterMs());
         } else {
             fail();
         }
@@ -136,7 +136,7 @@
     /** Records the usage of a request that ended without a response body. */
     void recordUsage(UsageRecord.End end) {
         if (core.recordsUsage()) {
-            core.record(new UsageRecord(request, true, receivedMicros, core.clock.micros(), end, attempts, null, null,
+            core.record(new UsageRecord(request, true, receivedUs, core.clock.micros(), end, attempts, null, null,
                     null, 0, 0));
         }
     }
@@ -150,7 +150,7 @@
         int attemptsUntilServed = attempts;
         int bodyBytes = response.notModified() ? 0 : response.body().bytes().length;
         end().served(response.withListener((writtenBytes, complete) -> core.record(new UsageRecord(request, true,
-                receivedMicros, core.clock.micros(), endOf(response, complete), attemptsUntilServed, servedBy.member,
+                receivedUs, core.clock.micros(), endOf(response, complete), attemptsUntilServed, servedBy.member,
                 servedBy.source(), note, writtenBytes, bodyBytes))));
     }
 
--- a/src/main/java/clovermill/dataplane/proxy/ResponseHandler.java
+++ b/src/main/java/clovermill/dataplane/proxy/ResponseHandler.java
@@ -7,7 +7,7 @@
     void served(UpstreamResponse response);
 
     /** The request was rejected without effect; it may be retried after so many milliseconds. */
-    void refused(long retryAfterMillis);
+    void refused(long retryAfterMs);
 
     /** The request failed; it may have had an effect. */
     void failed();
--- a/src/main/java/clovermill/dataplane/proxy/UsageListener.java
+++ b/src/main/java/clovermill/dataplane/proxy/UsageListener.java
@@ -8,14 +8,14 @@
  */
 public interface UsageListener {
 
-    /** Result of {@link #retryAfterMillis} for a request that is admitted. */
+    /** Result of {@link #retryAfterMs} for a request that is admitted. */
     long ADMITTED = -1;
 
     /**
      * Admission of a request: {@link #ADMITTED}, or the delay in milliseconds after which a request that is rejected
      * now may be retried.
      */
-    long retryAfterMillis(ClientRequest request);
+    long retryAfterMs(ClientRequest request);
 
     /** A request has ended; called exactly once for each request that was read, admitted or not. */
     void requestEnded(UsageRecord usage);
--- a/src/main/java/clovermill/dataplane/proxy/UsageRecord.java
+++ b/src/main/java/clovermill/dataplane/proxy/UsageRecord.java
@@ -7,8 +7,8 @@
  *
  * @param request the request
  * @param admitted whether it was routed; false if it was rejected or invalid before that
- * @param receivedMicros when it was received, in microseconds of the monotonic clock
- * @param endedMicros when it ended, on the same clock
+ * @param receivedUs when it was received, in microseconds of the monotonic clock
+ * @param endedUs when it ended, on the same clock
  * @param end how it ended
  * @param attempts number of attempts, those included that were not sent
  * @param member id of the member that served it, or null
@@ -17,7 +17,7 @@
  * @param writtenBytes bytes of the body that were written to the client's socket
  * @param bodyBytes bytes of the whole body
  */
-public record UsageRecord(ClientRequest request, boolean admitted, long receivedMicros, long endedMicros, End end,
+public record UsageRecord(ClientRequest request, boolean admitted, long receivedUs, long endedUs, End end,
         int attempts, String member, String source, Note note, int writtenBytes, int bodyBytes) {
 
     /** How a request ended. */
--- a/src/main/java/clovermill/dataplane/server/BudgetWait.java
+++ b/src/main/java/clovermill/dataplane/server/BudgetWait.java
@@ -12,9 +12,9 @@
 final class BudgetWait {
 
     /** After this the client may have gone unnoticed; half of the time that an attempt may begin late after that. */
-    private static final long UNNOTICED_END_MICROS = 50_000;
+    private static final long UNNOTICED_END_US = 50_000;
     /** Then the frame is skipped and rejected; its answer is owed half a second after its deadline at the latest. */
-    private static final long MAX_WAIT_MICROS = 400_000;
+    private static final long MAX_WAIT_US = 400_000;
 
     private final Budget budget;
     private final Timeout longWait;
@@ -23,7 +23,7 @@
     private boolean waiting;
 
     /**
-     * {@code onLongWait} runs after {@link #UNNOTICED_END_MICROS}, {@code onMemory} when memory was returned to the
+     * {@code onLongWait} runs after {@link #UNNOTICED_END_US}, {@code onMemory} when memory was returned to the
      * budget, {@code onTimeout} once if there was none in time.
      */
     BudgetWait(Budget budget, Clock clock, Deadlines deadlines, Runnable onLongWait, Runnable onMemory,
@@ -41,8 +41,8 @@
     void begin() {
         waiting = true;
         if (!timeout.isSet()) {
-            longWait.setAfter(UNNOTICED_END_MICROS);
-            timeout.setAfter(MAX_WAIT_MICROS);
+            longWait.setAfter(UNNOTICED_END_US);
+            timeout.setAfter(MAX_WAIT_US);
         }
         budget.await(() -> {
             if (waiting) {
--- a/src/main/java/clovermill/dataplane/server/ClientStream.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStream.java
@@ -44,9 +44,9 @@
     }
 
     @Override
-    public void refused(long retryAfterMillis) {
+    public void refused(long retryAfterMs) {
         connection.end(this);
-        connection.refuse(number, retryAfterMillis);
+        connection.refuse(number, retryAfterMs);
     }
 
     @Override
--- a/src/main/java/clovermill/dataplane/server/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -13,7 +13,7 @@
 
     private static final int MAX_OPEN = 32;
     /** Retry delay during a shutdown: another director serves the request at once. */
-    private static final long RETRY_ELSEWHERE_MILLIS = 1;
+    private static final long RETRY_ELSEWHERE_MS = 1;
 
     private final FrameConnection connection;
     private final ServerContext context;
@@ -30,16 +30,16 @@
     }
 
     /** When a request that arrived then must have been answered, both in microseconds of the clock. */
-    long answerByMicros(ByteBuffer payload, long arrivedMicros) throws ProtocolException {
+    long answerByUs(ByteBuffer payload, long arrivedUs) throws ProtocolException {
         Map<String, String> fields = Frames.fields(payload.duplicate().order(payload.order()));
-        long withinMicros = context.reader().answerWithinMicros(fields);
-        return withinMicros == Long.MAX_VALUE ? Long.MAX_VALUE : arrivedMicros + withinMicros;
+        long withinUs = context.reader().answerWithinUs(fields);
+        return withinUs == Long.MAX_VALUE ? Long.MAX_VALUE : arrivedUs + withinUs;
     }
 
     /** Rejects a request that was not accepted; {@code payload} is null if it was not read. */
     void reject(long stream, ByteBuffer payload) throws ProtocolException {
         if (claimNumber(stream)) {
-            connection.refuse(stream, context.retryAfterMillis().getAsLong());
+            connection.refuse(stream, context.retryAfterMs().getAsLong());
             if (payload != null) {
                 recordRejected(Frames.fields(payload));
             }
@@ -60,7 +60,7 @@
     }
 
     /** Accepts a request that arrived at that time of the clock, or answers it at once. */
-    void accept(long stream, ByteBuffer payload, long arrivedMicros) throws ProtocolException {
+    void accept(long stream, ByteBuffer payload, long arrivedUs) throws ProtocolException {
         Map<String, String> fields = Frames.fields(payload);
         if (!claimNumber(stream)) {
             return;
@@ -68,9 +68,9 @@
         int bodyBytes = payload.remaining();
         boolean rejectingNew = context.rejectingNew().getAsBoolean();
         if (rejectingNew || open.size() >= MAX_OPEN || !context.budget().take(bodyBytes)) {
-            long retryAfterMillis = context.retryAfterMillis().getAsLong();
+            long retryAfterMs = context.retryAfterMs().getAsLong();
             connection.refuse(stream,
-                    rejectingNew ? Math.min(RETRY_ELSEWHERE_MILLIS, retryAfterMillis) : retryAfterMillis);
+                    rejectingNew ? Math.min(RETRY_ELSEWHERE_MS, retryAfterMs) : retryAfterMs);
             recordRejected(fields);
             return;
         }
@@ -78,7 +78,7 @@
         payload.get(body);
         try {
             submit(stream, context.reader().read(fields, body)
-                    .afterDelay(context.clock().micros() - arrivedMicros));
+                    .afterDelay(context.clock().micros() - arrivedUs));
         } catch (BadRequestException invalid) {
             context.budget().give(bodyBytes);
             connection.fail(stream);
@@ -87,9 +87,9 @@
 
     private void submit(long stream, ClientRequest request) {
         int bodyBytes = request.body().length;
-        if (request.remainingMicros() <= 0) {
+        if (request.remainingUs() <= 0) {
             context.budget().give(bodyBytes);
-            connection.refuse(stream, context.retryAfterMillis().getAsLong());
+            connection.refuse(stream, context.retryAfterMs().getAsLong());
             context.proxy().recordRejected(request, UsageRecord.End.REFUSED);
             return;
         }
--- a/src/main/java/clovermill/dataplane/server/ClientThrottle.java
+++ b/src/main/java/clovermill/dataplane/server/ClientThrottle.java
@@ -11,11 +11,11 @@
 final class ClientThrottle {
 
     private static final int MAX_UNSERVED = 100;
-    private static final long WINDOW_MICROS = 1_000_000;
+    private static final long WINDOW_US = 1_000_000;
 
     private final Clock clock;
     private final Timeout throttled;
-    private long windowStartMicros;
+    private long windowStartUs;
     private int unserved;
 
     /** {@code onEnd} runs when the client is throttled no longer. */
@@ -26,13 +26,13 @@
 
     /** Counts an unserved request; above the limit the client is throttled until the end of the window. */
     void countUnserved() {
-        long nowMicros = clock.micros();
-        if (nowMicros - windowStartMicros >= WINDOW_MICROS) {
-            windowStartMicros = nowMicros;
+        long nowUs = clock.micros();
+        if (nowUs - windowStartUs >= WINDOW_US) {
+            windowStartUs = nowUs;
             unserved = 0;
         }
         if (++unserved > MAX_UNSERVED && !throttled.isSet()) {
-            throttled.setAt(windowStartMicros + WINDOW_MICROS);
+            throttled.setAt(windowStartUs + WINDOW_US);
         }
     }
 
--- a/src/main/java/clovermill/dataplane/server/FrameConnection.java
+++ b/src/main/java/clovermill/dataplane/server/FrameConnection.java
@@ -11,7 +11,7 @@
 final class FrameConnection implements Connection.Handler {
 
     /** A client that connected less than this ago is expected to send its first request. */
-    private static final long FIRST_REQUEST_MICROS = 100_000;
+    private static final long FIRST_REQUEST_US = 100_000;
 
     private final Connection connection;
     private final ServerContext context;
@@ -19,7 +19,7 @@
     private final FrameIntake intake;
     private final WriteTimeout writeTimeout;
     private final LingeringClose lingeringClose;
-    private final long openedMicros;
+    private final long openedUs;
     private boolean announceAfterNextRequest;
     private boolean closing;
     private boolean forcedClose;
@@ -32,7 +32,7 @@
         this.intake = new FrameIntake(this, connection, context, streams);
         this.writeTimeout = new WriteTimeout(connection, context.clock(), context.deadlines());
         this.lingeringClose = new LingeringClose(connection, context.clock(), context.deadlines());
-        this.openedMicros = context.clock().micros();
+        this.openedUs = context.clock().micros();
     }
 
     /** Asks the client to send no new requests on this connection. */
@@ -71,7 +71,7 @@
     private boolean isIdle() {
         return !lingeringClose.hasBegun() && !closing && hasNothingPending() && !intake.isMidFrame()
                 && !connection.isPaused()
-                && (intake.hasReceivedFrame() || context.clock().micros() >= openedMicros + FIRST_REQUEST_MICROS);
+                && (intake.hasReceivedFrame() || context.clock().micros() >= openedUs + FIRST_REQUEST_US);
     }
 
     /**
@@ -177,9 +177,9 @@
     }
 
     /** Rejects a request; it may be retried after so many milliseconds, 0 for at once. */
-    void refuse(long stream, long retryAfterMillis) {
+    void refuse(long stream, long retryAfterMs) {
         Map<String, String> fields =
-                retryAfterMillis > 0 ? Map.of("after", Long.toString(retryAfterMillis)) : Map.of();
+                retryAfterMs > 0 ? Map.of("after", Long.toString(retryAfterMs)) : Map.of();
         connection.send(Frames.responseHead(Frames.RESPONSE, stream, Frames.REFUSED, fields, 0));
         intake.countUnserved();
         responseQueued();
--- a/src/main/java/clovermill/dataplane/server/FrameIntake.java
+++ b/src/main/java/clovermill/dataplane/server/FrameIntake.java
@@ -74,7 +74,7 @@
     void rejectHeld() {
         for (HeldFrames.Frame next = held.poll(); next != null; next = held.poll()) {
             if (next.type() == Frames.REQUEST) {
-                client.refuse(next.stream(), context.retryAfterMillis().getAsLong());
+                client.refuse(next.stream(), context.retryAfterMs().getAsLong());
             }
         }
     }
@@ -123,7 +123,7 @@
             case Frames.CANCEL -> cancel(stream); // not held: the request must not continue meanwhile
             case Frames.REQUEST, Frames.READINESS_REQUEST -> {
                 if (!mustWait || !hold(type, stream, payload)) {
-                    process(type, stream, payload, reading.arrivedMicros());
+                    process(type, stream, payload, reading.arrivedUs());
                 }
             }
             default -> throw new ProtocolException("an unknown type of frame");
@@ -141,10 +141,10 @@
     }
 
     private boolean hold(int type, long stream, ByteBuffer payload) throws ProtocolException {
-        long arrivedMicros = reading.arrivedMicros();
-        long answerByMicros =
-                type == Frames.REQUEST ? streams.answerByMicros(payload, arrivedMicros) : Long.MAX_VALUE;
-        return held.add(type, stream, payload, arrivedMicros, answerByMicros);
+        long arrivedUs = reading.arrivedUs();
+        long answerByUs =
+                type == Frames.REQUEST ? streams.answerByUs(payload, arrivedUs) : Long.MAX_VALUE;
+        return held.add(type, stream, payload, arrivedUs, answerByUs);
     }
 
     private void processHeld() throws ProtocolException {
@@ -153,13 +153,13 @@
             if (next == null) {
                 return;
             }
-            process(next.type(), next.stream(), payload(next), next.arrivedMicros());
+            process(next.type(), next.stream(), payload(next), next.arrivedUs());
         }
     }
 
-    private void process(int type, long stream, ByteBuffer payload, long arrivedMicros) throws ProtocolException {
+    private void process(int type, long stream, ByteBuffer payload, long arrivedUs) throws ProtocolException {
         if (type == Frames.REQUEST) {
-            streams.accept(stream, payload, arrivedMicros);
+            streams.accept(stream, payload, arrivedUs);
         } else {
             byte code = context.ready().getAsBoolean() ? Frames.SERVED : Frames.REFUSED;
             connection.send(Frames.responseHead(Frames.READINESS_RESPONSE, stream, code, Map.of(), 0));
--- a/src/main/java/clovermill/dataplane/server/FrameServer.java
+++ b/src/main/java/clovermill/dataplane/server/FrameServer.java
@@ -34,10 +34,10 @@
 
     private static final System.Logger LOG = System.getLogger(FrameServer.class.getName());
     /** Subtracted from a client's wait for the network both ways and a busy core. */
-    private static final long ANSWER_MARGIN_MICROS = 20_000;
-    private static final long SWEEP_INTERVAL_MICROS = 250_000;
+    private static final long ANSWER_MARGIN_US = 20_000;
+    private static final long SWEEP_INTERVAL_US = 250_000;
     /** How often a director that inherited its socket checks whether it can serve. */
-    private static final long READINESS_INTERVAL_MICROS = 10_000;
+    private static final long READINESS_INTERVAL_US = 10_000;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -50,7 +50,7 @@
     private final RecurringTask readinessCheck;
     private Listener listener;
     private int maxConnections;
-    private long retryAfterMillis;
+    private long retryAfterMs;
     private boolean shuttingDown;
     private boolean rejectingNew;
 
@@ -61,19 +61,19 @@
         this.clock = clock;
         this.options = options;
         this.maxConnections = options.maxConnections();
-        this.reader = new RequestReader(ANSWER_MARGIN_MICROS);
-        this.context = new ServerContext(proxy, reader, budget, clock, deadlines, () -> retryAfterMillis,
+        this.reader = new RequestReader(ANSWER_MARGIN_US);
+        this.context = new ServerContext(proxy, reader, budget, clock, deadlines, () -> retryAfterMs,
                 this::isReady, () -> rejectingNew, idle, this::forget);
-        this.sweep = new RecurringTask(deadlines, clock, SWEEP_INTERVAL_MICROS,
+        this.sweep = new RecurringTask(deadlines, clock, SWEEP_INTERVAL_US,
                 () -> idle.closeExpired(clock.micros()));
-        this.readinessCheck = new RecurringTask(deadlines, clock, READINESS_INTERVAL_MICROS, this::openWhenReady);
+        this.readinessCheck = new RecurringTask(deadlines, clock, READINESS_INTERVAL_US, this::openWhenReady);
         reload(classNames, settings);
     }
 
     /** Accepts requests of these classes from now on; a name is null if its class is not accepted any more. */
     public void reload(List<String> classNames, Settings settings) {
         reader.reload(classNames, settings.classes(), settings.paceKbPerS());
-        retryAfterMillis = settings.allowed().maxRetryAfterUs() / 1000;
+        retryAfterMs = settings.allowed().maxRetryAfterUs() / 1000;
     }
 
     @Override
--- a/src/main/java/clovermill/dataplane/server/FrameTimeout.java
+++ b/src/main/java/clovermill/dataplane/server/FrameTimeout.java
@@ -13,7 +13,7 @@
     private final Timeout timeout;
     private final Runnable onTimeout;
 
-    /** {@code onTimeout} runs when a frame is not complete in {@link IdleConnections#FIRST_FRAME_MICROS}. */
+    /** {@code onTimeout} runs when a frame is not complete in {@link IdleConnections#FIRST_FRAME_US}. */
     FrameTimeout(Connection connection, Clock clock, Deadlines deadlines, FrameParser parser, Runnable onTimeout) {
         this.connection = connection;
         this.parser = parser;
@@ -26,7 +26,7 @@
         if (!parser.isMidFrame()) {
             timeout.cancel();
         } else if (!timeout.isSet()) {
-            timeout.setAfter(IdleConnections.FIRST_FRAME_MICROS);
+            timeout.setAfter(IdleConnections.FIRST_FRAME_US);
         }
     }
 
--- a/src/main/java/clovermill/dataplane/server/HeldFrames.java
+++ b/src/main/java/clovermill/dataplane/server/HeldFrames.java
@@ -19,10 +19,10 @@
     /**
      * A held frame.
      *
-     * @param arrivedMicros when it arrived, in microseconds of the clock
-     * @param answerByMicros when its request must have been answered; {@link Long#MAX_VALUE} if it has no deadline
+     * @param arrivedUs when it arrived, in microseconds of the clock
+     * @param answerByUs when its request must have been answered; {@link Long#MAX_VALUE} if it has no deadline
      */
-    record Frame(int type, long stream, byte[] payload, long arrivedMicros, long answerByMicros) {}
+    record Frame(int type, long stream, byte[] payload, long arrivedUs, long answerByUs) {}
 
     /** Some hundreds of requests without a body; clients usually have at most 32 open. */
     private static final int MAX_BYTES = 1 << 16;
@@ -36,7 +36,7 @@
     private final Timeout expiry;
     private final Consumer<Frame> expired;
     private final ArrayDeque<Frame> frames = new ArrayDeque<>();
-    private long expiryMicros = Long.MAX_VALUE;
+    private long expiryUs = Long.MAX_VALUE;
     private int bytes;
     private int framesRead;
 
@@ -50,7 +50,7 @@
 
     private void expire() {
         for (Frame frame : List.copyOf(frames)) {
-            if (frame.answerByMicros() <= clock.micros() && frames.remove(frame)) {
+            if (frame.answerByUs() <= clock.micros() && frames.remove(frame)) {
                 release(frame);
                 expired.accept(frame);
             }
@@ -59,25 +59,25 @@
     }
 
     private void scheduleExpiry() {
-        expiryMicros = frames.stream().mapToLong(Frame::answerByMicros).min().orElse(Long.MAX_VALUE);
-        if (expiryMicros != Long.MAX_VALUE) {
-            expiry.setAt(expiryMicros);
+        expiryUs = frames.stream().mapToLong(Frame::answerByUs).min().orElse(Long.MAX_VALUE);
+        if (expiryUs != Long.MAX_VALUE) {
+            expiry.setAt(expiryUs);
         }
     }
 
     /** Adds a copy of a frame; false if the budget has no memory for it. Times as in {@link Frame}. */
-    boolean add(int type, long stream, ByteBuffer payload, long arrivedMicros, long answerByMicros) {
+    boolean add(int type, long stream, ByteBuffer payload, long arrivedUs, long answerByUs) {
         int size = payload.remaining() + FRAME_OVERHEAD_BYTES;
         if (!budget.take(size)) {
             return false;
         }
         byte[] copy = new byte[payload.remaining()];
         payload.get(copy);
-        frames.add(new Frame(type, stream, copy, arrivedMicros, answerByMicros));
+        frames.add(new Frame(type, stream, copy, arrivedUs, answerByUs));
         bytes += size;
-        if (answerByMicros < expiryMicros) {
-            expiryMicros = answerByMicros;
-            expiry.setAt(answerByMicros);
+        if (answerByUs < expiryUs) {
+            expiryUs = answerByUs;
+            expiry.setAt(answerByUs);
         }
         return true;
     }
--- a/src/main/java/clovermill/dataplane/server/IdleConnections.java
+++ b/src/main/java/clovermill/dataplane/server/IdleConnections.java
@@ -11,27 +11,27 @@
 final class IdleConnections {
 
     /** Clients close idle connections after 4 s themselves; one that is open longer has been abandoned. */
-    private static final long IDLE_TIMEOUT_MICROS = 5_000_000;
+    private static final long IDLE_TIMEOUT_US = 5_000_000;
     /** Time from the connect to the first complete frame, and from any frame's first byte to its last. */
-    static final long FIRST_FRAME_MICROS = 2_000_000;
+    static final long FIRST_FRAME_US = 2_000_000;
     /**
      * A client that has just connected is about to send: an eviction would lose its request, while that of an idle
      * connection costs its client another connect.
      */
-    private static final long JUST_OPENED_MICROS = 100_000;
+    private static final long JUST_OPENED_US = 100_000;
 
     private final Map<FrameConnection, Long> silent = new LinkedHashMap<>();
     private final Map<FrameConnection, Long> idle = new LinkedHashMap<>();
 
     /** Adds a connection that was accepted and has sent nothing yet. */
-    void addOpened(FrameConnection connection, long nowMicros) {
-        silent.put(connection, nowMicros);
+    void addOpened(FrameConnection connection, long nowUs) {
+        silent.put(connection, nowUs);
     }
 
     /** A connection has no open requests any more. */
-    void markIdle(FrameConnection connection, long nowMicros) {
+    void markIdle(FrameConnection connection, long nowUs) {
         remove(connection);
-        idle.put(connection, nowMicros);
+        idle.put(connection, nowUs);
     }
 
     /** A connection has an open request, or was closed. */
@@ -41,26 +41,26 @@
     }
 
     /** Closes the connections whose timeout has passed. */
-    void closeExpired(long nowMicros) {
-        while (evictEldest(silent, nowMicros - FIRST_FRAME_MICROS)
-                || evictEldest(idle, nowMicros - IDLE_TIMEOUT_MICROS)) {
+    void closeExpired(long nowUs) {
+        while (evictEldest(silent, nowUs - FIRST_FRAME_US)
+                || evictEldest(idle, nowUs - IDLE_TIMEOUT_US)) {
             continue;
         }
     }
 
     /** Closes one connection if any is idle: a silent one first, one that has just been opened last. */
-    void evictOne(long nowMicros) {
-        if (!evictEldest(silent, nowMicros - JUST_OPENED_MICROS) && !evictEldest(idle, nowMicros)) {
-            evictEldest(silent, nowMicros);
+    void evictOne(long nowUs) {
+        if (!evictEldest(silent, nowUs - JUST_OPENED_US) && !evictEldest(idle, nowUs)) {
+            evictEldest(silent, nowUs);
         }
     }
 
-    /** Closes the eldest that is idle since {@code sinceMicros} or earlier; one found to be in use is passed over. */
-    private static boolean evictEldest(Map<FrameConnection, Long> from, long sinceMicros) {
+    /** Closes the eldest that is idle since {@code sinceUs} or earlier; one found to be in use is passed over. */
+    private static boolean evictEldest(Map<FrameConnection, Long> from, long sinceUs) {
         for (int remaining = from.size(); remaining > 0; remaining--) {
             Map.Entry<FrameConnection, Long> eldest = from.entrySet().iterator().next();
             FrameConnection connection = eldest.getKey();
-            if (eldest.getValue() > sinceMicros) {
+            if (eldest.getValue() > sinceUs) {
                 return false;
             }
             from.remove(connection);
--- a/src/main/java/clovermill/dataplane/server/LingeringClose.java
+++ b/src/main/java/clovermill/dataplane/server/LingeringClose.java
@@ -13,7 +13,7 @@
 final class LingeringClose {
 
     /** From the end of output to the close; what the client sent before it saw the end arrives within 50 ms. */
-    private static final long LINGER_MICROS = 100_000;
+    private static final long LINGER_US = 100_000;
     /** A client that sends more than this meanwhile is closed at once. */
     private static final int MAX_DISCARDED_BYTES = 1 << 18;
 
@@ -34,7 +34,7 @@
     void begin() {
         if (!hasBegun && connection.isOpen()) {
             hasBegun = true;
-            close.setAfter(LINGER_MICROS);
+            close.setAfter(LINGER_US);
             connection.endOutput();
             connection.resume();
         }
--- a/src/main/java/clovermill/dataplane/server/ReadPause.java
+++ b/src/main/java/clovermill/dataplane/server/ReadPause.java
@@ -11,13 +11,13 @@
 final class ReadPause {
 
     /** After a pause of any length all bytes that waited in the socket have been read by then. */
-    private static final long DRAIN_MICROS = 50_000;
+    private static final long DRAIN_US = 50_000;
 
     private final Connection connection;
     private final Clock clock;
     private boolean paused;
-    private long pausedSinceMicros;
-    private long drainedMicros = Long.MIN_VALUE;
+    private long pausedSinceUs;
+    private long drainedUs = Long.MIN_VALUE;
 
     ReadPause(Connection connection, Clock clock) {
         this.connection = connection;
@@ -28,7 +28,7 @@
         connection.pause();
         if (!paused) {
             paused = true;
-            pausedSinceMicros = isDraining() ? pausedSinceMicros : clock.micros();
+            pausedSinceUs = isDraining() ? pausedSinceUs : clock.micros();
         }
     }
 
@@ -36,16 +36,16 @@
         connection.resume();
         if (paused) {
             paused = false;
-            drainedMicros = clock.micros() + DRAIN_MICROS;
+            drainedUs = clock.micros() + DRAIN_US;
         }
     }
 
     /** Lower bound of when the bytes read now arrived, in microseconds of the clock. */
-    long arrivedMicros() {
-        return paused || isDraining() ? pausedSinceMicros : clock.micros();
+    long arrivedUs() {
+        return paused || isDraining() ? pausedSinceUs : clock.micros();
     }
 
     private boolean isDraining() {
-        return clock.micros() < drainedMicros;
+        return clock.micros() < drainedUs;
     }
 }
--- a/src/main/java/clovermill/dataplane/server/RequestReader.java
+++ b/src/main/java/clovermill/dataplane/server/RequestReader.java
@@ -22,13 +22,13 @@
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
 
     private final Map<String, Integer> classIndices = new HashMap<>();
-    private final long marginMicros;
+    private final long marginUs;
     private List<RequestClass> requestClasses = List.of();
     private double paceKbPerS;
 
-    /** {@code marginMicros} is subtracted from the time that a client waits, for the transfer of its answer. */
-    RequestReader(long marginMicros) {
-        this.marginMicros = marginMicros;
+    /** {@code marginUs} is subtracted from the time that a client waits, for the transfer of its answer. */
+    RequestReader(long marginUs) {
+        this.marginUs = marginUs;
     }
 
     /** Sets the classes; a name is null if its class is not accepted any more. Pace in kilobytes a second. */
@@ -58,36 +58,36 @@
         if (idempotencyKey == null && requestClass.effect() == Effect.DEDUPLICATED) {
             throw new BadRequestException("once is missing");
         }
-        long waitMicros = waitMicros(fields, requestClass);
+        long waitUs = waitUs(fields, requestClass);
         double maxKb = paceKbPerS > 0
                 ? MAX_SENDING_RATIO * requestClass.deadlineUs() / 1e6 * paceKbPerS
                 : Integer.MAX_VALUE;
         String retry = fields.getOrDefault("retry", "0");
-        if (waitMicros == 0 || body.length > MAX_BODY_BYTES || !retry.equals("0") && !retry.equals("1")) {
+        if (waitUs == 0 || body.length > MAX_BODY_BYTES || !retry.equals("0") && !retry.equals("1")) {
             throw new BadRequestException("out of range");
         }
         return new ClientRequest(hex(required(fields, "id")), index, className, hex(required(fields, "key")),
                 integer(fields.getOrDefault("seg", "0"), MAX_PART),
                 integer(fields.getOrDefault("bucket", "0"), MAX_GROUP),
-                number(fields.getOrDefault("kb", "0"), maxKb), withoutMargin(waitMicros),
+                number(fields.getOrDefault("kb", "0"), maxKb), withoutMargin(waitUs),
                 retry.equals("1"), idempotencyKey, plainWord(fields.get("etag")), body);
     }
 
     /** Time until a request must have been answered, in microseconds; {@link Long#MAX_VALUE} if it is invalid. */
-    long answerWithinMicros(Map<String, String> fields) {
+    long answerWithinUs(Map<String, String> fields) {
         Integer index = classIndices.get(fields.get("class"));
         try {
-            return index == null ? Long.MAX_VALUE : withoutMargin(waitMicros(fields, requestClasses.get(index)));
+            return index == null ? Long.MAX_VALUE : withoutMargin(waitUs(fields, requestClasses.get(index)));
         } catch (BadRequestException invalid) {
             return Long.MAX_VALUE; // rejected as invalid when it is processed
         }
     }
 
-    private long withoutMargin(long waitMicros) {
-        return waitMicros - Math.min(marginMicros, waitMicros / MARGIN_DIVISOR);
+    private long withoutMargin(long waitUs) {
+        return waitUs - Math.min(marginUs, waitUs / MARGIN_DIVISOR);
     }
 
-    private static long waitMicros(Map<String, String> fields, RequestClass requestClass) throws BadRequestException {
+    private static long waitUs(Map<String, String> fields, RequestClass requestClass) throws BadRequestException {
         return (long) (number(required(fields, "wait"), requestClass.deadlineUs() / 1000.0) * 1000);
     }
 
--- a/src/main/java/clovermill/dataplane/server/ServerContext.java
+++ b/src/main/java/clovermill/dataplane/server/ServerContext.java
@@ -16,12 +16,12 @@
  * @param budget memory for bodies and held frames
  * @param clock the loop's clock
  * @param deadlines the loop's timers
- * @param retryAfterMillis delay that a rejected client is asked to wait, in milliseconds
+ * @param retryAfterMs delay that a rejected client is asked to wait, in milliseconds
  * @param ready whether the director can serve requests
  * @param rejectingNew whether new requests are rejected, during a shutdown
  * @param idle the connections without open requests
  * @param closed called with each connection that was closed
  */
 record ServerContext(ProxyCore proxy, RequestReader reader, Budget budget, Clock clock, Deadlines deadlines,
-        LongSupplier retryAfterMillis, BooleanSupplier ready, BooleanSupplier rejectingNew, IdleConnections idle,
+        LongSupplier retryAfterMs, BooleanSupplier ready, BooleanSupplier rejectingNew, IdleConnections idle,
         Consumer<FrameConnection> closed) {}
--- a/src/main/java/clovermill/dataplane/server/WriteTimeout.java
+++ b/src/main/java/clovermill/dataplane/server/WriteTimeout.java
@@ -8,7 +8,7 @@
 /** Closes a connection whose client reads none of its answers for a while, which frees their memory. */
 final class WriteTimeout {
 
-    private static final long TIMEOUT_MICROS = 10_000_000;
+    private static final long TIMEOUT_US = 10_000_000;
 
     private final Connection connection;
     private final Timeout check;
@@ -23,7 +23,7 @@
     void watch() {
         if (!check.isSet() && connection.isOpen() && connection.queuedBytes() > 0) {
             writtenBytesBefore = connection.writtenBytes();
-            check.setAfter(TIMEOUT_MICROS);
+            check.setAfter(TIMEOUT_US);
         }
     }
 
--- a/src/main/java/clovermill/dataplane/upstream/CacheRequest.java
+++ b/src/main/java/clovermill/dataplane/upstream/CacheRequest.java
@@ -15,11 +15,11 @@
  * @param id id of the request in the lines protocol
  * @param clientRequest the client's request, null for a probe
  * @param source id of the member from which a miss is filled, null if it is not filled
- * @param deadlineMicros end of its time, in microseconds of the monotonic clock
+ * @param deadlineUs end of its time, in microseconds of the monotonic clock
  * @param encoder encodes the request for a number of microseconds left
  * @param listener follows the exchange
  */
-record CacheRequest(String member, String id, ClientRequest clientRequest, String source, long deadlineMicros,
+record CacheRequest(String member, String id, ClientRequest clientRequest, String source, long deadlineUs,
         LongFunction<List<ByteBuffer>> encoder, AttemptListener listener) {
 
     /** Whether a miss would be filled from one of {@code members}. */
--- a/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
+++ b/src/main/java/clovermill/dataplane/upstream/DelayedDial.java
@@ -13,19 +13,19 @@
 final class DelayedDial implements Exchange {
 
     /** Interval between two dials. */
-    static final long RETRY_INTERVAL_MICROS = 20_000;
+    static final long RETRY_INTERVAL_US = 20_000;
 
     private final UpstreamPool pool;
     private final CacheRequest request;
-    private final long lastDialMicros;
+    private final long lastDialUs;
     private Deadline nextDial;
     private Exchange sent;
 
-    /** Made after a failed dial; no dial begins at or after {@code lastDialMicros} of the monotonic clock. */
-    DelayedDial(UpstreamPool pool, CacheRequest request, long lastDialMicros) {
+    /** Made after a failed dial; no dial begins at or after {@code lastDialUs} of the monotonic clock. */
+    DelayedDial(UpstreamPool pool, CacheRequest request, long lastDialUs) {
         this.pool = pool;
         this.request = request;
-        this.lastDialMicros = lastDialMicros;
+        this.lastDialUs = lastDialUs;
         scheduleDial();
     }
 
@@ -35,11 +35,11 @@
 
     private void scheduleDial() {
         pool.addDelayed(this);
-        nextDial = pool.addTimeout(RETRY_INTERVAL_MICROS, this::dial);
+        nextDial = pool.addTimeout(RETRY_INTERVAL_US, this::dial);
     }
 
     private void dial() {
-        if (pool.nowMicros() >= Math.min(lastDialMicros, request.deadlineMicros()) || !request.listener().mayBegin()) {
+        if (pool.nowUs() >= Math.min(lastDialUs, request.deadlineUs()) || !request.listener().mayBegin()) {
             end(Result.NOT_SENT);
             return;
         }
--- a/src/main/java/clovermill/dataplane/upstream/MemberConnections.java
+++ b/src/main/java/clovermill/dataplane/upstream/MemberConnections.java
@@ -13,13 +13,13 @@
     private static final int DIAL_FURTHER_FROM = 2;
 
     private final InetSocketAddress address;
-    private final long startedMillis;
+    private final long startedMs;
     private final List<UpstreamConnection> connections = new ArrayList<>();
 
-    /** {@code startedMillis} is the member's start as it reports it, in Unix milliseconds. */
-    MemberConnections(InetSocketAddress address, long startedMillis) {
+    /** {@code startedMs} is the member's start as it reports it, in Unix milliseconds. */
+    MemberConnections(InetSocketAddress address, long startedMs) {
         this.address = address;
-        this.startedMillis = startedMillis;
+        this.startedMs = startedMs;
     }
 
     InetSocketAddress address() {
@@ -27,8 +27,8 @@
     }
 
     /** Whether the member still listens there and has not been restarted. */
-    boolean isOf(InetSocketAddress currentAddress, long currentStartedMillis) {
-        return address.equals(currentAddress) && startedMillis == currentStartedMillis;
+    boolean isOf(InetSocketAddress currentAddress, long currentStartedMs) {
+        return address.equals(currentAddress) && startedMs == currentStartedMs;
     }
 
     void add(UpstreamConnection connection) {
--- a/src/main/java/clovermill/dataplane/upstream/RecentIds.java
+++ b/src/main/java/clovermill/dataplane/upstream/RecentIds.java
@@ -12,11 +12,11 @@
     /** Bound of the cancelled ids; a late response must not be taken for that of another attempt. */
     private static final int MAX_CANCELLED = 1000;
     /** An answered id is not reused for this long: a member may send its response twice, some milliseconds apart. */
-    private static final long DUPLICATE_WINDOW_MICROS = 50_000;
+    private static final long DUPLICATE_WINDOW_US = 50_000;
 
     private final Set<String> cancelled = new HashSet<>();
     /** Answered ids with the time of the response in microseconds, oldest first. */
-    private final Map<String, Long> answeredMicros = new LinkedHashMap<>();
+    private final Map<String, Long> answeredUs = new LinkedHashMap<>();
 
     void addCancelled(String id) {
         cancelled.add(id);
@@ -32,15 +32,15 @@
         cancelled.remove(id);
     }
 
-    void addAnswered(String id, long nowMicros) {
-        answeredMicros.put(id, nowMicros);
+    void addAnswered(String id, long nowUs) {
+        answeredUs.put(id, nowUs);
     }
 
-    boolean contains(String id, long nowMicros) {
-        for (Iterator<Long> oldest = answeredMicros.values().iterator(); oldest.hasNext()
-                && nowMicros - oldest.next() >= DUPLICATE_WINDOW_MICROS;) {
+    boolean contains(String id, long nowUs) {
+        for (Iterator<Long> oldest = answeredUs.values().iterator(); oldest.hasNext()
+                && nowUs - oldest.next() >= DUPLICATE_WINDOW_US;) {
             oldest.remove();
         }
-        return cancelled.contains(id) || answeredMicros.containsKey(id);
+        return cancelled.contains(id) || answeredUs.containsKey(id);
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/RequestLine.java
+++ b/src/main/java/clovermill/dataplane/upstream/RequestLine.java
@@ -14,10 +14,10 @@
 
     private RequestLine() {}
 
-    /** Encodes an attempt in parts; {@code leftMicros} is the time that its client has left. */
-    static List<ByteBuffer> want(AttemptOrder order, long leftMicros) {
+    /** Encodes an attempt in parts; {@code leftUs} is the time that its client has left. */
+    static List<ByteBuffer> want(AttemptOrder order, long leftUs) {
         ClientRequest request = order.request();
-        String head = "want " + request.id() + " " + fields(order, leftMicros) + " " + request.body().length + "\r\n";
+        String head = "want " + request.id() + " " + fields(order, leftUs) + " " + request.body().length + "\r\n";
         return request.body().length == 0
                 ? List.of(text(head + "\r\n"))
                 : List.of(text(head), ByteBuffer.wrap(request.body()), text("\r\n"));
@@ -37,11 +37,11 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String fields(AttemptOrder order, long leftMicros) {
+    private static String fields(AttemptOrder order, long leftUs) {
         ClientRequest request = order.request();
         StringJoiner fields = new StringJoiner(",");
         fields.add("kind=" + request.className()).add("obj=" + request.object()).add("seg=" + request.part());
-        fields.add("ms=" + Math.max(1, leftMicros / MICROS_PER_MILLI));
+        fields.add("ms=" + Math.max(1, leftUs / MICROS_PER_MILLI));
         if (request.idempotencyKey() != null) {
             fields.add("token=" + request.idempotencyKey());
         }
@@ -51,8 +51,8 @@
         if (order.rank() > 0) {
             fields.add("keep=" + order.rank());
         }
-        if (order.maxAgeMicros() > 0) {
-            fields.add("maxage=" + Math.max(1, order.maxAgeMicros() / MICROS_PER_MILLI));
+        if (order.maxAgeUs() > 0) {
+            fields.add("maxage=" + Math.max(1, order.maxAgeUs() / MICROS_PER_MILLI));
         }
         StringJoiner flags = new StringJoiner("+");
         if (order.join()) {
--- a/src/main/java/clovermill/dataplane/upstream/ResponseWatchdog.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseWatchdog.java
@@ -16,7 +16,7 @@
     private final Connection connection;
     private final ResponseParser parser;
     private Deadline stallTimeout;
-    private long lastReceivedMicros;
+    private long lastReceivedUs;
     private boolean closed;
 
     ResponseWatchdog(UpstreamPool pool, Connection connection, ResponseParser parser) {
@@ -27,12 +27,12 @@
 
     /** Records that bytes have been received now. */
     void recordReceived() {
-        lastReceivedMicros = pool.nowMicros();
+        lastReceivedUs = pool.nowUs();
     }
 
     /** When bytes were last received, in microseconds of the monotonic clock. */
-    long lastReceivedMicros() {
-        return lastReceivedMicros;
+    long lastReceivedUs() {
+        return lastReceivedUs;
     }
 
     /** Starts the stall timeout if a response is partly read. */
@@ -40,7 +40,7 @@
         if (stallTimeout == null && parser.isMidResponse() && connection.isOpen()) {
             stallTimeout = pool.addDialTimeout(() -> {
                 stallTimeout = null;
-                if (parser.isMidResponse() && !parser.awaitsBudget() && pool.hasDialTimePassed(lastReceivedMicros)) {
+                if (parser.isMidResponse() && !parser.awaitsBudget() && pool.hasDialTimePassed(lastReceivedUs)) {
                     connection.close();
                 } else {
                     watch();
--- a/src/main/java/clovermill/dataplane/upstream/SendQueue.java
+++ b/src/main/java/clovermill/dataplane/upstream/SendQueue.java
@@ -55,22 +55,22 @@
     }
 
     /** Begins requests, if nothing unwritten precedes them, until a batch is full. */
-    void beginBatch(long nowMicros) {
+    void beginBatch(long nowUs) {
         if (connection.queuedBytes() > 0) {
             return;
         }
         // The callback may cancel other requests; it runs before any of this batch has begun.
-        while (!queued.isEmpty() && !queued.peek().mayBegin(nowMicros)) {
+        while (!queued.isEmpty() && !queued.peek().mayBegin(nowUs)) {
             expired.accept(queued.poll());
         }
-        while (connection.queuedBytes() < BATCH_BYTES && !queued.isEmpty() && queued.peek().mayBegin(nowMicros)) {
-            begin(queued.poll(), nowMicros);
+        while (connection.queuedBytes() < BATCH_BYTES && !queued.isEmpty() && queued.peek().mayBegin(nowUs)) {
+            begin(queued.poll(), nowUs);
         }
     }
 
-    private void begin(UpstreamExchange exchange, long nowMicros) {
+    private void begin(UpstreamExchange exchange, long nowUs) {
         batch.add(exchange);
-        List<ByteBuffer> parts = exchange.begin(nowMicros);
+        List<ByteBuffer> parts = exchange.begin(nowUs);
         int last = parts.size() - 1;
         for (int i = 0; i < last; i++) {
             connection.send(parts.get(i));
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -42,7 +42,7 @@
     private boolean retired;
     private boolean closed;
     /** When the first request was written after the last received byte; 0 if none was. */
-    private long unansweredSinceMicros;
+    private long unansweredSinceUs;
 
     UpstreamConnection(UpstreamPool pool, Connection connection, Budget budget) {
         this.pool = pool;
@@ -69,7 +69,7 @@
     /** Whether a request may be sent here: no response to another request with its id may still arrive. */
     boolean accepts(String id, int maxStreams) {
         return !retired && openById.size() < maxStreams && !openById.containsKey(id)
-                && !recentIds.contains(id, pool.nowMicros());
+                && !recentIds.contains(id, pool.nowUs());
     }
 
     /** Whether queued requests wait only for the end of this turn. */
@@ -135,7 +135,7 @@
         recentIds.addCancelled(exchange.id);
         connection.send(RequestLine.neverMind(exchange.id));
         // A machine that vanished or hangs resets no connection: one that was silent for a dial's time is not reused.
-        boolean silent = unansweredSinceMicros > 0 && pool.hasDialTimePassed(unansweredSinceMicros);
+        boolean silent = unansweredSinceUs > 0 && pool.hasDialTimePassed(unansweredSinceUs);
         if (silent || recentIds.isFull()) {
             retire();
         }
@@ -180,13 +180,13 @@
     @Override
     public void flushing() {
         partlyWritten.removeIf(UpstreamExchange::isWritten);
-        long nowMicros = pool.nowMicros();
-        if (connection.queuedBytes() > 0 && unwrittenCandidates().anyMatch(each -> each.mustStop(nowMicros))) {
+        long nowUs = pool.nowUs();
+        if (connection.queuedBytes() > 0 && unwrittenCandidates().anyMatch(each -> each.mustStop(nowUs))) {
             connection.close(); // queued bytes cannot be withdrawn one by one
             return;
         }
         if (connected && !sendQueue.isEmpty()) {
-            sendQueue.beginBatch(nowMicros);
+            sendQueue.beginBatch(nowUs);
             updateAfterEnd();
         }
     }
@@ -206,15 +206,15 @@
     }
 
     private void endBatch() {
-        if (sendQueue.endBatch() && unansweredSinceMicros == 0) {
-            unansweredSinceMicros = pool.nowMicros();
+        if (sendQueue.endBatch() && unansweredSinceUs == 0) {
+            unansweredSinceUs = pool.nowUs();
         }
     }
 
     @Override
     public void received(ByteBuffer data) throws IOException {
         watchdog.recordReceived();
-        unansweredSinceMicros = 0;
+        unansweredSinceUs = 0;
         parser.parse(data);
         if (parser.awaitsBudget()) {
             connection.pause();
@@ -239,12 +239,12 @@
             throw malformed;
         }
         Note note = ResponseFields.note(fields.get("res"));
-        long waitedMicros = ResponseFields.micros(fields.get("ttfb"));
+        long waitedUs = ResponseFields.micros(fields.get("ttfb"));
         openById.remove(id);
-        recentIds.addAnswered(id, pool.nowMicros());
-        unansweredSinceMicros = openById.isEmpty() ? 0 : watchdog.lastReceivedMicros();
+        recentIds.addAnswered(id, pool.nowUs());
+        unansweredSinceUs = openById.isEmpty() ? 0 : watchdog.lastReceivedUs();
         reportLoad(exchange, fields.get("gauges"));
-        exchange.end(result, note, waitedMicros, response(result, word, fields, body));
+        exchange.end(result, note, waitedUs, response(result, word, fields, body));
         updateAfterEnd();
     }
 
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamExchange.java
@@ -19,14 +19,14 @@
      * Age at which an unwritten head is not sent any more. The deadline that it passes to the member may be 150 ms
      * older than the moment of the write, which follows within the turn.
      */
-    private static final long MAX_HEAD_AGE_MICROS = 140_000;
+    private static final long MAX_HEAD_AGE_US = 140_000;
 
     final String id;
     final AttemptListener listener;
     private final UpstreamConnection connection;
     private final CacheRequest request;
     private boolean begun;
-    private long begunMicros;
+    private long begunUs;
     /** The first part of the request, which passes the deadline; null before it begins. */
     private ByteBuffer head;
     private boolean written;
@@ -68,15 +68,15 @@
     }
 
     /** Whether it may begin now: its client waits for it and has time left. */
-    boolean mayBegin(long nowMicros) {
-        return nowMicros < request.deadlineMicros() && listener.mayBegin();
+    boolean mayBegin(long nowUs) {
+        return nowUs < request.deadlineUs() && listener.mayBegin();
     }
 
-    /** Begins it: returns the parts to be written, which pass the time left at {@code nowMicros} to the member. */
-    List<ByteBuffer> begin(long nowMicros) {
+    /** Begins it: returns the parts to be written, which pass the time left at {@code nowUs} to the member. */
+    List<ByteBuffer> begin(long nowUs) {
         begun = true;
-        begunMicros = nowMicros;
-        List<ByteBuffer> parts = request.encoder().apply(request.deadlineMicros() - nowMicros);
+        begunUs = nowUs;
+        List<ByteBuffer> parts = request.encoder().apply(request.deadlineUs() - nowUs);
         head = parts.get(0);
         return parts;
     }
@@ -105,9 +105,9 @@
     /**
      * Whether unwritten parts must not be written any more: it is not wanted, or the deadline in its head is too old.
      */
-    boolean mustStop(long nowMicros) {
+    boolean mustStop(long nowUs) {
         return begun && !written && (revoked || !listener.mayContinue()
-                || head.hasRemaining() && nowMicros - begunMicros > MAX_HEAD_AGE_MICROS);
+                || head.hasRemaining() && nowUs - begunUs > MAX_HEAD_AGE_US);
     }
 
     /** Forbids further writes: its member or its source drains, or its object was purged. */
@@ -115,7 +115,7 @@
         revoked = true;
     }
 
-    void end(Result result, Note note, long waitedMicros, UpstreamResponse response) {
-        listener.ended(result, note, waitedMicros, response);
+    void end(Result result, Note note, long waitedUs, UpstreamResponse response) {
+        listener.ended(result, note, waitedUs, response);
     }
 }
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamPool.java
@@ -32,10 +32,10 @@
      *
      * @param streamsPerConnection open exchanges on one connection
      * @param connections open connections to all members
-     * @param dialMicros time in which a connection must be established, in microseconds
-     * @param idleMicros time after which a connection without exchanges is closed, in microseconds
+     * @param dialUs time in which a connection must be established, in microseconds
+     * @param idleUs time after which a connection without exchanges is closed, in microseconds
      */
-    public record Limits(int streamsPerConnection, int connections, long dialMicros, long idleMicros) {}
+    public record Limits(int streamsPerConnection, int connections, long dialUs, long idleUs) {}
 
     /** One member gets this part of all connections at most, and two in any case. */
     private static final int MEMBER_PART_OF_CONNECTIONS = 8;
@@ -92,11 +92,11 @@
      * Adds or updates a member. One that has moved or was restarted gets new connections: the old ones may lead to
      * another member at its former address, or nowhere.
      */
-    public void updateMember(String member, InetSocketAddress address, long startedMillis) {
+    public void updateMember(String member, InetSocketAddress address, long startedMs) {
         MemberConnections known = members.get(member);
-        if (known == null || !known.isOf(address, startedMillis)) {
+        if (known == null || !known.isOf(address, startedMs)) {
             removeMember(member);
-            members.put(member, new MemberConnections(address, startedMillis));
+            members.put(member, new MemberConnections(address, startedMs));
         }
     }
 
@@ -137,24 +137,24 @@
     @Override
     public Exchange send(AttemptOrder order, AttemptListener listener) {
         ClientRequest request = order.request();
-        long deadlineMicros = clock.micros() + order.timeoutMicros();
-        return send(new CacheRequest(order.member(), request.id(), request, order.source(), deadlineMicros,
-                leftMicros -> RequestLine.want(order, leftMicros), listener));
+        long deadlineUs = clock.micros() + order.timeoutUs();
+        return send(new CacheRequest(order.member(), request.id(), request, order.source(), deadlineUs,
+                leftUs -> RequestLine.want(order, leftUs), listener));
     }
 
     @Override
     public void probe(String member, AttemptListener listener) {
         String id = "p" + probeCount++;
         Deadline[] timeout = new Deadline[1];
-        AttemptListener probeListener = (result, note, waitedMicros, response) -> {
+        AttemptListener probeListener = (result, note, waitedUs, response) -> {
             deadlines.cancel(timeout[0]);
             if (response != null) {
                 response.body().close();
             }
-            listener.ended(result, note, waitedMicros, null);
+            listener.ended(result, note, waitedUs, null);
         };
         Exchange exchange = send(new CacheRequest(member, id, null, null, Long.MAX_VALUE,
-                leftMicros -> RequestLine.there(id), probeListener));
+                leftUs -> RequestLine.there(id), probeListener));
         timeout[0] = addDialTimeout(() -> {
             if (exchange != ENDED) {
                 exchange.cancel();
@@ -176,8 +176,8 @@
         if (exchange != null) {
             return exchange;
         }
-        long lastDialMicros = clock.micros() + limits.dialMicros() - DelayedDial.RETRY_INTERVAL_MICROS;
-        return new DelayedDial(this, request, lastDialMicros);
+        long lastDialUs = clock.micros() + limits.dialUs() - DelayedDial.RETRY_INTERVAL_US;
+        return new DelayedDial(this, request, lastDialUs);
     }
 
     /** Sends a request, or ends it; returns null, and does neither, if this machine cannot dial for the moment. */
@@ -241,24 +241,24 @@
     }
 
     Deadline addDialTimeout(Runnable expired) {
-        return addTimeout(limits.dialMicros(), expired);
+        return addTimeout(limits.dialUs(), expired);
     }
 
     Deadline addIdleTimeout(Runnable expired) {
-        return addTimeout(limits.idleMicros(), expired);
+        return addTimeout(limits.idleUs(), expired);
     }
 
-    Deadline addTimeout(long delayMicros, Runnable expired) {
-        return deadlines.add(clock.micros() + delayMicros, expired);
+    Deadline addTimeout(long delayUs, Runnable expired) {
+        return deadlines.add(clock.micros() + delayUs, expired);
     }
 
-    long nowMicros() {
+    long nowUs() {
         return clock.micros();
     }
 
     /** Whether the time in which a live member would have answered a dial has passed. */
-    boolean hasDialTimePassed(long sinceMicros) {
-        return clock.micros() - sinceMicros >= limits.dialMicros();
+    boolean hasDialTimePassed(long sinceUs) {
+        return clock.micros() - sinceUs >= limits.dialUs();
     }
 
     void cancel(Deadline deadline) {
--- a/src/main/java/clovermill/director/ArchiveRunPeers.java
+++ b/src/main/java/clovermill/director/ArchiveRunPeers.java
@@ -38,9 +38,9 @@
         return "127.0.0.1:" + listener.port();
     }
 
-    /** Handles what has arrived; waits for up to {@code maxMillis} if there is nothing. */
-    void turn(long maxMillis) throws IOException {
-        loop.turn(maxMillis);
+    /** Handles what has arrived; waits for up to {@code maxMs} if there is nothing. */
+    void turn(long maxMs) throws IOException {
+        loop.turn(maxMs);
     }
 
     @Override
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -21,7 +21,7 @@
      * How long a process settles before it reports ready, in microseconds. A start uses up processor time in advance;
      * without the pause the first answers came up to 0.4 s late and the router took endpoints for overloaded.
      */
-    static final long SETTLE_MICROS = 1_000_000;
+    static final long SETTLE_US = 1_000_000;
 
     private final StartupRetry startup;
     private final Platform platform;
@@ -36,7 +36,7 @@
     private volatile boolean listening;
 
     /**
-     * Wires a director that reports ready {@code settleMicros} from now, once {@link #open} was called and its loop
+     * Wires a director that reports ready {@code settleUs} from now, once {@link #open} was called and its loop
      * runs.
      *
      * @param configFile where later configurations are read from
@@ -45,7 +45,7 @@
      * @throws Json.Malformed if the endpoint list of the configuration cannot be used
      * @throws IllegalArgumentException naming the subsystem's setting that cannot be used
      */
-    Assembly(Config config, Path configFile, Clock clock, long settleMicros, SubsystemSettings subsystems,
+    Assembly(Config config, Path configFile, Clock clock, long settleUs, SubsystemSettings subsystems,
             Platform platform, StartupRetry startup) throws IOException, Json.Malformed {
         this.startup = startup;
         this.platform = platform;
@@ -57,7 +57,7 @@
                 : Optional.of(new PolicyPlane(subsystems.policyStore().get(), config, runtime, usage.listener()));
         DataPlane dataPlane = new DataPlane(config, runtime, usage, policy);
         controlPlane = new ControlPlane(config, runtime, dataPlane, startList);
-        server = dataPlane.server(platform, controlPlane.readiness(platform, settleMicros));
+        server = dataPlane.server(platform, controlPlane.readiness(platform, settleUs));
         controlPlane.startHandover(platform, dataPlane, server);
         if (usage.gossip().isPresent()) {
             controlPlane.replicateOutages(usage.gossip().get());
@@ -65,7 +65,7 @@
         SettingsReload reload = new SettingsReload(config, clock, runtime.deadlines(), dataPlane.core(), server,
                 controlPlane.discovery());
         shutdown = new GracefulShutdown(runtime.loop(), clock, runtime.deadlines(), server, dataPlane.core(),
-                reload::longestDeadlineMicros, platform.inheritedSocket().isPresent());
+                reload::longestDeadlineUs, platform.inheritedSocket().isPresent());
         reloader = new ConfigReloader(configFile, clock, runtime.deadlines(), config, reload::apply);
     }
 
--- a/src/main/java/clovermill/director/ClassDataArchiveRun.java
+++ b/src/main/java/clovermill/director/ClassDataArchiveRun.java
@@ -22,8 +22,8 @@
 final class ClassDataArchiveRun {
 
     private static final int REQUESTS = 20;
-    private static final long TIMEOUT_MICROS = 20_000_000;
-    private static final long TURN_MILLIS = 1;
+    private static final long TIMEOUT_US = 20_000_000;
+    private static final long TURN_MS = 1;
 
     private int answered;
 
@@ -52,10 +52,10 @@
     private int serve(Assembly director, ArchiveRunPeers peers, Clock clock) throws IOException {
         director.loop().connect(loopback(director.port()), new Client()::attach);
         director.loop().connect(loopback(director.adminPort()), Operator::new);
-        long endMicros = clock.micros() + TIMEOUT_MICROS;
-        while (answered < REQUESTS && clock.micros() < endMicros) {
-            director.loop().turn(TURN_MILLIS);
-            peers.turn(TURN_MILLIS);
+        long endUs = clock.micros() + TIMEOUT_US;
+        while (answered < REQUESTS && clock.micros() < endUs) {
+            director.loop().turn(TURN_MS);
+            peers.turn(TURN_MS);
         }
         return answered;
     }
--- a/src/main/java/clovermill/director/ControlPlane.java
+++ b/src/main/java/clovermill/director/ControlPlane.java
@@ -45,9 +45,9 @@
     }
 
     /** A readiness check that begins to settle now. */
-    Readiness readiness(Platform platform, long settleMicros) {
+    Readiness readiness(Platform platform, long settleUs) {
         return new Readiness(runtime.clock(), registry, discovery, platform.inheritedSocket().isPresent(),
-                settleMicros);
+                settleUs);
     }
 
     /** Watches for another process of this director, where the platform gives both a folder. */
--- a/src/main/java/clovermill/director/PolicyPlane.java
+++ b/src/main/java/clovermill/director/PolicyPlane.java
@@ -42,7 +42,7 @@
         if (view.step() != null) {
             List<String> policies = view.step().inTransition() ? List.of(view.policy().text(), view.next().text())
                     : List.of(view.policy().text());
-            placement.enforce(policies, view.leaseExpiresAtMicros());
+            placement.enforce(policies, view.leaseExpiresAtUs());
         }
         endpoint.update(view);
     }
--- a/src/main/java/clovermill/director/Service.java
+++ b/src/main/java/clovermill/director/Service.java
@@ -79,7 +79,7 @@
         StartupRetry startup = new StartupRetry(clock);
         Config config = load(configFile, startup);
         Platform platform = Platform.read(System.getenv(), config, startup);
-        Assembly director = new Assembly(config, Path.of(configFile), clock, Assembly.SETTLE_MICROS, subsystems,
+        Assembly director = new Assembly(config, Path.of(configFile), clock, Assembly.SETTLE_US, subsystems,
                 platform, startup);
         signals.passTo(director);
         director.open();
--- a/src/main/java/clovermill/director/StartupRetry.java
+++ b/src/main/java/clovermill/director/StartupRetry.java
@@ -19,9 +19,9 @@
 final class StartupRetry {
 
     /** How long a start retries: a director must be ready within 6 s on short days. */
-    static final long BOUND_MICROS = 5_000_000;
+    static final long BOUND_US = 5_000_000;
     /** Between two attempts. */
-    static final long PAUSE_MICROS = 50_000;
+    static final long PAUSE_US = 50_000;
 
     private static final System.Logger LOG = System.getLogger(StartupRetry.class.getName());
 
@@ -34,7 +34,7 @@
 
     private final Clock clock;
     private final LongConsumer pause;
-    private final long retryUntilMicros;
+    private final long retryUntilUs;
 
     /** A bound that begins now. */
     StartupRetry(Clock clock) {
@@ -45,7 +45,7 @@
     StartupRetry(Clock clock, LongConsumer pause) {
         this.clock = clock;
         this.pause = pause;
-        this.retryUntilMicros = clock.micros() + BOUND_MICROS;
+        this.retryUntilUs = clock.micros() + BOUND_US;
     }
 
     /**
@@ -60,16 +60,16 @@
             try {
                 return attempt.run();
             } catch (IOException failure) {
-                long remainingMicros = retryUntilMicros - clock.micros();
-                if (remainingMicros <= 0 || permanent(failure)) {
+                long remainingUs = retryUntilUs - clock.micros();
+                if (remainingUs <= 0 || permanent(failure)) {
                     throw failure;
                 }
                 if (!logged) {
                     LOG.log(Level.WARNING, "{0} is not available yet ({1}): retrying for {2} ms", resource,
-                            failure.getMessage(), Long.toString(remainingMicros / 1000));
+                            failure.getMessage(), Long.toString(remainingUs / 1000));
                     logged = true;
                 }
-                pause.accept(Math.min(PAUSE_MICROS, remainingMicros));
+                pause.accept(Math.min(PAUSE_US, remainingUs));
                 if (Thread.currentThread().isInterrupted()) {
                     throw new InterruptedIOException(resource + ": interrupted");
                 }
--- a/src/main/java/clovermill/director/Warmup.java
+++ b/src/main/java/clovermill/director/Warmup.java
@@ -28,9 +28,9 @@
     /** The JVM's first compiler compiles a method after some 200 calls. */
     private static final int REQUESTS = 300;
     /** Between two requests. */
-    private static final long INTERVAL_MICROS = 10_000;
-    private static final long ANSWER_MICROS = INTERVAL_MICROS / 2;
-    private static final long DEADLINE_MICROS = INTERVAL_MICROS * 100;
+    private static final long INTERVAL_US = 10_000;
+    private static final long ANSWER_US = INTERVAL_US / 2;
+    private static final long DEADLINE_US = INTERVAL_US * 100;
     /** Of the generated requests' object keys. */
     private static final int GROUPS = 50;
     private static final int BYTES = 100;
@@ -67,16 +67,16 @@
 
     /** One request, and a successful outcome for each attempt at it. */
     private void route(int number) {
-        long nowMicros = number * INTERVAL_MICROS;
+        long nowUs = number * INTERVAL_US;
         String id = Integer.toHexString(number);
-        router.handle(nowMicros, new Request(id, number % settings.classes().size(), 0, number % GROUPS, 0, 0, BYTES,
-                DEADLINE_MICROS, false), actions::add);
+        router.handle(nowUs, new Request(id, number % settings.classes().size(), 0, number % GROUPS, 0, 0, BYTES,
+                DEADLINE_US, false), actions::add);
         for (Action action : List.copyOf(actions)) {
             Optional<String> endpoint = target(action);
             if (endpoint.isPresent()) {
                 sent++;
                 Note note = number % 2 == 0 ? Note.HIT : Note.FILLED;
-                router.handle(nowMicros + ANSWER_MICROS, new Outcome(id, 0, endpoint.get(), Result.OK, ANSWER_MICROS,
+                router.handle(nowUs + ANSWER_US, new Outcome(id, 0, endpoint.get(), Result.OK, ANSWER_US,
                         true, note, 0, null), actions::add);
             }
         }
--- a/src/main/java/clovermill/director/operations/GossipedOutages.java
+++ b/src/main/java/clovermill/director/operations/GossipedOutages.java
@@ -21,9 +21,9 @@
             marks.takeOut(id);
             registry.takeOut(id);
         } else if (!out && registry.isOut(id)) {
-            long stampMillis = clock.unixMillis();
-            marks.putBack(id, stampMillis);
-            registry.putBack(id, stampMillis);
+            long stampMs = clock.unixMillis();
+            marks.putBack(id, stampMs);
+            registry.putBack(id, stampMs);
         }
     }
 }
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -24,7 +24,7 @@
 
     private static final System.Logger LOG = System.getLogger(HandoverCoordinator.class.getName());
     /** A fifth of the time within which requests to a cache that was disabled at the other process must end. */
-    private static final long CHECK_INTERVAL_MICROS = 100_000;
+    private static final long CHECK_INTERVAL_US = 100_000;
 
     private final OutageFolder outages;
     private final ProcessRegistry processes;
@@ -77,7 +77,7 @@
 
     /** Starts the checks; the first applies what an earlier process has marked. */
     public void start() {
-        RecurringTask.start(deadlines, clock, CHECK_INTERVAL_MICROS, this::check);
+        RecurringTask.start(deadlines, clock, CHECK_INTERVAL_US, this::check);
     }
 
     private void check() {
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -46,11 +46,11 @@
             return OutageCallResult.UNKNOWN_CACHE;
         }
         if (registry.isOut(id)) {
-            long stampMillis = clock.unixMillis();
-            if (!marks.tryPutBack(id, stampMillis)) {
+            long stampMs = clock.unixMillis();
+            if (!marks.tryPutBack(id, stampMs)) {
                 return OutageCallResult.NOT_RECORDED;
             }
-            registry.putBack(id, stampMillis);
+            registry.putBack(id, stampMs);
         }
         return recorded(id);
     }
--- a/src/main/java/clovermill/director/operations/PolicyEndpoint.java
+++ b/src/main/java/clovermill/director/operations/PolicyEndpoint.java
@@ -53,13 +53,13 @@
         }
     }
 
-    private static ObjectNode json(PolicyView view, long nowMicros) throws JsonProcessingException {
+    private static ObjectNode json(PolicyView view, long nowUs) throws JsonProcessingException {
         ObjectNode json = JSON.createObjectNode().put("version", view.step().version())
                 .put("step", view.step().number())
-                .put("lease_ms", Math.max(0, (view.leaseExpiresAtMicros() - nowMicros) / 1000));
+                .put("lease_ms", Math.max(0, (view.leaseExpiresAtUs() - nowUs) / 1000));
         json.set("policy", JSON.readTree(view.policy().text()));
         if (view.step().inTransition()) {
-            json.put("next", view.step().next()).put("at_the_latest_ms", view.remainingMicros() / 1000);
+            json.put("next", view.step().next()).put("at_the_latest_ms", view.remainingUs() / 1000);
             json.set("waits_for", JSON.valueToTree(view.unconfirmed()));
             json.set("next_policy", JSON.readTree(view.next().text()));
         }
--- a/src/main/java/clovermill/director/operations/ReplicatedOutageMarks.java
+++ b/src/main/java/clovermill/director/operations/ReplicatedOutageMarks.java
@@ -18,14 +18,14 @@
     }
 
     @Override
-    public void putBack(String id, long stampMillis) {
-        marks.putBack(id, stampMillis);
+    public void putBack(String id, long stampMs) {
+        marks.putBack(id, stampMs);
         gossip.putOutage(id, false);
     }
 
     @Override
-    public boolean tryPutBack(String id, long stampMillis) {
-        boolean recorded = marks.tryPutBack(id, stampMillis);
+    public boolean tryPutBack(String id, long stampMs) {
+        boolean recorded = marks.tryPutBack(id, stampMs);
         if (recorded) {
             gossip.putOutage(id, false);
         }
--- a/src/main/java/clovermill/director/reload/SettingsReload.java
+++ b/src/main/java/clovermill/director/reload/SettingsReload.java
@@ -14,7 +14,7 @@
 
 /**
  * Applies a new configuration to the parts that it concerns, while requests are open. Changed request classes overlap
- * with the old ones for {@link RequestClassRegistry#OVERLAP_MICROS}. On the loop's thread.
+ * with the old ones for {@link RequestClassRegistry#OVERLAP_US}. On the loop's thread.
  */
 public final class SettingsReload {
 
@@ -64,7 +64,7 @@
         classes.beginChange(next.classes(), next.settings().classes(), next.settings().allowed().maxAttempts());
         applySettings();
         deadlines.cancel(overlapEnd);
-        overlapEnd = deadlines.add(clock.micros() + RequestClassRegistry.OVERLAP_MICROS, this::endOverlap);
+        overlapEnd = deadlines.add(clock.micros() + RequestClassRegistry.OVERLAP_US, this::endOverlap);
         LOG.log(Level.INFO, "new settings are in force, with the classes {0}", next.classes());
     }
 
@@ -100,7 +100,7 @@
     }
 
     /** The longest deadline of a request under the configuration in force, in microseconds. */
-    public long longestDeadlineMicros() {
-        return classes.longestDeadlineMicros();
+    public long longestDeadlineUs() {
+        return classes.longestDeadlineUs();
     }
 }
--- a/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
+++ b/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
@@ -19,13 +19,13 @@
 public final class GracefulShutdown {
 
     private static final System.Logger LOG = System.getLogger(GracefulShutdown.class.getName());
-    private static final long CHECK_INTERVAL_MICROS = 10_000;
+    private static final long CHECK_INTERVAL_US = 10_000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final ClientServer server;
     private final ProxyCore core;
-    private final LongSupplier longestDeadlineMicros;
+    private final LongSupplier longestDeadlineUs;
     private final boolean handover;
     private final RecurringTask checks;
     private ShutdownSequence sequence;
@@ -35,23 +35,23 @@
     /**
      * A shutdown that has not begun.
      *
-     * @param longestDeadlineMicros the longest deadline of a request under the settings in force
+     * @param longestDeadlineUs the longest deadline of a request under the settings in force
      * @param handover whether another process takes over the listening socket
      */
     public GracefulShutdown(EventLoop loop, Clock clock, Deadlines deadlines, ClientServer server, ProxyCore core,
-            LongSupplier longestDeadlineMicros, boolean handover) {
+            LongSupplier longestDeadlineUs, boolean handover) {
         this.loop = loop;
         this.clock = clock;
         this.server = server;
         this.core = core;
-        this.longestDeadlineMicros = longestDeadlineMicros;
+        this.longestDeadlineUs = longestDeadlineUs;
         this.handover = handover;
-        this.checks = new RecurringTask(deadlines, clock, CHECK_INTERVAL_MICROS, this::check);
+        this.checks = new RecurringTask(deadlines, clock, CHECK_INTERVAL_US, this::check);
     }
 
     /** Begins the shutdown; to be called once. */
     public void begin() {
-        sequence = new ShutdownSequence(clock.micros(), longestDeadlineMicros.getAsLong(), handover);
+        sequence = new ShutdownSequence(clock.micros(), longestDeadlineUs.getAsLong(), handover);
         server.announceShutdown();
         checks.start();
     }
@@ -69,7 +69,7 @@
         if (!cutOff && phase == Phase.CUTTING_OFF) {
             cutOff = true;
             LOG.log(Level.WARNING, "closing the connections of clients that do not read, {0} ms after SIGTERM",
-                    Long.toString(sequence.cutOffDelayMicros() / 1000));
+                    Long.toString(sequence.cutOffDelayUs() / 1000));
         }
         if (acceptingStopped) {
             server.closeConnections(phase.compareTo(Phase.REJECTING) >= 0, cutOff);
--- a/src/main/java/clovermill/director/shutdown/decide/ShutdownSequence.java
+++ b/src/main/java/clovermill/director/shutdown/decide/ShutdownSequence.java
@@ -24,55 +24,55 @@
     }
 
     /** From the end of the longest deadline to the platform's kill. */
-    private static final long KILL_MARGIN_MICROS = 700_000;
+    private static final long KILL_MARGIN_US = 700_000;
     /** The platform counts no deadline as longer than this. */
-    private static final long MAX_DEADLINE_MICROS = 3_000_000;
+    private static final long MAX_DEADLINE_US = 3_000_000;
     /** From the last answers to the platform's kill: writing them may take half of it. */
-    private static final long ANSWERS_BEFORE_KILL_MICROS = 400_000;
-    private static final long CUT_OFF_BEFORE_KILL_MICROS = 200_000;
+    private static final long ANSWERS_BEFORE_KILL_US = 400_000;
+    private static final long CUT_OFF_BEFORE_KILL_US = 200_000;
     /** How long a connection may take to become idle without rejections. */
-    private static final long IDLE_WAIT_MICROS = 500_000;
+    private static final long IDLE_WAIT_US = 500_000;
 
-    private final long signalMicros;
-    private final long closingIdleMicros;
-    private final long rejectingMicros;
-    private final long answeringAllMicros;
-    private final long cuttingOffMicros;
+    private final long signalUs;
+    private final long closingIdleUs;
+    private final long rejectingUs;
+    private final long answeringAllUs;
+    private final long cuttingOffUs;
 
     /**
      * Plans the phases.
      *
-     * @param signalMicros when the signal came
-     * @param longestDeadlineMicros for how long a request may be open
+     * @param signalUs when the signal came
+     * @param longestDeadlineUs for how long a request may be open
      * @param handover whether another process takes over; clients then get most of the time to close their connections
      *     themselves, since a close that crosses a request loses it
      */
-    public ShutdownSequence(long signalMicros, long longestDeadlineMicros, boolean handover) {
-        this.signalMicros = signalMicros;
-        long killMicros = signalMicros + Math.min(longestDeadlineMicros, MAX_DEADLINE_MICROS) + KILL_MARGIN_MICROS;
-        answeringAllMicros = killMicros - ANSWERS_BEFORE_KILL_MICROS;
-        cuttingOffMicros = killMicros - CUT_OFF_BEFORE_KILL_MICROS;
-        closingIdleMicros = handover ? Math.max(signalMicros, answeringAllMicros - 2 * IDLE_WAIT_MICROS)
-                : Math.min(signalMicros + KILL_MARGIN_MICROS, answeringAllMicros);
-        rejectingMicros = closingIdleMicros + Math.min(IDLE_WAIT_MICROS, (answeringAllMicros - closingIdleMicros) / 2);
+    public ShutdownSequence(long signalUs, long longestDeadlineUs, boolean handover) {
+        this.signalUs = signalUs;
+        long killUs = signalUs + Math.min(longestDeadlineUs, MAX_DEADLINE_US) + KILL_MARGIN_US;
+        answeringAllUs = killUs - ANSWERS_BEFORE_KILL_US;
+        cuttingOffUs = killUs - CUT_OFF_BEFORE_KILL_US;
+        closingIdleUs = handover ? Math.max(signalUs, answeringAllUs - 2 * IDLE_WAIT_US)
+                : Math.min(signalUs + KILL_MARGIN_US, answeringAllUs);
+        rejectingUs = closingIdleUs + Math.min(IDLE_WAIT_US, (answeringAllUs - closingIdleUs) / 2);
     }
 
     /** The phase at this moment. */
-    public Phase phase(long nowMicros) {
-        if (nowMicros >= cuttingOffMicros) {
+    public Phase phase(long nowUs) {
+        if (nowUs >= cuttingOffUs) {
             return Phase.CUTTING_OFF;
         }
-        if (nowMicros >= answeringAllMicros) {
+        if (nowUs >= answeringAllUs) {
             return Phase.ANSWERING_ALL;
         }
-        if (nowMicros >= rejectingMicros) {
+        if (nowUs >= rejectingUs) {
             return Phase.REJECTING;
         }
-        return nowMicros >= closingIdleMicros ? Phase.CLOSING_IDLE : Phase.NOTIFIED;
+        return nowUs >= closingIdleUs ? Phase.CLOSING_IDLE : Phase.NOTIFIED;
     }
 
     /** From the signal to the last phase, in microseconds. */
-    public long cutOffDelayMicros() {
-        return cuttingOffMicros - signalMicros;
+    public long cutOffDelayUs() {
+        return cuttingOffUs - signalUs;
     }
 }
--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public long retryAfterMillis(ClientRequest ask) {
+    public long retryAfterMs(ClientRequest ask) {
         String tenant = rules.tenant(ask.requestClass(), ask.group());
         if (refusers.contains(tenant)
                 && (backlog.refuses(stage.used()) || writer.failing() || !missed.isEmpty())) {
@@ -180,16 +180,16 @@
     public void requestEnded(UsageRecord usage) {
         ClientRequest ask = usage.request();
         String tenant = rules.tenant(ask.requestClass(), ask.group());
-        long takenMs = timeline.at(usage.receivedMicros() / 1000);
+        long takenMs = timeline.at(usage.receivedUs() / 1000);
         if (usage.admitted()) {
-            allowances.ended(tenant, takenMs, usage.writtenBytes(), timeline.at(usage.endedMicros() / 1000));
+            allowances.ended(tenant, takenMs, usage.writtenBytes(), timeline.at(usage.endedUs() / 1000));
         }
         How how = how(usage);
         // What a joined fill brought is counted with the request that began it.
         int fromOrigin = how == How.ORIGIN ? usage.bodyBytes() : 0;
         int fromParent = how == How.PARENT || how == How.ORIGIN && passed(usage, director.parentKind())
                 ? usage.bodyBytes() : 0;
-        Entry.Used used = new Entry.Used(seq + 1, takenMs, clock.unixMillis(), usage.endedMicros(),
+        Entry.Used used = new Entry.Used(seq + 1, takenMs, clock.unixMillis(), usage.endedUs(),
                 HexFormat.fromHexDigitsToLong(ask.id()), tryKey(ask), tenant, ask.requestClass(), usage.end(), how,
                 usage.attempts(), ask.repeat(), usage.writtenBytes(), fromParent, fromOrigin);
         if (missed.isEmpty() && owed.isEmpty() && stage.offer(used)) {
