--- a/src/main/java/clovermill/runtime/net/Clock.java
+++ b/src/main/java/clovermill/runtime/net/Clock.java
@@ -23,12 +23,12 @@
 
     /** The clocks of the system: {@link System#nanoTime} and {@link System#currentTimeMillis}. */
     static Clock system() {
-        long epochMicros = System.currentTimeMillis() * 1000;
+        long epochUs = System.currentTimeMillis() * 1000;
         long startNanos = System.nanoTime();
         return new Clock() {
             @Override
             public long micros() {
-                return epochMicros + (System.nanoTime() - startNanos) / 1000;
+                return epochUs + (System.nanoTime() - startNanos) / 1000;
             }
 
             @Override
--- a/src/main/java/clovermill/runtime/net/Deadlines.java
+++ b/src/main/java/clovermill/runtime/net/Deadlines.java
@@ -7,19 +7,19 @@
 
     /** One deadline, as a handle by which its owner cancels it. */
     public static final class Deadline implements Comparable<Deadline> {
-        private final long atMicros;
+        private final long atUs;
         private final long number;
         private final Runnable expired;
 
-        private Deadline(long atMicros, long number, Runnable expired) {
-            this.atMicros = atMicros;
+        private Deadline(long atUs, long number, Runnable expired) {
+            this.atUs = atUs;
             this.number = number;
             this.expired = expired;
         }
 
         @Override
         public int compareTo(Deadline other) {
-            int byTime = Long.compare(atMicros, other.atMicros);
+            int byTime = Long.compare(atUs, other.atUs);
             return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
     }
@@ -27,9 +27,9 @@
     private final TreeSet<Deadline> sorted = new TreeSet<>();
     private long addedCount;
 
-    /** Has {@code expired} called by the first sweep at or after {@code atMicros} of the monotonic clock. */
-    public Deadline add(long atMicros, Runnable expired) {
-        Deadline deadline = new Deadline(atMicros, addedCount++, expired);
+    /** Has {@code expired} called by the first sweep at or after {@code atUs} of the monotonic clock. */
+    public Deadline add(long atUs, Runnable expired) {
+        Deadline deadline = new Deadline(atUs, addedCount++, expired);
         sorted.add(deadline);
         return deadline;
     }
@@ -42,14 +42,14 @@
     }
 
     /** The time of the next deadline in microseconds, {@link Long#MAX_VALUE} if there is none. */
-    public long nextMicros() {
-        return sorted.isEmpty() ? Long.MAX_VALUE : sorted.first().atMicros;
+    public long nextUs() {
+        return sorted.isEmpty() ? Long.MAX_VALUE : sorted.first().atUs;
     }
 
     /** Runs the deadlines that are due, in order; one added meanwhile waits for the next sweep. */
-    public void sweep(long nowMicros) {
+    public void sweep(long nowUs) {
         long firstAddedMeanwhile = addedCount;
-        while (!sorted.isEmpty() && sorted.first().atMicros <= nowMicros
+        while (!sorted.isEmpty() && sorted.first().atUs <= nowUs
                 && sorted.first().number < firstAddedMeanwhile) {
             sorted.pollFirst().expired.run();
         }
--- a/src/main/java/clovermill/runtime/net/EventLoop.java
+++ b/src/main/java/clovermill/runtime/net/EventLoop.java
@@ -150,9 +150,9 @@
         selector.close();
     }
 
-    /** Runs one turn: waits for events for at most {@code maxMillis}, then serves everything that is due. */
-    public void turn(long maxMillis) throws IOException {
-        select(waitMillis(maxMillis));
+    /** Runs one turn: waits for events for at most {@code maxMs}, then serves everything that is due. */
+    public void turn(long maxMs) throws IOException {
+        select(waitMs(maxMs));
         deferredKeys.forEach(EventLoop::serve);
         deferredKeys.clear();
         runPosted();
@@ -162,21 +162,21 @@
     }
 
     /** How long a turn may wait: until the next deadline, and not at all if work is scheduled already. */
-    private long waitMillis(long maxMillis) {
+    private long waitMs(long maxMs) {
         if (!connectionsToDeliver.isEmpty() || !connectionsToFlush.isEmpty()) {
             return 0;
         }
-        long nextMicros = deadlines.nextMicros();
-        return nextMicros == Long.MAX_VALUE ? maxMillis
-                : Math.min(maxMillis,
-                        Math.max(0, (nextMicros - clock.micros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI));
+        long nextUs = deadlines.nextUs();
+        return nextUs == Long.MAX_VALUE ? maxMs
+                : Math.min(maxMs,
+                        Math.max(0, (nextUs - clock.micros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI));
     }
 
-    private void select(long waitMillis) throws IOException {
-        if (waitMillis <= 0) {
+    private void select(long waitMs) throws IOException {
+        if (waitMs <= 0) {
             selector.selectNow(this::dispatch);
         } else {
-            selector.select(this::dispatch, waitMillis == Long.MAX_VALUE ? 0 : waitMillis);
+            selector.select(this::dispatch, waitMs == Long.MAX_VALUE ? 0 : waitMs);
         }
     }
 
--- a/src/main/java/clovermill/runtime/net/Listener.java
+++ b/src/main/java/clovermill/runtime/net/Listener.java
@@ -22,7 +22,7 @@
     /** Empty accepts in a row after which none is pending: an interrupted call (EINTR) returns none as well. */
     private static final int MAX_EMPTY_ACCEPTS = 16;
     /** Accepting pauses this long after this machine had no descriptor or memory for a connection. */
-    private static final long ACCEPT_PAUSE_MICROS = 50_000;
+    private static final long ACCEPT_PAUSE_US = 50_000;
 
     private final EventLoop loop;
     private final ServerSocketChannel channel;
@@ -85,7 +85,7 @@
                 if (!SocketErrors.isOfOneConnection(failure)) {
                     logFailure(failure);
                     key.interestOps(0);
-                    loop.deadlines().add(loop.clock().micros() + ACCEPT_PAUSE_MICROS, this::awaitConnections);
+                    loop.deadlines().add(loop.clock().micros() + ACCEPT_PAUSE_US, this::awaitConnections);
                     return;
                 }
                 LOG.log(Level.DEBUG, "a pending connection failed before it was accepted: {0}", failure.getMessage());
--- a/src/main/java/clovermill/runtime/net/RecurringTask.java
+++ b/src/main/java/clovermill/runtime/net/RecurringTask.java
@@ -8,21 +8,21 @@
 
     private final Deadlines deadlines;
     private final Clock clock;
-    private final long intervalMicros;
+    private final long intervalUs;
     private final Runnable work;
     private Deadlines.Deadline next;
 
     /** A task that runs first at {@link #start()}. */
-    public RecurringTask(Deadlines deadlines, Clock clock, long intervalMicros, Runnable work) {
+    public RecurringTask(Deadlines deadlines, Clock clock, long intervalUs, Runnable work) {
         this.deadlines = deadlines;
         this.clock = clock;
-        this.intervalMicros = intervalMicros;
+        this.intervalUs = intervalUs;
         this.work = work;
     }
 
-    /** Runs the work now and again {@code intervalMicros} after the start of each run. */
-    public static void start(Deadlines deadlines, Clock clock, long intervalMicros, Runnable work) {
-        new RecurringTask(deadlines, clock, intervalMicros, work).start();
+    /** Runs the work now and again {@code intervalUs} after the start of each run. */
+    public static void start(Deadlines deadlines, Clock clock, long intervalUs, Runnable work) {
+        new RecurringTask(deadlines, clock, intervalUs, work).start();
     }
 
     /** Runs the work now and again one interval after the start of each run. */
@@ -37,7 +37,7 @@
     }
 
     private void run() {
-        next = deadlines.add(clock.micros() + intervalMicros, this::run);
+        next = deadlines.add(clock.micros() + intervalUs, this::run);
         work.run();
     }
 }
--- a/src/main/java/clovermill/runtime/net/Timeout.java
+++ b/src/main/java/clovermill/runtime/net/Timeout.java
@@ -16,16 +16,16 @@
         this.expired = expired;
     }
 
-    /** Sets it to expire {@code delayMicros} from now, replacing an earlier setting. */
-    public void setAfter(long delayMicros) {
-        setAt(clock.micros() + delayMicros);
+    /** Sets it to expire {@code delayUs} from now, replacing an earlier setting. */
+    public void setAfter(long delayUs) {
+        setAt(clock.micros() + delayUs);
     }
 
-    /** Sets it to expire at {@code atMicros} of the monotonic clock, replacing an earlier setting. */
-    public void setAt(long atMicros) {
+    /** Sets it to expire at {@code atUs} of the monotonic clock, replacing an earlier setting. */
+    public void setAt(long atUs) {
         cancel();
         if (!closed) {
-            deadline = deadlines.add(atMicros, this::expire);
+            deadline = deadlines.add(atUs, this::expire);
         }
     }
 
--- a/src/main/java/clovermill/runtime/task/Task.java
+++ b/src/main/java/clovermill/runtime/task/Task.java
@@ -8,12 +8,12 @@
  */
 public interface Task<M> {
 
-    /** Handles one message at {@code nowMicros} of the monotonic clock. */
-    void on(M message, long nowMicros);
+    /** Handles one message at {@code nowUs} of the monotonic clock. */
+    void on(M message, long nowUs);
 
     /** Does the work that is due; returns the time by which to call it again, in microseconds of the same clock. */
-    long tick(long nowMicros);
+    long tick(long nowUs);
 
     /** Ends the task; the last call, after every accepted message was handled. */
-    default void stop(long nowMicros) {}
+    default void stop(long nowUs) {}
 }
--- a/src/main/java/clovermill/runtime/task/TaskThread.java
+++ b/src/main/java/clovermill/runtime/task/TaskThread.java
@@ -79,23 +79,23 @@
         return accepted;
     }
 
-    /** Ends the task after the messages in its mailbox; returns when it has ended, or after {@code maxWaitMillis}. */
-    public void stop(long maxWaitMillis) throws InterruptedException {
+    /** Ends the task after the messages in its mailbox; returns when it has ended, or after {@code maxWaitMs}. */
+    public void stop(long maxWaitMs) throws InterruptedException {
         ending = true;
         selector.wakeup();
-        thread.join(maxWaitMillis);
+        thread.join(maxWaitMs);
     }
 
     private void run() {
         try {
             ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
             while (!ending) {
-                long nextTickMicros = task.tick(clock.micros());
-                long waitMillis = (nextTickMicros - clock.micros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
-                if (!queue.isEmpty() || waitMillis <= 0) {
+                long nextTickUs = task.tick(clock.micros());
+                long waitMs = (nextTickUs - clock.micros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+                if (!queue.isEmpty() || waitMs <= 0) {
                     selector.selectNow();
                 } else {
-                    selector.select(waitMillis);
+                    selector.select(waitMs);
                 }
                 selector.selectedKeys().clear();
                 receiveDatagrams(buffer);
--- a/src/main/java/clovermill/simulation/emulator/eventlog/InvariantChecker.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/InvariantChecker.java
@@ -35,18 +35,18 @@
         private void apply(Entry entry) {
             Event event = entry.event();
             Entry earlier = latest.get(event.subject());
-            long createdAtMillis = earlier == null ? event.createdAtMillis()
-                    : Math.max(event.createdAtMillis(), earlier.event().createdAtMillis());
+            long createdAtMs = earlier == null ? event.createdAtMs()
+                    : Math.max(event.createdAtMs(), earlier.event().createdAtMs());
             latest.put(event.subject(),
-                    new Entry(entry.sequence(), new Event(event.subject(), createdAtMillis, event.detail())));
+                    new Entry(entry.sequence(), new Event(event.subject(), createdAtMs, event.detail())));
         }
 
         private boolean holds(Entry entry) {
             Entry own = latest.get(entry.event().subject());
             return own != null && own.sequence() >= entry.sequence()
-                    && own.event().createdAtMillis() >= entry.event().createdAtMillis()
+                    && own.event().createdAtMs() >= entry.event().createdAtMs()
                     || truncatedPrefix.sequence() >= entry.sequence()
-                            && truncatedPrefix.createdAtMillis() >= entry.event().createdAtMillis();
+                            && truncatedPrefix.createdAtMs() >= entry.event().createdAtMs();
         }
     }
 
--- a/src/main/java/clovermill/simulation/emulator/policystore/InvariantChecker.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/InvariantChecker.java
@@ -21,12 +21,12 @@
     }
 
     /** A director acts by a version, or by what two versions allow where {@code next} is one. */
-    void recordAction(long atMicros, int director, long version, long next) {
+    void recordAction(long atUs, int director, long version, long next) {
         long newest = Math.max(version, next);
         if (newest < newestAlone) {
             regressions++;
             firstViolation = firstViolation == null
-                    ? "at " + atMicros + " director " + director + " acted by " + version + "/" + next
+                    ? "at " + atUs + " director " + director + " acted by " + version + "/" + next
                             + " after " + newestAlone
                     : firstViolation;
         }
@@ -37,11 +37,11 @@
     }
 
     /** Ends the moment: all that acted must have obeyed a common version. */
-    void endMoment(long atMicros) {
+    void endMoment(long atUs) {
         long[] any = acting.isEmpty() ? null : acting.firstEntry().getValue();
         if (any != null && !isObeyedByAll(any[0]) && !(any[1] >= 0 && isObeyedByAll(any[1]))) {
             mixedMoments++;
-            firstViolation = firstViolation == null ? "at " + atMicros + " no version that all obeyed" : firstViolation;
+            firstViolation = firstViolation == null ? "at " + atUs + " no version that all obeyed" : firstViolation;
         }
     }
 
--- a/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
@@ -41,29 +41,29 @@
      *
      * @param violations how often an invariant was violated
      * @param firstViolation a description, or null
-     * @param commitMillis from each operator's request to the policy alone in force at the director that received it
-     * @param maxLeaselessMillis the longest that a running director had no lease in the calm at the end
+     * @param commitMs from each operator's request to the policy alone in force at the director that received it
+     * @param maxLeaselessMs the longest that a running director had no lease in the calm at the end
      * @param agreed whether all directors hold a valid lease on the same step at the end
      * @param sent how many messages were sent
      * @param digest a checksum of all that was observed
      */
     public record Figures(int changes, int completed, int aborted, int faults, long violations, String firstViolation,
-            List<Long> commitMillis, long maxLeaselessMillis, boolean agreed, long sent, long digest) {}
+            List<Long> commitMs, long maxLeaselessMs, boolean agreed, long sent, long digest) {}
 
-    private static final long SECOND_MICROS = 1_000_000;
-    private static final long MILLI_MICROS = 1000;
-    private static final long LEASE_MICROS = 5 * SECOND_MICROS;
+    private static final long SECOND_US = 1_000_000;
+    private static final long MILLI_US = 1000;
+    private static final long LEASE_US = 5 * SECOND_US;
     private static final double DRIFT = 0.01;
-    private static final long OBSERVATION_INTERVAL_MICROS = 10_000;
-    private static final long CALM_MICROS = 30 * SECOND_MICROS;
+    private static final long OBSERVATION_INTERVAL_US = 10_000;
+    private static final long CALM_US = 30 * SECOND_US;
     /** How long after the last fault every director must have a lease. */
-    private static final long RECOVERY_MICROS = 10 * SECOND_MICROS;
+    private static final long RECOVERY_US = 10 * SECOND_US;
     /** A change that is not in force after so long counts as aborted. */
-    private static final long CHANGE_TIMEOUT_MICROS = 60 * SECOND_MICROS;
-    private static final long MAX_FAULT_MICROS = 20 * SECOND_MICROS;
-    private static final long ABORT_DELAY_MICROS = 200_000;
-    private static final long LINK_DELAY_MICROS = 3000;
-    private static final long SLOW_LINK_DELAY_MICROS = 200_000;
+    private static final long CHANGE_TIMEOUT_US = 60 * SECOND_US;
+    private static final long MAX_FAULT_US = 20 * SECOND_US;
+    private static final long ABORT_DELAY_US = 200_000;
+    private static final long LINK_DELAY_US = 3000;
+    private static final long SLOW_LINK_DELAY_US = 200_000;
     private static final double LOSSY_LINK_LOSS = 0.4;
     /** A word in a policy that directors with an odd number reject. */
     private static final String REJECTED_WORD = "bad";
@@ -74,23 +74,23 @@
     private final LeaseTiming timing;
     private final List<MemoryRaftStorage> disks = new ArrayList<>();
     private final PolicyView[] views;
-    private final long[] leaselessSinceMicros;
+    private final long[] leaselessSinceUs;
     private final InvariantChecker checker = new InvariantChecker();
     private final CRC32C digest = new CRC32C();
-    private final List<Long> commitMillis = new ArrayList<>();
+    private final List<Long> commitMs = new ArrayList<>();
     private int changes;
     private int completed;
     private int aborted;
     private int faults;
-    private long maxLeaselessMicros;
+    private long maxLeaselessUs;
 
     private PolicyFleet(Case plan, long seed) {
         this.plan = plan;
-        this.timing = new LeaseTiming(plan.directors(), LEASE_MICROS, SECOND_MICROS, DRIFT);
+        this.timing = new LeaseTiming(plan.directors(), LEASE_US, SECOND_US, DRIFT);
         this.world = new World<>(plan.directors(), timing.drift(), seed);
         this.random = new Random(seed * 31 + 7);
         this.views = new PolicyView[plan.directors()];
-        this.leaselessSinceMicros = new long[plan.directors()];
+        this.leaselessSinceUs = new long[plan.directors()];
         for (int i = 0; i < plan.directors(); i++) {
             disks.add(i < plan.voters() ? new MemoryRaftStorage() : null);
             views[i] = PolicyView.NONE;
@@ -117,27 +117,27 @@
 
     private Figures run() {
         IntStream.range(0, plan.directors()).forEach(this::startDirector);
-        world.links(plan.loss(), LINK_DELAY_MICROS);
-        long end = plan.seconds() * SECOND_MICROS;
-        long calmFrom = end - CALM_MICROS;
-        every(plan.changeIntervalSeconds(), end - 10 * SECOND_MICROS, this::requestChange);
+        world.links(plan.loss(), LINK_DELAY_US);
+        long end = plan.seconds() * SECOND_US;
+        long calmFrom = end - CALM_US;
+        every(plan.changeIntervalSeconds(), end - 10 * SECOND_US, this::requestChange);
         every(plan.faultIntervalSeconds(), calmFrom, this::injectFault);
         world.at(calmFrom, this::endFaults);
-        for (long at = OBSERVATION_INTERVAL_MICROS; at <= end; at += OBSERVATION_INTERVAL_MICROS) {
+        for (long at = OBSERVATION_INTERVAL_US; at <= end; at += OBSERVATION_INTERVAL_US) {
             world.run(at);
-            observe(at, at > calmFrom + RECOVERY_MICROS);
+            observe(at, at > calmFrom + RECOVERY_US);
         }
         PolicyTransition step = views[0].step();
         boolean agreed = step != null && IntStream.range(0, plan.directors()).allMatch(i -> step.equals(views[i].step())
                 && views[i].isValid(world.machine(i).clock()));
         return new Figures(changes, completed, aborted, faults, checker.violations(), checker.firstViolation(),
-                commitMillis,
-                maxLeaselessMicros / MILLI_MICROS, agreed, world.sent(), digest.getValue());
+                commitMs,
+                maxLeaselessUs / MILLI_US, agreed, world.sent(), digest.getValue());
     }
 
     private void every(double seconds, long until, Runnable action) {
         if (seconds > 0) {
-            long next = world.nowUs() + (long) (seconds * SECOND_MICROS * (0.5 + random.nextDouble()));
+            long next = world.nowUs() + (long) (seconds * SECOND_US * (0.5 + random.nextDouble()));
             if (next < until) {
                 world.at(next, () -> {
                     action.run();
@@ -158,8 +158,8 @@
                 checker.recordAction(at, i, step.version(), step.next());
                 addToDigest(i + ":" + step + "@" + at);
             }
-            leaselessSinceMicros[i] = leased || !calm ? at : leaselessSinceMicros[i];
-            maxLeaselessMicros = Math.max(maxLeaselessMicros, at - leaselessSinceMicros[i]);
+            leaselessSinceUs[i] = leased || !calm ? at : leaselessSinceUs[i];
+            maxLeaselessUs = Math.max(maxLeaselessUs, at - leaselessSinceUs[i]);
         }
         checker.endMoment(at);
     }
@@ -178,29 +178,29 @@
             }
             String text = "{\"change\":" + ++changes + (random.nextInt(6) == 0 ? ",\"" + REJECTED_WORD + "\":1" : "")
                     + ",\"fill\":\"" + "x".repeat(random.nextInt(3000)) + "\"}";
-            long requestedMicros = world.nowUs();
+            long requestedUs = world.nowUs();
             PolicyDocument policy = PolicyDocument.of(text);
             world.machine(at).hand(new PolicyTaskMessage.ChangeRequested(step.version(), policy, (taken, version) -> {
                 addToDigest("wanted " + taken + " " + version);
                 if (taken == ProposalResult.BEGUN || taken == ProposalResult.SAME) {
-                    awaitCompletion(at, policy, requestedMicros);
+                    awaitCompletion(at, policy, requestedUs);
                 }
             }));
             if (random.nextInt(10) == 0) {
-                world.at(world.nowUs() + ABORT_DELAY_MICROS,
+                world.at(world.nowUs() + ABORT_DELAY_US,
                         () -> world.machine(at).hand(new PolicyTaskMessage.ChangeRequested(
                                 views[at].step() == null ? 0 : views[at].step().next(), null, (taken, version) -> {})));
             }
         }
     }
 
-    private void awaitCompletion(int at, PolicyDocument policy, long requestedMicros) {
+    private void awaitCompletion(int at, PolicyDocument policy, long requestedUs) {
         PolicyView view = views[at];
         if (view.step() != null && !view.step().inTransition() && view.policy().equals(policy)) {
             completed++;
-            commitMillis.add((world.nowUs() - requestedMicros) / MILLI_MICROS);
-        } else if (world.nowUs() - requestedMicros < CHANGE_TIMEOUT_MICROS) {
-            world.at(world.nowUs() + OBSERVATION_INTERVAL_MICROS, () -> awaitCompletion(at, policy, requestedMicros));
+            commitMs.add((world.nowUs() - requestedUs) / MILLI_US);
+        } else if (world.nowUs() - requestedUs < CHANGE_TIMEOUT_US) {
+            world.at(world.nowUs() + OBSERVATION_INTERVAL_US, () -> awaitCompletion(at, policy, requestedUs));
         } else {
             aborted++;
         }
@@ -210,12 +210,12 @@
         faults++;
         int which = random.nextInt(plan.directors());
         World<PolicyTaskMessage>.Machine machine = world.machine(which);
-        long durationMicros = (long) (random.nextDouble() * random.nextDouble() * MAX_FAULT_MICROS);
-        long until = world.nowUs() + durationMicros;
+        long durationUs = (long) (random.nextDouble() * random.nextDouble() * MAX_FAULT_US);
+        long until = world.nowUs() + durationUs;
         switch (random.nextInt(8)) {
-            case 0, 1 -> kill(which, durationMicros, false);
-            case 2 -> kill(which, durationMicros, true);
-            case 3 -> machine.stop(durationMicros);
+            case 0, 1 -> kill(which, durationUs, false);
+            case 2 -> kill(which, durationUs, true);
+            case 3 -> machine.stop(durationUs);
             case 4 -> IntStream.range(0, plan.directors()).forEach(other -> cut(which, other, until, false));
             case 5 -> IntStream.range(0, plan.directors()).forEach(other -> cut(which, other, until, true));
             case 6 -> {
@@ -230,8 +230,8 @@
                 }
             }
             default -> {
-                world.links(LOSSY_LINK_LOSS, SLOW_LINK_DELAY_MICROS);
-                world.at(until, () -> world.links(plan.loss(), LINK_DELAY_MICROS));
+                world.links(LOSSY_LINK_LOSS, SLOW_LINK_DELAY_US);
+                world.at(until, () -> world.links(plan.loss(), LINK_DELAY_US));
             }
         }
     }
@@ -246,7 +246,7 @@
     }
 
     /** Only voter 0 ever loses its disk: a majority must keep theirs. */
-    private void kill(int which, long durationMicros, boolean loseDisk) {
+    private void kill(int which, long durationUs, boolean loseDisk) {
         if (!world.machine(which).alive()) {
             return;
         }
@@ -255,7 +255,7 @@
         if (loseDisk && which == 0 && disks.get(which) != null) {
             disks.get(which).clear();
         }
-        world.at(world.nowUs() + durationMicros, () -> {
+        world.at(world.nowUs() + durationUs, () -> {
             if (!world.machine(which).alive()) {
                 startDirector(which);
             }
@@ -264,7 +264,7 @@
 
     private void endFaults() {
         world.mend();
-        world.links(plan.loss(), LINK_DELAY_MICROS);
+        world.links(plan.loss(), LINK_DELAY_US);
         for (int i = 0; i < plan.directors(); i++) {
             if (!world.machine(i).alive()) {
                 startDirector(i);
--- a/src/test/java/clovermill/controlplane/consensus/MembershipChangeTest.java
+++ b/src/test/java/clovermill/controlplane/consensus/MembershipChangeTest.java
@@ -1,6 +1,6 @@
 package clovermill.controlplane.consensus;
 
-import static clovermill.controlplane.consensus.RaftGroup.SECOND_MICROS;
+import static clovermill.controlplane.consensus.RaftGroup.SECOND_US;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -29,7 +29,7 @@
 
     private static final int CHANGES = 3;
     private static final int NEVER = 10_000;
-    private static final long PATIENCE_MICROS = 20 * SECOND_MICROS;
+    private static final long PATIENCE_US = 20 * SECOND_US;
 
     /** What a case came to; the texts are those that were acknowledged. */
     private record Outcome(boolean cut, List<String> acknowledged, List<List<String>> journals, List<String> states) {}
@@ -96,15 +96,15 @@
         Cutter cutter = new Cutter(group, side, rest, change, messages);
         group.observe(cutter::sent);
         group.start(lost);
-        group.runUntil(all -> cutter.cut, PATIENCE_MICROS);
+        group.runUntil(all -> cutter.cut, PATIENCE_US);
         List<String> acknowledged = new ArrayList<>();
         appendAt(group, leader, "here", acknowledged);
-        group.runFor(3 * SECOND_MICROS);
+        group.runFor(3 * SECOND_US);
         rest.stream().filter(each -> group.member(each).leads()).forEach(each -> appendAt(group, each, "there " + each,
                 acknowledged));
-        group.runFor(3 * SECOND_MICROS);
+        group.runFor(3 * SECOND_US);
         group.cut(side, rest, false);
-        group.runUntil(all -> settled(all, processes), PATIENCE_MICROS);
+        group.runUntil(all -> settled(all, processes), PATIENCE_US);
         return new Outcome(cutter.cut, acknowledged,
                 IntStream.range(0, processes).mapToObj(group::texts).toList(),
                 IntStream.range(0, processes).mapToObj(group::describe).toList());
--- a/src/test/java/clovermill/controlplane/consensus/RaftGroup.java
+++ b/src/test/java/clovermill/controlplane/consensus/RaftGroup.java
@@ -16,9 +16,9 @@
  */
 final class RaftGroup {
 
-    static final long SECOND_MICROS = 1_000_000;
-    private static final long TICK_MICROS = 10_000;
-    private static final long JOIN_RETRY_MICROS = 250_000;
+    static final long SECOND_US = 1_000_000;
+    private static final long TICK_US = 10_000;
+    private static final long JOIN_RETRY_US = 250_000;
     private static final int APPEND_BATCH_ENTRIES = 16;
     private static final String GROUP = "journal";
 
@@ -61,7 +61,7 @@
     static RaftGroup started(int processes, int snapshotEvery, long seed) {
         RaftGroup group = new RaftGroup(processes, snapshotEvery, seed);
         group.nodes.forEach(group::start);
-        group.runFor(5 * SECOND_MICROS);
+        group.runFor(5 * SECOND_US);
         return group;
     }
 
@@ -131,9 +131,9 @@
     void appendMany(int node, int count) {
         for (int i = 0; i < count; i++) {
             append(node, "t" + i, result -> {});
-            runFor(SECOND_MICROS / 200);
+            runFor(SECOND_US / 200);
         }
-        runFor(SECOND_MICROS);
+        runFor(SECOND_US);
     }
 
     /** Drops Raft's messages that match, until called anew. */
@@ -166,8 +166,8 @@
     }
 
     /** The part of messages that are lost, and their longest way. */
-    void links(double loss, long maxDelayMicros) {
-        world.links(loss, maxDelayMicros);
+    void links(double loss, long maxDelayUs) {
+        world.links(loss, maxDelayUs);
     }
 
     /** Does something at a later time. */
@@ -181,10 +181,10 @@
     }
 
     /** Lets time pass until something holds, for so long at most; returns how long it took. */
-    long runUntil(Predicate<RaftGroup> condition, long maxMicros) {
+    long runUntil(Predicate<RaftGroup> condition, long maxUs) {
         long from = world.nowUs();
-        while (!condition.test(this) && world.nowUs() - from < maxMicros) {
-            runFor(TICK_MICROS);
+        while (!condition.test(this) && world.nowUs() - from < maxUs) {
+            runFor(TICK_US);
         }
         return world.nowUs() - from;
     }
@@ -202,7 +202,7 @@
                             .setCommitCountToTakeSnapshot(snapshotEvery).build(),
                     disks.get(node),
                     scheduler, random, this::sendRaft);
-            this.member = new RaftMember<>(new RaftMember.Membership(node, nodes, JOIN_RETRY_MICROS), disks.get(node),
+            this.member = new RaftMember<>(new RaftMember.Membership(node, nodes, JOIN_RETRY_US), disks.get(node),
                     host, Journal::new, replica -> {}, new JoinMessages());
             members.set(node, member);
             member.restore();
@@ -231,25 +231,25 @@
         }
 
         @Override
-        public void on(Signal signal, long nowMicros) {
-            scheduler.run(nowMicros);
+        public void on(Signal signal, long nowUs) {
+            scheduler.run(nowUs);
             if (signal instanceof JoinRequest request) {
                 member.onJoin(request.from(), request.disk(), request.empty());
             } else if (signal instanceof JoinResponse response) {
                 member.onJoined(response.from(), response.disk(), response.hasGroup(), response.isVoter());
             } else if (signal instanceof Envelope envelope && member.replica() != null
                     && envelope.disk() == member.replica().self().disk()) {
-                member.replica().handle(envelope.message(), nowMicros);
+                member.replica().handle(envelope.message(), nowUs);
             }
-            scheduler.run(nowMicros);
+            scheduler.run(nowUs);
         }
 
         @Override
-        public long tick(long nowMicros) {
-            scheduler.run(nowMicros);
-            member.restartIfStuck(nowMicros);
-            long next = Math.min(member.join(nowMicros), scheduler.run(nowMicros));
-            return Math.min(next, nowMicros + TICK_MICROS);
+        public long tick(long nowUs) {
+            scheduler.run(nowUs);
+            member.restartIfStuck(nowUs);
+            long next = Math.min(member.join(nowUs), scheduler.run(nowUs));
+            return Math.min(next, nowUs + TICK_US);
         }
     }
 }
--- a/src/test/java/clovermill/controlplane/consensus/RaftGroupTest.java
+++ b/src/test/java/clovermill/controlplane/consensus/RaftGroupTest.java
@@ -1,6 +1,6 @@
 package clovermill.controlplane.consensus;
 
-import static clovermill.controlplane.consensus.RaftGroup.SECOND_MICROS;
+import static clovermill.controlplane.consensus.RaftGroup.SECOND_US;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -34,10 +34,10 @@
         group.kill(former);
         group.start(behind);
         group.start(former);
-        group.runUntil(all -> all.leaders().size() == 1, 5 * SECOND_MICROS);
+        group.runUntil(all -> all.leaders().size() == 1, 5 * SECOND_US);
         assertThat(group.leader()).isNotEqualTo(behind);
-        long tookMicros = group.runUntil(all -> all.texts(behind).size() == 600, 60 * SECOND_MICROS);
-        assertThat(tookMicros).isLessThan(7_100_000);
+        long tookUs = group.runUntil(all -> all.texts(behind).size() == 600, 60 * SECOND_US);
+        assertThat(tookUs).isLessThan(7_100_000);
     }
 
     /**
@@ -56,12 +56,12 @@
         group.loseDisk(lost);
         group.cut(List.of(lost), List.of(leader), true); // only the leader admits
         group.start(lost);
-        group.runUntil(all -> all.member(lost).replica() != null, 5 * SECOND_MICROS);
+        group.runUntil(all -> all.member(lost).replica() != null, 5 * SECOND_US);
         assertThat(group.member(lost).votes()).isFalse();
         group.kill(lost);
         group.cut(List.of(lost), List.of(leader), false);
         group.start(lost);
-        group.runFor(10 * SECOND_MICROS);
+        group.runFor(10 * SECOND_US);
         ReplicaId identity = group.member(lost).replica().self();
         assertThat(group.member(leader).replica().isVoter(identity)).isTrue();
         assertThat(group.member(lost).votes()).isTrue();
@@ -77,11 +77,11 @@
         group.kill(lost);
         group.loseDisk(lost);
         group.start(lost);
-        group.runFor(10 * SECOND_MICROS);
+        group.runFor(10 * SECOND_US);
         assertThat(group.member(lost).votes()).isTrue();
         group.kill(lost);
         group.start(lost);
-        group.runFor(2 * SECOND_MICROS);
+        group.runFor(2 * SECOND_US);
         assertThat(group.member(lost).votes()).isTrue();
     }
 
@@ -98,20 +98,20 @@
         int texts = 0;
         while (group.disk(former).restored().getSnapshotEntry() == null) {
             group.append(former, "a" + texts++, result -> {});
-            group.runFor(SECOND_MICROS);
+            group.runFor(SECOND_US);
         }
         int committed = texts;
         group.cut(List.of(former), rest, true);
         IntStream.range(0, 3).forEach(i -> group.append(former, "only here " + i, result -> {}));
         group.runFor(100_000);
         group.kill(former);
-        group.runUntil(all -> all.leaders().size() == 1, 5 * SECOND_MICROS);
+        group.runUntil(all -> all.leaders().size() == 1, 5 * SECOND_US);
         int leader = group.leader();
         group.append(leader, "b", result -> {});
-        group.runFor(SECOND_MICROS);
+        group.runFor(SECOND_US);
         group.start(former);
         group.cut(List.of(former), rest, false);
-        group.runFor(10 * SECOND_MICROS);
+        group.runFor(10 * SECOND_US);
         assertThat(group.texts(former)).hasSize(committed + 1).endsWith("b").isEqualTo(group.texts(leader));
     }
 
@@ -132,17 +132,17 @@
             group.loseDisk(lost);
             group.cut(List.of(lost), rest, true);
             group.start(lost);
-            group.runFor(SECOND_MICROS);
+            group.runFor(SECOND_US);
             group.repeatJoinResponses(lost);
-            group.runFor(SECOND_MICROS);
+            group.runFor(SECOND_US);
             assertThat(group.member(lost).replica()).isNull();
             group.cut(List.of(lost), rest, false);
-            group.runUntil(all -> all.member(lost).votes(), 20 * SECOND_MICROS);
+            group.runUntil(all -> all.member(lost).votes(), 20 * SECOND_US);
             assertThat(group.member(lost).replica().self().disk()).isNotZero();
             assertThat(group.member(lost).votes()).isTrue();
         }
         group.append(leader, "after", result -> {});
-        group.runFor(2 * SECOND_MICROS);
+        group.runFor(2 * SECOND_US);
         for (int each = 0; each < processes; each++) {
             assertThat(group.texts(each)).hasSize(6).endsWith("after");
         }
--- a/src/test/java/clovermill/controlplane/consensus/RaftReplicaTest.java
+++ b/src/test/java/clovermill/controlplane/consensus/RaftReplicaTest.java
@@ -29,15 +29,15 @@
     private static final ReplicaId SELF = new ReplicaId(0, 0);
     private static final ReplicaId OTHER = new ReplicaId(1, 0);
     private static final List<ReplicaId> ALL = List.of(SELF, OTHER, new ReplicaId(2, 0));
-    private static final long SECOND_MICROS = 1_000_000;
-    private static final long STEP_MICROS = 1000;
+    private static final long SECOND_US = 1_000_000;
+    private static final long STEP_US = 1000;
     private static final int TERM = 7;
 
     private final MemoryRaftStorage disk = new MemoryRaftStorage();
-    private final RaftScheduler scheduler = new RaftScheduler(SECOND_MICROS);
+    private final RaftScheduler scheduler = new RaftScheduler(SECOND_US);
     private final List<RaftMessage> sent = new ArrayList<>();
     private RaftReplica<Journal> replica;
-    private long nowMicros = SECOND_MICROS;
+    private long nowUs = SECOND_US;
 
     private void start() {
         RaftReplica.Host host = new RaftReplica.Host(GROUP, RaftReplica.config().build(), disk, scheduler,
@@ -47,20 +47,20 @@
                 : (ReplicaId) restored.getLocalEndpointPersistentState().getLocalEndpoint();
         replica = new RaftReplica<>(self, ALL, restored, new Journal(), host);
         replica.start();
-        scheduler.run(nowMicros);
+        scheduler.run(nowUs);
     }
 
     private void runFor(long micros) {
-        long until = nowMicros + micros;
-        while (nowMicros < until) {
-            nowMicros += STEP_MICROS;
-            scheduler.run(nowMicros);
+        long until = nowUs + micros;
+        while (nowUs < until) {
+            nowUs += STEP_US;
+            scheduler.run(nowUs);
         }
     }
 
     private void receive(RaftMessage message) {
-        replica.handle(message, nowMicros);
-        scheduler.run(nowMicros);
+        replica.handle(message, nowUs);
+        scheduler.run(nowUs);
     }
 
     /** Waits for the next message of a kind that is sent. */
@@ -72,7 +72,7 @@
                     return kind.cast(each);
                 }
             }
-            runFor(STEP_MICROS);
+            runFor(STEP_US);
         }
         throw new AssertionError("no " + kind.getSimpleName());
     }
@@ -126,11 +126,11 @@
         receive(append(TERM, 0, 0));
         receive(append(TERM, 0, 0));
         for (int i = 0; i < 50; i++) { // without MicroRaft's own time-out, which is what fails to come
-            nowMicros += SECOND_MICROS / 10;
+            nowUs += SECOND_US / 10;
             replica.handle(MODELS.createPreVoteRequestBuilder().setGroupId(GROUP).setSender(OTHER).setTerm(TERM + 1)
-                    .setLastLogTerm(0).setLastLogIndex(0).build(), nowMicros);
+                    .setLastLogTerm(0).setLastLogIndex(0).build(), nowUs);
         }
-        assertThat(replica.isStuck(nowMicros)).isTrue();
+        assertThat(replica.isStuck(nowUs)).isTrue();
     }
 
     @Test
@@ -138,8 +138,8 @@
         start();
         for (int i = 0; i < 50; i++) {
             receive(append(TERM, 0, 0));
-            assertThat(replica.isStuck(nowMicros)).isFalse();
-            nowMicros += SECOND_MICROS / 10;
+            assertThat(replica.isStuck(nowUs)).isFalse();
+            nowUs += SECOND_US / 10;
         }
     }
 
--- a/src/test/java/clovermill/controlplane/discovery/DiscoveryClientTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/DiscoveryClientTest.java
@@ -22,10 +22,10 @@
     private final Deadlines deadlines = new Deadlines();
     private final ManualClock clock = new ManualClock();
     private final List<Long> applied = new ArrayList<>();
-    private final List<Long> previousAnswersMicros = new ArrayList<>();
+    private final List<Long> previousAnswersUs = new ArrayList<>();
 
     private void apply(DiscoveryEvents polled) {
-        previousAnswersMicros.add(polled.previousAnswerMicros());
+        previousAnswersUs.add(polled.previousAnswerUs());
         for (DiscoveryEvent event : polled.events()) {
             if (event.cursor() == 2) {
                 throw new IllegalStateException("a fault while the event is applied");
@@ -91,12 +91,12 @@
             try (SocketChannel peer = listener.accept()) {
                 peer.configureBlocking(false);
                 assertThat(request(loop, peer)).contains("resume=2&");
-                clock.passMillis(70);
+                clock.passMs(70);
                 firstUs = clock.micros();
                 answer(peer, 3);
                 assertThat(request(loop, peer)).contains("resume=3&");
-                clock.passMillis(80);
-                clock.stepMillis(3_600_000);
+                clock.passMs(80);
+                clock.stepMs(3_600_000);
                 secondUs = clock.micros();
                 answer(peer, 4);
                 assertThat(request(loop, peer)).contains("resume=4&");
@@ -105,7 +105,7 @@
             SocketChannel next = null;
             for (int i = 0; i < MOST_TURNS && next == null; i++) {
                 loop.turn(1);
-                clock.passMillis(20);
+                clock.passMs(20);
                 deadlines.sweep(clock.micros());
                 next = listener.accept();
             }
@@ -116,6 +116,6 @@
                 assertThat(request(loop, peer)).contains("resume=5&");
             }
         }
-        assertThat(previousAnswersMicros).containsExactly(DiscoveryEvents.NEVER_ANSWERED_MICROS, firstUs, secondUs);
+        assertThat(previousAnswersUs).containsExactly(DiscoveryEvents.NEVER_ANSWERED_US, firstUs, secondUs);
     }
 }
--- a/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/EndpointRegistryTest.java
@@ -91,8 +91,8 @@
 
     /** Polls a purge with a delay after it was made; returns the age that reaches the module, in microseconds. */
     private long pollPurge(long delayMs) throws Exception {
-        long madeMs = clock.trueMillis();
-        clock.passMillis(delayMs);
+        long madeMs = clock.trueMs();
+        clock.passMs(delayMs);
         poll(purge(madeMs));
         return agesUs.get(agesUs.size() - 1);
     }
@@ -101,9 +101,9 @@
     @Test
     void aStartThatIsToldAgainIsTheSameOnTheModulesClock() throws Exception {
         pollStart(clock.unixMillis() - 500);
-        clock.passMicros(250_050);
+        clock.passUs(250_050);
         pollStart(clock.unixMillis() - 750);
-        clock.passMicros(250_050);
+        clock.passUs(250_050);
         pollStart(clock.unixMillis() - 200);
         assertThat(startsUs).hasSize(3);
         assertThat(startsUs.get(1)).isEqualTo(startsUs.get(0));
@@ -115,16 +115,16 @@
     @ValueSource(longs = {-HOUR_MS, -5_000, 5_000, HOUR_MS})
     void aStepOfTheWallClockMakesNoPurgeOlderThanItIs(long stepMs) throws Exception {
         assertThat(pollPurge(40)).as("the first one proves nothing").isZero();
-        clock.passMillis(200);
+        clock.passMs(200);
         assertThat(pollPurge(140)).as("before the step").isBetween(99_000L, 100_000L);
-        clock.stepMillis(stepMs);
+        clock.stepMs(stepMs);
         assertThat(pollPurge(140)).as("after the step").isBetween(99_000L, 100_000L);
-        clock.passMillis(700);
+        clock.passMs(700);
         assertThat(pollPurge(240)).as("after the step").isBetween(198_000L, 200_000L);
-        clock.stepMillis(-stepMs);
+        clock.stepMs(-stepMs);
         assertThat(pollPurge(20)).as("after the step back, with a shorter delay than any before").isZero();
         assertThat(pollPurge(140)).isBetween(119_000L, 120_000L);
-        clock.stepMillis(-stepMs);
+        clock.stepMs(-stepMs);
         assertThat(pollPurge(140)).as("after a step the other way").isBetween(119_000L, 120_000L);
     }
 
@@ -133,13 +133,13 @@
     @ValueSource(longs = {-HOUR_MS, -5_000, 0, 5_000, HOUR_MS})
     void aStepOfTheWritersClockMakesNoPurgeOlderThanItIs(long stepMs) throws Exception {
         pollPurge(40);
-        clock.passMillis(8_000);
-        poll(purge(clock.trueMillis() + stepMs - 20));
+        clock.passMs(8_000);
+        poll(purge(clock.trueMs() + stepMs - 20));
         assertThat(agesUs.get(1)).isZero();
-        clock.passMillis(1_000);
-        poll(purge(clock.trueMillis() + stepMs - 50));
+        clock.passMs(1_000);
+        poll(purge(clock.trueMs() + stepMs - 50));
         assertThat(agesUs.get(2)).as("by the writer's new time").isBetween(stepMs == 0 ? 0L : 28_000L, 50_000L);
-        poll(purge(clock.trueMillis() - 3_000_000_000_000L));
+        poll(purge(clock.trueMs() - 3_000_000_000_000L));
         assertThat(agesUs.get(3)).as("junk").isZero();
     }
 
@@ -148,31 +148,31 @@
     void noPurgeIsOlderThanTheAnswerToThePollBefore() throws Exception {
         pollPurge(40);
         pollPurge(40);
-        clock.passMillis(30);
-        poll(purge(clock.trueMillis() - 400));
+        clock.passMs(30);
+        poll(purge(clock.trueMs() - 400));
         assertThat(agesUs.get(2)).isEqualTo(30_000);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -5_000, 0, 5_000, HOUR_MS})
     void aStartSeenForTheFirstTimeIsAsOfNowWhateverTheWallClockSays(long stepMs) throws Exception {
-        clock.passMillis(1_000);
-        clock.stepMillis(stepMs);
-        long startedMs = clock.trueMillis() - 300;
+        clock.passMs(1_000);
+        clock.stepMs(stepMs);
+        long startedMs = clock.trueMs() - 300;
         long startedUs = pollStart(startedMs);
         assertThat(startedUs).as("after the step").isEqualTo(clock.micros());
-        clock.stepMillis(-stepMs);
-        clock.passMillis(1_000);
+        clock.stepMs(-stepMs);
+        clock.passMs(1_000);
         assertThat(pollStart(startedMs)).as("listed again after a step back").isEqualTo(startedUs);
         poll(listed(true, "ready", startedMs));
         assertThat(startsUs.get(2)).as("in a full list").isEqualTo(startedUs);
         poll(listed(false, "gone", startedMs));
-        clock.stepMillis(-stepMs);
-        clock.passMillis(60_000);
+        clock.stepMs(-stepMs);
+        clock.passMs(60_000);
         poll(listed(true, "ready", startedMs));
         assertThat(startsUs.get(4)).as("listed as gone and again: the same start").isEqualTo(startedUs);
-        clock.passMillis(1_000);
-        assertThat(pollStart(clock.trueMillis() - 100)).as("the next start").isEqualTo(clock.micros());
+        clock.passMs(1_000);
+        assertThat(pollStart(clock.trueMs() - 100)).as("the next start").isEqualTo(clock.micros());
         assertThat(pollStart(0)).as("long ago").isZero();
     }
 
@@ -180,9 +180,9 @@
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -5_000, 0, 5_000, HOUR_MS})
     void thePurgesKnownAtTheStartAreAsOldAsLaterOnesProve(long wrongMs) throws Exception {
-        clock.stepMillis(wrongMs);
+        clock.stepMs(wrongMs);
         processStarts();
-        long nowMs = clock.trueMillis();
+        long nowMs = clock.trueMs();
         registry.applyInitial(
                 commands(purge(nowMs - 60_000), purge(nowMs - 2_000), purge(nowMs - 1_200), purge(nowMs - 1_300),
                         purge(nowMs - 100)));
@@ -194,7 +194,7 @@
     @ValueSource(longs = {-HOUR_MS, HOUR_MS})
     void ofAGapBetweenPurgesKnownAtTheStartASecondIsBelieved(long stepMs) throws Exception {
         processStarts();
-        long nowMs = clock.trueMillis();
+        long nowMs = clock.trueMs();
         registry.applyInitial(commands(purge(nowMs - stepMs), purge(nowMs)));
         assertThat(agesUs.get(0)).isBetween(0L, 1_000_000L);
         assertThat(agesUs.get(1)).isZero();
@@ -203,7 +203,7 @@
     private long startedBefore(long agoMs, String... events) throws Exception {
         processStarts();
         List<String> all = new ArrayList<>(List.of(events));
-        all.add(listed(true, "ready", clock.trueMillis() - agoMs));
+        all.add(listed(true, "ready", clock.trueMs() - agoMs));
         registry.applyInitial(commands(all.toArray(String[]::new)));
         return (clock.micros() - startsUs.get(0)) / 1000;
     }
@@ -214,17 +214,17 @@
         assertThat(startedBefore(60_000)).isEqualTo(50_000);
         assertThat(startedBefore(1_700_000)).isEqualTo(1_690_000);
         assertThat(startedBefore(5_000)).isZero();
-        assertThat(startedBefore(2 * HOUR_MS, purge(clock.trueMillis() - 60_000))).isEqualTo(2 * HOUR_MS - 60_000);
-        assertThat(startedBefore(60_000, purge(clock.trueMillis()))).as("no margin is needed").isEqualTo(60_000);
+        assertThat(startedBefore(2 * HOUR_MS, purge(clock.trueMs() - 60_000))).isEqualTo(2 * HOUR_MS - 60_000);
+        assertThat(startedBefore(60_000, purge(clock.trueMs()))).as("no margin is needed").isEqualTo(60_000);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -10_000, -5_000, 5_000, 10_000, HOUR_MS})
     void withAWrongClockNoMemberKnownAtTheStartIsOlderThanItIs(long wrongMs) throws Exception {
-        clock.stepMillis(wrongMs);
+        clock.stepMs(wrongMs);
         for (long agoMs : new long[] {0, 3_000, 60_000}) {
             assertThat(startedBefore(agoMs)).isBetween(0L, agoMs);
-            assertThat(startedBefore(agoMs, purge(clock.trueMillis() - 1_000))).isBetween(0L, agoMs);
+            assertThat(startedBefore(agoMs, purge(clock.trueMs() - 1_000))).isBetween(0L, agoMs);
         }
     }
 
@@ -233,10 +233,10 @@
     @ValueSource(longs = {-HOUR_MS, 0, HOUR_MS})
     void aStepAfterTheProcesssStartMakesNoMemberOfTheFirstAnswerOlder(long stepMs) throws Exception {
         processStarts();
-        clock.passMillis(20_000);
-        clock.stepMillis(stepMs);
-        answeredUs = DiscoveryEvents.NEVER_ANSWERED_MICROS;
-        registry.apply(commands(listed(true, "ready", clock.trueMillis() - 60_000), purge(clock.trueMillis() - 500)));
+        clock.passMs(20_000);
+        clock.stepMs(stepMs);
+        answeredUs = DiscoveryEvents.NEVER_ANSWERED_US;
+        registry.apply(commands(listed(true, "ready", clock.trueMs() - 60_000), purge(clock.trueMs() - 500)));
         assertThat(startsUs).containsExactly(clock.micros() - 59_500_000);
         assertThat(agesUs).containsExactly(0L);
     }
@@ -247,17 +247,17 @@
         pollStart(0);
         registry.mergeOutages(Set.of(), Map.of());
         registry.takeOut("s-1");
-        clock.stepMillis(stepMs);
+        clock.stepMs(stepMs);
         long stampMs = clock.unixMillis();
         registry.putBack("s-1", stampMs);
         long backUs = clock.micros();
         assertThat(startsUs.get(startsUs.size() - 1)).isEqualTo(backUs);
-        clock.passMillis(100);
-        clock.stepMillis(-stepMs);
+        clock.passMs(100);
+        clock.stepMs(-stepMs);
         registry.mergeOutages(Set.of(), Map.of("s-1", stampMs));
         assertThat(pollStart(0)).as("its own mark is no further return").isEqualTo(backUs);
         registry.mergeOutages(Set.of("s-1"), Map.of("s-1", stampMs));
-        clock.passMillis(100);
+        clock.passMs(100);
         registry.mergeOutages(Set.of(), Map.of("s-1", clock.unixMillis()));
         assertThat(startsUs.get(startsUs.size() - 1)).as("put back at the other process").isEqualTo(clock.micros());
     }
@@ -265,7 +265,7 @@
     @Test
     void aReturnMarkedBeforeTheProcessBeganIsBelievedWithinTheBound() throws Exception {
         pollStart(0);
-        long nowMs = clock.trueMillis();
+        long nowMs = clock.trueMs();
         for (long[] agoAndToldMs : new long[][] {{60_000, 50_000}, {5_000, 0}, {HOUR_MS, 0}, {-HOUR_MS, 0}}) {
             processStarts();
             pollStart(0);
@@ -278,7 +278,7 @@
     @Test
     void afterAStepForwardByAnHourAPurgeIsNotAnHourOld() throws Exception {
         pollPurge(40);
-        clock.stepMillis(HOUR_MS);
+        clock.stepMs(HOUR_MS);
         assertThat(pollPurge(40)).isLessThan(HOUR_US).isZero();
     }
 }
--- a/src/test/java/clovermill/controlplane/discovery/ReconnectBackoffTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/ReconnectBackoffTest.java
@@ -11,15 +11,15 @@
     /** Centre-cache has 250 ms for drains, skip-depots 500 ms; a channel that is back is reconnected within them. */
     @Property
     void aChannelThatIsBackIsReconnectedWithinTheWindow(
-            @ForAll @LongRange(min = 100_000, max = 2_000_000) long windowMicros,
-            @ForAll @LongRange(min = 0, max = 20_000_000) long reachableMicros, @ForAll boolean silent) {
-        ReconnectBackoff backoff = new ReconnectBackoff(windowMicros, 400_000);
-        long attemptMicros = backoff.nextDelayMicros();
-        while (attemptMicros < reachableMicros) {
-            attemptMicros += (silent ? backoff.connectTimeoutMicros() : 0) + backoff.nextDelayMicros();
+            @ForAll @LongRange(min = 100_000, max = 2_000_000) long windowUs,
+            @ForAll @LongRange(min = 0, max = 20_000_000) long reachableUs, @ForAll boolean silent) {
+        ReconnectBackoff backoff = new ReconnectBackoff(windowUs, 400_000);
+        long attemptUs = backoff.nextDelayUs();
+        while (attemptUs < reachableUs) {
+            attemptUs += (silent ? backoff.connectTimeoutUs() : 0) + backoff.nextDelayUs();
         }
-        assertThat(attemptMicros - reachableMicros).isLessThan(windowMicros);
+        assertThat(attemptUs - reachableUs).isLessThan(windowUs);
         backoff.reset();
-        assertThat(backoff.nextDelayMicros()).isZero();
+        assertThat(backoff.nextDelayUs()).isZero();
     }
 }
--- a/src/test/java/clovermill/controlplane/discovery/StalenessMonitorTest.java
+++ b/src/test/java/clovermill/controlplane/discovery/StalenessMonitorTest.java
@@ -10,14 +10,14 @@
     @Test
     void aStalePeriodIsReportedOnceAndAtItsEnd() {
         StalenessMonitor monitor = new StalenessMonitor(100, 1000);
-        assertThat(monitor.nextCheckMicros(1000)).isEqualTo(1100);
+        assertThat(monitor.nextCheckUs(1000)).isEqualTo(1100);
         assertThat(monitor.becameStale(1099)).isFalse();
         assertThat(monitor.becameStale(1100)).isTrue();
         assertThat(monitor.becameStale(1300)).isFalse();
-        assertThat(monitor.nextCheckMicros(1300)).isEqualTo(1400);
+        assertThat(monitor.nextCheckUs(1300)).isEqualTo(1400);
         assertThat(monitor.answered(1350)).isEqualTo(350);
         assertThat(monitor.answered(1360)).isZero();
-        assertThat(monitor.nextCheckMicros(1400)).isEqualTo(1460);
+        assertThat(monitor.nextCheckUs(1400)).isEqualTo(1460);
         assertThat(monitor.becameStale(1459)).isFalse();
         assertThat(monitor.becameStale(1460)).isTrue();
     }
--- a/src/test/java/clovermill/controlplane/eventlog/decide/EventLogTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/EventLogTest.java
@@ -20,8 +20,8 @@
 
     private record Call(long session, long call) {}
 
-    private static Event event(long key, long createdAtMillis) {
-        return new Event(new Subject(Kind.OBJECT_PURGE, key), createdAtMillis);
+    private static Event event(long key, long createdAtMs) {
+        return new Event(new Subject(Kind.OBJECT_PURGE, key), createdAtMs);
     }
 
     /** Checks that a range covers all events of its range, and names when what replaced the others is seen. */
@@ -32,13 +32,13 @@
             }
             TruncatedPrefix prefix = range.truncatedPrefix();
             boolean cleared = prefix != null && each.sequence() <= prefix.sequence()
-                    && each.event().createdAtMillis() <= prefix.createdAtMillis();
+                    && each.event().createdAtMs() <= prefix.createdAtMs();
             boolean replaced = all.stream().anyMatch(later -> later.sequence() > each.sequence()
                     && later.sequence() <= range.completeAt()
                     && later.event().subject().equals(each.event().subject()));
             boolean there = range.entries().stream().anyMatch(entry -> entry.sequence() == each.sequence()
                     && entry.event().subject().equals(each.event().subject())
-                    && entry.event().createdAtMillis() >= each.event().createdAtMillis());
+                    && entry.event().createdAtMs() >= each.event().createdAtMs());
             assertThat(there || replaced || cleared).as("%s in %s", each, range).isTrue();
         }
     }
--- a/src/test/java/clovermill/controlplane/eventlog/decide/FollowerTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/decide/FollowerTest.java
@@ -40,7 +40,7 @@
             Entry own = latest.get(entry.event().subject());
             return own != null && own.sequence() >= entry.sequence()
                     || prefix.sequence() >= entry.sequence()
-                            && prefix.createdAtMillis() >= entry.event().createdAtMillis();
+                            && prefix.createdAtMs() >= entry.event().createdAtMs();
         }
     }
 
--- a/src/test/java/clovermill/controlplane/handover/ProcessRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/handover/ProcessRegistryTest.java
@@ -16,7 +16,7 @@
 
 class ProcessRegistryTest {
 
-    private static final long NOW_MICROS = 1_700_000_000_000_000L;
+    private static final long NOW_US = 1_700_000_000_000_000L;
 
     /** The start ticks of those that exist. */
     private static final class Processes implements ProcessTable {
@@ -47,10 +47,10 @@
         ProcessRegistry one = new ProcessRegistry(shared, 1, 100, running);
         assertThat(one.findOther()).isEqualTo(OtherProcess.NONE);
         ProcessRegistry two = new ProcessRegistry(shared, 2, 200, running);
-        one.markReady(true, NOW_MICROS);
+        one.markReady(true, NOW_US);
         assertThat(one.findOther()).isEqualTo(OtherProcess.PRESENT);
         assertThat(two.findOther()).as("the earlier one is no successor").isEqualTo(OtherProcess.PRESENT);
-        two.markReady(true, NOW_MICROS);
+        two.markReady(true, NOW_US);
         assertThat(one.findOther()).isEqualTo(OtherProcess.SUCCESSOR);
         running.ticks.remove(2L); // killed before the first was asked to leave, with its file left behind
         assertThat(one.findOther()).isEqualTo(OtherProcess.NONE);
@@ -87,8 +87,8 @@
         Processes running = new Processes(Map.of(1L, 100L, 2L, 200L));
         ProcessRegistry earlier = new ProcessRegistry(folder, 1, 1_700_000_000_000L, running);
         ProcessRegistry later = new ProcessRegistry(folder, 2, 1_700_000_000_000L + stepMs, running);
-        earlier.markReady(true, NOW_MICROS);
-        later.markReady(true, NOW_MICROS);
+        earlier.markReady(true, NOW_US);
+        later.markReady(true, NOW_US);
         assertThat(earlier.findOther()).isEqualTo(OtherProcess.SUCCESSOR);
         assertThat(later.findOther()).isEqualTo(OtherProcess.PRESENT);
         Files.writeString(folder.resolve("here-1"), "1700000000000 ready");
@@ -104,7 +104,7 @@
     void anEarlierVersionReadsTheMark() throws Exception {
         ProcessRegistry one = new ProcessRegistry(folder, 1, 100, new Processes(Map.of(1L, 7L)));
         assertThat(Files.readString(folder.resolve("here-1")).split(" ")).startsWith("100", "starts");
-        one.markReady(true, NOW_MICROS);
+        one.markReady(true, NOW_US);
         assertThat(Files.readString(folder.resolve("here-1")).split(" ")).containsExactly("100", "ready", "7");
     }
 
@@ -115,15 +115,15 @@
         ProcessRegistry one = new ProcessRegistry(folder, 1, 100, running);
         ProcessRegistry two = new ProcessRegistry(folder, 2, 200, running);
         Path inTheWay = Files.createDirectory(folder.resolve("new-here-2"));
-        two.markReady(true, NOW_MICROS);
+        two.markReady(true, NOW_US);
         assertThat(one.findOther()).isEqualTo(OtherProcess.PRESENT);
         Files.delete(inTheWay);
-        two.markReady(true, NOW_MICROS + ProcessRegistry.RETRY_INTERVAL_MICROS - 1);
+        two.markReady(true, NOW_US + ProcessRegistry.RETRY_INTERVAL_US - 1);
         assertThat(one.findOther()).as("within the pause").isEqualTo(OtherProcess.PRESENT);
-        two.markReady(true, NOW_MICROS + ProcessRegistry.RETRY_INTERVAL_MICROS);
+        two.markReady(true, NOW_US + ProcessRegistry.RETRY_INTERVAL_US);
         assertThat(one.findOther()).isEqualTo(OtherProcess.SUCCESSOR);
         Files.createDirectory(folder.resolve("new-here-2"));
-        two.markReady(true, NOW_MICROS + 2 * ProcessRegistry.RETRY_INTERVAL_MICROS);
+        two.markReady(true, NOW_US + 2 * ProcessRegistry.RETRY_INTERVAL_US);
         assertThat(one.findOther()).as("what is marked is not marked again").isEqualTo(OtherProcess.SUCCESSOR);
     }
 
@@ -132,8 +132,8 @@
         Processes running = new Processes(Map.of(1L, 100L, 2L, 200L));
         ProcessRegistry one = new ProcessRegistry(folder, 1, 100, running);
         ProcessRegistry two = new ProcessRegistry(folder, 2, 200, running);
-        two.markReady(true, NOW_MICROS);
-        two.markReady(false, NOW_MICROS);
+        two.markReady(true, NOW_US);
+        two.markReady(false, NOW_US);
         assertThat(one.findOther()).isEqualTo(OtherProcess.PRESENT);
     }
 
--- a/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
+++ b/src/test/java/clovermill/controlplane/outage/OutageFolderTest.java
@@ -41,16 +41,16 @@
         Files.setLastModifiedTime(folder, FileTime.fromMillis(1_000));
         assertThat(one.readIfChanged()).isPresent();
         assertThat(one.readIfChanged()).as("the folder's time may be coarser than what changes").isPresent();
-        clock.passMillis(51);
+        clock.passMs(51);
         assertThat(one.readIfChanged()).isPresent();
         Files.setLastModifiedTime(folder, FileTime.fromMillis(1_000));
-        clock.passMillis(100);
+        clock.passMs(100);
         assertThat(one.readIfChanged()).isEmpty();
-        clock.passMillis(4_899);
+        clock.passMs(4_899);
         assertThat(one.readIfChanged()).isEmpty();
-        clock.passMillis(1);
+        clock.passMs(1);
         assertThat(one.readIfChanged()).as("read again in any case").isPresent();
-        clock.passMillis(100);
+        clock.passMs(100);
         assertThat(one.readIfChanged()).isEmpty();
         Files.writeString(folder.resolve("back-s-9"), "not a time");
         Files.writeString(folder.resolve("out-%zz"), "no name of ours");
@@ -65,17 +65,17 @@
         OutageFolder other = new OutageFolder(folder, clock::micros);
         FileTime before = Files.getLastModifiedTime(folder);
         assertThat(one.readIfChanged().orElseThrow().out()).isEmpty();
-        clock.passMillis(100);
+        clock.passMs(100);
         one.readIfChanged();
         other.takeOut("s-1");
         Files.setLastModifiedTime(folder, FileTime.fromMillis(before.toMillis() + stepMs));
-        clock.passMillis(100);
+        clock.passMs(100);
         assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of("s-1"), Map.of()));
-        clock.passMillis(100);
+        clock.passMs(100);
         one.readIfChanged();
         other.putBack("s-1", 42);
         Files.setLastModifiedTime(folder, FileTime.fromMillis(before.toMillis() + 1));
-        clock.passMillis(100);
+        clock.passMs(100);
         assertThat(one.readIfChanged()).hasValue(new OutageSnapshot(Set.of(), Map.of("s-1", 42L)));
     }
 
@@ -106,14 +106,14 @@
         one.putBack("s-1", 42);
         assertThat(one.isRecorded("s-2")).isFalse();
         assertThat(one.isRecorded("s-1")).isFalse();
-        clock.passMillis(500);
+        clock.passMs(500);
         one.retryPending();
         assertThat(one.isRecorded("s-2")).as("the folder still fails").isFalse();
         Files.delete(inTheWay);
-        clock.passMillis(499);
+        clock.passMs(499);
         one.retryPending();
         assertThat(one.isRecorded("s-2")).as("not tried again at once").isFalse();
-        clock.passMillis(1);
+        clock.passMs(1);
         one.retryPending();
         assertThat(one.isRecorded("s-2")).isTrue();
         assertThat(one.isRecorded("s-1")).isTrue();
@@ -136,9 +136,9 @@
         assertThat(one.isRecorded("s-1")).isFalse();
         Files.delete(inTheWay);
         other.putBack("s-1", 42);
-        clock.passMillis(500);
+        clock.passMs(500);
         one.retryPending();
-        clock.passMillis(100);
+        clock.passMs(100);
         assertThat(other.readIfChanged().orElseThrow().out()).isEmpty();
         assertThat(one.readIfChanged().orElseThrow().out()).isEmpty();
     }
@@ -153,9 +153,9 @@
         assertThat(one.isRecorded("s-1")).isFalse();
         Files.delete(inTheWay);
         other.takeOut("s-1");
-        clock.passMillis(500);
+        clock.passMs(500);
         one.retryPending();
-        clock.passMillis(100);
+        clock.passMs(100);
         assertThat(other.readIfChanged().orElseThrow().out()).containsExactly("s-1");
         assertThat(one.readIfChanged().orElseThrow().out()).containsExactly("s-1");
     }
@@ -170,7 +170,7 @@
         Files.setLastModifiedTime(folder, unchanged);
         for (int look = 0; look < 3; look++) {
             assertThat(one.readIfChanged()).isEmpty();
-            clock.passMillis(100);
+            clock.passMs(100);
         }
         Files.delete(unreadable);
         Files.setLastModifiedTime(folder, unchanged);
@@ -189,7 +189,7 @@
                 .containsExactly("s-1");
         Files.delete(inTheWay);
         assertThat(one.tryPutBack("s-1", 43)).isTrue();
-        clock.passMillis(1_000);
+        clock.passMs(1_000);
         one.retryPending();
         assertThat(one.isRecorded("s-1")).isTrue();
         assertThat(new OutageFolder(folder, clock::micros).readIfChanged())
@@ -215,13 +215,13 @@
         assertThat(outages.putBack("s-1", 7_000, 500)).isTrue();
         assertThat(outages.putBack("s-1", 7_100, 600)).isFalse();
         outages.mergeReturn("s-1", 7_000, 650);
-        assertThat(outages.startedMicros("s-1", 0)).as("the same return once more").isEqualTo(500);
-        assertThat(outages.startedMicros("s-1", 700)).isEqualTo(700);
-        assertThat(outages.startedMicros("s-2", 0)).isZero();
+        assertThat(outages.startedUs("s-1", 0)).as("the same return once more").isEqualTo(500);
+        assertThat(outages.startedUs("s-1", 700)).isEqualTo(700);
+        assertThat(outages.startedUs("s-2", 0)).isZero();
         outages.mergeReturn("s-1", 6_000, 400);
-        assertThat(outages.startedMicros("s-1", 0)).as("no return makes it older").isEqualTo(500);
+        assertThat(outages.startedUs("s-1", 0)).as("no return makes it older").isEqualTo(500);
         outages.mergeReturn("s-1", 3_000, 800);
-        assertThat(outages.startedMicros("s-1", 0)).as("a further return after the wall clock was stepped back")
+        assertThat(outages.startedUs("s-1", 0)).as("a further return after the wall clock was stepped back")
                 .isEqualTo(800);
     }
 
@@ -232,6 +232,6 @@
         outages.mergeReturn("s-1", 7_000, 500);
         outages.takeOut("s-1");
         assertThat(outages.putBack("s-1", 7_000, 900)).isTrue();
-        assertThat(outages.startedMicros("s-1", 0)).isEqualTo(900);
+        assertThat(outages.startedUs("s-1", 0)).isEqualTo(900);
     }
 }
--- a/src/test/java/clovermill/controlplane/placement/PlacementTest.java
+++ b/src/test/java/clovermill/controlplane/placement/PlacementTest.java
@@ -56,9 +56,9 @@
 
     @Test
     void nothingIsServedBeforeAPolicyIsKnownAndEverythingWithoutRules() {
-        assertThat(placement.retryAfterMillis(request(0))).isPositive();
+        assertThat(placement.retryAfterMs(request(0))).isPositive();
         placement.enforce(List.of("{}"), 0);
-        assertThat(placement.retryAfterMillis(request(0))).isEqualTo(UsageListener.ADMITTED);
+        assertThat(placement.retryAfterMs(request(0))).isEqualTo(UsageListener.ADMITTED);
         assertThat(placement.allowedMembers(request(0)).test("s-1")).isTrue();
     }
 
@@ -90,12 +90,12 @@
     void anExpiredLeaseStopsAGuardedTenantAtThatMomentAndNoOther() {
         placement.enforce(List.of(policy(EDGE)), 10_000);
         Predicate<String> bound = placement.allowedMembers(request(0));
-        clock.passMicros(8_999);
+        clock.passUs(8_999);
         assertThat(bound.test("s-1")).isTrue();
-        clock.passMicros(1);
+        clock.passUs(1);
         assertThat(bound.test("s-1")).isFalse();
-        assertThat(placement.retryAfterMillis(request(0))).isPositive();
-        assertThat(placement.retryAfterMillis(request(10))).isEqualTo(UsageListener.ADMITTED);
+        assertThat(placement.retryAfterMs(request(0))).isPositive();
+        assertThat(placement.retryAfterMs(request(10))).isEqualTo(UsageListener.ADMITTED);
         placement.enforce(List.of(policy(LOOSE)), 10_000);
         assertThat(placement.allowedMembers(request(0)).test("s-1")).isTrue();
         assertThat(placement.allowedMembers(request(0)).test("p-1")).isFalse();
@@ -104,13 +104,13 @@
     @Test
     void aRequestThatNoEndpointMayServeIsRejectedAtOnce() {
         placement.enforce(List.of(policy("{\"tenant\":\"a\",\"sites\":[]}")), 10_000);
-        assertThat(placement.retryAfterMillis(request(0))).isPositive();
+        assertThat(placement.retryAfterMs(request(0))).isPositive();
         placement.enforce(List.of(policy(LOOSE)), 10_000);
-        assertThat(placement.retryAfterMillis(request(0))).isEqualTo(UsageListener.ADMITTED);
+        assertThat(placement.retryAfterMs(request(0))).isEqualTo(UsageListener.ADMITTED);
         placement.membersChanged(
                 new Members(ListScope.CHANGES, List.of(new Member("s-1", 1, 0, 0, Availability.DRAINING, 1,
                         0))));
-        assertThat(placement.retryAfterMillis(request(0))).isPositive();
+        assertThat(placement.retryAfterMs(request(0))).isPositive();
     }
 
     @Test
--- a/src/test/java/clovermill/controlplane/policystore/PolicyFleetTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/PolicyFleetTest.java
@@ -34,7 +34,7 @@
     @Test
     void withoutFaultsThenAChangeIsInForceEverywhereWithinTwoSeconds() {
         Figures figures = PolicyFleet.play(new Case(9, 5, 100, 4, 0, 0), 5);
-        assertThat(figures.commitMillis()).hasSizeGreaterThan(5).allMatch(ms -> ms <= 2000);
-        assertThat(figures.maxLeaselessMillis()).isZero();
+        assertThat(figures.commitMs()).hasSizeGreaterThan(5).allMatch(ms -> ms <= 2000);
+        assertThat(figures.maxLeaselessMs()).isZero();
     }
 }
--- a/src/test/java/clovermill/controlplane/policystore/decide/StepSearch.java
+++ b/src/test/java/clovermill/controlplane/policystore/decide/StepSearch.java
@@ -34,7 +34,7 @@
     /** {@code confirms} are in flight to the leader, which has received {@code confirmed}. */
     private record Director(int boot, LeaseHolder holder, List<Message> inFlight, Set<Long> confirms, long confirmed) {}
 
-    private record World(PolicyRegister register, PolicyTransition before, long observedStep, long learnedAtMicros,
+    private record World(PolicyRegister register, PolicyTransition before, long observedStep, long learnedAtUs,
             List<Director> directors,
             int proposed, int aborts, int crashes, long highest) {}
 
@@ -88,12 +88,12 @@
         }
         List<Director> sorted = new ArrayList<>(w.directors);
         sorted.sort(Comparator.comparing(this::number));
-        long counts = ((w.observedStep * 4 - w.learnedAtMicros) * 4 + w.proposed) * 4 + w.aborts * 2L + w.crashes;
+        long counts = ((w.observedStep * 4 - w.learnedAtUs) * 4 + w.proposed) * 4 + w.aborts * 2L + w.crashes;
         List<Object> key = new ArrayList<>(List.of(w.register.step(), w.before, counts, highest));
         sorted.forEach(director -> key.add(number(director)));
         if (seen.add(key)) {
             World normal =
-                    new World(w.register, w.before, w.observedStep, w.learnedAtMicros, List.copyOf(sorted), w.proposed,
+                    new World(w.register, w.before, w.observedStep, w.learnedAtUs, List.copyOf(sorted), w.proposed,
                             w.aborts, w.crashes, highest);
             check(normal);
             todo.add(normal);
@@ -140,8 +140,8 @@
         // A new leader knows of no confirmation, and learns of the step only now.
         List<Director> anew = w.directors.stream()
                 .map(d -> new Director(d.boot, d.holder, d.inFlight, d.confirms, PolicyTransition.NONE)).toList();
-        long learnedAtMicros = broken == Breakage.WAIT_FORGOTTEN_BY_THE_NEXT_LEADER ? -MAX_AGE : 0;
-        reach(new World(w.register, w.before, step.number(), learnedAtMicros, anew, w.proposed, w.aborts, w.crashes,
+        long learnedAtUs = broken == Breakage.WAIT_FORGOTTEN_BY_THE_NEXT_LEADER ? -MAX_AGE : 0;
+        reach(new World(w.register, w.before, step.number(), learnedAtUs, anew, w.proposed, w.aborts, w.crashes,
                 w.highest));
         Map<Integer, Long> confirmed = new HashMap<>();
         for (int i = 0; i < w.directors.size(); i++) {
@@ -149,7 +149,7 @@
                 confirmed.put(i, 0L);
             }
         }
-        new Coordinator(w.observedStep, w.learnedAtMicros, confirmed, null).nextChange(w.register, timing, true,
+        new Coordinator(w.observedStep, w.learnedAtUs, confirmed, null).nextChange(w.register, timing, true,
                 broken == Breakage.NO_WAIT_FOR_LEASES ? 99 : 0)
                 .ifPresent(change -> agreed(w, change, w.proposed, w.aborts));
         for (int i = 0; i < w.directors.size(); i++) {
@@ -214,7 +214,7 @@
     private static LeaseHolder forget(LeaseHolder holder, Message message) {
         Map<Long, Long> asked = new TreeMap<>(holder.requests());
         asked.remove(message.question);
-        return new LeaseHolder(holder.step(), holder.expiresAtMicros(), Map.copyOf(asked), holder.rejectedStep());
+        return new LeaseHolder(holder.step(), holder.expiresAtUs(), Map.copyOf(asked), holder.rejectedStep());
     }
 
     private void answer(World w, int i, List<Message> rest, Message asked, PolicyTransition step) {
@@ -229,11 +229,11 @@
         } else if (broken == Breakage.ANSWER_TO_AN_EARLIER_PROCESS) {
             asked = holder.request(message.question, holder.requests().getOrDefault(message.question, 0L));
         } else if (broken == Breakage.BACK_TO_AN_EARLIER_STEP) {
-            asked = new LeaseHolder(null, holder.expiresAtMicros(), holder.requests(), holder.rejectedStep());
+            asked = new LeaseHolder(null, holder.expiresAtUs(), holder.requests(), holder.rejectedStep());
         }
         LeaseHolder after = asked.grant(message.question, message.granted, timing);
         if (broken == Breakage.LEASE_KEPT_FOR_THE_NEXT_STEP && after != asked && holder.step() != null) {
-            after = new LeaseHolder(holder.step(), after.expiresAtMicros(), after.requests(), after.rejectedStep());
+            after = new LeaseHolder(holder.step(), after.expiresAtUs(), after.requests(), after.rejectedStep());
         }
         return after == asked ? holder : after;
     }
@@ -249,7 +249,7 @@
     private void with(World w, int i, Director changed, int crashes) {
         List<Director> directors = new ArrayList<>(w.directors);
         directors.set(i, changed);
-        reach(new World(w.register, w.before, w.observedStep, w.learnedAtMicros, directors, w.proposed, w.aborts,
+        reach(new World(w.register, w.before, w.observedStep, w.learnedAtUs, directors, w.proposed, w.aborts,
                 crashes,
                 w.highest));
     }
@@ -261,10 +261,10 @@
             Map<Long, Long> asked = new TreeMap<>();
             d.holder.requests().forEach((question, at) -> asked.put(question, Math.max(-MAX_AGE, at - 1)));
             directors.add(
-                    new Director(d.boot, new LeaseHolder(d.holder.step(), Math.max(0, d.holder.expiresAtMicros() - 1),
+                    new Director(d.boot, new LeaseHolder(d.holder.step(), Math.max(0, d.holder.expiresAtUs() - 1),
                             Map.copyOf(asked), d.holder.rejectedStep()), d.inFlight, d.confirms, d.confirmed));
         }
-        return new World(w.register, w.before, w.observedStep, Math.max(-MAX_AGE, w.learnedAtMicros - 1), directors,
+        return new World(w.register, w.before, w.observedStep, Math.max(-MAX_AGE, w.learnedAtUs - 1), directors,
                 w.proposed,
                 w.aborts, w.crashes, w.highest);
     }
--- a/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
+++ b/src/test/java/clovermill/controlplane/reload/ConfigReloaderTest.java
@@ -30,7 +30,7 @@
     }
 
     private void passInterval() {
-        clock.passMicros(ConfigReloader.CHECK_INTERVAL_MICROS);
+        clock.passUs(ConfigReloader.CHECK_INTERVAL_US);
         deadlines.sweep(clock.micros());
     }
 
--- a/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
+++ b/src/test/java/clovermill/controlplane/reload/decide/RequestClassRegistryTest.java
@@ -72,13 +72,13 @@
         RequestClassRegistry classes =
                 new RequestClassRegistry(List.of("a", "b"), List.of(with(Effect.IDEMPOTENT, 3000, 0, 0),
                         with(Effect.IDEMPOTENT, 1000, 0, 0)), 2);
-        assertThat(classes.longestDeadlineMicros()).isEqualTo(3000);
+        assertThat(classes.longestDeadlineUs()).isEqualTo(3000);
         classes.beginChange(List.of("b"), List.of(with(Effect.IDEMPOTENT, 2000, 0, 0)), 2);
-        assertThat(classes.longestDeadlineMicros()).isEqualTo(2000);
+        assertThat(classes.longestDeadlineUs()).isEqualTo(2000);
         classes.beginChange(List.of("b"), List.of(with(Effect.IDEMPOTENT, 5000, 0, 0)), 2);
-        assertThat(classes.longestDeadlineMicros()).as("clients may still follow the terms before").isEqualTo(2000);
+        assertThat(classes.longestDeadlineUs()).as("clients may still follow the terms before").isEqualTo(2000);
         classes.completeChange();
-        assertThat(classes.longestDeadlineMicros()).as("the removed class does not count").isEqualTo(5000);
+        assertThat(classes.longestDeadlineUs()).as("the removed class does not count").isEqualTo(5000);
     }
 
     @Test
--- a/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -126,7 +126,7 @@
     }
 
     private void advanceTo(long us) {
-        clock.passMicros(us - clock.micros());
+        clock.passUs(us - clock.micros());
         deadlines.sweep(us);
     }
 
@@ -137,7 +137,7 @@
     @Test
     void givenTwoAttemptsWhenOneIsOkThenTheRequestEndsAndBothHaveAnOutcome() {
         submit(new Send(ID, "a", 0), new Send(ID, "b", 0));
-        clock.passMicros(50);
+        clock.passUs(50);
         listeners.get(1).ended(Result.OK, Note.NONE, 0, answer());
         listeners.get(0).ended(Result.OK, Note.NONE, 0, answer());
         assertThat(answers).containsExactly("served");
@@ -150,7 +150,7 @@
     @Test
     void givenATimeoutBeyondTheDeadlineThenItIsCutAndTheClientIsStillAnswered() {
         submit(new Send(ID, "a", 5_000_000));
-        assertThat(orders.get(0).timeoutMicros()).isEqualTo(100_000);
+        assertThat(orders.get(0).timeoutUs()).isEqualTo(100_000);
         replies.add(List.of(new Fail(ID)));
         advanceTo(101_000);
         assertThat(events).contains(outcome(0, "a", Result.TIMED_OUT, 100_000, false));
@@ -250,7 +250,7 @@
         core.clientGone(ID);
         assertThat(listeners.get(0).mayBegin()).isFalse();
         assertThat(listeners.get(0).mayContinue()).isTrue();
-        clock.passMicros(50_000);
+        clock.passUs(50_000);
         assertThat(listeners.get(0).mayContinue()).isFalse();
     }
 
@@ -259,12 +259,12 @@
     void givenARetryAfterItsWindowThenItMayNotBeginOrContinue() {
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
-        clock.passMicros(1000);
+        clock.passUs(1000);
         listeners.get(0).ended(Result.BROKEN, Note.NONE, 0, null);
-        clock.passMicros(WINDOW_US - 1001);
+        clock.passUs(WINDOW_US - 1001);
         assertThat(listeners.get(1).mayBegin()).isTrue();
         assertThat(listeners.get(1).mayContinue()).isTrue();
-        clock.passMicros(1);
+        clock.passUs(1);
         assertThat(listeners.get(1).mayBegin()).isFalse();
         assertThat(listeners.get(1).mayContinue()).isFalse();
     }
@@ -274,7 +274,7 @@
         submit(1, new Send(ID, "a", 0));
         replies.add(List.of(new Send(ID, "b", 0)));
         listeners.get(0).ended(Result.REFUSED, Note.NONE, 0, null);
-        clock.passMicros(WINDOW_US);
+        clock.passUs(WINDOW_US);
         assertThat(listeners.get(1).mayBegin()).isTrue();
     }
 
--- a/src/test/java/clovermill/dataplane/server/FrameServerTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameServerTest.java
@@ -84,7 +84,7 @@
             server.open();
             assertThat(server.isReady()).isFalse();
             for (int i = 0; i < 3; i++) {
-                clock.passMicros(STEP_US);
+                clock.passUs(STEP_US);
                 loop.turn(0);
             }
             assertThat(server.isReady()).isTrue();
@@ -120,7 +120,7 @@
 
         void pass(long millis) throws Exception {
             for (long i = 0; i < millis; i += 10) {
-                clock.passMicros(STEP_US);
+                clock.passUs(STEP_US);
                 loop.turn(0);
             }
             runLoop();
--- a/src/test/java/clovermill/dataplane/upstream/DeadlineFigureTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DeadlineFigureTest.java
@@ -100,7 +100,7 @@
             connected();
             assertThat(first.exchange.begun()).as("begun, though nothing was written").isFalse();
             assertThat(socket.isAwaitedWritable()).isTrue();
-            clock.passMillis(300);
+            clock.passMs(300);
             turns(2);
             assertThat(figures()).containsExactly(700, 700);
             assertThat(first.exchange.begun() && second.exchange.begun()).isTrue();
@@ -122,7 +122,7 @@
             Attempt first = send("00000000000000a1", 0);
             socket.writes.add(0);
             connected();
-            clock.passMicros(DIAL_US);
+            clock.passUs(DIAL_US);
             loop.turn(0);
             assertThat(first.result).isEqualTo(Result.UNCONNECTED);
             turns(2);
@@ -140,7 +140,7 @@
             socket.writes.addAll(List.of(1000, 0));
             connected();
             assertThat(behind.exchange.begun()).isFalse();
-            clock.passMillis(300);
+            clock.passMs(300);
             turns(3);
             assertThat(figures()).containsExactly(1000, 700);
         }
@@ -152,7 +152,7 @@
             send("00000000000000a3", 20_000);
             socket.writes.addAll(List.of(5000, 0));
             connected();
-            clock.passMillis(300);
+            clock.passMs(300);
             turns(3);
             assertThat(figures()).containsExactly(1000, 1000, 700);
         }
@@ -166,7 +166,7 @@
             Attempt cut = send("00000000000000a1", 0);
             socket.writes.addAll(List.of(10, 0));
             connected();
-            clock.passMillis(150);
+            clock.passMs(150);
             turns(2);
             assertThat(cut.result).isEqualTo(Result.NOT_SENT);
             assertThat(socket.written).hasSize(10);
@@ -177,7 +177,7 @@
             Attempt cut = send("00000000000000a1", 0);
             socket.writes.addAll(List.of(10, 0));
             connected();
-            clock.passMillis(140);
+            clock.passMs(140);
             turns(2);
             assertThat(cut.result).isNull();
             assertThat(figures()).containsExactly(1000);
--- a/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/DelayedDialTest.java
@@ -39,7 +39,7 @@
 /** A dial that fails at once is retried if the fault is this machine's, which does not count against the member. */
 class DelayedDialTest {
 
-    private static final long DIAL_MICROS = 400_000;
+    private static final long DIAL_US = 400_000;
 
     private final ManualClock clock = new ManualClock(1_000_000);
     private final Deadlines deadlines = new Deadlines();
@@ -55,7 +55,7 @@
     void open() throws IOException {
         loop = new EventLoop(clock, deadlines);
         pool = new UpstreamPool(this::connect, clock, deadlines, new Budget(1 << 20),
-                new UpstreamPool.Limits(31, 40, DIAL_MICROS, 30_000_000));
+                new UpstreamPool.Limits(31, 40, DIAL_US, 30_000_000));
         member = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         pool.updateMember("m", (InetSocketAddress) member.getLocalAddress(), 0);
     }
@@ -76,10 +76,10 @@
         return connection;
     }
 
-    private Exchange send(String id, String object, String source, long timeoutMicros) {
+    private Exchange send(String id, String object, String source, long timeoutUs) {
         ClientRequest request =
-                new ClientRequest(id, 0, "page", object, 0, 17, 1, timeoutMicros, false, null, null, new byte[0]);
-        return pool.send(new AttemptOrder(request, "m", timeoutMicros, source, 0, 0, false, false, false, false),
+                new ClientRequest(id, 0, "page", object, 0, 17, 1, timeoutUs, false, null, null, new byte[0]);
+        return pool.send(new AttemptOrder(request, "m", timeoutUs, source, 0, 0, false, false, false, false),
                 new AttemptListener() {
                     @Override
                     public boolean mayBegin() {
@@ -87,7 +87,7 @@
                     }
 
                     @Override
-                    public void ended(Result result, Note note, long waitedMicros, UpstreamResponse response) {
+                    public void ended(Result result, Note note, long waitedUs, UpstreamResponse response) {
                         results.add(result);
                     }
                 });
@@ -97,9 +97,9 @@
         return send("00000000000000a1", "aa", "p", 1_000_000);
     }
 
-    private void passMicros(long micros) {
+    private void passUs(long micros) {
         for (long end = clock.micros() + micros; clock.micros() < end;) {
-            clock.passMicros(DelayedDial.RETRY_INTERVAL_MICROS);
+            clock.passUs(DelayedDial.RETRY_INTERVAL_US);
             deadlines.sweep(clock.micros());
         }
     }
@@ -124,7 +124,7 @@
         Exchange exchange = send();
         assertThat(results).isEmpty();
         assertThat(exchange.isQueuedLocally()).isTrue();
-        passMicros(2 * DelayedDial.RETRY_INTERVAL_MICROS);
+        passUs(2 * DelayedDial.RETRY_INTERVAL_US);
         assertThat(connections).hasSize(1);
         for (int i = 0; i < 1000 && !exchange.begun(); i++) {
             loop.turn(1);
@@ -145,7 +145,7 @@
     void givenALastingFaultOfThisMachineThenTheRequestEndsAsNotSentWithinADialsTime() {
         failures.addAll(Collections.nCopies(1000, new SocketException("No buffer space available")));
         send();
-        passMicros(DIAL_MICROS);
+        passUs(DIAL_US);
         assertThat(results).containsExactly(Result.NOT_SENT);
         assertThat(deadlines.size()).isZero();
     }
@@ -154,7 +154,7 @@
     void givenARequestWhoseTimeIsOverThenItIsNotDialledFor() {
         failures.addAll(Collections.nCopies(3, new SocketException("No buffer space available")));
         send("00000000000000a1", "aa", "p", 50_000);
-        passMicros(DIAL_MICROS);
+        passUs(DIAL_US);
         assertThat(results).containsExactly(Result.NOT_SENT);
         assertThat(connections).isEmpty();
     }
@@ -166,7 +166,7 @@
         assertThat(exchange.cancel()).isFalse();
         send("00000000000000a2", "aa", "p", 1_000_000);
         mayBegin = false;
-        passMicros(DIAL_MICROS);
+        passUs(DIAL_US);
         assertThat(results).containsExactly(Result.NOT_SENT);
         assertThat(connections).isEmpty();
     }
--- a/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/UpstreamPoolTest.java
@@ -32,7 +32,7 @@
 /** Connections to a member that reads nothing, or whose responses are duplicated or never end. */
 class UpstreamPoolTest {
 
-    private static final long DIAL_MICROS = 400_000;
+    private static final long DIAL_US = 400_000;
     /** More than the sockets of both sides hold while the member reads nothing. */
     private static final int LARGE = 8 << 20;
 
@@ -49,7 +49,7 @@
     void open() throws IOException {
         loop = new EventLoop(clock, deadlines);
         pool = new UpstreamPool(loop, clock, deadlines, new Budget(1 << 20),
-                new UpstreamPool.Limits(31, 40, DIAL_MICROS, 30_000_000));
+                new UpstreamPool.Limits(31, 40, DIAL_US, 30_000_000));
         member = ServerSocketChannel.open();
         member.setOption(StandardSocketOptions.SO_RCVBUF, 1 << 16);
         member.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -83,7 +83,7 @@
         }
 
         @Override
-        public void ended(Result reported, Note note, long waitedMicros, UpstreamResponse response) {
+        public void ended(Result reported, Note note, long waitedUs, UpstreamResponse response) {
             result = reported;
             if (response != null) {
                 response.body().close();
@@ -95,12 +95,12 @@
         return send(id, object, source, bodyBytes, 1_000_000);
     }
 
-    private Attempt send(String id, String object, String source, int bodyBytes, long timeoutMicros) {
+    private Attempt send(String id, String object, String source, int bodyBytes, long timeoutUs) {
         Attempt attempt = new Attempt();
         ClientRequest request =
                 new ClientRequest(id, 0, "page", object, 0, 17, 1, 1_000_000, false, null, null, new byte[bodyBytes]);
         attempt.exchange =
-                pool.send(new AttemptOrder(request, "m", timeoutMicros, source, 0, 0, false, false, false, false),
+                pool.send(new AttemptOrder(request, "m", timeoutUs, source, 0, 0, false, false, false, false),
                         attempt);
         return attempt;
     }
@@ -246,7 +246,7 @@
         }
         endless.exchange.cancel();
         for (int i = 0; i < 9 && behind.result == null; i++) {
-            clock.passMicros(DIAL_MICROS / 8);
+            clock.passUs(DIAL_US / 8);
             answer(0, "x");
             turn();
         }
@@ -269,7 +269,7 @@
             for (int i = 0; i < 20; i++) {
                 turn();
             }
-            clock.passMicros(DIAL_MICROS / 2);
+            clock.passUs(DIAL_US / 2);
         }
         answer(0, "\r\n00000000000000a2 DONE made=5 5\r\nhello\r\n");
         until(() -> behind.result != null);
@@ -280,7 +280,7 @@
     @Test
     void givenASlowDialThenTheRequestPassesTheTimeLeftAtItsWrite() throws IOException {
         Attempt queued = send("00000000000000a1", "aa", null, 0);
-        clock.passMicros(300_000);
+        clock.passUs(300_000);
         until(() -> !accepted.isEmpty() && queued.exchange.begun());
         assertThat(reads("ms=700 0")).isTrue();
     }
@@ -290,7 +290,7 @@
         stuck();
         Attempt late = send("00000000000000a2", "bb", null, 0, 100_000);
         Attempt inTime = send("00000000000000a3", "bb", null, 0, 100_001);
-        clock.passMicros(100_000);
+        clock.passUs(100_000);
         assertThat(reads("want 00000000000000a3")).isTrue();
         assertThat(late.result).isEqualTo(Result.NOT_SENT);
         assertThat(inTime.result).isNull();
--- a/src/test/java/clovermill/director/Scenario.java
+++ b/src/test/java/clovermill/director/Scenario.java
@@ -221,7 +221,7 @@
 
     /** Puts in addresses, and the present time for {@code ${now}}. */
     private String filled(String text) {
-        String result = text.replace("${now}", Long.toString(clock.trueMillis()));
+        String result = text.replace("${now}", Long.toString(clock.trueMs()));
         for (Map.Entry<String, Party> party : parties.entrySet()) {
             if (party.getValue().listener != null) {
                 result = result.replace("${" + party.getKey() + "}", party.getValue().address);
@@ -263,11 +263,11 @@
             }
             case "wait" -> {
                 for (long i = Long.parseLong(rest); i > 0; i -= 10) {
-                    clock.passMillis(Math.min(10, i));
+                    clock.passMs(Math.min(10, i));
                     turn(0);
                 }
             }
-            case "step" -> clock.stepMillis(Long.parseLong(rest));
+            case "step" -> clock.stepMs(Long.parseLong(rest));
             case "send" -> send(parts[0], parts[1]);
             case "expect" -> expect(parts[0], parts[1]);
             case "start" -> {
--- a/src/test/java/clovermill/director/StartupRetryTest.java
+++ b/src/test/java/clovermill/director/StartupRetryTest.java
@@ -12,21 +12,21 @@
 
 class StartupRetryTest {
 
-    private static final long START_MICROS = 1_700_000_000_000_000L;
+    private static final long START_US = 1_700_000_000_000_000L;
 
-    private long nowMicros = START_MICROS;
+    private long nowUs = START_US;
     private int attempts;
     private final StartupRetry startup = new StartupRetry(new Clock() {
         @Override
         public long micros() {
-            return nowMicros;
+            return nowUs;
         }
 
         @Override
         public long unixMillis() {
-            return nowMicros / 1000;
+            return nowUs / 1000;
         }
-    }, micros -> nowMicros += micros);
+    }, micros -> nowUs += micros);
 
     private StartupRetry.Attempt<String> failing(int times, IOException failure) {
         return () -> {
@@ -42,24 +42,24 @@
     void whatIsRefusedForAMomentIsHadAfterPauses() throws Exception {
         assertThat(startup.get("a socket", failing(3, new IOException("Too many open files")))).isEqualTo("had");
         assertThat(attempts).isEqualTo(4);
-        assertThat(nowMicros).isEqualTo(START_MICROS + 3 * StartupRetry.PAUSE_MICROS);
+        assertThat(nowUs).isEqualTo(START_US + 3 * StartupRetry.PAUSE_US);
     }
 
     @Test
     void whatIsRefusedForGoodEndsTheStartWithItsReasonAtTheBound() {
         assertThatThrownBy(() -> startup.get("a socket", failing(Integer.MAX_VALUE, new BindException("in use"))))
                 .isInstanceOf(BindException.class).hasMessage("in use");
-        assertThat(nowMicros).isEqualTo(START_MICROS + StartupRetry.BOUND_MICROS);
+        assertThat(nowUs).isEqualTo(START_US + StartupRetry.BOUND_US);
     }
 
     /** Else a start with several sockets could take several times as long. */
     @Test
     void oneBoundHoldsForAllThatIsToBeHad() throws Exception {
-        int most = (int) (StartupRetry.BOUND_MICROS / StartupRetry.PAUSE_MICROS);
+        int most = (int) (StartupRetry.BOUND_US / StartupRetry.PAUSE_US);
         startup.get("a socket", failing(most, new IOException("No buffer space available")));
         attempts = 0;
         assertThatThrownBy(() -> startup.get("another", failing(1, new IOException("No buffer space available"))));
-        assertThat(nowMicros).isEqualTo(START_MICROS + StartupRetry.BOUND_MICROS);
+        assertThat(nowUs).isEqualTo(START_US + StartupRetry.BOUND_US);
     }
 
     @Test
@@ -67,6 +67,6 @@
         assertThatThrownBy(() -> startup.get("a file", failing(1, new NoSuchFileException("gone"))));
         attempts = 0;
         assertThatThrownBy(() -> startup.get("a file", failing(1, new MalformedInputException(1))));
-        assertThat(nowMicros).isEqualTo(START_MICROS);
+        assertThat(nowUs).isEqualTo(START_US);
     }
 }
--- a/src/test/java/clovermill/director/operations/OperatorActionsTest.java
+++ b/src/test/java/clovermill/director/operations/OperatorActionsTest.java
@@ -79,7 +79,7 @@
         assertThat(registry.isOut("s-1")).isTrue();
         assertThat(call("/caches/disable", "s-1")).as("the call is repeated").isEqualTo(503);
         Files.delete(inTheWay);
-        clock.passMillis(500);
+        clock.passMs(500);
         assertThat(call("/caches/disable", "s-1")).isEqualTo(200);
         assertThat(outForLaterStarts()).containsExactly("s-1");
     }
--- a/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
+++ b/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
@@ -20,8 +20,8 @@
 
 class GracefulShutdownTest {
 
-    private static final long STEP_MICROS = 10_000;
-    private static final long LONGEST_DEADLINE_MICROS = 3_000_000;
+    private static final long STEP_US = 10_000;
+    private static final long LONGEST_DEADLINE_US = 3_000_000;
 
     private final ManualClock clock = new ManualClock(1_700_000_000_000_000L);
     private final Deadlines deadlines = new Deadlines();
@@ -83,14 +83,14 @@
     void aFailingCheckDoesNotKeepTheProcessFromEnding() throws Exception {
         FailingServer server = new FailingServer();
         GracefulShutdown shutdown = new GracefulShutdown(new EventLoop(clock, deadlines), clock, deadlines, server,
-                core(clock, deadlines), () -> LONGEST_DEADLINE_MICROS, false);
+                core(clock, deadlines), () -> LONGEST_DEADLINE_US, false);
         shutdown.begin();
         assertThatThrownBy(() -> {
             while (server.calls == 0) {
                 pass();
             }
         }).hasMessage("the first connection cannot be ended");
-        for (long remainingMicros = LONGEST_DEADLINE_MICROS; remainingMicros > 0; remainingMicros -= STEP_MICROS) {
+        for (long remainingUs = LONGEST_DEADLINE_US; remainingUs > 0; remainingUs -= STEP_US) {
             pass();
         }
         assertThat(server.empty).as("cut off before the platform kills").isTrue();
@@ -98,7 +98,7 @@
     }
 
     private void pass() {
-        clock.passMicros(STEP_MICROS);
+        clock.passUs(STEP_US);
         deadlines.sweep(clock.micros());
     }
 }
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -340,7 +340,7 @@
         pass(5);
         long fromNs = System.nanoTime();
         for (int i = 0; i < 1000; i++) {
-            ledger.retryAfterMillis(ask(0));
+            ledger.retryAfterMs(ask(0));
             use(ledger, 10);
         }
         assertThat(System.nanoTime() - fromNs).isLessThan(1_000_000_000L);
@@ -351,18 +351,18 @@
     @Test
     void aTenantThatMustBeWrittenDownIsTurnedAwayWhileTheDiskIsFull() throws Exception {
         Ledger ledger = open(settings(16, List.of("b")));
-        assertThat(ledger.retryAfterMillis(ask(1))).isEqualTo(UsageListener.ADMITTED);
+        assertThat(ledger.retryAfterMs(ask(1))).isEqualTo(UsageListener.ADMITTED);
         disk.room = 0;
         for (int i = 0; i < 200; i++) {
             use(ledger, 10);
             pass(5);
         }
-        assertThat(ledger.retryAfterMillis(ask(1))).isEqualTo(1);
-        assertThat(ledger.retryAfterMillis(ask(0))).isEqualTo(UsageListener.ADMITTED);
+        assertThat(ledger.retryAfterMs(ask(1))).isEqualTo(1);
+        assertThat(ledger.retryAfterMs(ask(0))).isEqualTo(UsageListener.ADMITTED);
         disk.room = Long.MAX_VALUE;
         until(() -> {
             pass(1000);
-            return ledger.retryAfterMillis(ask(1)) == UsageListener.ADMITTED;
+            return ledger.retryAfterMs(ask(1)) == UsageListener.ADMITTED;
         });
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(2000);
--- a/src/test/java/clovermill/prove/AccordSimProof.java
+++ b/src/test/java/clovermill/prove/AccordSimProof.java
@@ -21,7 +21,7 @@
                 .toList();
         long broken = runs.stream().mapToLong(Figures::violations).sum();
         long half = runs.stream().filter(run -> !run.agreed()).count();
-        List<Long> commits = runs.stream().flatMap(run -> run.commitMillis().stream()).sorted().toList();
+        List<Long> commits = runs.stream().flatMap(run -> run.commitMs().stream()).sorted().toList();
         boolean again = PolicyFleet.play(faults, 1).equals(runs.get(0));
         StringBuilder line = new StringBuilder("prove-accord-sim: directors=10 voters=5 seeds=" + seeds + " faults="
                 + runs.stream().mapToLong(Figures::faults).sum() + " changes="
@@ -29,13 +29,13 @@
                         .sum()
                 + " settled=" + commits.size() + " mixed=" + broken + " half=" + half + " commit_ms_p50="
                 + commits.get(commits.size() / 2) + " blind_ms_max="
-                + runs.stream().mapToLong(Figures::maxLeaselessMillis).max()
+                + runs.stream().mapToLong(Figures::maxLeaselessMs).max()
                         .orElse(0)
                 + " same_again=" + again);
         boolean holds = broken == 0 && half == 0 && again;
         for (int directors : new int[] {10, 100, 1000}) {
             Figures calm = PolicyFleet.play(new Case(directors, 5, 60, 4, 0, 0.01), 1);
-            long most = calm.commitMillis().stream().mapToLong(each -> each).max().orElse(-1);
+            long most = calm.commitMs().stream().mapToLong(each -> each).max().orElse(-1);
             line.append(" calm_commit_ms_max_").append(directors).append('=').append(most).append(" datagrams_s_")
                     .append(directors).append('=').append(calm.sent() / 60);
             holds &= calm.violations() == 0 && calm.agreed() && most >= 0 && most <= 2000;
--- a/src/test/java/clovermill/prove/capacity/CacheCountProof.java
+++ b/src/test/java/clovermill/prove/capacity/CacheCountProof.java
@@ -27,8 +27,8 @@
     private static final int USUAL = Integer.getInteger("caches", 20);
     private static final int TIMES = 16;
     private static final int PAIRS = Integer.getInteger("pairs", 2);
-    private static final long DAY_MILLIS = 1000 * Long.getLong("day", 27);
-    private static final long WARM_MILLIS = 3_000;
+    private static final long DAY_MS = 1000 * Long.getLong("day", 27);
+    private static final long WARM_MS = 3_000;
     private static final boolean TRIAL = Boolean.getBoolean("trial");
     /** Requests at once that a cache of the larger fleet has room for; one of the smaller fleet takes 16 times that. */
     private static final int ROOM = 6;
@@ -41,8 +41,8 @@
     /** So often in a day a twentieth of the caches is replaced. */
     private static final int REPLACEMENTS = 5;
     private static final int REPLACED_PART = 20;
-    private static final long SAMPLE_MILLIS = 50;
-    private static final long DRAIN_MILLIS = 4_000;
+    private static final long SAMPLE_MS = 50;
+    private static final long DRAIN_MS = 4_000;
     /** Places of two counts in the kernel's line on a process, from behind its name on. */
     private static final int USER_TICKS = 11;
     private static final int SYSTEM_TICKS = 12;
@@ -112,11 +112,11 @@
             throws Exception {
         long pid = director.process.pid();
         Load load = new Load(director.port, REQUESTS_PER_SECOND, seed, KB, POPULARITY);
-        int descriptors = mostDescriptors(pid, WARM_MILLIS);
+        int descriptors = mostDescriptors(pid, WARM_MS);
         double cpuBefore = cpuSeconds(pid);
         long listBefore = fleet.listBytes();
         for (int i = 0; i <= REPLACEMENTS; i++) {
-            descriptors = Math.max(descriptors, mostDescriptors(pid, DAY_MILLIS / (REPLACEMENTS + 1)));
+            descriptors = Math.max(descriptors, mostDescriptors(pid, DAY_MS / (REPLACEMENTS + 1)));
             if (i < REPLACEMENTS) {
                 fleet.replace(caches / REPLACED_PART);
             }
@@ -127,7 +127,7 @@
         day.put(Metric.DESCRIPTORS, (double) descriptors);
         day.put(Metric.CONNECTIONS, (double) fleet.connections());
         day.put(Metric.LIST, (fleet.listBytes() - listBefore) / KIB);
-        load.drain(DRAIN_MILLIS);
+        load.drain(DRAIN_MS);
         load.close();
         lost += load.asked - load.answered;
         day.put(Metric.SERVED, (double) load.served / load.asked);
@@ -143,14 +143,14 @@
     }
 
     /** The most descriptors that a process is seen with in so long a time. */
-    private static int mostDescriptors(long pid, long forMillis) throws Exception {
+    private static int mostDescriptors(long pid, long forMs) throws Exception {
         int most = 0;
-        long untilNs = System.nanoTime() + forMillis * 1_000_000;
+        long untilNs = System.nanoTime() + forMs * 1_000_000;
         while (System.nanoTime() < untilNs) {
             try (Stream<Path> open = Files.list(Path.of("/proc", "" + pid, "fd"))) {
                 most = Math.max(most, (int) open.count());
             }
-            Thread.sleep(SAMPLE_MILLIS);
+            Thread.sleep(SAMPLE_MS);
         }
         return most;
     }
@@ -160,8 +160,8 @@
     private boolean report() throws IOException, InterruptedException {
         int added = USUAL * (TIMES - 1);
         FigureFile facts = new FigureFile("cache-count.csv");
-        RunFacts.describe(facts, "make prove-cache-count: " + PAIRS + " days of " + DAY_MILLIS / 1000 + " s with "
-                + USUAL + " and " + USUAL * TIMES + " caches in turn after " + WARM_MILLIS / 1000 + " s of warm-up; "
+        RunFacts.describe(facts, "make prove-cache-count: " + PAIRS + " days of " + DAY_MS / 1000 + " s with "
+                + USUAL + " and " + USUAL * TIMES + " caches in turn after " + WARM_MS / 1000 + " s of warm-up; "
                 + REQUESTS_PER_SECOND + " requests a second; means");
         List<String> lines = new ArrayList<>();
         facts.comments().forEach(comment -> lines.add("# " + comment));
--- a/src/test/java/clovermill/prove/capacity/CountedCaches.java
+++ b/src/test/java/clovermill/prove/capacity/CountedCaches.java
@@ -29,8 +29,8 @@
 final class CountedCaches implements AutoCloseable {
 
     private static final int BODY_BYTES = 4_000;
-    private static final long HIT_MICROS = 5_000;
-    private static final long FILL_MICROS = 20_000;
+    private static final long HIT_US = 5_000;
+    private static final long FILL_US = 20_000;
     private static final int PARENT_ROOM = 1_000;
     private static final int MOST_CONNECTIONS = 1_000;
 
@@ -39,16 +39,16 @@
         private final String id;
         private final String kind;
         private final int room;
-        private final long startedMillis;
+        private final long startedMs;
         private final Listener listener;
         private final Set<String> copies = new HashSet<>();
         private int open;
 
-        Member(String id, String kind, int room, long startedMillis) throws IOException {
+        Member(String id, String kind, int room, long startedMs) throws IOException {
             this.id = id;
             this.kind = kind;
             this.room = room;
-            this.startedMillis = startedMillis;
+            this.startedMs = startedMs;
             this.listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST_CONNECTIONS,
                     () -> {}, connection -> new CachePeer(connection, this));
         }
@@ -56,7 +56,7 @@
         String entry(String state) {
             return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + listener.port() + "\",\"zone\":\""
                     + (kind.equals("std") ? "edge" : "north") + "\",\"kind\":\"" + kind + "\",\"cell\":1,\"state\":\""
-                    + state + "\",\"weight\":" + room + ",\"started_ms\":" + startedMillis + "}";
+                    + state + "\",\"weight\":" + room + ",\"started_ms\":" + startedMs + "}";
         }
     }
 
@@ -184,7 +184,7 @@
             }
             open.add(id);
             member.open++;
-            deadlines.add(clock.micros() + (hit ? HIT_MICROS : FILL_MICROS), () -> done(id, order, hit));
+            deadlines.add(clock.micros() + (hit ? HIT_US : FILL_US), () -> done(id, order, hit));
         }
 
         private void done(String id, boolean order, boolean hit) {
@@ -227,14 +227,14 @@
         @Override
         protected void poll(String path) {
             int resume = Integer.parseInt(path.replaceAll(".*resume=([0-9]+).*", "$1"));
-            long blockMillis = Long.parseLong(path.replaceAll(".*block=", ""));
+            long blockMs = Long.parseLong(path.replaceAll(".*block=", ""));
             Runnable answer = () -> answer(resume);
             if (events.size() > resume - 1) {
                 answer.run();
                 return;
             }
             waiting = answer;
-            deadlines.add(clock.micros() + blockMillis * 1000, () -> {
+            deadlines.add(clock.micros() + blockMs * 1000, () -> {
                 if (waiting == answer) {
                     answer.run();
                 }
--- a/src/test/java/clovermill/prove/faults/FaultControl.java
+++ b/src/test/java/clovermill/prove/faults/FaultControl.java
@@ -16,7 +16,7 @@
     static final int EIO = 5;
 
     private static final int BYTES = 128;
-    private static final int CLOCK_OFFSET_MILLIS = 0;
+    private static final int CLOCK_OFFSET_MS = 0;
     private static final int CALLS_OFF = 8;
     private static final int DISK_ERROR = 16;
     private static final int SOCKET_FAULTS = 24;
@@ -38,8 +38,8 @@
     }
 
     /** The process's wall clock is so far ahead of the true time from now on (negative: behind). */
-    void clockOffsetMillis(long offset) {
-        shared.putLong(CLOCK_OFFSET_MILLIS, offset);
+    void clockOffsetMs(long offset) {
+        shared.putLong(CLOCK_OFFSET_MS, offset);
     }
 
     /** Whether calls on sockets fail by the rules of the start; they do at first. */
--- a/src/test/java/clovermill/prove/faults/FaultLibraryTest.java
+++ b/src/test/java/clovermill/prove/faults/FaultLibraryTest.java
@@ -32,7 +32,7 @@
     void theWallClockOfAProcessIsSteppedAndItsFilesFailWhereTheyAreToldTo() throws Exception {
         Path library = FaultLibrary.build(folder);
         FaultControl control = new FaultControl(folder.resolve("control"));
-        control.clockOffsetMillis(HOUR_SECONDS * 1000);
+        control.clockOffsetMs(HOUR_SECONDS * 1000);
         long before = System.currentTimeMillis() / 1000;
         long seen = Long.parseLong(run(library, control, "date +%s").trim());
         assertThat(seen - before).isBetween(HOUR_SECONDS, HOUR_SECONDS + 60);
--- a/src/test/java/clovermill/prove/faults/FaultyDirector.java
+++ b/src/test/java/clovermill/prove/faults/FaultyDirector.java
@@ -20,9 +20,9 @@
 final class FaultyDirector {
 
     /** A director is to be ready within this; the platform grants 10 s, the rest is for a busy machine. */
-    private static final long READY_MILLIS = 15_000;
+    private static final long READY_MS = 15_000;
     /** SIGKILL may come so long after SIGTERM: the longest deadline (3 s at most) and 0.7 s. */
-    private static final long LEAVE_MILLIS = 3_700;
+    private static final long LEAVE_MS = 3_700;
     private static final int FIRST_PORT = 20_000;
     /** The lower end of Linux's ip_local_port_range, unless somebody has set it. */
     private static final int FIRST_CONNECTION_PORT = 32_768;
@@ -77,11 +77,11 @@
         ObjectNode config = (ObjectNode) mapper.readTree(Files.readString(file));
         config.put("listen", "127.0.0.1:" + freePort()).put("admin", "127.0.0.1:" + freePort());
         ObjectNode settings = (ObjectNode) config.get("settings");
-        ((ObjectNode) settings.get("rules")).put("drain-grace-us", RuleJudge.DRAIN_GRACE_MICROS)
-                .put("cold-from", RuleJudge.COLD_PART).put("cold-us", RuleJudge.WARM_UP_MICROS)
-                .put("tip-multiple", RuleJudge.OVERLOAD_MULTIPLE).put("tip-after-us", RuleJudge.OVERLOAD_WINDOW_MICROS);
+        ((ObjectNode) settings.get("rules")).put("drain-grace-us", RuleJudge.DRAIN_GRACE_US)
+                .put("cold-from", RuleJudge.COLD_PART).put("cold-us", RuleJudge.WARM_UP_US)
+                .put("tip-multiple", RuleJudge.OVERLOAD_MULTIPLE).put("tip-after-us", RuleJudge.OVERLOAD_WINDOW_US);
         ((ObjectNode) settings.get("family-info")).put("peers-fill", "location")
-                .put("notice-time-us", RuleJudge.PURGE_NOTICE_MICROS);
+                .put("notice-time-us", RuleJudge.PURGE_NOTICE_US);
         Files.writeString(file, mapper.writeValueAsString(config));
         return config;
     }
@@ -112,7 +112,7 @@
 
     /** Waits until it serves; whether it does in time. */
     boolean ready() throws InterruptedException {
-        long untilNanos = System.nanoTime() + READY_MILLIS * 1_000_000;
+        long untilNanos = System.nanoTime() + READY_MS * 1_000_000;
         while (process.isAlive() && System.nanoTime() < untilNanos) {
             if (say("GET /ready HTTP/1.1\r\n\r\n")) {
                 return true;
@@ -147,8 +147,8 @@
     /** SIGTERM; what is wrong with its end, or null where it ended in time and with status 0. */
     String leave() throws InterruptedException {
         process.destroy();
-        if (!process.waitFor(LEAVE_MILLIS, TimeUnit.MILLISECONDS)) {
-            return "a director still ran " + LEAVE_MILLIS + " ms after SIGTERM";
+        if (!process.waitFor(LEAVE_MS, TimeUnit.MILLISECONDS)) {
+            return "a director still ran " + LEAVE_MS + " ms after SIGTERM";
         }
         return process.exitValue() == 0 ? null : "a director left with status " + process.exitValue();
     }
--- a/src/test/java/clovermill/prove/faults/RuleJudge.java
+++ b/src/test/java/clovermill/prove/faults/RuleJudge.java
@@ -17,21 +17,21 @@
 final class RuleJudge {
 
     /** What the settings of the directors under test say. */
-    static final long PURGE_NOTICE_MICROS = 1_000_000;
-    static final long DRAIN_GRACE_MICROS = 500_000;
+    static final long PURGE_NOTICE_US = 1_000_000;
+    static final long DRAIN_GRACE_US = 500_000;
     static final double COLD_PART = 0.05;
-    static final long WARM_UP_MICROS = 60_000_000;
+    static final long WARM_UP_US = 60_000_000;
     static final double OVERLOAD_MULTIPLE = 3;
-    static final long OVERLOAD_WINDOW_MICROS = 3_000_000;
-    static final long EFFECT_WINDOW_MICROS = 3_000_000;
+    static final long OVERLOAD_WINDOW_US = 3_000_000;
+    static final long EFFECT_WINDOW_US = 3_000_000;
     /** The page on sockets grants 50 ms to every window; the rest is for the machine. */
-    static final long SLACK_MICROS = 150_000;
+    static final long SLACK_US = 150_000;
     /** Purges are dated in whole milliseconds. */
-    private static final long DATE_STEP_MICROS = 5_000;
+    private static final long DATE_STEP_US = 5_000;
     private static final int FEW_CALLS = 30;
     private static final int MOST_NOTES = 4;
 
-    private record PurgeMade(Long object, int group, long atMicros) {
+    private record PurgeMade(Long object, int group, long atUs) {
         boolean covers(long key, int keyGroup) {
             return object == null ? group == keyGroup : object == key;
         }
@@ -39,12 +39,12 @@
 
     /** A cache that started, and when requests came to it within the last window. */
     private static final class ColdCache {
-        private final long startedMicros;
+        private final long startedUs;
         private final Deque<Long> arrivals = new ArrayDeque<>();
         private boolean overloaded;
 
-        ColdCache(long startedMicros) {
-            this.startedMicros = startedMicros;
+        ColdCache(long startedUs) {
+            this.startedUs = startedUs;
         }
     }
 
@@ -65,13 +65,13 @@
     }
 
     /** An object, or with null a group, is purged and told now. */
-    void purged(Long object, int group, long nowMicros) {
-        purges.add(new PurgeMade(object, group, nowMicros));
+    void purged(Long object, int group, long nowUs) {
+        purges.add(new PurgeMade(object, group, nowUs));
     }
 
     /** From now on the directors are told that a cache drains. */
-    void draining(String cache, long nowMicros) {
-        drains.put(cache, nowMicros);
+    void draining(String cache, long nowUs) {
+        drains.put(cache, nowUs);
     }
 
     /** A cache drains no more. */
@@ -80,70 +80,70 @@
     }
 
     /** A cache starts now, cold. */
-    void started(String cache, long nowMicros) {
-        starts.put(cache, new ColdCache(nowMicros));
+    void started(String cache, long nowUs) {
+        starts.put(cache, new ColdCache(nowUs));
     }
 
     /** A request came to a cache. */
-    void request(String cache, long nowMicros) {
-        fillFrom(cache, nowMicros);
+    void request(String cache, long nowUs) {
+        fillFrom(cache, nowUs);
         ColdCache cold = starts.get(cache);
         if (cold != null) {
-            cold.arrivals.add(nowMicros);
-            while (cold.arrivals.peek() < nowMicros - OVERLOAD_WINDOW_MICROS) {
+            cold.arrivals.add(nowUs);
+            while (cold.arrivals.peek() < nowUs - OVERLOAD_WINDOW_US) {
                 cold.arrivals.remove();
             }
-            if (!cold.overloaded && cold.arrivals.size() > mostCalls(cold.startedMicros, nowMicros)) {
+            if (!cold.overloaded && cold.arrivals.size() > mostCalls(cold.startedUs, nowUs)) {
                 cold.overloaded = true;
                 overloaded++;
                 note("overloaded: " + cache + " " + cold.arrivals.size() + " calls, "
-                        + millis(nowMicros - cold.startedMicros) + " ms after its start");
+                        + millis(nowUs - cold.startedUs) + " ms after its start");
             }
         }
     }
 
     /** A request names a cache as the source of a fill. */
-    void fillFrom(String cache, long nowMicros) {
+    void fillFrom(String cache, long nowUs) {
         Long since = drains.get(cache);
-        if (since != null && nowMicros > since + DRAIN_GRACE_MICROS + SLACK_MICROS) {
+        if (since != null && nowUs > since + DRAIN_GRACE_US + SLACK_US) {
             drained++;
-            note("drained: " + cache + " " + millis(nowMicros - since) + " ms after it was told");
+            note("drained: " + cache + " " + millis(nowUs - since) + " ms after it was told");
         }
     }
 
     /** A request that arrived at a time was answered with a copy made at a time. */
-    void answered(long key, int group, long arrivedMicros, long madeMicros) {
+    void answered(long key, int group, long arrivedUs, long madeUs) {
         for (PurgeMade purge : purges) {
-            if (purge.covers(key, group) && madeMicros < purge.atMicros - DATE_STEP_MICROS
-                    && arrivedMicros > purge.atMicros + PURGE_NOTICE_MICROS + SLACK_MICROS) {
+            if (purge.covers(key, group) && madeUs < purge.atUs - DATE_STEP_US
+                    && arrivedUs > purge.atUs + PURGE_NOTICE_US + SLACK_US) {
                 stale++;
-                note("stale: object " + key + " asked for " + millis(arrivedMicros - purge.atMicros)
-                        + " ms after a purge, copy made " + millis(purge.atMicros - madeMicros) + " ms before it");
+                note("stale: object " + key + " asked for " + millis(arrivedUs - purge.atUs)
+                        + " ms after a purge, copy made " + millis(purge.atUs - madeUs) + " ms before it");
                 return;
             }
         }
     }
 
     /** A request with an effect ran; the origin drops repeats for a window, and no longer. */
-    void ran(String token, long nowMicros) {
-        Long first = effects.putIfAbsent(token, nowMicros);
-        if (first != null && nowMicros > first + EFFECT_WINDOW_MICROS) {
+    void ran(String token, long nowUs) {
+        Long first = effects.putIfAbsent(token, nowUs);
+        if (first != null && nowUs > first + EFFECT_WINDOW_US) {
             repeated.add(token);
-            note("duplicate: ran again after " + millis(nowMicros - first) + " ms");
+            note("duplicate: ran again after " + millis(nowUs - first) + " ms");
         }
     }
 
     /** The calls that a cache may get within the window that ends now: N, and what is chance. */
-    private double mostCalls(long startedMicros, long nowMicros) {
-        long from = Math.max(startedMicros, nowMicros - OVERLOAD_WINDOW_MICROS);
-        double meanPart = (part(from - startedMicros) + part(nowMicros - startedMicros)) / 2;
+    private double mostCalls(long startedUs, long nowUs) {
+        long from = Math.max(startedUs, nowUs - OVERLOAD_WINDOW_US);
+        double meanPart = (part(from - startedUs) + part(nowUs - startedUs)) / 2;
         // The bound is on the whole window also where the cache is younger: it is a budget.
-        double calls = OVERLOAD_MULTIPLE * callsPerSecond * meanPart * OVERLOAD_WINDOW_MICROS / 1e6;
+        double calls = OVERLOAD_MULTIPLE * callsPerSecond * meanPart * OVERLOAD_WINDOW_US / 1e6;
         return calls < FEW_CALLS ? calls + 3 * Math.sqrt(calls) + 3 : calls + 2 * Math.sqrt(calls) + 2;
     }
 
-    private static double part(long ageMicros) {
-        return Math.min(1, COLD_PART + (1 - COLD_PART) * ageMicros / WARM_UP_MICROS);
+    private static double part(long ageUs) {
+        return Math.min(1, COLD_PART + (1 - COLD_PART) * ageUs / WARM_UP_US);
     }
 
     private void note(String what) {
--- a/src/test/java/clovermill/prove/faults/RuleJudgeTest.java
+++ b/src/test/java/clovermill/prove/faults/RuleJudgeTest.java
@@ -15,7 +15,7 @@
     @Test
     void aCopyFromBeforeAPurgeIsStaleOnceTheWindowIsOver() {
         judge.purged(KEY, 0, 10 * SECOND);
-        long over = 10 * SECOND + RuleJudge.PURGE_NOTICE_MICROS + RuleJudge.SLACK_MICROS;
+        long over = 10 * SECOND + RuleJudge.PURGE_NOTICE_US + RuleJudge.SLACK_US;
         judge.answered(KEY, GROUP, over, 9 * SECOND);
         judge.answered(KEY, GROUP, over + 1, 10 * SECOND);
         judge.answered(KEY + 1, GROUP, over + 1, 9 * SECOND);
@@ -36,7 +36,7 @@
     @Test
     void requestsAndFillsFromADrainingCacheCountBeyondTheGrace() {
         judge.draining("s-1", SECOND);
-        long over = SECOND + RuleJudge.DRAIN_GRACE_MICROS + RuleJudge.SLACK_MICROS;
+        long over = SECOND + RuleJudge.DRAIN_GRACE_US + RuleJudge.SLACK_US;
         judge.request("s-1", over);
         judge.request("s-2", over + 1);
         assertThat(judge.verdict().drained()).isZero();
@@ -65,7 +65,7 @@
             judge.request("c-1", SECOND);
         }
         for (int i = 0; i < 27; i++) {
-            judge.request("c-1", SECOND + RuleJudge.OVERLOAD_WINDOW_MICROS + 1);
+            judge.request("c-1", SECOND + RuleJudge.OVERLOAD_WINDOW_US + 1);
         }
         assertThat(judge.verdict().overloaded()).isZero();
     }
@@ -73,10 +73,10 @@
     @Test
     void anEffectCountsTwiceWhereItsRepeatComesAfterTheOriginsWindow() {
         judge.ran("token", SECOND);
-        judge.ran("token", SECOND + RuleJudge.EFFECT_WINDOW_MICROS);
+        judge.ran("token", SECOND + RuleJudge.EFFECT_WINDOW_US);
         judge.ran("other", 9 * SECOND);
         assertThat(judge.verdict().duplicate()).isZero();
-        judge.ran("token", SECOND + RuleJudge.EFFECT_WINDOW_MICROS + 1);
+        judge.ran("token", SECOND + RuleJudge.EFFECT_WINDOW_US + 1);
         assertThat(judge.verdict().duplicate()).isEqualTo(1);
         assertThat(judge.notes()).containsExactly("duplicate: ran again after 3000 ms");
     }
--- a/src/test/java/clovermill/prove/faults/Scenario.java
+++ b/src/test/java/clovermill/prove/faults/Scenario.java
@@ -55,7 +55,7 @@
     }
 
     /** How far the wall clock is ahead after its first and its second step, in milliseconds; null: no steps. */
-    long[] clockOffsetsMillis(int seed) {
+    long[] clockOffsetsMs(int seed) {
         long seconds = 2_000 + 1_000L * Math.floorMod(seed, 9);
         return switch (this) {
             case CLOCK_FORWARD_THEN_BACK -> new long[] {3_600_000, -3_600_000};
--- a/src/test/java/clovermill/prove/faults/StandInCaches.java
+++ b/src/test/java/clovermill/prove/faults/StandInCaches.java
@@ -28,11 +28,11 @@
 final class StandInCaches implements AutoCloseable {
 
     private static final ByteBuffer BODY = ByteBuffer.wrap(new byte[200]).asReadOnlyBuffer();
-    private static final long ANSWER_MICROS = 8_000;
+    private static final long ANSWER_US = 8_000;
     /** How long a copy is fresh by the settings, where a request names no age. */
-    private static final long FRESH_MICROS = 20_000_000;
+    private static final long FRESH_US = 20_000_000;
     /** Caches drop what is purged within purge-done-us of the settings, 6 s; the longest that a director may trust. */
-    private static final long PURGE_DONE_MICROS = 5_900_000;
+    private static final long PURGE_DONE_US = 5_900_000;
     private static final int GROUPS = 256;
     private static final int WEIGHT = 6;
 
@@ -41,14 +41,14 @@
         private final String id;
         private final String kind;
         private final Listener listener;
-        private final long startedMillis;
+        private final long startedMs;
         private final Map<Long, Long> copies = new HashMap<>();
         private boolean draining;
 
-        Member(String id, String kind, long startedMillis) throws IOException {
+        Member(String id, String kind, long startedMs) throws IOException {
             this.id = id;
             this.kind = kind;
-            this.startedMillis = startedMillis;
+            this.startedMs = startedMs;
             this.listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1000, () -> {},
                     connection -> new CachePeer(connection, this));
         }
@@ -58,13 +58,13 @@
             return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + listener.port() + "\",\"zone\":\""
                     + (cache ? "edge" : "north") + "\",\"kind\":\"" + kind + "\",\"cell\":1,\"state\":\""
                     + (draining ? "draining" : "ready") + "\",\"weight\":" + WEIGHT + ",\"started_ms\":"
-                    + startedMillis + "}";
+                    + startedMs + "}";
         }
 
         /** When the copy was made that will do for a request, or null. */
-        Long copy(long object, long oldestMicros, long nowMicros) {
+        Long copy(long object, long oldestUs, long nowUs) {
             Long made = copies.get(object);
-            return made != null && nowMicros - made <= oldestMicros ? made : null;
+            return made != null && nowUs - made <= oldestUs ? made : null;
         }
     }
 
@@ -123,9 +123,9 @@
     /** Purges an object and a group: directors are told now, and the caches have done it by the end of their time. */
     void purge(long object, int group) throws Exception {
         ask(() -> {
-            long nowMicros = clock.micros();
-            deadlines.add(nowMicros + PURGE_DONE_MICROS, () -> members.values().forEach(member -> member.copies
-                    .entrySet().removeIf(copy -> copy.getValue() < nowMicros
+            long nowUs = clock.micros();
+            deadlines.add(nowUs + PURGE_DONE_US, () -> members.values().forEach(member -> member.copies
+                    .entrySet().removeIf(copy -> copy.getValue() < nowUs
                             && (copy.getKey() == object || group(copy.getKey()) == group))));
             judge.purged(object, 0, clock.micros());
             tell("\"drop\":{\"id\":\"" + String.format("%016x", object) + "\",\"when\":" + clock.unixMillis() + "}");
@@ -195,30 +195,30 @@
 
         @Override
         protected void want(String id, String fields) {
-            long nowMicros = clock.micros();
-            judge.request(member.id, nowMicros);
+            long nowUs = clock.micros();
+            judge.request(member.id, nowUs);
             String source = field(fields, "src");
             if (source != null && !source.equals(member.id)) {
-                judge.fillFrom(source, nowMicros);
+                judge.fillFrom(source, nowUs);
             }
             open.add(id);
             String token = field(fields, "token");
             if (token != null) {
-                judge.ran(token, nowMicros);
-                answer(id, "MISS_ORIGIN", nowMicros);
+                judge.ran(token, nowUs);
+                answer(id, "MISS_ORIGIN", nowUs);
             } else {
-                look(id, fields, source, nowMicros);
+                look(id, fields, source, nowUs);
             }
         }
 
-        private void look(String id, String fields, String source, long nowMicros) {
+        private void look(String id, String fields, String source, long nowUs) {
             String age = field(fields, "maxage");
-            long oldestMicros = age == null || age.equals("0") ? FRESH_MICROS : Long.parseLong(age) * 1000;
+            long oldestUs = age == null || age.equals("0") ? FRESH_US : Long.parseLong(age) * 1000;
             long object = Long.parseUnsignedLong(field(fields, "obj"), 16);
-            Long made = member.copy(object, oldestMicros, nowMicros);
+            Long made = member.copy(object, oldestUs, nowUs);
             String note = "HIT";
             if (made == null && source != null) {
-                made = fetch(members.get(source), object, oldestMicros, nowMicros);
+                made = fetch(members.get(source), object, oldestUs, nowUs);
                 note = "MISS";
             }
             if (made == null) {
@@ -226,18 +226,18 @@
                 return;
             }
             member.copies.put(object, made);
-            judge.answered(object, group(object), nowMicros, made);
+            judge.answered(object, group(object), nowUs, made);
             answer(id, note, made);
         }
 
-        private void answer(String id, String note, long madeMicros) {
-            long madeMillis = clock.unixMillis() - (clock.micros() - madeMicros) / 1000;
-            later(id, id + " DONE etag=t,made=" + madeMillis + ",res=" + note + ",ttfb=0 " + BODY.remaining() + "\r\n",
+        private void answer(String id, String note, long madeUs) {
+            long madeMs = clock.unixMillis() - (clock.micros() - madeUs) / 1000;
+            later(id, id + " DONE etag=t,made=" + madeMs + ",res=" + note + ",ttfb=0 " + BODY.remaining() + "\r\n",
                     true);
         }
 
         private void later(String id, String head, boolean body) {
-            deadlines.add(clock.micros() + ANSWER_MICROS, () -> {
+            deadlines.add(clock.micros() + ANSWER_US, () -> {
                 if (!open.remove(id)) {
                     return;
                 }
@@ -269,13 +269,13 @@
     }
 
     /** What a source gives for a fill: a cache only what it holds, parent and origin always. Null for nothing. */
-    private Long fetch(Member source, long object, long oldestMicros, long nowMicros) {
-        Long made = source == null ? null : source.copy(object, oldestMicros, nowMicros);
+    private Long fetch(Member source, long object, long oldestUs, long nowUs) {
+        Long made = source == null ? null : source.copy(object, oldestUs, nowUs);
         if (made != null || source == null || source.kind.equals("std")) {
             return made;
         }
-        source.copies.put(object, nowMicros);
-        return nowMicros;
+        source.copies.put(object, nowUs);
+        return nowUs;
     }
 
     @Override
--- a/src/test/java/clovermill/prove/faults/StandInChannel.java
+++ b/src/test/java/clovermill/prove/faults/StandInChannel.java
@@ -56,14 +56,14 @@
         @Override
         protected void poll(String path) {
             int resume = Integer.parseInt(path.replaceAll(".*resume=([0-9]+).*", "$1"));
-            long blockMillis = Long.parseLong(path.replaceAll(".*block=", ""));
+            long blockMs = Long.parseLong(path.replaceAll(".*block=", ""));
             Runnable answer = () -> answer(resume);
             if (events.size() > resume - 1) {
                 answer.run();
                 return;
             }
             waiting = answer;
-            deadlines.add(clock.micros() + blockMillis * 1000, () -> {
+            deadlines.add(clock.micros() + blockMs * 1000, () -> {
                 if (waiting == answer) {
                     answer.run();
                 }
--- a/src/test/java/clovermill/prove/faults/Trial.java
+++ b/src/test/java/clovermill/prove/faults/Trial.java
@@ -21,9 +21,9 @@
     /** Some objects are asked for often, so that caches hold copies of what is purged. */
     private static final int POPULARITY = 4;
     /** How long a client waits (by {@link Load}), with what sockets are granted and a busy machine needs. */
-    private static final long ANSWER_MICROS = 3_000_000 + RuleJudge.SLACK_MICROS;
-    private static final long MOST_LATENCY_MICROS = 60_000_000;
-    private static final long DRAIN_MILLIS = 4_000;
+    private static final long ANSWER_US = 3_000_000 + RuleJudge.SLACK_US;
+    private static final long MOST_LATENCY_US = 60_000_000;
+    private static final long DRAIN_MS = 4_000;
     /** A director that refuses nearly all would keep every rule. */
     private static final double LEAST_SERVED = 0.1;
 
@@ -138,7 +138,7 @@
 
     /** Purge, start and drain before the first step, between both and after the second, each step at a random time. */
     private void playEvents(StandInCaches caches, FaultyDirector director, List<Load> loads) throws Exception {
-        long[] offsets = scenario.clockOffsetsMillis(seed);
+        long[] offsets = scenario.clockOffsetsMs(seed);
         Thread.sleep(1_200);
         for (int group = 0; group < 3; group++) {
             caches.purge(0, 1 + group);
@@ -150,7 +150,7 @@
             int wait = random.nextInt(1_800);
             Thread.sleep(wait);
             if (offsets != null && group < offsets.length) {
-                control.clockOffsetMillis(offsets[group]);
+                control.clockOffsetMs(offsets[group]);
             }
             Thread.sleep(2_000 - wait);
         }
@@ -186,11 +186,11 @@
     /** Ends loads and adds up what became of their requests. */
     private void count(List<Load> loads) throws InterruptedException {
         for (Load load : loads) {
-            load.drain(DRAIN_MILLIS);
+            load.drain(DRAIN_MS);
         }
         for (Load load : loads) {
             load.close();
-            long late = load.latencyUs.getCountBetweenValues(ANSWER_MICROS, MOST_LATENCY_MICROS);
+            long late = load.latencyUs.getCountBetweenValues(ANSWER_US, MOST_LATENCY_US);
             long unanswered = Math.max(0, load.asked - load.answered - load.lost);
             if (load.lost + unanswered + late > 0) {
                 findings.add("lost: " + load.lost + " by a connection that ended, " + unanswered + " never answered, "
--- a/src/test/java/clovermill/runtime/net/DeadlinesTest.java
+++ b/src/test/java/clovermill/runtime/net/DeadlinesTest.java
@@ -18,10 +18,10 @@
         deadlines.add(10, () -> expired.add("b"));
         deadlines.sweep(9);
         assertThat(expired).isEmpty();
-        assertThat(deadlines.nextMicros()).isEqualTo(10);
+        assertThat(deadlines.nextUs()).isEqualTo(10);
         deadlines.sweep(20);
         assertThat(expired).containsExactly("a", "b", "c");
-        assertThat(deadlines.nextMicros()).isEqualTo(Long.MAX_VALUE);
+        assertThat(deadlines.nextUs()).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
--- a/src/test/java/clovermill/runtime/net/ListenerFaultsTest.java
+++ b/src/test/java/clovermill/runtime/net/ListenerFaultsTest.java
@@ -116,7 +116,7 @@
         loop.turn(1000);
         loop.turn(0);
         assertThat(accepted).isEmpty();
-        clock.passMicros(50_000);
+        clock.passUs(50_000);
         loop.turn(0);
         loop.turn(1000);
         assertThat(accepted).hasSize(1);
--- a/src/test/java/clovermill/runtime/net/ManualClock.java
+++ b/src/test/java/clovermill/runtime/net/ManualClock.java
@@ -31,28 +31,28 @@
 
     @Override
     public long unixMillis() {
-        return trueMillis() + wallAheadMs;
+        return trueMs() + wallAheadMs;
     }
 
     /**
      * What the wall clock would read had it never been stepped, in milliseconds: the clock of whoever writes stamps.
      */
-    public long trueMillis() {
+    public long trueMs() {
         return monotonicUs / 1000;
     }
 
     /** Lets real time pass, in microseconds. */
-    public void passMicros(long us) {
+    public void passUs(long us) {
         monotonicUs += us;
     }
 
     /** Lets real time pass, in milliseconds. */
-    public void passMillis(long ms) {
+    public void passMs(long ms) {
         monotonicUs += ms * 1000;
     }
 
     /** Steps the wall clock by so many milliseconds, back where negative. */
-    public void stepMillis(long ms) {
+    public void stepMs(long ms) {
         wallAheadMs += ms;
     }
 }
--- a/src/test/java/clovermill/runtime/net/RecurringTaskTest.java
+++ b/src/test/java/clovermill/runtime/net/RecurringTaskTest.java
@@ -7,47 +7,47 @@
 
 class RecurringTaskTest {
 
-    private static final long INTERVAL_MICROS = 100;
+    private static final long INTERVAL_US = 100;
 
     private int runs;
     private final Deadlines deadlines = new Deadlines();
     private final ManualClock clock = new ManualClock(1_000);
 
-    private void passMicros(long micros) {
-        clock.passMicros(micros);
+    private void passUs(long micros) {
+        clock.passUs(micros);
         deadlines.sweep(clock.micros());
     }
 
     @Test
     void givenAnIntervalWhenStartedThenRunsAtOnceAndAfterEachInterval() {
-        RecurringTask.start(deadlines, clock, INTERVAL_MICROS, () -> runs++);
+        RecurringTask.start(deadlines, clock, INTERVAL_US, () -> runs++);
         assertThat(runs).isEqualTo(1);
-        passMicros(INTERVAL_MICROS - 1);
+        passUs(INTERVAL_US - 1);
         assertThat(runs).isEqualTo(1);
-        passMicros(1);
+        passUs(1);
         assertThat(runs).isEqualTo(2);
-        passMicros(3 * INTERVAL_MICROS);
+        passUs(3 * INTERVAL_US);
         assertThat(runs).as("runs that were missed are not made up for").isEqualTo(3);
         assertThat(deadlines.size()).isEqualTo(1);
     }
 
     @Test
     void givenARunThatThrowsThenTheRecurrenceGoesOn() {
-        RecurringTask.start(deadlines, clock, INTERVAL_MICROS, () -> {
+        RecurringTask.start(deadlines, clock, INTERVAL_US, () -> {
             runs++;
             if (runs == 2) {
                 throw new IllegalStateException("once");
             }
         });
-        assertThatThrownBy(() -> passMicros(INTERVAL_MICROS)).hasMessage("once");
-        passMicros(INTERVAL_MICROS);
+        assertThatThrownBy(() -> passUs(INTERVAL_US)).hasMessage("once");
+        passUs(INTERVAL_US);
         assertThat(runs).isEqualTo(3);
     }
 
     @Test
     void givenATaskThatStopsItselfThenItDoesNotRunAgain() {
         RecurringTask[] task = {null};
-        task[0] = new RecurringTask(deadlines, clock, INTERVAL_MICROS, () -> {
+        task[0] = new RecurringTask(deadlines, clock, INTERVAL_US, () -> {
             runs++;
             if (runs == 2) {
                 task[0].stop();
@@ -55,7 +55,7 @@
         });
         assertThat(deadlines.size()).as("nothing runs before its start").isZero();
         task[0].start();
-        passMicros(INTERVAL_MICROS);
+        passUs(INTERVAL_US);
         assertThat(runs).isEqualTo(2);
         assertThat(deadlines.size()).isZero();
     }
