--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -111,7 +111,7 @@
         settings.check(director.classes());
         boolean limited = !settings.limits().isEmpty();
         LedgerFolder.Identity identity = folder.claim(volume, instance);
-        FolderLock lock = FolderLock.take(folder.writerLock());
+        FolderLock lock = FolderLock.acquire(folder.writerLock());
         try {
             Path staged = staged(settings, identity);
             StagingRecovery.run(folder, identity, staged, volume);
--- a/src/main/java/clovermill/ledger/LedgerWriter.java
+++ b/src/main/java/clovermill/ledger/LedgerWriter.java
@@ -141,13 +141,13 @@
             while (page < pages.size() && bytes == pages.get(page).bytes && at < pages.get(page).fill) {
                 int frame = at;
                 segment.addFrame(bytes, frame);
-                at += FrameCodec.HEAD + FrameCodec.length(bytes, frame);
+                at += FrameCodec.HEADER_BYTES + FrameCodec.length(bytes, frame);
                 int type = FrameCodec.type(bytes, frame);
-                writtenSeq = bytes.getLong(frame + FrameCodec.HEAD);
-                latestMs = Math.max(latestMs, LogFormat.latestMs(type, bytes, frame + FrameCodec.HEAD));
+                writtenSeq = bytes.getLong(frame + FrameCodec.HEADER_BYTES);
+                latestMs = Math.max(latestMs, LogFormat.latestMs(type, bytes, frame + FrameCodec.HEADER_BYTES));
                 CrashPoint.reached("ledger.append");
                 if (type == LogFormat.CLOSE) {
-                    closed(bytes, frame + FrameCodec.HEAD);
+                    closed(bytes, frame + FrameCodec.HEADER_BYTES);
                 }
             }
             page++;
--- a/src/main/java/clovermill/ledger/LogFormat.java
+++ b/src/main/java/clovermill/ledger/LogFormat.java
@@ -33,7 +33,7 @@
     private static final UsageRecord.End[] ENDS = UsageRecord.End.values();
     private static final How[] HOWS = How.values();
 
-    private final ByteBuffer scratch = ByteBuffer.allocate(clovermill.storage.SegmentWriter.longest())
+    private final ByteBuffer scratch = ByteBuffer.allocate(clovermill.storage.SegmentWriter.maxPayloadBytes())
             .order(ByteOrder.LITTLE_ENDIAN);
     private byte[] lastName = {};
     private String lastTenant = "";
--- a/src/main/java/clovermill/ledger/LogReader.java
+++ b/src/main/java/clovermill/ledger/LogReader.java
@@ -82,31 +82,32 @@
             readHeader(segment);
             begin(segment, begun, visitor);
         }
-        SegmentReader.End end = reader.read(segment.file(), LogFormat.MAGIC, offset, new SegmentReader.Visitor() {
-            @Override
-            public boolean frame(int type, ByteBuffer payload) throws IOException {
-                if (type == LogFormat.HEADER) {
-                    header = LogFormat.readHeader(payload);
-                    begin(segment, begun, visitor);
-                    return true;
-                }
-                begin(segment, begun, visitor);
-                Entry entry = format.read(type, payload);
-                if (entry != null) {
-                    visitor.entry(header, entry);
-                }
-                return true;
-            }
-
-            @Override
-            public void damaged(long from, long to) {
-                visitor.damaged(segment.file(), from, to);
-            }
-        });
-        if (end.torn() > 0) {
-            visitor.torn(segment.file(), end.torn());
+        SegmentReader.ReadResult end =
+                reader.read(segment.file(), LogFormat.MAGIC, offset, new SegmentReader.Visitor() {
+                    @Override
+                    public boolean frame(int type, ByteBuffer payload) throws IOException {
+                        if (type == LogFormat.HEADER) {
+                            header = LogFormat.readHeader(payload);
+                            begin(segment, begun, visitor);
+                            return true;
+                        }
+                        begin(segment, begun, visitor);
+                        Entry entry = format.read(type, payload);
+                        if (entry != null) {
+                            visitor.entry(header, entry);
+                        }
+                        return true;
+                    }
+
+                    @Override
+                    public void damaged(long from, long to) {
+                        visitor.damaged(segment.file(), from, to);
+                    }
+                });
+        if (end.tornBytes() > 0) {
+            visitor.torn(segment.file(), end.tornBytes());
         }
-        return new Position(segment.epoch(), segment.number(), end.good());
+        return new Position(segment.epoch(), segment.number(), end.validEnd());
     }
 
     private void begin(LedgerFolder.Segment segment, boolean[] begun, Visitor visitor) throws IOException {
--- a/src/main/java/clovermill/ledger/PeriodCloser.java
+++ b/src/main/java/clovermill/ledger/PeriodCloser.java
@@ -14,15 +14,17 @@
     private PeriodCloser() {}
 
     /**
-     * Writes down what a killed director left staged and closes what ended by {@code nowMs}, less the lateness that
-     * the settings allow; returns the time through which is closed now. Throws {@link FolderLock.Held} while a
-     * director writes: it closes by itself.
+     * Writes the leftover staged entries of a killed director to the log and closes the periods that ended by {@code
+     * nowMs} less the lateness of the settings. Throws {@link FolderLock.AlreadyLockedException} while a director
+     * writes: it closes periods itself.
+     *
+     * @return the time through which periods are closed now
      */
     public static long close(LedgerFolder folder, LedgerSettings settings, long nowMs, Volume volume)
             throws IOException {
         long periodMs = settings.periodMs();
         LedgerFolder.Identity identity = folder.identity();
-        return FolderLock.holding(folder.writerLock(), () -> {
+        return FolderLock.withLock(folder.writerLock(), () -> {
             StagingRecovery.run(folder, identity, Ledger.staged(settings, identity), volume);
             LedgerStart start = LedgerStart.of(folder, false);
             if (start.throughMs() == Long.MIN_VALUE) {
--- a/src/main/java/clovermill/ledger/StagingArea.java
+++ b/src/main/java/clovermill/ledger/StagingArea.java
@@ -95,9 +95,9 @@
         for (int page = 0; page < PAGES; page++) {
             int at = HEAD_BYTES + page * pageBytes;
             int end = at + pageBytes;
-            while (codec.isGood(in, at, end)) {
-                int size = FrameCodec.HEAD + FrameCodec.length(in, at);
-                frames.put(in.getLong(at + FrameCodec.HEAD), in.slice(at, size).order(FrameCodec.ORDER));
+            while (codec.isValid(in, at, end)) {
+                int size = FrameCodec.HEADER_BYTES + FrameCodec.length(in, at);
+                frames.put(in.getLong(at + FrameCodec.HEADER_BYTES), in.slice(at, size).order(FrameCodec.ORDER));
                 at += size;
             }
         }
@@ -107,7 +107,7 @@
     /** Adds an entry, never waiting; false if all pages are full. */
     boolean offer(Entry entry) {
         ByteBuffer payload = format.write(entry);
-        int size = FrameCodec.HEAD + payload.remaining();
+        int size = FrameCodec.HEADER_BYTES + payload.remaining();
         if (present != null && present.fill + size > present.bytes.capacity()) {
             full.add(present);
             present = null;
@@ -118,7 +118,7 @@
         if (present == null) {
             return false;
         }
-        present.fill = codec.put(present.bytes, present.fill, LogFormat.type(entry), payload);
+        present.fill = codec.encode(present.bytes, present.fill, LogFormat.type(entry), payload);
         return true;
     }
 
--- a/src/main/java/clovermill/ledger/books/TotalsStore.java
+++ b/src/main/java/clovermill/ledger/books/TotalsStore.java
@@ -80,10 +80,13 @@
         load();
     }
 
-    /** Opens a folder's books, as they were left; throws {@link FolderLock.Held} if somebody works on them. */
+    /**
+     * Opens the totals store of a folder; throws {@link FolderLock.AlreadyLockedException} if another process uses
+     * it.
+     */
     public static TotalsStore open(LedgerFolder folder) throws IOException {
         folder.identity();
-        FolderLock lock = FolderLock.take(folder.booksLock());
+        FolderLock lock = FolderLock.acquire(folder.booksLock());
         try {
             return new TotalsStore(folder, folder.books(), lock);
         } catch (IOException | RuntimeException failure) {
@@ -98,7 +101,7 @@
     /** Makes a folder's books again from the checkpoint, if there is one, and the log; keeps what was acknowledged. */
     public static Rebuilt rebuild(LedgerFolder folder, LongConsumer progress) throws IOException {
         folder.identity();
-        return FolderLock.holding(folder.booksLock(), () -> {
+        return FolderLock.withLock(folder.booksLock(), () -> {
             Path fresh = folder.path().resolve("books.mv.new");
             Files.deleteIfExists(fresh);
             if (Files.exists(folder.checkpoint())) {
--- a/src/main/java/clovermill/storage/FolderLock.java
+++ b/src/main/java/clovermill/storage/FolderLock.java
@@ -9,16 +9,19 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** Keeps a second process off a folder. The operating system frees it with the process, however that ends. */
+/**
+ * A lock file that keeps other processes from using a folder. The operating system releases the lock when the process
+ * exits, however it exits.
+ */
 public final class FolderLock implements AutoCloseable {
 
-    /** Somebody else works on the folder. */
-    public static final class Held extends IOException {
+    /** Thrown when another process, or another thread of this process, has the lock. */
+    public static final class AlreadyLockedException extends IOException {
 
         private static final long serialVersionUID = 1L;
 
-        Held(Path file, String holder) {
-            super(file + " is held by " + (holder.isBlank() ? "another process" : "process " + holder.strip()));
+        AlreadyLockedException(Path file, String owner) {
+            super(file + " is held by " + (owner.isBlank() ? "another process" : "process " + owner.strip()));
         }
     }
 
@@ -28,20 +31,21 @@
         this.channel = channel;
     }
 
-    /** Takes the lock by the name of {@code file}, or throws {@link Held} at once. */
-    public static FolderLock take(Path file) throws IOException {
+    /** Acquires the lock on {@code file}, or throws {@link AlreadyLockedException} at once. */
+    public static FolderLock acquire(Path file) throws IOException {
         FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ,
                 StandardOpenOption.WRITE);
         try {
-            FileLock lock = lock(channel);
+            FileLock lock = tryLock(channel);
             if (lock == null) {
-                ByteBuffer other = ByteBuffer.allocate(20);
-                channel.read(other, 0);
-                throw new Held(file, new String(other.array(), 0, other.position(), StandardCharsets.US_ASCII));
+                ByteBuffer owner = ByteBuffer.allocate(20);
+                channel.read(owner, 0);
+                throw new AlreadyLockedException(file,
+                        new String(owner.array(), 0, owner.position(), StandardCharsets.US_ASCII));
             }
             channel.truncate(0);
-            String holder = ProcessHandle.current().pid() + "\n";
-            channel.write(ByteBuffer.wrap(holder.getBytes(StandardCharsets.US_ASCII)), 0);
+            String processId = ProcessHandle.current().pid() + "\n";
+            channel.write(ByteBuffer.wrap(processId.getBytes(StandardCharsets.US_ASCII)), 0);
             return new FolderLock(channel);
         } catch (IOException failure) {
             channel.close();
@@ -49,27 +53,27 @@
         }
     }
 
-    /** What is done under a lock. */
-    public interface Work<T> {
+    /** An action that is run while the lock is owned. */
+    public interface Action<T> {
 
-        /** Does it. */
+        /** Runs the action and returns its result. */
         T run() throws IOException;
     }
 
-    /** Does something while holding a lock. */
-    public static <T> T holding(Path file, Work<T> work) throws IOException {
-        FolderLock lock = take(file);
+    /** Acquires the lock on {@code file}, runs the action and releases the lock. */
+    public static <T> T withLock(Path file, Action<T> action) throws IOException {
+        FolderLock lock = acquire(file);
         try {
-            return work.run();
+            return action.run();
         } finally {
             lock.close();
         }
     }
 
-    private static FileLock lock(FileChannel channel) throws IOException {
+    private static FileLock tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock();
-        } catch (OverlappingFileLockException mine) {
+        } catch (OverlappingFileLockException lockedByThisProcess) {
             return null;
         }
     }
--- a/src/main/java/clovermill/storage/FrameCodec.java
+++ b/src/main/java/clovermill/storage/FrameCodec.java
@@ -5,7 +5,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * One frame of bytes that can be checked, little-endian:
+ * Encodes and checks one frame, little-endian:
  *
  * <pre>
  * crc:4  length:2  type:1  payload        crc is CRC32C (RFC 3720) of all that follows it in the frame
@@ -15,48 +15,52 @@
  */
 public final class FrameCodec {
 
-    /** The order of all numbers. */
+    /** The byte order of all numbers. */
     public static final ByteOrder ORDER = ByteOrder.LITTLE_ENDIAN;
-    /** Bytes before the payload. */
-    public static final int HEAD = 7;
+    /** The number of bytes before the payload. */
+    public static final int HEADER_BYTES = 7;
 
     private final CRC32C crc = new CRC32C();
 
-    /** Puts a frame at a place of a buffer that has room for it; returns the place behind it. */
-    public int put(ByteBuffer into, int at, int type, ByteBuffer payload) {
+    /** Writes a frame at an offset of a buffer, which must have enough space. Returns the offset after the frame. */
+    public int encode(ByteBuffer target, int offset, int type, ByteBuffer payload) {
         int length = payload.remaining();
-        into.putShort(at + 4, (short) length).put(at + 6, (byte) type);
-        into.put(at + HEAD, payload, payload.position(), length);
+        target.putShort(offset + 4, (short) length).put(offset + 6, (byte) type);
+        target.put(offset + HEADER_BYTES, payload, payload.position(), length);
         crc.reset();
         crc.update(length & 255);
         crc.update(length >> 8);
         crc.update(type);
         crc.update(payload.array(), payload.arrayOffset() + payload.position(), length);
-        into.putInt(at, (int) crc.getValue());
-        return at + HEAD + length;
+        target.putInt(offset, (int) crc.getValue());
+        return offset + HEADER_BYTES + length;
     }
 
-    /** Whether a good frame stands at a place and ends by {@code limit}; a type of 0 is none. */
-    public boolean isGood(ByteBuffer in, int at, int limit) {
-        if (limit - at < HEAD || length(in, at) > limit - at - HEAD || in.get(at + 6) == 0) {
+    /**
+     * Returns whether a frame with a correct checksum starts at an offset and ends by {@code limit}; type 0 is
+     * invalid.
+     */
+    public boolean isValid(ByteBuffer source, int offset, int limit) {
+        if (limit - offset < HEADER_BYTES || length(source, offset) > limit - offset - HEADER_BYTES
+                || source.get(offset + 6) == 0) {
             return false;
         }
         crc.reset();
-        if (in.hasArray()) {
-            crc.update(in.array(), in.arrayOffset() + at + 4, HEAD - 4 + length(in, at));
+        if (source.hasArray()) {
+            crc.update(source.array(), source.arrayOffset() + offset + 4, HEADER_BYTES - 4 + length(source, offset));
         } else {
-            crc.update(in.slice(at + 4, HEAD - 4 + length(in, at)));
+            crc.update(source.slice(offset + 4, HEADER_BYTES - 4 + length(source, offset)));
         }
-        return (int) crc.getValue() == in.getInt(at);
+        return (int) crc.getValue() == source.getInt(offset);
     }
 
-    /** The length of the payload of a frame. */
-    public static int length(ByteBuffer in, int at) {
-        return in.getShort(at + 4) & 0xffff;
+    /** Returns the payload length of the frame at an offset. */
+    public static int length(ByteBuffer source, int offset) {
+        return source.getShort(offset + 4) & 0xffff;
     }
 
-    /** The type of a frame. */
-    public static int type(ByteBuffer in, int at) {
-        return in.get(at + 6) & 255;
+    /** Returns the type of the frame at an offset. */
+    public static int type(ByteBuffer source, int offset) {
+        return source.get(offset + 6) & 255;
     }
 }
--- a/src/main/java/clovermill/storage/SegmentReader.java
+++ b/src/main/java/clovermill/storage/SegmentReader.java
@@ -8,95 +8,102 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Reads the frames of one segment. A frame that fails its check is told and passed over: by its length, if a
- * good frame follows there, and else up to the next block. What fails up to the end of the file is its torn
- * tail; it may still be being written.
+ * Reads the frames of one segment. A frame with a wrong checksum is reported as damaged and skipped: by its length if
+ * a valid frame follows there, otherwise up to the next block. Invalid bytes up to the end of the file are its torn
+ * tail, which a writer may still be extending.
  */
 public final class SegmentReader {
 
-    /** Told of everything in the order of the file. */
+    /** Receives the content of a segment in file order. */
     public interface Visitor {
 
-        /** A good frame; {@code payload} is valid only during the call. Returns false to stop. */
+        /** Handles a valid frame; {@code payload} is valid only during the call. Returns false to stop reading. */
         boolean frame(int type, ByteBuffer payload) throws IOException;
 
-        /** Bytes in the middle of the file that hold no good frame. */
+        /** Handles a range in the middle of the file that contains no valid frame. */
         void damaged(long from, long to);
     }
 
-    /** Where reading ended: behind the last good frame, and how long the file was then. */
-    public record End(long good, long size) {
+    /** The result of a read: the offset after the last valid frame, and the size of the file at that time. */
+    public record ReadResult(long validEnd, long size) {
 
-        /** Bytes after the last good frame. */
-        public long torn() {
-            return size - good;
+        /** Returns the number of bytes after the last valid frame. */
+        public long tornBytes() {
+            return size - validEnd;
         }
     }
 
-    /** A file of another form, or of a later version. */
-    public static final class Foreign extends IOException {
+    /** Thrown for a file of another format or of a later version. */
+    public static final class UnknownFormatException extends IOException {
 
         private static final long serialVersionUID = 1L;
 
-        Foreign(Path file, String found) {
-            super(file + " is no segment of a form known here: it starts with '" + found + "'");
+        UnknownFormatException(Path file, String found) {
+            super(file + " is not a segment of a known format: it starts with '" + found + "'");
         }
     }
 
-    private static final int BLOCKS_AT_ONCE = 32;
+    private static final int WINDOW_BLOCKS = 32;
 
     private final FrameCodec codec = new FrameCodec();
-    private final byte[] window = new byte[BLOCKS_AT_ONCE * Frames.BLOCK];
+    private final byte[] window = new byte[WINDOW_BLOCKS * SegmentLayout.BLOCK_BYTES];
     private final ByteBuffer view = ByteBuffer.wrap(window).order(FrameCodec.ORDER);
-    /** Behind the last good frame, and behind the last byte that is a good frame or padding. */
-    private long good;
-    private long accounted;
+    /** The offset after the last valid frame, and after the last byte that belongs to a valid frame or is padding. */
+    private long validEnd;
+    private long classifiedEnd;
     private final ByteBuffer payload = ByteBuffer.wrap(window).order(FrameCodec.ORDER);
 
-    /** Reads from {@code from}, the start of a frame as an earlier {@link End#good} told it, or 0. */
-    public End read(Path file, String magic, long from, Visitor visitor) throws IOException {
+    /**
+     * Reads from {@code from}, which is 0 or the start of a frame as returned by an earlier {@link
+     * ReadResult#validEnd}.
+     */
+    public ReadResult read(Path file, String magic, long from, Visitor visitor) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
             if (from == 0 && !startsWith(channel, magic, file)) {
-                return new End(0, channel.size());
+                return new ReadResult(0, channel.size());
             }
-            good = Math.max(from, Frames.MAGIC);
-            accounted = good;
-            long at = good;
+            validEnd = Math.max(from, SegmentLayout.MAGIC_BYTES);
+            classifiedEnd = validEnd;
+            long offset = validEnd;
             while (true) {
-                long base = at - at % Frames.BLOCK;
-                int count = fill(channel, base);
-                boolean stopped = scan(base, (int) (at - base), count, visitor);
-                if (stopped || count < window.length) {
-                    return new End(good, base + count);
+                long windowStart = offset - offset % SegmentLayout.BLOCK_BYTES;
+                int bytesRead = fillWindow(channel, windowStart);
+                boolean stopped = scan(windowStart, (int) (offset - windowStart), bytesRead, visitor);
+                if (stopped || bytesRead < window.length) {
+                    return new ReadResult(validEnd, windowStart + bytesRead);
                 }
-                at = base + window.length;
+                offset = windowStart + window.length;
             }
         }
     }
 
-    /** Goes through what the window holds: whole blocks but for the last of the file. True if told to stop. */
-    private boolean scan(long base, int start, int count, Visitor visitor) throws IOException {
-        int at = start;
-        while (at < count) {
-            int nextBlock = at - at % Frames.BLOCK + Frames.BLOCK;
-            int blockEnd = Math.min(count, nextBlock);
-            if (!isGood(at, blockEnd)) {
-                if (accounted == base + at && isZero(at, blockEnd)) {
-                    accounted = base + blockEnd;
+    /**
+     * Scans the window, which contains whole blocks except for the last of the file. Returns true if the visitor
+     * stopped.
+     */
+    private boolean scan(long windowStart, int startOffset, int bytesRead, Visitor visitor) throws IOException {
+        int offset = startOffset;
+        while (offset < bytesRead) {
+            int nextBlockStart = offset - offset % SegmentLayout.BLOCK_BYTES + SegmentLayout.BLOCK_BYTES;
+            int blockEnd = Math.min(bytesRead, nextBlockStart);
+            if (!isValid(offset, blockEnd)) {
+                if (classifiedEnd == windowStart + offset && isZero(offset, blockEnd)) {
+                    classifiedEnd = windowStart + blockEnd;
                 }
-                int next = blockEnd - at < Frames.HEAD ? blockEnd : at + Frames.HEAD + length(at);
-                at = next > at + Frames.HEAD && isGood(next, blockEnd) ? next : nextBlock;
+                int next = blockEnd - offset < SegmentLayout.HEADER_BYTES ? blockEnd
+                        : offset + SegmentLayout.HEADER_BYTES + length(offset);
+                offset = next > offset + SegmentLayout.HEADER_BYTES && isValid(next, blockEnd) ? next : nextBlockStart;
                 continue;
             }
-            if (accounted < base + at) {
-                visitor.damaged(accounted, base + at);
+            if (classifiedEnd < windowStart + offset) {
+                visitor.damaged(classifiedEnd, windowStart + offset);
             }
-            int length = length(at);
-            payload.limit(at + Frames.HEAD + length).position(at + Frames.HEAD);
-            int type = FrameCodec.type(view, at);
-            at += Frames.HEAD + length;
-            good = base + at;
-            accounted = good;
+            int length = length(offset);
+            payload.limit(offset + SegmentLayout.HEADER_BYTES + length).position(offset + SegmentLayout.HEADER_BYTES);
+            int type = FrameCodec.type(view, offset);
+            offset += SegmentLayout.HEADER_BYTES + length;
+            validEnd = windowStart + offset;
+            classifiedEnd = validEnd;
             if (!visitor.frame(type, payload)) {
                 return true;
             }
@@ -113,34 +120,34 @@
         return true;
     }
 
-    private int length(int at) {
-        return FrameCodec.length(view, at);
+    private int length(int offset) {
+        return FrameCodec.length(view, offset);
     }
 
-    private boolean isGood(int at, int blockEnd) {
-        return codec.isGood(view, at, blockEnd);
+    private boolean isValid(int offset, int blockEnd) {
+        return codec.isValid(view, offset, blockEnd);
     }
 
-    private int fill(FileChannel channel, long base) throws IOException {
+    private int fillWindow(FileChannel channel, long windowStart) throws IOException {
         ByteBuffer into = ByteBuffer.wrap(window);
-        while (into.hasRemaining() && channel.read(into, base + into.position()) > 0) {
-            // goes on until the window is full or the file ends
+        while (into.hasRemaining() && channel.read(into, windowStart + into.position()) > 0) {
+            // repeat until the window is full or the file ends
         }
         return into.position();
     }
 
-    /** False for a file that is shorter than its magic: a crash came right after it was created. */
+    /** Returns false for a file shorter than its magic, which a crash right after its creation leaves. */
     private static boolean startsWith(FileChannel channel, String magic, Path file) throws IOException {
-        ByteBuffer start = ByteBuffer.allocate(Frames.MAGIC);
+        ByteBuffer start = ByteBuffer.allocate(SegmentLayout.MAGIC_BYTES);
         while (start.hasRemaining() && channel.read(start, start.position()) > 0) {
-            // until it is whole or the file ends
+            // repeat until the magic is complete or the file ends
         }
         if (start.hasRemaining()) {
             return false;
         }
         String found = new String(start.array(), StandardCharsets.ISO_8859_1);
         if (!found.equals(magic)) {
-            throw new Foreign(file, found.replaceAll("[^ -~]", "?"));
+            throw new UnknownFormatException(file, found.replaceAll("[^ -~]", "?"));
         }
         return true;
     }
--- a/src/main/java/clovermill/storage/SegmentWriter.java
+++ b/src/main/java/clovermill/storage/SegmentWriter.java
@@ -7,91 +7,91 @@
 import java.util.Arrays;
 
 /**
- * Writes one segment of checked frames; see {@link SegmentReader} for the form. Frames are gathered until
- * {@link #flush}. After an exception the segment takes no more: what of the last frames stands in it is unknown,
- * and the reader finds out. Not thread-safe.
+ * Writes one segment of frames with checksums; {@link SegmentReader} reads it. Frames are buffered until {@link
+ * #flush}. After an exception the segment accepts no more frames: how much of the last ones was written is unknown
+ * until it is read. Not thread-safe.
  */
 public final class SegmentWriter implements AutoCloseable {
 
-    private static final int GATHERED = 8 * Frames.BLOCK;
+    private static final int BUFFER_BYTES = 8 * SegmentLayout.BLOCK_BYTES;
 
     private final Volume.Output output;
     private final FrameCodec codec = new FrameCodec();
-    private final byte[] gathered = new byte[GATHERED];
-    private final ByteBuffer view = ByteBuffer.wrap(gathered).order(FrameCodec.ORDER);
-    private int fill;
+    private final byte[] buffer = new byte[BUFFER_BYTES];
+    private final ByteBuffer view = ByteBuffer.wrap(buffer).order(FrameCodec.ORDER);
+    private int buffered;
     private long flushed;
 
-    /** Creates the file; {@code magic} (8 letters) names its form and version. */
+    /** Creates the file; {@code magic} (8 characters) identifies its format and version. */
     public SegmentWriter(Volume volume, Path file, String magic) throws IOException {
         output = volume.create(file);
-        byte[] letters = magic.getBytes(StandardCharsets.US_ASCII);
-        if (letters.length != Frames.MAGIC) {
-            throw new IllegalArgumentException("a magic has " + Frames.MAGIC + " letters");
+        byte[] magicBytes = magic.getBytes(StandardCharsets.US_ASCII);
+        if (magicBytes.length != SegmentLayout.MAGIC_BYTES) {
+            throw new IllegalArgumentException("magic must have " + SegmentLayout.MAGIC_BYTES + " bytes");
         }
-        System.arraycopy(letters, 0, gathered, 0, letters.length);
-        fill = letters.length;
+        System.arraycopy(magicBytes, 0, buffer, 0, magicBytes.length);
+        buffered = magicBytes.length;
     }
 
-    /** Adds a frame with the bytes that the payload has left, at most {@link #longest()}. */
+    /** Adds a frame with the remaining bytes of the payload, at most {@link #maxPayloadBytes()}. */
     public void add(int type, ByteBuffer payload) throws IOException {
         int length = payload.remaining();
-        if (length > Frames.LONGEST || type <= 0 || type > 255) {
-            throw new IllegalArgumentException("a frame of type " + type + " with " + length + " bytes");
+        if (length > SegmentLayout.MAX_PAYLOAD_BYTES || type <= 0 || type > 255) {
+            throw new IllegalArgumentException("invalid frame: type " + type + ", " + length + " bytes");
         }
-        place(Frames.HEAD + length);
-        fill = codec.put(view, fill, type, payload);
+        reserve(SegmentLayout.HEADER_BYTES + length);
+        buffered = codec.encode(view, buffered, type, payload);
     }
 
-    /** Adds a frame that was made by a {@link FrameCodec}, as it stands at a place of another buffer. */
-    public void addFrame(ByteBuffer from, int at) throws IOException {
-        int size = Frames.HEAD + FrameCodec.length(from, at);
-        place(size);
-        from.get(at, gathered, fill, size);
-        fill += size;
+    /** Adds a frame that a {@link FrameCodec} encoded at an offset of another buffer. */
+    public void addFrame(ByteBuffer from, int offset) throws IOException {
+        int size = SegmentLayout.HEADER_BYTES + FrameCodec.length(from, offset);
+        reserve(size);
+        from.get(offset, buffer, buffered, size);
+        buffered += size;
     }
 
-    /** Sees to it that a frame of such a size may stand at the present place. */
-    private void place(int size) throws IOException {
-        int space = Frames.BLOCK - (int) ((flushed + fill) % Frames.BLOCK);
+    /** Pads the block and flushes the buffer as needed for a frame of {@code size} bytes. */
+    private void reserve(int size) throws IOException {
+        int space = SegmentLayout.BLOCK_BYTES - (int) ((flushed + buffered) % SegmentLayout.BLOCK_BYTES);
         if (space < size) {
-            if (fill + space > GATHERED) {
+            if (buffered + space > BUFFER_BYTES) {
                 flush();
             }
-            Arrays.fill(gathered, fill, fill + space, (byte) 0);
-            fill += space;
+            Arrays.fill(buffer, buffered, buffered + space, (byte) 0);
+            buffered += space;
         }
-        if (fill + size > GATHERED) {
+        if (buffered + size > BUFFER_BYTES) {
             flush();
         }
     }
 
-    /** The longest payload that a frame takes. */
-    public static int longest() {
-        return Frames.LONGEST;
+    /** Returns the maximum payload length of a frame. */
+    public static int maxPayloadBytes() {
+        return SegmentLayout.MAX_PAYLOAD_BYTES;
     }
 
-    /** Hands what was gathered to the operating system; it survives the end of the process from then on. */
+    /** Writes the buffered frames to the operating system; from then on they survive the end of the process. */
     public void flush() throws IOException {
-        if (fill > 0) {
+        if (buffered > 0) {
             CrashPoint.reached("segment.before-write");
-            output.write(ByteBuffer.wrap(gathered, 0, fill));
-            flushed += fill;
-            fill = 0;
+            output.write(ByteBuffer.wrap(buffer, 0, buffered));
+            flushed += buffered;
+            buffered = 0;
             CrashPoint.reached("segment.after-write");
         }
     }
 
-    /** Flushes, and returns when all would survive the loss of power. */
+    /** Flushes, and returns when all frames would survive a power failure. */
     public void force() throws IOException {
         flush();
         output.force();
         CrashPoint.reached("segment.after-sync");
     }
 
-    /** Bytes of the segment so far. */
+    /** Returns the size of the segment so far, in bytes. */
     public long size() {
-        return flushed + fill;
+        return flushed + buffered;
     }
 
     /** Closes without a flush. */
--- a/src/main/java/clovermill/storage/Volume.java
+++ b/src/main/java/clovermill/storage/Volume.java
@@ -8,46 +8,46 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** The operations on files that must last. A fault is an exception, also for a write that stops short. */
+/** File operations with durability guarantees. Every fault is an exception, including a write that stops short. */
 public interface Volume {
 
-    /** A file that is written from its start to its end. Not thread-safe. */
+    /** A file that is written sequentially. Not thread-safe. */
     interface Output extends AutoCloseable {
 
-        /** Writes all of the bytes, or throws with an unknown part of them written. */
+        /** Writes all of the bytes; after an exception an unknown part of them is written. */
         void write(ByteBuffer bytes) throws IOException;
 
-        /** Returns when all that was written would survive the loss of power. */
+        /** Returns when all that was written would survive a power failure. */
         void force() throws IOException;
 
-        /** Cuts the file back to so many bytes and goes on from there. */
+        /** Truncates the file to {@code size} bytes; the next write appends there. */
         void truncate(long size) throws IOException;
 
         @Override
         void close() throws IOException;
     }
 
-    /** Creates a file that must not exist yet; its name lasts when this returns. */
+    /** Creates a file that must not exist yet; its directory entry is durable when this returns. */
     Output create(Path file) throws IOException;
 
-    /** Puts a file in the place of another, whole or not at all; it lasts when this returns. */
+    /** Replaces or creates a file atomically; the change is durable when this returns. */
     void replace(Path file, byte[] content) throws IOException;
 
     /**
-     * Gives a whole file of this volume the place of another in the same folder, or leaves both; the name lasts when
-     * this returns. After a failure either file may stand there: the caller writes anew.
+     * Atomically renames a file within its folder, replacing an existing one; the change is durable when this
+     * returns. After a failure either file may have the name {@code to}: the caller writes again.
      */
     void rename(Path from, Path to) throws IOException;
 
-    /** Takes a file away for good. */
+    /** Deletes a file durably. */
     void delete(Path file) throws IOException;
 
-    /** The disk of this machine. */
+    /** Returns the volume of the local file system. */
     static Volume local() {
         return new LocalVolume();
     }
 
-    /** Writes in pieces: the JVM copies each by way of direct memory, of which a director has little. */
+    /** Writes in pieces: the JVM copies each through direct memory, of which a director has little. */
     private static void writeAll(FileChannel channel, ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
             ByteBuffer piece = bytes.slice(bytes.position(), Math.min(bytes.remaining(), 1 << 16));
@@ -55,35 +55,35 @@
         }
     }
 
-    /** Files by way of NIO. */
+    /** The local file system, through NIO. */
     final class LocalVolume implements Volume {
 
-        /** Makes the names in a folder last. */
+        /** Makes the directory entries of a folder durable. */
         @FunctionalInterface
         interface FolderSync {
             void sync(Path folder) throws IOException;
         }
 
-        private final FolderSync folders;
+        private final FolderSync folderSync;
 
         LocalVolume() {
             this(LocalVolume::syncFolder);
         }
 
-        /** {@code folders} stands in for the sync of a folder, so that a test can have it fail. */
-        LocalVolume(FolderSync folders) {
-            this.folders = folders;
+        /** {@code folderSync} replaces the sync of a folder, so that a test can make it fail. */
+        LocalVolume(FolderSync folderSync) {
+            this.folderSync = folderSync;
         }
 
         @Override
         public Output create(Path file) throws IOException {
             FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
             try {
-                syncName(file);
+                syncParentFolder(file);
             } catch (IOException failure) {
-                // The next try must find neither the file in its way nor its descriptor open.
-                alsoTry(failure, channel::close);
-                alsoTry(failure, () -> Files.deleteIfExists(file));
+                // The next attempt must find neither a leftover file nor an open descriptor.
+                runSuppressing(failure, channel::close);
+                runSuppressing(failure, () -> Files.deleteIfExists(file));
                 throw failure;
             }
             return new LocalOutput(channel);
@@ -91,23 +91,23 @@
 
         @Override
         public void replace(Path file, byte[] content) throws IOException {
-            Path fresh = file.resolveSibling(file.getFileName() + ".new");
+            Path temporary = file.resolveSibling(file.getFileName() + ".new");
             try {
-                write(fresh, content);
+                write(temporary, content);
                 CrashPoint.reached("store.replace.before-rename");
-                Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
+                Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
             } catch (IOException failure) {
-                // A half file takes room on a disk that may be full; pages of a failed sync are not written over.
-                alsoTry(failure, () -> Files.deleteIfExists(fresh));
+                // A partial file takes space on a disk that may be full; pages of a failed sync are not written over.
+                runSuppressing(failure, () -> Files.deleteIfExists(temporary));
                 throw failure;
             }
             CrashPoint.reached("store.replace.after-rename");
-            syncName(file);
+            syncParentFolder(file);
         }
 
-        private static void write(Path fresh, byte[] content) throws IOException {
-            Files.deleteIfExists(fresh);
-            try (FileChannel channel = FileChannel.open(fresh, StandardOpenOption.CREATE_NEW,
+        private static void write(Path temporary, byte[] content) throws IOException {
+            Files.deleteIfExists(temporary);
+            try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.CREATE_NEW,
                     StandardOpenOption.WRITE)) {
                 writeAll(channel, ByteBuffer.wrap(content));
                 CrashPoint.reached("store.replace.before-sync");
@@ -118,31 +118,31 @@
         @Override
         public void rename(Path from, Path to) throws IOException {
             Files.move(from, to, StandardCopyOption.ATOMIC_MOVE);
-            syncName(to);
+            syncParentFolder(to);
         }
 
         @Override
         public void delete(Path file) throws IOException {
             Files.deleteIfExists(file);
-            syncName(file);
+            syncParentFolder(file);
         }
 
-        /** What is done after a failure; its own failure is told with the first. */
-        private interface Step {
+        /** A cleanup step after a failure; an exception of its own is added to the first as suppressed. */
+        private interface CleanupStep {
             void run() throws IOException;
         }
 
-        private static void alsoTry(IOException first, Step step) {
+        private static void runSuppressing(IOException first, CleanupStep cleanup) {
             try {
-                step.run();
-            } catch (IOException second) {
-                first.addSuppressed(second);
+                cleanup.run();
+            } catch (IOException cleanupFailure) {
+                first.addSuppressed(cleanupFailure);
             }
         }
 
-        /** A name in a folder lasts only when the folder itself has been synced. */
-        private void syncName(Path file) throws IOException {
-            folders.sync(file.toAbsolutePath().getParent());
+        /** Syncs the parent folder: a directory entry is durable only when the folder itself has been synced. */
+        private void syncParentFolder(Path file) throws IOException {
+            folderSync.sync(file.toAbsolutePath().getParent());
         }
 
         private static void syncFolder(Path folder) throws IOException {
@@ -152,7 +152,7 @@
         }
     }
 
-    /** A file by way of NIO. */
+    /** A local file, through NIO. */
     final class LocalOutput implements Output {
 
         private final FileChannel channel;
--- a/src/main/java/clovermill/storage/package-info.java
+++ b/src/main/java/clovermill/storage/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Durable files for the subsystems: an append-only segment of checked frames, files that are replaced whole, a
- * lock on a folder, and named crash points. Nothing here knows what is stored. {@link clovermill.storage.Volume}
- * is the one way to the disk, so that tests can put a full disk, a short write or a slow fsync in its place.
- * Everything blocks: it is for owned threads and commands, never for the loop.
+ * Durable files: append-only segments of frames with checksums, files that are replaced atomically, a lock on a
+ * folder, and named crash points. This package does not know what is stored. {@link clovermill.storage.Volume} is the
+ * only access to the disk, so that tests can substitute a full disk, a short write or a slow fsync. All operations
+ * block: they are for dedicated threads and commands, never for the event loop.
  */
 package clovermill.storage;
--- a/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
@@ -120,8 +120,8 @@
     }
 
     private void fail(int which, boolean full, boolean fails) {
-        volumes.get(which).room = full && fails ? 10 : Long.MAX_VALUE;
-        volumes.get(which).syncFails = !full && fails;
+        volumes.get(which).freeBytes = full && fails ? 10 : Long.MAX_VALUE;
+        volumes.get(which).failSyncs = !full && fails;
     }
 
     private void assertInForceEverywhere(PolicyDocument policy) {
--- a/src/test/java/clovermill/controlplane/policystore/FileRaftStorageTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FileRaftStorageTest.java
@@ -104,7 +104,7 @@
         FaultyVolume volume = new FaultyVolume();
         FileRaftStorage disk = written(opened(volume));
         byte[] before = Files.readAllBytes(folder.resolve("votes"));
-        volume.syncsThatFail = 1;
+        volume.remainingSyncFailures = 1;
         assertThatThrownBy(() -> vote(disk, 4)).isInstanceOf(UncheckedIOException.class);
         assertThat(disk.failed()).isTrue();
         assertThatThrownBy(disk::flush).hasMessageContaining("takes nothing more");
@@ -125,8 +125,8 @@
     void givenADiskThatStaysFailedThenWhatWasWrittenBeforeIsRestored(boolean full) throws IOException {
         FaultyVolume volume = new FaultyVolume();
         FileRaftStorage disk = written(opened(volume));
-        volume.room = full ? 20 : Long.MAX_VALUE;
-        volume.syncFails = !full;
+        volume.freeBytes = full ? 20 : Long.MAX_VALUE;
+        volume.failSyncs = !full;
         assertThatThrownBy(() -> vote(disk, 4)).isInstanceOf(UncheckedIOException.class);
         for (int tries = 0; tries < 3; tries++) {
             assertThat(disk.recover()).isFalse();
@@ -138,8 +138,8 @@
         assertThat(next.restored().getTermPersistentState().getTerm()).isBetween(3, 4);
         assertThat(next.restored().getLogEntries()).hasSize(38);
         next.close();
-        volume.room = Long.MAX_VALUE;
-        volume.syncFails = false;
+        volume.freeBytes = Long.MAX_VALUE;
+        volume.failSyncs = false;
         assertThat(disk.recover()).isTrue();
         assertThat(disk.restored().getTermPersistentState().getTerm()).isEqualTo(4);
         disk.close();
@@ -149,10 +149,10 @@
     void givenAFailedClearWhenTheDiskRecoversThenItIsCleared() throws IOException {
         FaultyVolume volume = new FaultyVolume();
         FileRaftStorage disk = written(opened(volume));
-        volume.syncFails = true;
+        volume.failSyncs = true;
         assertThatThrownBy(disk::clear).isInstanceOf(UncheckedIOException.class);
         assertThat(disk.failed()).isTrue();
-        volume.syncFails = false;
+        volume.failSyncs = false;
         assertThat(disk.recover()).isTrue();
         disk.close();
         assertThat(opened().restored()).isNull();
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -146,11 +146,11 @@
     @Test
     void whatIsNotTakenByAFullQueueIsAGapThatIsExact() throws Exception {
         Ledger ledger = open(settings(16, List.of()));
-        disk.room = 0;
+        disk.freeBytes = 0;
         for (int i = 0; i < 3000; i++) {
             use(ledger, 10);
         }
-        disk.room = Long.MAX_VALUE;
+        disk.freeBytes = Long.MAX_VALUE;
         for (int i = 0; i < 30; i++) {
             pass(1000);
         }
@@ -176,7 +176,7 @@
         log.addHandler(handler);
         try {
             Ledger ledger = open(settings(16, List.of(), 50));
-            disk.room = 0;
+            disk.freeBytes = 0;
             for (int i = 0; i < 3000; i++) {
                 use(ledger, 10);
             }
@@ -184,7 +184,7 @@
         } finally {
             log.removeHandler(handler);
         }
-        disk.room = Long.MAX_VALUE;
+        disk.freeBytes = Long.MAX_VALUE;
         open().close();
         long kept = sum().get(Totals.Sum.REQUESTS);
         assertThat(kept).isBetween(100L, 2999L);
@@ -198,13 +198,13 @@
     void aDiskThatFillsUpInTheMiddleOfARecordLosesNothing() throws Exception {
         Ledger ledger = open();
         for (int round = 0; round < 5; round++) {
-            disk.room = 200 + 37L * round;
+            disk.freeBytes = 200 + 37L * round;
             for (int i = 0; i < 50; i++) {
                 use(ledger, 10);
             }
             pass(5);
-            until(() -> disk.room < 100);
-            disk.room = Long.MAX_VALUE;
+            until(() -> disk.freeBytes < 100);
+            disk.freeBytes = Long.MAX_VALUE;
         }
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(2500);
@@ -213,13 +213,13 @@
     @Test
     void aSyncThatFailsHasEverythingSinceTheLastWrittenAgain() throws Exception {
         Ledger ledger = open();
-        disk.syncFails = true;
+        disk.failSyncs = true;
         for (int i = 0; i < 100; i++) {
             use(ledger, 10);
         }
         pass(5);
         int before = disk.syncs;
-        disk.syncFails = false;
+        disk.failSyncs = false;
         until(() -> disk.syncs > before);
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(1000);
@@ -227,14 +227,14 @@
 
     /** Has more than a block of records written between two syncs; of these the second fails, and has lost a page. */
     private void loseAPage(Ledger ledger) {
-        disk.room = 100;
+        disk.freeBytes = 100;
         for (int i = 0; i < 2000; i++) {
             use(ledger, 10);
         }
-        until(() -> disk.room == 0);
-        disk.losesAtBytes = 40_000;
-        disk.room = Long.MAX_VALUE;
-        until(() -> disk.losesAtBytes == Long.MAX_VALUE);
+        until(() -> disk.freeBytes == 0);
+        disk.loseAfterUnsyncedBytes = 40_000;
+        disk.freeBytes = Long.MAX_VALUE;
+        until(() -> disk.loseAfterUnsyncedBytes == Long.MAX_VALUE);
     }
 
     /** What stands behind a page that a failed sync has lost must not hide the records that are written again. */
@@ -254,15 +254,15 @@
     @Test
     void aProcessThatIsKilledAfterAFailedSyncHadLostAPageLosesNothing() throws Exception {
         Ledger ledger = open();
-        disk.syncFailsAfterLoss = true;
+        disk.failSyncsAfterLoss = true;
         loseAPage(ledger);
         Path stage = folder.resolve("clovermill-" + ledgerFolder().identity().folder() + ".stage");
         Path killed = folder.resolve("killed");
-        disk.atOneMoment(() -> { // the writer goes on creating and deleting segments
+        disk.runExclusively(() -> { // the writer goes on creating and deleting segments
             copy(folder.resolve("l"), killed);
             Files.copy(stage, folder.resolve("kept"));
         });
-        disk.syncFails = false;
+        disk.failSyncs = false;
         ledger.close();
         LedgerFolder after = new LedgerFolder(killed);
         Files.copy(folder.resolve("kept"), stage);
@@ -274,19 +274,19 @@
     @Test
     void aProcessThatIsKilledAtAnyStepAfterAFailedSyncLosesNothing() throws Exception {
         Ledger ledger = open();
-        disk.syncFailsAfterLoss = true;
+        disk.failSyncsAfterLoss = true;
         Path stage = folder.resolve("clovermill-" + ledgerFolder().identity().folder() + ".stage");
         AtomicInteger steps = new AtomicInteger();
-        disk.beforeEach = () -> {
-            if (disk.losesAtBytes == Long.MAX_VALUE && disk.syncFails && steps.get() < KILLED_STEPS) {
+        disk.beforeOperation = () -> {
+            if (disk.loseAfterUnsyncedBytes == Long.MAX_VALUE && disk.failSyncs && steps.get() < KILLED_STEPS) {
                 copyKilled(stage, steps.get());
                 steps.incrementAndGet();
             }
         };
         loseAPage(ledger);
         until(() -> steps.get() == KILLED_STEPS);
-        disk.beforeEach = () -> {};
-        disk.syncFails = false;
+        disk.beforeOperation = () -> {};
+        disk.failSyncs = false;
         ledger.close();
         for (int step = 0; step < KILLED_STEPS; step++) {
             LedgerFolder after = new LedgerFolder(folder.resolve("killed" + step));
@@ -320,12 +320,12 @@
         Files.copy(folder.resolve("kept"), stage);
         LedgerFolder after = new LedgerFolder(killed);
         int segments = after.segments().size();
-        disk.syncFails = true;
+        disk.failSyncs = true;
         assertThatThrownBy(() -> StagingRecovery.run(after, after.identity(), stage, disk))
                 .hasMessage("Input/output error");
         assertThat(stage).exists();
         assertThat(after.segments()).hasSize(segments);
-        disk.syncFails = false;
+        disk.failSyncs = false;
         StagingRecovery.run(after, after.identity(), stage, disk);
         assertThat(stage).doesNotExist();
         assertThat(sum(after).get(Totals.Sum.BYTES)).isEqualTo(300);
@@ -352,14 +352,14 @@
     void aTenantThatMustBeWrittenDownIsTurnedAwayWhileTheDiskIsFull() throws Exception {
         Ledger ledger = open(settings(16, List.of("b")));
         assertThat(ledger.retryAfterMs(ask(1))).isEqualTo(UsageListener.ADMITTED);
-        disk.room = 0;
+        disk.freeBytes = 0;
         for (int i = 0; i < 200; i++) {
             use(ledger, 10);
             pass(5);
         }
         assertThat(ledger.retryAfterMs(ask(1))).isEqualTo(1);
         assertThat(ledger.retryAfterMs(ask(0))).isEqualTo(UsageListener.ADMITTED);
-        disk.room = Long.MAX_VALUE;
+        disk.freeBytes = Long.MAX_VALUE;
         until(() -> {
             pass(1000);
             return ledger.retryAfterMs(ask(1)) == UsageListener.ADMITTED;
@@ -428,7 +428,7 @@
     @Test
     void anotherInstanceOrASecondProcessIsKeptOff() throws Exception {
         Ledger ledger = open();
-        assertThatThrownBy(this::open).isInstanceOf(FolderLock.Held.class);
+        assertThatThrownBy(this::open).isInstanceOf(FolderLock.AlreadyLockedException.class);
         ledger.close();
         assertThatThrownBy(() -> Ledger.open(settings(64, List.of()), new Ledger.Director("n2", List.of("page",
                 "order"), 1, 2, 4), clock, deadlines, Runnable::run, disk))
@@ -588,7 +588,7 @@
         open().close();
         try (TotalsStore books = TotalsStore.open(ledgerFolder())) {
             assertThat(books.batches()).isEmpty();
-            assertThatThrownBy(() -> exporter().run()).isInstanceOf(FolderLock.Held.class)
+            assertThatThrownBy(() -> exporter().run()).isInstanceOf(FolderLock.AlreadyLockedException.class)
                     .hasMessageContaining("books.lock is held by process");
         }
     }
--- a/src/test/java/clovermill/storage/FaultyVolume.java
+++ b/src/test/java/clovermill/storage/FaultyVolume.java
@@ -8,58 +8,60 @@
 import java.util.concurrent.locks.ReadWriteLock;
 import java.util.concurrent.locks.ReentrantReadWriteLock;
 
-/** A disk with faults that tests switch on and off; may be switched from another thread than it is used on. */
+/** A volume with faults that tests switch on and off, also from another thread than the one that uses it. */
 public final class FaultyVolume implements Volume {
 
-    private static final int LOST_BYTES = 4096;
+    private static final int LOST_PAGE_BYTES = 4096;
 
     private final Volume real = Volume.local();
-    /** Bytes that still fit; a write beyond them stops short. */
-    public volatile long room = Long.MAX_VALUE;
-    /** Whether a sync fails. */
-    public volatile boolean syncFails;
-    /** So many of the next syncs fail; then they succeed again, whatever was lost. */
-    public volatile int syncsThatFail;
+    /** The free space in bytes; a write beyond it stops short. */
+    public volatile long freeBytes = Long.MAX_VALUE;
+    /** If true, every sync fails. */
+    public volatile boolean failSyncs;
+    /** The number of next syncs that fail; later syncs succeed, whatever was lost. */
+    public volatile int remainingSyncFailures;
     /**
-     * The next sync of so many bytes or more fails, and has lost the first of them, as the kernel may: it drops pages
-     * that it could not write, and those behind them stand.
+     * The number of unsynced bytes from which on the next sync fails and loses the first of them. The kernel may do
+     * so: it drops pages that it could not write and keeps those after them.
      */
-    public volatile long losesAtBytes = Long.MAX_VALUE;
-    /** Whether all syncs fail from such a loss on. */
-    public volatile boolean syncFailsAfterLoss;
-    /** How long a sync takes. */
+    public volatile long loseAfterUnsyncedBytes = Long.MAX_VALUE;
+    /** If true, all syncs fail after such a loss. */
+    public volatile boolean failSyncsAfterLoss;
+    /** The duration of a sync, in milliseconds. */
     public volatile long syncMs;
-    /** How often a sync has succeeded. */
+    /** The number of successful syncs. */
     public volatile int syncs;
-    /** Runs before each operation, on its thread: what files hold then is what a kill at that moment leaves. */
-    public volatile Runnable beforeEach = () -> {};
-    /** Held shared by each operation, and alone by who wants the files to stand still. */
-    private final ReadWriteLock moment = new ReentrantReadWriteLock();
+    /**
+     * Runs before each operation, on its thread; the files then have the content that a kill at that moment leaves.
+     */
+    public volatile Runnable beforeOperation = () -> {};
+    /** Locked shared by each operation, and exclusively by {@link #runExclusively}. */
+    private final ReadWriteLock exclusion = new ReentrantReadWriteLock();
 
     /** An operation on files. */
     @FunctionalInterface
     public interface Operation {
-        /** Runs it. */
+        /** Runs the operation. */
         void run() throws IOException;
     }
 
-    /** Runs something at one moment: no operation on this disk is under way, and none begins before its end. */
-    public void atOneMoment(Operation operation) throws IOException {
-        moment.writeLock().lock();
+    /** Runs an operation while no other operation on this volume is in progress. */
+    public void runExclusively(Operation operation) throws IOException {
+        exclusion.writeLock().lock();
         try {
             operation.run();
         } finally {
-            moment.writeLock().unlock();
+            exclusion.writeLock().unlock();
         }
     }
 
     private void operate(Operation operation) throws IOException {
-        beforeEach.run();
-        moment.readLock().lock();
+        beforeOperation.run();
+        exclusion.readLock().lock();
         try {
             operation.run();
         } finally {
-            moment.readLock().unlock();
+            exclusion.readLock().unlock();
         }
     }
 
@@ -72,30 +74,30 @@
             private long written;
             private long synced;
 
-            private void lose() throws IOException {
-                if (written - synced >= losesAtBytes) {
-                    syncFails = syncFailsAfterLoss;
+            private void loseFirstPageIfDue() throws IOException {
+                if (written - synced >= loseAfterUnsyncedBytes) {
+                    failSyncs = failSyncsAfterLoss;
                     try (FileChannel page = FileChannel.open(file, StandardOpenOption.WRITE)) {
-                        page.write(ByteBuffer.allocate(LOST_BYTES), synced);
+                        page.write(ByteBuffer.allocate(LOST_PAGE_BYTES), synced);
                     }
-                    losesAtBytes = Long.MAX_VALUE;
+                    loseAfterUnsyncedBytes = Long.MAX_VALUE;
                     throw new IOException("Input/output error");
                 }
             }
 
             @Override
             public void write(ByteBuffer bytes) throws IOException {
-                operate(() -> writeWhatFits(bytes));
+                operate(() -> writeUpToFreeSpace(bytes));
             }
 
-            private void writeWhatFits(ByteBuffer bytes) throws IOException {
-                int fits = (int) Math.min(room, bytes.remaining());
-                boolean whole = fits == bytes.remaining();
-                output.write(bytes.slice(bytes.position(), fits));
-                written += fits;
-                room -= room == Long.MAX_VALUE ? 0 : fits;
-                bytes.position(bytes.position() + fits);
-                if (!whole) {
+            private void writeUpToFreeSpace(ByteBuffer bytes) throws IOException {
+                int writable = (int) Math.min(freeBytes, bytes.remaining());
+                boolean complete = writable == bytes.remaining();
+                output.write(bytes.slice(bytes.position(), writable));
+                written += writable;
+                freeBytes -= freeBytes == Long.MAX_VALUE ? 0 : writable;
+                bytes.position(bytes.position() + writable);
+                if (!complete) {
                     throw new IOException("No space left on device");
                 }
             }
@@ -113,12 +115,12 @@
             }
 
             private void sync() throws IOException {
-                boolean fails = syncFails || syncsThatFail > 0;
-                syncsThatFail = Math.max(0, syncsThatFail - 1);
+                boolean fails = failSyncs || remainingSyncFailures > 0;
+                remainingSyncFailures = Math.max(0, remainingSyncFailures - 1);
                 if (fails) {
                     throw new IOException("Input/output error");
                 }
-                lose();
+                loseFirstPageIfDue();
                 output.force();
                 synced = written;
                 syncs++;
@@ -138,7 +140,7 @@
 
     @Override
     public void replace(Path file, byte[] content) throws IOException {
-        if (content.length > room) {
+        if (content.length > freeBytes) {
             throw new IOException("No space left on device");
         }
         operate(() -> real.replace(file, content));
@@ -146,7 +148,7 @@
 
     @Override
     public void rename(Path from, Path to) throws IOException {
-        if (syncFails) {
+        if (failSyncs) {
             throw new IOException("Input/output error");
         }
         operate(() -> real.rename(from, to));
--- a/src/test/java/clovermill/storage/SegmentTest.java
+++ b/src/test/java/clovermill/storage/SegmentTest.java
@@ -16,12 +16,12 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Segments: what was written is read, and what was damaged costs little and is named. */
+/** Writing and reading of segments, also of damaged and truncated ones. */
 class SegmentTest {
 
     private static final String MAGIC = "TESTSEG1";
 
-    private record Read(List<byte[]> frames, List<long[]> damage, SegmentReader.End end) {}
+    private record Read(List<byte[]> frames, List<long[]> damage, SegmentReader.ReadResult end) {}
 
     private static byte[] frame(Random random, int i) {
         byte[] bytes = new byte[1 + random.nextInt(i % 50 == 0 ? 20_000 : 120)];
@@ -45,7 +45,7 @@
     private static Read read(Path file, long from) throws IOException {
         List<byte[]> frames = new ArrayList<>();
         List<long[]> damage = new ArrayList<>();
-        SegmentReader.End end = new SegmentReader().read(file, MAGIC, from, new SegmentReader.Visitor() {
+        SegmentReader.ReadResult end = new SegmentReader().read(file, MAGIC, from, new SegmentReader.Visitor() {
             @Override
             public boolean frame(int type, ByteBuffer payload) {
                 byte[] bytes = new byte[payload.remaining()];
@@ -62,15 +62,15 @@
         return new Read(frames, damage, end);
     }
 
-    private interface Body {
+    private interface FileTest {
         void run(Path file) throws IOException;
     }
 
-    private static void inFolder(Body body) throws IOException {
+    private static void withTemporaryFile(FileTest test) throws IOException {
         Path folder = Files.createTempDirectory("segment");
         Path file = folder.resolve("a.seg");
         try {
-            body.run(file);
+            test.run(file);
         } finally {
             Files.deleteIfExists(file);
             Files.delete(folder);
@@ -78,35 +78,35 @@
     }
 
     @Property(tries = 12, seed = "1")
-    void whatIsWrittenIsReadFromAnyFrameOn(@ForAll @IntRange(min = 1, max = 9000) int count, @ForAll long seed)
+    void readsWrittenFramesAndContinuesAtEnd(@ForAll @IntRange(min = 1, max = 9000) int count, @ForAll long seed)
             throws IOException {
-        inFolder(file -> {
+        withTemporaryFile(file -> {
             List<byte[]> frames = write(file, count, seed);
             Read all = read(file, 0);
             assertThat(all.frames).hasSize(count).usingElementComparator(Arrays::compare)
                     .containsExactlyElementsOf(frames);
             assertThat(all.damage).isEmpty();
-            assertThat(all.end.torn()).isZero();
-            assertThat(read(file, all.end.good()).frames).isEmpty();
+            assertThat(all.end.tornBytes()).isZero();
+            assertThat(read(file, all.end.validEnd()).frames).isEmpty();
         });
     }
 
-    /** Guards against a flipped bit: it costs the frame it hits, or at worst the rest of a block, and is named. */
+    /** A flipped bit loses the frame it hits, or at worst the rest of a block, and is reported as damage. */
     @Property(tries = 25, seed = "1")
-    void aFlippedBitCostsAtMostABlock(@ForAll long seed) throws IOException {
-        inFolder(file -> {
+    void flippedBitLosesAtMostOneBlock(@ForAll long seed) throws IOException {
+        withTemporaryFile(file -> {
             List<byte[]> frames = write(file, 4000, seed);
             byte[] bytes = Files.readAllBytes(file);
             Random random = new Random(seed);
-            int at = Frames.MAGIC + random.nextInt(bytes.length - Frames.MAGIC);
+            int at = SegmentLayout.MAGIC_BYTES + random.nextInt(bytes.length - SegmentLayout.MAGIC_BYTES);
             bytes[at] ^= (byte) (1 << random.nextInt(8));
             Files.write(file, bytes);
             Read read = read(file, 0);
-            long lost = frames.stream().mapToLong(f -> f.length + Frames.HEAD).sum()
-                    - read.frames.stream().mapToLong(f -> f.length + Frames.HEAD).sum();
-            assertThat(lost).isBetween(0L, (long) Frames.BLOCK);
+            long lost = frames.stream().mapToLong(f -> f.length + SegmentLayout.HEADER_BYTES).sum()
+                    - read.frames.stream().mapToLong(f -> f.length + SegmentLayout.HEADER_BYTES).sum();
+            assertThat(lost).isBetween(0L, (long) SegmentLayout.BLOCK_BYTES);
             assertThat(frames).usingElementComparator(Arrays::compare).containsAll(read.frames);
-            if (lost > 0 && read.end.torn() == 0) {
+            if (lost > 0 && read.end.tornBytes() == 0) {
                 assertThat(read.damage).hasSize(1);
                 assertThat(read.damage.get(0)[0]).isLessThanOrEqualTo(at);
                 assertThat(read.damage.get(0)[1]).isGreaterThan(at);
@@ -114,10 +114,10 @@
         });
     }
 
-    /** Guards against a tail that a crash cut at any byte: all whole frames before it are read, nothing else. */
+    /** A file that a crash truncated at any byte yields all complete frames before that byte and nothing else. */
     @Property(tries = 25, seed = "1")
-    void aTornTailCostsWhatIsNotWhole(@ForAll long seed) throws IOException {
-        inFolder(file -> {
+    void truncatedFileYieldsAllCompleteFrames(@ForAll long seed) throws IOException {
+        withTemporaryFile(file -> {
             List<byte[]> frames = write(file, 700, seed);
             byte[] bytes = Files.readAllBytes(file);
             int cut = new Random(seed).nextInt(bytes.length);
@@ -126,28 +126,28 @@
             assertThat(read.damage).isEmpty();
             assertThat(read.frames).usingElementComparator(Arrays::compare)
                     .containsExactlyElementsOf(frames.subList(0, read.frames.size()));
-            assertThat(read.end.torn()).isLessThan(2 * Frames.BLOCK);
+            assertThat(read.end.tornBytes()).isLessThan(2 * SegmentLayout.BLOCK_BYTES);
         });
     }
 
     @Test
-    void aLaterFormIsRefusedByName() throws IOException {
-        inFolder(file -> {
+    void rejectsLaterFormatVersion() throws IOException {
+        withTemporaryFile(file -> {
             Files.writeString(file, "TESTSEG2 and more");
-            assertThatThrownBy(() -> read(file, 0)).isInstanceOf(SegmentReader.Foreign.class)
+            assertThatThrownBy(() -> read(file, 0)).isInstanceOf(SegmentReader.UnknownFormatException.class)
                     .hasMessageContaining("TESTSEG2");
         });
     }
 
     @Test
-    void aSecondHolderOfALockIsToldWho() throws IOException {
-        inFolder(file -> {
-            try (FolderLock first = FolderLock.take(file)) {
+    void reportsOwnerOfLockedFolder() throws IOException {
+        withTemporaryFile(file -> {
+            try (FolderLock first = FolderLock.acquire(file)) {
                 assertThat(first).isNotNull();
-                assertThatThrownBy(() -> FolderLock.take(file)).isInstanceOf(FolderLock.Held.class)
+                assertThatThrownBy(() -> FolderLock.acquire(file)).isInstanceOf(FolderLock.AlreadyLockedException.class)
                         .hasMessageContaining("process " + ProcessHandle.current().pid());
             }
-            FolderLock.take(file).close();
+            FolderLock.acquire(file).close();
         });
     }
 }
--- a/src/test/java/clovermill/storage/VolumeTest.java
+++ b/src/test/java/clovermill/storage/VolumeTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The local disk where a sync of the folder fails for a while. */
+/** The local volume when syncs of a folder fail for a while. */
 class VolumeTest {
 
     private static final Path DESCRIPTORS = Path.of("/proc/self/fd");
@@ -21,15 +21,15 @@
     @TempDir
     private Path folder;
     private Path file;
-    private boolean folderFails;
+    private boolean folderSyncFails;
     private final Volume volume = new Volume.LocalVolume(synced -> {
-        if (folderFails) {
+        if (folderSyncFails) {
             throw new IOException("Input/output error");
         }
     });
 
     @BeforeEach
-    void namesAFile() {
+    void initFile() {
         file = folder.resolve("a");
     }
 
@@ -37,13 +37,13 @@
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Descriptors of this process that lead to the file, also where its name is gone. */
-    private long descriptors() throws IOException {
+    /** Counts the descriptors of this process that refer to the file, also if it is deleted. */
+    private long openDescriptors() throws IOException {
         try (Stream<Path> all = Files.list(DESCRIPTORS)) {
             return all.filter(each -> {
                 try {
                     return Files.readSymbolicLink(each).toString().startsWith(file.toString());
-                } catch (IOException closedMeanwhile) {
+                } catch (IOException closedConcurrently) {
                     return false;
                 }
             }).count();
@@ -51,14 +51,14 @@
     }
 
     @Test
-    void aFileWhoseNameCannotBeMadeToLastIsNeitherLeftNorKeptOpen() throws IOException {
-        folderFails = true;
+    void failedCreateLeavesNeitherFileNorDescriptor() throws IOException {
+        folderSyncFails = true;
         for (int tries = 0; tries < 3; tries++) {
             assertThatThrownBy(() -> volume.create(file)).hasMessage("Input/output error");
             assertThat(file).doesNotExist();
-            assertThat(descriptors()).isZero();
+            assertThat(openDescriptors()).isZero();
         }
-        folderFails = false;
+        folderSyncFails = false;
         try (Volume.Output output = volume.create(file)) {
             output.write(ByteBuffer.wrap(bytes("x")));
             output.force();
@@ -67,20 +67,20 @@
     }
 
     @Test
-    void aReplacementWhoseNameCannotBeMadeToLastIsWholeAndTheNextTrySucceeds() throws IOException {
+    void replaceWithFailedFolderSyncIsCompleteAndCanBeRepeated() throws IOException {
         volume.replace(file, bytes("old"));
-        folderFails = true;
+        folderSyncFails = true;
         assertThatThrownBy(() -> volume.replace(file, bytes("new"))).hasMessage("Input/output error");
         assertThat(file).hasContent("new");
-        folderFails = false;
+        folderSyncFails = false;
         volume.replace(file, bytes("newer"));
         assertThat(file).hasContent("newer");
         assertThat(folder).isDirectoryContaining(each -> each.equals(file)).isDirectoryNotContaining("glob:**.new");
     }
 
-    /** A folder in the file's place makes the rename fail after the new file was written. */
+    /** A folder with the name of the file makes the rename fail after the new file was written. */
     @Test
-    void aReplacementThatFailsLeavesNoHalfFile() throws IOException {
+    void failedReplaceLeavesNoTemporaryFile() throws IOException {
         Files.createDirectories(file.resolve("in the way"));
         for (int tries = 0; tries < 2; tries++) {
             assertThatThrownBy(() -> volume.replace(file, bytes("new"))).isInstanceOf(IOException.class);
@@ -88,9 +88,9 @@
         }
     }
 
-    /** What a killed process left of a replacement is not in the way, whatever it holds. */
+    /** A partial replacement that a killed process left does not prevent the next one, whatever its content. */
     @Test
-    void aHalfFileOfAKilledProcessIsReplaced() throws IOException {
+    void replaceOverwritesTemporaryFileOfKilledProcess() throws IOException {
         Files.write(folder.resolve("a.new"), bytes("a longer half than the whole"));
         volume.replace(file, bytes("new"));
         assertThat(file).hasContent("new");
@@ -98,13 +98,13 @@
     }
 
     @Test
-    void aDeletionOrARenameWhoseNameCannotBeMadeToLastIsToldAndCanBeRepeated() throws IOException {
+    void failedDeleteOrRenameIsReportedAndCanBeRepeated() throws IOException {
         Path other = folder.resolve("b");
         Files.write(other, bytes("b"));
-        folderFails = true;
+        folderSyncFails = true;
         assertThatThrownBy(() -> volume.rename(other, file)).hasMessage("Input/output error");
         assertThatThrownBy(() -> volume.delete(file)).hasMessage("Input/output error");
-        folderFails = false;
+        folderSyncFails = false;
         volume.delete(file);
         assertThat(file).doesNotExist();
     }
