--- a/src/main/java/clovermill/cli/LedgerFormat.java
+++ b/src/main/java/clovermill/cli/LedgerFormat.java
@@ -1,6 +1,6 @@
 package clovermill.cli;
 
-import clovermill.ledger.decide.Accounts;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.BatchText;
 import java.time.Instant;
@@ -33,14 +33,14 @@
     }
 
     /** A tenant's totals of a period as a row of the table. */
-    static List<String> row(Accounts.Key key, String state, Totals totals) {
+    static List<String> row(TotalsAggregator.Key key, String state, Totals totals) {
         List<String> row = new ArrayList<>(List.of(time(key.period().startMs()), state, printable(key.tenant())));
         COLUMN_SUMS.forEach(sum -> row.add(Long.toString(totals.get(sum))));
         return row;
     }
 
     /** A tenant's totals of a period as a JSON object. */
-    static Map<String, Object> object(Accounts.Key key, String state, Totals totals) {
+    static Map<String, Object> object(TotalsAggregator.Key key, String state, Totals totals) {
         Map<String, Object> object = new LinkedHashMap<>();
         object.put("period", time(key.period().startMs()));
         object.put("period_s", key.period().lengthMs() / 1000);
--- a/src/main/java/clovermill/cli/LedgerReconcileCommand.java
+++ b/src/main/java/clovermill/cli/LedgerReconcileCommand.java
@@ -4,7 +4,7 @@
 import clovermill.ledger.SharesFile;
 import clovermill.ledger.books.Reconciler;
 import clovermill.ledger.decide.Reconciliation;
-import clovermill.ledger.decide.Shares;
+import clovermill.ledger.decide.LimitShares;
 import clovermill.ledger.decide.Totals;
 import clovermill.storage.Volume;
 import java.io.IOException;
@@ -79,13 +79,14 @@
     private Outcome outcome(Reconciliation.Report report, List<Reconciler.Difference> differences) {
         long apart = differences.stream().mapToLong(each -> Math.abs(each.loggedBytes() - each.billedBytes()))
                 .sum();
-        double uncertain = report.bytes() == 0 ? report.share() : report.share() + (double) apart / report.bytes();
-        return new Outcome(report, differences, uncertain, uncertain <= bound && !report.nameUsedTwice());
+        double uncertain = report.bytes() == 0 ? report.uncertainShare()
+                : report.uncertainShare() + (double) apart / report.bytes();
+        return new Outcome(report, differences, uncertain, uncertain <= bound && !report.duplicateInstanceName());
     }
 
     private static TreeMap<String, Map<String, Double>> shares(Map<String, Map<String, Long>> usedByTenant) {
         TreeMap<String, Map<String, Double>> result = new TreeMap<>();
-        usedByTenant.forEach((tenant, used) -> result.put(tenant, Shares.next(used)));
+        usedByTenant.forEach((tenant, used) -> result.put(tenant, LimitShares.next(used)));
         return result;
     }
 
@@ -105,8 +106,8 @@
 
     private static Map<String, Object> object(Reconciliation.Row row) {
         Map<String, Object> object = LedgerFormat.object(row.key(), "reconciled", row.totals());
-        object.put("doubled_requests", row.doubledRequests());
-        object.put("doubled_bytes", row.doubledBytes());
+        object.put("doubled_requests", row.doubleServedRequests());
+        object.put("doubled_bytes", row.doubleServedBytes());
         return object;
     }
 
@@ -130,7 +131,7 @@
         long missedBytes = row.totals().get(Totals.Sum.MISSED_BYTES);
         return List.of(LedgerFormat.time(row.key().period().startMs()), LedgerFormat.printable(row.key().tenant()),
                 "" + row.totals().get(Totals.Sum.REQUESTS), "" + bytes,
-                "" + (bytes - missedBytes - row.doubledBytes()), "" + missedBytes, "" + row.doubledBytes());
+                "" + (bytes - missedBytes - row.doubleServedBytes()), "" + missedBytes, "" + row.doubleServedBytes());
     }
 
     private PrintWriter out() {
--- a/src/main/java/clovermill/cli/LedgerShowCommand.java
+++ b/src/main/java/clovermill/cli/LedgerShowCommand.java
@@ -1,7 +1,7 @@
 package clovermill.cli;
 
 import clovermill.ledger.books.TotalsStore;
-import clovermill.ledger.decide.Accounts;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Totals;
 import java.util.ArrayList;
 import java.util.List;
@@ -29,7 +29,7 @@
             books.update(progress);
             long from = books.accounts().closings() - last;
             for (TotalsStore.BatchInfo info : books.batches().tailMap(from, false).values()) {
-                Accounts.Batch batch = books.batch(info.number());
+                TotalsAggregator.Batch batch = books.batch(info.number());
                 String state = info.acknowledged() == null ? "closed" : "exported";
                 add(batch.totals(), state, rows, objects);
                 add(batch.corrections(), "correction", rows, objects);
@@ -45,7 +45,8 @@
         return 0;
     }
 
-    private void add(Map<Accounts.Key, Totals> from, String state, List<List<String>> rows, List<Object> objects) {
+    private void add(Map<TotalsAggregator.Key, Totals> from, String state, List<List<String>> rows,
+            List<Object> objects) {
         from.forEach((key, totals) -> {
             if (tenant == null || tenant.equals(key.tenant())) {
                 rows.add(LedgerFormat.row(key, state, totals));
--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -4,13 +4,13 @@
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.UsageListener;
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.ledger.decide.Allowances;
-import clovermill.ledger.decide.Backlog;
-import clovermill.ledger.decide.Closing;
+import clovermill.ledger.decide.UsageLimits;
+import clovermill.ledger.decide.QueueAdmission;
+import clovermill.ledger.decide.ClosingWatermark;
 import clovermill.ledger.decide.Entry;
-import clovermill.ledger.decide.How;
-import clovermill.ledger.decide.Missed;
-import clovermill.ledger.decide.Timeline;
+import clovermill.ledger.decide.ContentSource;
+import clovermill.ledger.decide.MissedUsage;
+import clovermill.ledger.decide.LedgerClock;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
 import clovermill.routing.api.Members;
@@ -62,11 +62,11 @@
     private final StagingArea stage;
     private final LedgerWriter writer;
     private final TenantRules rules;
-    private final Timeline timeline;
-    private final Closing closing;
-    private final Allowances allowances;
-    private final Backlog backlog;
-    private final Missed missed;
+    private final LedgerClock ledgerClock;
+    private final ClosingWatermark closingWatermark;
+    private final UsageLimits usageLimits;
+    private final QueueAdmission queueAdmission;
+    private final MissedUsage missed;
     private final Set<String> refusers;
     private final HashStream64 hash = Hashing.wyhashFinal4().hashStream();
     private final Map<String, Integer> kinds = new HashMap<>();
@@ -87,15 +87,16 @@
         this.stage = stage;
         this.writer = writer;
         this.rules = settings.rules(director.classes());
-        this.timeline = new Timeline(settings.clock().toleranceMs(), settings.clock().settleS() * 1000,
+        this.ledgerClock = new LedgerClock(settings.clock().toleranceMs(), settings.clock().settleS() * 1000,
                 start.lastMs(), clock.unixMillis(), clock.micros() / 1000);
-        this.closing = new Closing(settings.periodMs(), settings.latenessS() * 1000, throughMs);
+        this.closingWatermark = new ClosingWatermark(settings.periodMs(), settings.latenessS() * 1000, throughMs);
         this.closings = start.closings();
-        this.allowances = new Allowances(settings.allowances(director.classes()), shares, settings.periodMs());
-        start.open().forEach((key, totals) -> allowances.known(key.period(), key.tenant(), totals));
-        this.backlog = new Backlog(StagingArea.pages(), 1 + director.maxOpen() * ENTRY_BYTES * StagingArea.pages()
-                / (settings.queueKb() << 10));
-        this.missed = new Missed(MOST_MISSED, settings.periodMs());
+        this.usageLimits = new UsageLimits(settings.usageLimits(director.classes()), shares, settings.periodMs());
+        start.open().forEach((key, totals) -> usageLimits.restore(key.period(), key.tenant(), totals));
+        this.queueAdmission =
+                new QueueAdmission(StagingArea.pages(), 1 + director.maxOpen() * ENTRY_BYTES * StagingArea.pages()
+                        / (settings.queueKb() << 10));
+        this.missed = new MissedUsage(MOST_MISSED, settings.periodMs());
         this.refusers = Set.copyOf(settings.refuseWhenFull());
     }
 
@@ -161,16 +162,16 @@
     public long retryAfterMs(ClientRequest ask) {
         String tenant = rules.tenant(ask.requestClass(), ask.group());
         if (refusers.contains(tenant)
-                && (backlog.refuses(stage.used()) || writer.failing() || !missed.isEmpty())) {
+                && (queueAdmission.rejects(stage.used()) || writer.failing() || !missed.isEmpty())) {
             return settings.retryMs();
         }
-        if (allowances.isEmpty()) {
+        if (usageLimits.isEmpty()) {
             return ADMITTED;
         }
-        long nowMs = timeline.at(clock.micros() / 1000);
-        long afterMs = allowances.turnsAway(tenant, ask.requestClass(), nowMs);
-        if (afterMs == Allowances.ALLOWED) {
-            allowances.taken(tenant, nowMs);
+        long nowMs = ledgerClock.at(clock.micros() / 1000);
+        long afterMs = usageLimits.retryAfterMs(tenant, ask.requestClass(), nowMs);
+        if (afterMs == UsageLimits.ALLOWED) {
+            usageLimits.requestAdmitted(tenant, nowMs);
             return ADMITTED;
         }
         return afterMs;
@@ -180,15 +181,16 @@
     public void requestEnded(UsageRecord usage) {
         ClientRequest ask = usage.request();
         String tenant = rules.tenant(ask.requestClass(), ask.group());
-        long takenMs = timeline.at(usage.receivedUs() / 1000);
+        long takenMs = ledgerClock.at(usage.receivedUs() / 1000);
         if (usage.admitted()) {
-            allowances.ended(tenant, takenMs, usage.writtenBytes(), timeline.at(usage.endedUs() / 1000));
+            usageLimits.requestEnded(tenant, takenMs, usage.writtenBytes(), ledgerClock.at(usage.endedUs() / 1000));
         }
-        How how = how(usage);
+        ContentSource how = how(usage);
         // What a joined fill brought is counted with the request that began it.
-        int fromOrigin = how == How.ORIGIN ? usage.bodyBytes() : 0;
-        int fromParent = how == How.PARENT || how == How.ORIGIN && passed(usage, director.parentKind())
-                ? usage.bodyBytes() : 0;
+        int fromOrigin = how == ContentSource.ORIGIN ? usage.bodyBytes() : 0;
+        int fromParent =
+                how == ContentSource.PARENT || how == ContentSource.ORIGIN && passed(usage, director.parentKind())
+                        ? usage.bodyBytes() : 0;
         Entry.Used used = new Entry.Used(seq + 1, takenMs, clock.unixMillis(), usage.endedUs(),
                 HexFormat.fromHexDigitsToLong(ask.id()), tryKey(ask), tenant, ask.requestClass(), usage.end(), how,
                 usage.attempts(), ask.repeat(), usage.writtenBytes(), fromParent, fromOrigin);
@@ -210,26 +212,27 @@
     }
 
     /** By what the answer's note says and where it was asked for. */
-    private How how(UsageRecord usage) {
+    private ContentSource how(UsageRecord usage) {
         if (usage.member() == null) {
-            return How.NONE;
+            return ContentSource.NONE;
         }
         Note note = usage.note();
         if (note == Note.JOINED) {
-            return How.JOINED;
+            return ContentSource.JOINED;
         }
         if (note == Note.ORIGIN_ASKED || kind(usage.member()) == director.originKind()) {
-            return How.ORIGIN;
+            return ContentSource.ORIGIN;
         }
         if (kind(usage.member()) == director.parentKind()) {
-            return How.PARENT;
+            return ContentSource.PARENT;
         }
         if (note == Note.FILLED) {
             int from = kind(usage.source());
-            return from == director.originKind() ? How.ORIGIN : from == director.parentKind() ? How.PARENT
-                    : How.SIBLING;
+            return from == director.originKind() ? ContentSource.ORIGIN
+                    : from == director.parentKind() ? ContentSource.PARENT
+                    : ContentSource.SIBLING;
         }
-        return note == Note.STALE ? How.STALE : How.HIT;
+        return note == Note.STALE ? ContentSource.STALE : ContentSource.HIT;
     }
 
     /** The same for all tries of one request: by its idempotency key, or by what is asked for. */
@@ -246,7 +249,7 @@
         }
         // Not before half of the pages are free: otherwise each record that fits would make a gap of its own.
         if (owed.isEmpty() && !missed.isEmpty() && stage.used() <= StagingArea.pages() / 2) {
-            missed.take(GAPS_AT_ONCE).forEach(this::owe);
+            missed.drain(GAPS_AT_ONCE).forEach(this::owe);
             while (!owed.isEmpty() && stage.offer(owed.peek())) {
                 owed.poll();
             }
@@ -275,15 +278,16 @@
     private void tick() {
         long monoMs = clock.micros() / 1000;
         long wallMs = clock.unixMillis();
-        Timeline.Step step = timeline.observe(wallMs, monoMs);
+        LedgerClock.Step step = ledgerClock.observe(wallMs, monoMs);
         if (step != null) {
-            LOG.log(Level.WARNING, step.taken() ? "the clock''s step of {0} ms has lasted and is taken over"
+            LOG.log(Level.WARNING, step.adopted() ? "the clock''s step of {0} ms has lasted and is taken over"
                     : "the system''s clock is {0} ms off the ledger''s; it is not followed unless that lasts",
                     Long.toString(step.stepMs()));
-            owed.add(new Entry.ClockStep(++seq, wallMs, timeline.at(monoMs), step.stepMs(), step.taken()));
+            owed.add(new Entry.ClockStep(++seq, wallMs, ledgerClock.at(monoMs), step.stepMs(), step.adopted()));
         }
-        closing.due(timeline.at(monoMs)).ifPresent(throughMs -> owed.add(new Entry.Close(++seq, throughMs, ++closings,
-                timeline.at(monoMs))));
+        closingWatermark.advance(ledgerClock.at(monoMs))
+                .ifPresent(throughMs -> owed.add(new Entry.Close(++seq, throughMs, ++closings,
+                        ledgerClock.at(monoMs))));
         settle();
         boolean now = !missed.isEmpty();
         if (now != refusing) {
@@ -297,7 +301,7 @@
     private void rereadShares(String instance, Consumer<Runnable> loop) {
         try {
             Map<String, Double> changed = SharesFile.read(Path.of(settings.sharesFile()), instance);
-            loop.accept(() -> allowances.shares(changed));
+            loop.accept(() -> usageLimits.setShares(changed));
         } catch (IOException bad) {
             LOG.log(Level.WARNING, "the shares stay as they are: {0}", bad.getMessage());
         }
@@ -306,7 +310,7 @@
     /** Writes down all that is still owed, for as long as the settings allow, and lets go of the folder. */
     @Override
     public void close() throws IOException {
-        missed.take(Integer.MAX_VALUE).forEach(this::owe);
+        missed.drain(Integer.MAX_VALUE).forEach(this::owe);
         long untilNs = System.nanoTime() + settings.leaveMs() * 1_000_000;
         do {
             while (!owed.isEmpty() && stage.offer(owed.peek())) {
--- a/src/main/java/clovermill/ledger/LedgerSettings.java
+++ b/src/main/java/clovermill/ledger/LedgerSettings.java
@@ -1,7 +1,7 @@
 package clovermill.ledger;
 
 import clovermill.config.tenants.TenantRules;
-import clovermill.ledger.decide.Allowances;
+import clovermill.ledger.decide.UsageLimits;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.HashMap;
 import java.util.List;
@@ -98,12 +98,12 @@
     }
 
     /** What tenants may use; throws {@link IllegalArgumentException} naming a class that does not exist. */
-    Map<String, Allowances.Limit> allowances(List<String> classes) {
-        Map<String, Allowances.Limit> result = new HashMap<>();
+    Map<String, UsageLimits.Limit> usageLimits(List<String> classes) {
+        Map<String, UsageLimits.Limit> result = new HashMap<>();
         for (Limit limit : limits) {
             Set<Integer> low = limit.lowWorth() == null ? Set.of() : limit.lowWorth().stream()
                     .map(name -> number(classes, name, "the limit of " + limit.tenant())).collect(Collectors.toSet());
-            result.put(limit.tenant(), new Allowances.Limit(limit.bytes() == null ? 0 : limit.bytes(),
+            result.put(limit.tenant(), new UsageLimits.Limit(limit.bytes() == null ? 0 : limit.bytes(),
                     limit.requests() == null ? 0 : limit.requests(), limit.soft() == null ? 1 : limit.soft(), low));
         }
         return result;
@@ -112,7 +112,7 @@
     /** Throws {@link IllegalArgumentException} if anything here does not go with such classes. */
     public void check(List<String> classes) {
         rules(classes);
-        allowances(classes);
+        usageLimits(classes);
     }
 
     private static int number(List<String> classes, String name, String where) {
--- a/src/main/java/clovermill/ledger/LedgerStart.java
+++ b/src/main/java/clovermill/ledger/LedgerStart.java
@@ -1,6 +1,6 @@
 package clovermill.ledger;
 
-import clovermill.ledger.decide.Accounts;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.Totals;
 import java.io.IOException;
@@ -13,7 +13,7 @@
  * limits, the totals of the periods that are open. Reads the last segments only: none before one that was opened
  * when all that it could lack had been closed.
  */
-record LedgerStart(long throughMs, long closings, long lastMs, Map<Accounts.Key, Totals> open) {
+record LedgerStart(long throughMs, long closings, long lastMs, Map<TotalsAggregator.Key, Totals> open) {
 
     static LedgerStart of(LedgerFolder folder, boolean totals) throws IOException {
         List<LedgerFolder.Segment> segments = folder.segments();
@@ -29,24 +29,25 @@
                 known = !totals || header.openedMs() <= throughMs;
             }
         }
-        Accounts accounts = new Accounts(batch -> {});
+        TotalsAggregator aggregator = new TotalsAggregator(batch -> {});
         long[] openedMs = {Long.MIN_VALUE};
         LogReader.Visitor visitor = new LogReader.Visitor() {
             @Override
             public void segment(Path file, LogHeader header) {
                 openedMs[0] = Math.max(openedMs[0], header.openedMs());
-                accounts.begin(header.epoch(), header.throughMs(), header.closings());
+                aggregator.beginEpoch(header.epoch(), header.throughMs(), header.closings());
             }
 
             @Override
             public void entry(LogHeader header, Entry entry) {
-                accounts.on(header.epoch(), header.periodMs(), entry);
+                aggregator.apply(header.epoch(), header.periodMs(), entry);
             }
         };
         for (LedgerFolder.Segment segment : segments.subList(first, segments.size())) {
             reader.read(segment, 0, visitor);
         }
-        return new LedgerStart(accounts.throughMs(), accounts.closings(), Math.max(openedMs[0], accounts.lastMs()),
-                accounts.open());
+        return new LedgerStart(aggregator.throughMs(), aggregator.closings(),
+                Math.max(openedMs[0], aggregator.lastMs()),
+                aggregator.open());
     }
 }
--- a/src/main/java/clovermill/ledger/LogFormat.java
+++ b/src/main/java/clovermill/ledger/LogFormat.java
@@ -2,7 +2,7 @@
 
 import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.ledger.decide.Entry;
-import clovermill.ledger.decide.How;
+import clovermill.ledger.decide.ContentSource;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
@@ -31,7 +31,7 @@
     static final int LONGEST_NAME = 200;
 
     private static final UsageRecord.End[] ENDS = UsageRecord.End.values();
-    private static final How[] HOWS = How.values();
+    private static final ContentSource[] HOWS = ContentSource.values();
 
     private final ByteBuffer scratch = ByteBuffer.allocate(clovermill.storage.SegmentWriter.maxPayloadBytes())
             .order(ByteOrder.LITTLE_ENDIAN);
@@ -148,7 +148,7 @@
                     int fromOrigin = from.getInt();
                     int requestClass = from.get() & 255;
                     UsageRecord.End end = ENDS[from.get()];
-                    How how = HOWS[from.get()];
+                    ContentSource how = HOWS[from.get()];
                     int attempts = from.get() & 255;
                     boolean repeat = from.get() != 0;
                     yield new Entry.Used(seq, takenMs, wallMs, monoUs, request, tryKey, tenant(from), requestClass,
--- a/src/main/java/clovermill/ledger/PeriodCloser.java
+++ b/src/main/java/clovermill/ledger/PeriodCloser.java
@@ -1,6 +1,6 @@
 package clovermill.ledger;
 
-import clovermill.ledger.decide.Closing;
+import clovermill.ledger.decide.ClosingWatermark;
 import clovermill.ledger.decide.Entry;
 import clovermill.storage.FolderLock;
 import clovermill.storage.Volume;
@@ -30,7 +30,8 @@
             if (start.throughMs() == Long.MIN_VALUE) {
                 throw new IOException(folder.path() + " holds no segment yet");
             }
-            OptionalLong due = new Closing(periodMs, settings.latenessS() * 1000, start.throughMs()).due(nowMs);
+            OptionalLong due =
+                    new ClosingWatermark(periodMs, settings.latenessS() * 1000, start.throughMs()).advance(nowMs);
             if (due.isEmpty()) {
                 return start.throughMs();
             }
--- a/src/main/java/clovermill/ledger/books/Compactor.java
+++ b/src/main/java/clovermill/ledger/books/Compactor.java
@@ -50,7 +50,7 @@
                 byName.put(name, all.get(i));
                 known.add(new Retention.Segment(name, Files.size(all.get(i).file()), next.openedMs()));
             }
-            List<Retention.Segment> goes = Retention.goes(known, deliveredMs, nowMs, mostDays, mostBytes);
+            List<Retention.Segment> goes = Retention.expired(known, deliveredMs, nowMs, mostDays, mostBytes);
             if (goes.isEmpty()) {
                 return new Result(List.of(), 0);
             }
--- a/src/main/java/clovermill/ledger/books/Reconciler.java
+++ b/src/main/java/clovermill/ledger/books/Reconciler.java
@@ -3,11 +3,11 @@
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LogHeader;
 import clovermill.ledger.LogReader;
-import clovermill.ledger.decide.Accounts;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.Period;
 import clovermill.ledger.decide.Reconciliation;
-import clovermill.ledger.decide.Retries;
+import clovermill.ledger.decide.DoubleServedRetries;
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.BatchText;
 import java.io.IOException;
@@ -25,7 +25,7 @@
 public final class Reconciler {
 
     /** What {@code billed} and the logs differ by, for one tenant and period. */
-    public record Difference(Accounts.Key key, long loggedBytes, long billedBytes) {}
+    public record Difference(TotalsAggregator.Key key, long loggedBytes, long billedBytes) {}
 
     /** Retries that are held in memory at a time; some 100 bytes each. */
     private static final int MOST_RETRIES = 2_000_000;
@@ -48,7 +48,7 @@
     /** Reads every log twice. */
     public Reconciliation.Report run() throws IOException {
         Reconciliation reconciliation = new Reconciliation();
-        Retries retries = new Retries(windowMs, MOST_RETRIES);
+        DoubleServedRetries retries = new DoubleServedRetries(windowMs, MOST_RETRIES);
         for (LedgerFolder folder : folders) {
             heldFromMs = Math.max(heldFromMs, heldFrom(folder));
         }
@@ -67,18 +67,19 @@
         return reconciliation.report();
     }
 
-    private void sum(LedgerFolder folder, Reconciliation reconciliation, Retries retries) throws IOException {
+    private void sum(LedgerFolder folder, Reconciliation reconciliation, DoubleServedRetries retries)
+            throws IOException {
         LedgerFolder.Identity identity = folder.identity();
         String source = identity.folder().toString();
-        Accounts order = new Accounts(batch -> {});
-        Map<Long, Map<Accounts.Key, Totals>> byEpoch = new TreeMap<>();
+        TotalsAggregator order = new TotalsAggregator(batch -> {});
+        Map<Long, Map<TotalsAggregator.Key, Totals>> byEpoch = new TreeMap<>();
         new LogReader(folder).read(LogReader.Position.START, new LogReader.Visitor() {
             @Override
             public void segment(Path file, LogHeader header) {
                 if (byEpoch.isEmpty() && Files.exists(folder.checkpoint())) {
-                    order.startAt(header.epoch(), header.firstSeq());
+                    order.setFirstSeq(header.epoch(), header.firstSeq());
                 }
-                order.begin(header.epoch(), header.throughMs(), header.closings());
+                order.beginEpoch(header.epoch(), header.throughMs(), header.closings());
                 byEpoch.computeIfAbsent(header.epoch(), epoch -> new HashMap<>());
             }
 
@@ -87,24 +88,24 @@
                 if (++read % 100_000 == 0) {
                     progress.accept(read);
                 }
-                if (!order.on(header.epoch(), header.periodMs(), entry) || startMs(header, entry) < heldFromMs) {
+                if (!order.apply(header.epoch(), header.periodMs(), entry) || startMs(header, entry) < heldFromMs) {
                     return;
                 }
-                Map<Accounts.Key, Totals> totals = byEpoch.get(header.epoch());
+                Map<TotalsAggregator.Key, Totals> totals = byEpoch.get(header.epoch());
                 if (entry instanceof Entry.Used used) {
-                    retries.note(source, header.periodMs(), used);
-                    totals.computeIfAbsent(new Accounts.Key(Period.of(used.takenMs(), header.periodMs()),
+                    retries.addRetry(source, header.periodMs(), used);
+                    totals.computeIfAbsent(new TotalsAggregator.Key(Period.of(used.takenMs(), header.periodMs()),
                             used.tenant()), key -> new Totals()).add(used);
                 } else if (entry instanceof Entry.Gap gap) {
-                    totals.computeIfAbsent(new Accounts.Key(Period.of(gap.firstMs(), header.periodMs()),
+                    totals.computeIfAbsent(new TotalsAggregator.Key(Period.of(gap.firstMs(), header.periodMs()),
                             gap.tenant()), key -> new Totals()).add(gap);
                 }
             }
         });
         byEpoch.values().forEach(totals -> totals.forEach((key, sums) -> use(identity.instance(), key, sums)));
         Map<Long, Long> missing = new HashMap<>();
-        order.holes().forEach(hole -> missing.merge(hole.epoch(), hole.to() - hole.from() + 1, Long::sum));
-        byEpoch.forEach((epoch, totals) -> reconciliation.add(new Reconciliation.EpochUse(folder.path().toString(),
+        order.missingRanges().forEach(hole -> missing.merge(hole.epoch(), hole.to() - hole.from() + 1, Long::sum));
+        byEpoch.forEach((epoch, totals) -> reconciliation.add(new Reconciliation.EpochUsage(folder.path().toString(),
                 identity.folder(), identity.instance(), epoch, order.lastSeq().getOrDefault(epoch, 0L),
                 missing.getOrDefault(epoch, 0L), totals)));
     }
@@ -129,7 +130,7 @@
         return heldFromMs;
     }
 
-    private void use(String instance, Accounts.Key key, Totals totals) {
+    private void use(String instance, TotalsAggregator.Key key, Totals totals) {
         if (last == null || key.period().compareTo(last) > 0) {
             last = key.period();
             // Instances without use in the latest period keep a share too.
@@ -146,7 +147,7 @@
 
     /** Compares the rows of all CSV batches in a folder with a report, for the periods that were billed. */
     public List<Difference> compare(Reconciliation.Report report, Path billed) throws IOException {
-        TreeMap<Accounts.Key, Long> sums = new TreeMap<>();
+        TreeMap<TotalsAggregator.Key, Long> sums = new TreeMap<>();
         try (Stream<Path> files = Files.walk(billed)) {
             for (Path file : files.filter(each -> each.toString().endsWith(".csv")).sorted().toList()) {
                 try (Reader reader = Files.newBufferedReader(file)) {
@@ -155,7 +156,7 @@
                 }
             }
         }
-        TreeMap<Accounts.Key, Long> logged = new TreeMap<>();
+        TreeMap<TotalsAggregator.Key, Long> logged = new TreeMap<>();
         report.rows().forEach(row -> logged.put(row.key(), row.totals().get(Totals.Sum.BYTES)));
         sums.keySet().removeIf(key -> key.period().startMs() < heldFromMs);
         return sums.entrySet().stream().filter(each -> !each.getValue().equals(logged.getOrDefault(each.getKey(), 0L)))
--- a/src/main/java/clovermill/ledger/books/TotalsStore.java
+++ b/src/main/java/clovermill/ledger/books/TotalsStore.java
@@ -3,7 +3,7 @@
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LogHeader;
 import clovermill.ledger.LogReader;
-import clovermill.ledger.decide.Accounts;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.Period;
 import clovermill.ledger.decide.Totals;
@@ -55,7 +55,7 @@
     private final MVMap<Long, long[]> batches;
     private final MVMap<String, long[]> rows;
     private final MVMap<Long, String> acknowledged;
-    private Accounts accounts;
+    private TotalsAggregator aggregator;
     private LogReader.Position position;
     private long damagedBytes;
 
@@ -122,7 +122,7 @@
                 made.update(progress);
                 known.forEach(made.acknowledged::putIfAbsent);
                 made.store.commit();
-                result = new Rebuilt(before, made.digest(), made.accounts.entries());
+                result = new Rebuilt(before, made.digest(), made.aggregator.entries());
             }
             CrashPoint.reached("rebuild.before-rename");
             Files.move(fresh, folder.books(), StandardCopyOption.ATOMIC_MOVE);
@@ -132,16 +132,18 @@
     }
 
     private void load() {
-        Map<Accounts.Key, Totals> openNow = new HashMap<>();
+        Map<TotalsAggregator.Key, Totals> openNow = new HashMap<>();
         open.forEach((key, sums) -> openNow.put(key(key), new Totals(sums.clone())));
-        Map<Accounts.Key, Totals> correctionsNow = new HashMap<>();
+        Map<TotalsAggregator.Key, Totals> correctionsNow = new HashMap<>();
         corrections.forEach((key, sums) -> correctionsNow.put(key(key), new Totals(sums.clone())));
-        List<Accounts.Hole> holesNow = new ArrayList<>();
-        holes.values().forEach(each -> holesNow.add(new Accounts.Hole(each[0], each[1], each[2])));
-        accounts = new Accounts(this::freeze, new Accounts.State(openNow, correctionsNow, new HashMap<>(lastSeq),
-                holesNow, meta.getOrDefault("through", Long.MIN_VALUE), meta.getOrDefault("closings", 0L),
-                meta.getOrDefault("entries", 0L), meta.getOrDefault("missing", 0L), meta.getOrDefault("repeated", 0L),
-                meta.getOrDefault("last", Long.MIN_VALUE)));
+        List<TotalsAggregator.MissingRange> holesNow = new ArrayList<>();
+        holes.values().forEach(each -> holesNow.add(new TotalsAggregator.MissingRange(each[0], each[1], each[2])));
+        aggregator = new TotalsAggregator(this::freeze,
+                new TotalsAggregator.State(openNow, correctionsNow, new HashMap<>(lastSeq),
+                        holesNow, meta.getOrDefault("through", Long.MIN_VALUE), meta.getOrDefault("closings", 0L),
+                        meta.getOrDefault("entries", 0L), meta.getOrDefault("missing", 0L),
+                        meta.getOrDefault("repeated", 0L),
+                        meta.getOrDefault("last", Long.MIN_VALUE)));
         position = new LogReader.Position(meta.getOrDefault("epoch", 0L),
                 (int) (long) meta.getOrDefault("number", 0L), meta.getOrDefault("offset", 0L));
         damagedBytes = meta.getOrDefault("damaged", 0L);
@@ -154,12 +156,12 @@
         LogReader.Visitor visitor = new LogReader.Visitor() {
             @Override
             public void segment(Path segment, LogHeader header) {
-                accounts.begin(header.epoch(), header.throughMs(), header.closings());
+                aggregator.beginEpoch(header.epoch(), header.throughMs(), header.closings());
             }
 
             @Override
             public void entry(LogHeader header, Entry entry) {
-                accounts.on(header.epoch(), header.periodMs(), entry);
+                aggregator.apply(header.epoch(), header.periodMs(), entry);
                 if (++read[0] % 100_000 == 0) {
                     progress.accept(read[0]);
                 }
@@ -185,7 +187,7 @@
         save();
     }
 
-    private void freeze(Accounts.Batch batch) {
+    private void freeze(TotalsAggregator.Batch batch) {
         // A batch that stands already is the same one, read again after a crash between two commits of another.
         if (batches.putIfAbsent(batch.number(), new long[] {batch.epoch(), batch.fromMs(), batch.throughMs(),
             batch.atMs()}) == null) {
@@ -196,16 +198,16 @@
 
     /** Commits the state together with the place in the log that it belongs to. */
     private void save() {
-        replace(open, accounts.open());
-        replace(corrections, accounts.corrections());
-        accounts.lastSeq().forEach(lastSeq::put);
+        replace(open, aggregator.open());
+        replace(corrections, aggregator.corrections());
+        aggregator.lastSeq().forEach(lastSeq::put);
         saveHoles();
-        meta.put("through", accounts.throughMs());
-        meta.put("closings", accounts.closings());
-        meta.put("entries", accounts.entries());
-        meta.put("missing", accounts.missing());
-        meta.put("repeated", accounts.repeated());
-        meta.put("last", accounts.lastMs());
+        meta.put("through", aggregator.throughMs());
+        meta.put("closings", aggregator.closings());
+        meta.put("entries", aggregator.entries());
+        meta.put("missing", aggregator.missing());
+        meta.put("repeated", aggregator.repeated());
+        meta.put("last", aggregator.lastMs());
         meta.put("epoch", position.epoch());
         meta.put("number", (long) position.number());
         meta.put("offset", position.offset());
@@ -218,12 +220,12 @@
     private void saveHoles() {
         holes.clear();
         long place = 0;
-        for (Accounts.Hole hole : accounts.holes()) {
+        for (TotalsAggregator.MissingRange hole : aggregator.missingRanges()) {
             holes.put(place++, new long[] {hole.epoch(), hole.from(), hole.to()});
         }
     }
 
-    private static void replace(MVMap<String, long[]> map, Map<Accounts.Key, Totals> with) {
+    private static void replace(MVMap<String, long[]> map, Map<TotalsAggregator.Key, Totals> with) {
         map.clear();
         with.forEach((key, totals) -> map.put(text(key), totals.toArray()));
     }
@@ -237,10 +239,10 @@
     }
 
     /** What a closing froze. */
-    public Accounts.Batch batch(long number) {
+    public TotalsAggregator.Batch batch(long number) {
         long[] told = batches.get(number);
-        TreeMap<Accounts.Key, Totals> totals = new TreeMap<>();
-        TreeMap<Accounts.Key, Totals> corrected = new TreeMap<>();
+        TreeMap<TotalsAggregator.Key, Totals> totals = new TreeMap<>();
+        TreeMap<TotalsAggregator.Key, Totals> corrected = new TreeMap<>();
         String prefix = String.format("%016x", number);
         for (var each = rows.keyIterator(prefix); each.hasNext();) {
             String key = each.next();
@@ -250,7 +252,7 @@
             (key.charAt(prefix.length()) == 't' ? totals : corrected).put(key(key.substring(prefix.length() + 1)),
                     new Totals(rows.get(key).clone()));
         }
-        return new Accounts.Batch(number, told[0], told[1], told[2], told[3], totals, corrected);
+        return new TotalsAggregator.Batch(number, told[0], told[1], told[2], told[3], totals, corrected);
     }
 
     /** Notes that a batch was delivered under this digest; lasts when this returns. */
@@ -261,8 +263,8 @@
     }
 
     /** The accounts as of the last update. */
-    public Accounts accounts() {
-        return accounts;
+    public TotalsAggregator accounts() {
+        return aggregator;
     }
 
     /** Up to where the log has been taken over. */
@@ -280,8 +282,8 @@
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
             new TreeMap<>(rows).forEach((key, sums) -> digest(sha, key, sums));
-            new TreeMap<>(accounts.open()).forEach((key, totals) -> digest(sha, text(key), totals.toArray()));
-            new TreeMap<>(accounts.corrections()).forEach((key, totals) -> digest(sha, text(key), totals.toArray()));
+            new TreeMap<>(aggregator.open()).forEach((key, totals) -> digest(sha, text(key), totals.toArray()));
+            new TreeMap<>(aggregator.corrections()).forEach((key, totals) -> digest(sha, text(key), totals.toArray()));
             return HexFormat.of().formatHex(sha.digest());
         } catch (NoSuchAlgorithmException impossible) {
             throw new IllegalStateException(impossible);
@@ -305,18 +307,18 @@
         close();
     }
 
-    private static String row(long number, char kind, Accounts.Key key) {
+    private static String row(long number, char kind, TotalsAggregator.Key key) {
         return String.format("%016x", number) + kind + text(key);
     }
 
-    private static String text(Accounts.Key key) {
+    private static String text(TotalsAggregator.Key key) {
         return String.format("%016x", key.period().startMs()) + CUT + key.period().lengthMs() + CUT + key.tenant();
     }
 
-    private static Accounts.Key key(String text) {
+    private static TotalsAggregator.Key key(String text) {
         int first = text.indexOf(CUT);
         int second = text.indexOf(CUT, first + 1);
-        return new Accounts.Key(new Period(Long.parseUnsignedLong(text.substring(0, first), 16),
+        return new TotalsAggregator.Key(new Period(Long.parseUnsignedLong(text.substring(0, first), 16),
                 Long.parseLong(text.substring(first + 1, second))), text.substring(second + 1));
     }
 
--- a/src/main/java/clovermill/ledger/books/Verification.java
+++ b/src/main/java/clovermill/ledger/books/Verification.java
@@ -3,7 +3,7 @@
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LogHeader;
 import clovermill.ledger.LogReader;
-import clovermill.ledger.decide.Accounts;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Entry;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -25,7 +25,7 @@
     public static Verification of(LedgerFolder folder, LongConsumer progress) throws IOException {
         List<String> faults = new ArrayList<>();
         List<String> notes = new ArrayList<>();
-        Accounts accounts = new Accounts(batch -> {});
+        TotalsAggregator aggregator = new TotalsAggregator(batch -> {});
         LedgerFolder.Identity identity = folder.identity();
         long[] read = {0, 0};
         new LogReader(folder).read(LogReader.Position.START, new LogReader.Visitor() {
@@ -37,14 +37,14 @@
                 }
                 if (read[1] == 1 && Files.exists(folder.checkpoint())) {
                     notes.add("all before " + file.getFileName() + " was compacted");
-                    accounts.startAt(header.epoch(), header.firstSeq());
+                    aggregator.setFirstSeq(header.epoch(), header.firstSeq());
                 }
-                accounts.begin(header.epoch(), header.throughMs(), header.closings());
+                aggregator.beginEpoch(header.epoch(), header.throughMs(), header.closings());
             }
 
             @Override
             public void entry(LogHeader header, Entry entry) {
-                accounts.on(header.epoch(), header.periodMs(), entry);
+                aggregator.apply(header.epoch(), header.periodMs(), entry);
                 if (++read[0] % 100_000 == 0) {
                     progress.accept(read[0]);
                 }
@@ -63,9 +63,11 @@
             }
         });
         progress.accept(read[0]);
-        for (Accounts.Hole hole : accounts.holes().subList(0, Math.min(MOST_TOLD, accounts.holes().size()))) {
+        for (TotalsAggregator.MissingRange hole : aggregator.missingRanges().subList(0,
+                Math.min(MOST_TOLD, aggregator.missingRanges().size()))) {
             faults.add("epoch " + hole.epoch() + ": records " + hole.from() + " to " + hole.to() + " are missing");
         }
-        return new Verification(read[1], accounts.entries(), accounts.missing(), accounts.repeated(), faults, notes);
+        return new Verification(read[1], aggregator.entries(), aggregator.missing(), aggregator.repeated(), faults,
+                notes);
     }
 }
--- a/src/main/java/clovermill/ledger/decide/Period.java
+++ b/src/main/java/clovermill/ledger/decide/Period.java
@@ -1,14 +1,14 @@
 package clovermill.ledger.decide;
 
-/** A span of time for which totals are made, in milliseconds from the Unix epoch. */
+/** A time span for which totals are computed, in milliseconds since the Unix epoch. */
 public record Period(long startMs, long lengthMs) implements Comparable<Period> {
 
-    /** The period that holds a time; periods of one length tile the line from the Unix epoch on. */
+    /** Returns the period that contains a time; periods of one length tile the time line from the Unix epoch on. */
     public static Period of(long timeMs, long lengthMs) {
         return new Period(Math.floorDiv(timeMs, lengthMs) * lengthMs, lengthMs);
     }
 
-    /** The first millisecond that no longer belongs to it. */
+    /** Returns the exclusive end of the period. */
     public long endMs() {
         return startMs + lengthMs;
     }
--- a/src/main/java/clovermill/ledger/decide/Reconciliation.java
+++ b/src/main/java/clovermill/ledger/decide/Reconciliation.java
@@ -9,103 +9,111 @@
 import java.util.UUID;
 
 /**
- * Brings together what instances that shared nothing wrote down, and tells what is certain. Use that was present
- * twice is counted once; what is missing, or may have been served twice to one client, is told apart.
+ * Combines the usage that independent instances recorded, and reports what is certain. Usage that was recorded twice
+ * is counted once; missing records, and requests that may have been served twice to one client, are reported
+ * separately.
  */
 public final class Reconciliation {
 
-    /** What one folder holds of one epoch. */
-    public record EpochUse(String source, UUID folder, String instance, long epoch, long lastSeq, long missing,
-            Map<Accounts.Key, Totals> totals) {}
+    /** The usage of one epoch in one folder. */
+    public record EpochUsage(String source, UUID folder, String instance, long epoch, long lastSeq, long missing,
+            Map<TotalsAggregator.Key, Totals> totals) {}
 
-    /** A retry that was served here though another try of the same request was served elsewhere. */
-    public record Doubled(Accounts.Key key, long bytes) {}
+    /** A served retry of a request for which another instance had served another client attempt. */
+    public record DoubleServed(TotalsAggregator.Key key, long bytes) {}
 
-    /** One line of the table, and how much of it went to retries that may have been served twice. */
-    public record Row(Accounts.Key key, Totals totals, long doubledRequests, long doubledBytes) {}
+    /**
+     * One row of the report, with the part of it that was spent on retries of requests that may have been served
+     * twice.
+     */
+    public record Row(TotalsAggregator.Key key, Totals totals, long doubleServedRequests, long doubleServedBytes) {}
 
-    /** {@code findings} are in words; {@code share} is what is uncertain of all bytes. */
-    public record Report(List<Row> rows, List<String> findings, long bytes, long missedBytes, long doubledBytes,
-            long missingRecords, long repeatedRecords, boolean nameUsedTwice, double share) {}
+    /** The result; {@code findings} are messages, {@code uncertainShare} is the uncertain fraction of all bytes. */
+    public record Report(List<Row> rows, List<String> findings, long bytes, long missedBytes, long doubleServedBytes,
+            long missingRecords, long repeatedRecords, boolean duplicateInstanceName, double uncertainShare) {}
 
-    private final TreeMap<Accounts.Key, Totals> totals = new TreeMap<>();
-    private final Map<Accounts.Key, long[]> doubled = new HashMap<>();
-    private final List<EpochUse> epochs = new ArrayList<>();
+    private final TreeMap<TotalsAggregator.Key, Totals> totals = new TreeMap<>();
+    private final Map<TotalsAggregator.Key, long[]> doubleServed = new HashMap<>();
+    private final List<EpochUsage> epochs = new ArrayList<>();
     private final List<String> findings = new ArrayList<>();
 
-    /** Adds what a folder holds of an epoch. */
-    public void add(EpochUse use) {
-        epochs.add(use);
+    /** Adds the usage of an epoch in a folder. */
+    public void add(EpochUsage usage) {
+        epochs.add(usage);
     }
 
-    /** Adds a retry that may have been served twice. */
-    public void add(Doubled retry) {
-        long[] sums = doubled.computeIfAbsent(retry.key, key -> new long[2]);
+    /** Adds a retry of a request that may have been served twice. */
+    public void add(DoubleServed doubleServedRetry) {
+        long[] sums = doubleServed.computeIfAbsent(doubleServedRetry.key, key -> new long[2]);
         sums[0]++;
-        sums[1] += retry.bytes;
+        sums[1] += doubleServedRetry.bytes;
     }
 
-    /** The whole. */
+    /** Returns the combined report. */
     public Report report() {
-        Map<String, EpochUse> counted = new TreeMap<>();
+        Map<String, EpochUsage> byEpoch = new TreeMap<>();
         Map<String, TreeSet<String>> foldersOf = new TreeMap<>();
         long repeated = 0;
-        for (EpochUse use : epochs) {
-            foldersOf.computeIfAbsent(use.instance, name -> new TreeSet<>()).add(use.folder.toString());
-            String id = use.folder + "/" + String.format("%016x", use.epoch);
-            EpochUse other = counted.putIfAbsent(id, use);
+        for (EpochUsage usage : epochs) {
+            foldersOf.computeIfAbsent(usage.instance, name -> new TreeSet<>()).add(usage.folder.toString());
+            String id = usage.folder + "/" + String.format("%016x", usage.epoch);
+            EpochUsage other = byEpoch.putIfAbsent(id, usage);
             if (other != null) {
-                EpochUse more = use.lastSeq - use.missing > other.lastSeq - other.missing ? use : other;
-                counted.put(id, more);
-                long both = Math.min(use.lastSeq, other.lastSeq);
-                repeated += both;
-                findings.add(both + " records of " + use.instance + ", epoch " + use.epoch + ", stand in both "
-                        + other.source + " and " + use.source + ": counted once, from " + more.source);
+                EpochUsage kept = usage.lastSeq - usage.missing > other.lastSeq - other.missing ? usage : other;
+                byEpoch.put(id, kept);
+                long duplicates = Math.min(usage.lastSeq, other.lastSeq);
+                repeated += duplicates;
+                findings.add(
+                        duplicates + " records of " + usage.instance + ", epoch " + usage.epoch + ", stand in both "
+                                + other.source + " and " + usage.source + ": counted once, from " + kept.source);
             }
         }
-        boolean twice = false;
+        boolean duplicateInstanceName = false;
         for (Map.Entry<String, TreeSet<String>> each : foldersOf.entrySet()) {
             if (each.getValue().size() > 1) {
-                twice = true;
+                duplicateInstanceName = true;
                 findings.add("the name " + each.getKey() + " is used by " + each.getValue().size()
-                        + " instances: their batches may have been taken for one another's");
+                        + " instances: a receiver may have confused their batches");
             }
         }
         long missing = 0;
-        for (EpochUse use : counted.values()) {
-            use.totals.forEach((key, sums) -> totals.computeIfAbsent(key, absent -> new Totals()).add(sums));
-            missing += use.missing;
-            if (use.missing > 0) {
-                findings.add(use.missing + " records of " + use.instance + ", epoch " + use.epoch
-                        + ", are missing from " + use.source);
+        for (EpochUsage usage : byEpoch.values()) {
+            usage.totals.forEach((key, sums) -> totals.computeIfAbsent(key, absent -> new Totals()).add(sums));
+            missing += usage.missing;
+            if (usage.missing > 0) {
+                findings.add(usage.missing + " records of " + usage.instance + ", epoch " + usage.epoch
+                        + ", are missing from " + usage.source);
             }
         }
-        return report(repeated, twice, missing);
+        return report(repeated, duplicateInstanceName, missing);
     }
 
-    private Report report(long repeated, boolean twice, long missing) {
+    private Report report(long repeated, boolean duplicateInstanceName, long missing) {
         List<Row> rows = new ArrayList<>();
         long bytes = 0;
         long requests = 0;
         long missedBytes = 0;
-        long doubledBytes = 0;
-        for (Map.Entry<Accounts.Key, Totals> each : totals.entrySet()) {
-            long[] twiceServed = doubled.getOrDefault(each.getKey(), new long[2]);
-            rows.add(new Row(each.getKey(), each.getValue(), twiceServed[0], twiceServed[1]));
+        long doubleServedBytes = 0;
+        for (Map.Entry<TotalsAggregator.Key, Totals> each : totals.entrySet()) {
+            long[] doubleServedSums = doubleServed.getOrDefault(each.getKey(), new long[2]);
+            rows.add(new Row(each.getKey(), each.getValue(), doubleServedSums[0], doubleServedSums[1]));
             bytes += each.getValue().get(Totals.Sum.BYTES);
             requests += each.getValue().get(Totals.Sum.REQUESTS);
             missedBytes += each.getValue().get(Totals.Sum.MISSED_BYTES);
-            doubledBytes += twiceServed[1];
+            doubleServedBytes += doubleServedSums[1];
         }
         if (missedBytes > 0) {
-            findings.add(missedBytes + " bytes are known by gaps alone: exact in sum, not written down one by one");
+            findings.add(
+                    missedBytes + " bytes are known only from gap entries: exact in total, without individual records");
         }
-        if (doubledBytes > 0) {
-            findings.add(doubledBytes + " bytes went to clients' retries though another try was served as well");
+        if (doubleServedBytes > 0) {
+            findings.add(doubleServedBytes
+                    + " bytes were served to client retries although another attempt was served as well");
         }
-        // A record that is missing is taken for one of mean size.
-        double lost = requests == 0 ? missing : (double) missing * bytes / requests;
-        double share = bytes == 0 ? (lost > 0 ? 1 : 0) : (lost + doubledBytes) / bytes;
-        return new Report(rows, findings, bytes, missedBytes, doubledBytes, missing, repeated, twice, share);
+        // Each missing record is estimated at the mean size.
+        double missingBytes = requests == 0 ? missing : (double) missing * bytes / requests;
+        double uncertainShare = bytes == 0 ? (missingBytes > 0 ? 1 : 0) : (missingBytes + doubleServedBytes) / bytes;
+        return new Report(rows, findings, bytes, missedBytes, doubleServedBytes, missing, repeated,
+                duplicateInstanceName, uncertainShare);
     }
 }
--- a/src/main/java/clovermill/ledger/decide/Retention.java
+++ b/src/main/java/clovermill/ledger/decide/Retention.java
@@ -4,28 +4,32 @@
 import java.util.List;
 
 /**
- * Decides which segments may go: the oldest ones, beyond an age or a size, whose every record lies in a period
- * that was closed, exported and acknowledged. Nothing behind a segment that stays goes.
+ * Decides which segments to delete: the oldest ones beyond an age or a total size, if all of their records are in
+ * periods that were closed, exported and acknowledged. No segment after a retained one is deleted.
  */
 public final class Retention {
 
-    /** A segment: none of its records is dated after {@code latestMs}. */
+    /** A segment; none of its records has a time after {@code latestMs}. */
     public record Segment(String name, long bytes, long latestMs) {}
 
     private Retention() {}
 
     /**
-     * {@code segments} in their order, without that being written; {@code deliveredMs}: all that ends by then has
-     * been acknowledged. {@code mostDays} or {@code mostBytes} below 0 stand for no bound.
+     * Returns the segments to delete.
+     *
+     * @param segments the segments in order, without the one being written
+     * @param deliveredMs the time through which all periods have been acknowledged
+     * @param maxDays the maximum age; negative for no limit
+     * @param maxBytes the maximum total size; negative for no limit
      */
-    public static List<Segment> goes(List<Segment> segments, long deliveredMs, long nowMs, long mostDays,
-            long mostBytes) {
+    public static List<Segment> expired(List<Segment> segments, long deliveredMs, long nowMs, long maxDays,
+            long maxBytes) {
         long bytes = segments.stream().mapToLong(Segment::bytes).sum();
         List<Segment> result = new ArrayList<>();
         for (Segment segment : segments) {
-            boolean old = mostDays >= 0 && segment.latestMs < nowMs - mostDays * 86_400_000;
-            boolean beyond = mostBytes >= 0 && bytes > mostBytes;
-            if (segment.latestMs > deliveredMs || !old && !beyond) {
+            boolean tooOld = maxDays >= 0 && segment.latestMs < nowMs - maxDays * 86_400_000;
+            boolean overSize = maxBytes >= 0 && bytes > maxBytes;
+            if (segment.latestMs > deliveredMs || !tooOld && !overSize) {
                 break;
             }
             bytes -= segment.bytes;
--- a/src/main/java/clovermill/ledger/decide/Totals.java
+++ b/src/main/java/clovermill/ledger/decide/Totals.java
@@ -3,10 +3,12 @@
 import clovermill.dataplane.proxy.UsageRecord;
 import java.util.Arrays;
 
-/** Sums over requests of one tenant in one period. Adding is commutative, so any order gives the same totals. */
+/**
+ * Sums over the requests of one tenant in one period. Addition is commutative, so any order gives the same totals.
+ */
 public final class Totals {
 
-    /** What is summed; the order is that in the store and in exports. */
+    /** The summed quantities, in the order of the store and of exports. */
     public enum Sum {
         REQUESTS, SERVED, NOT_MODIFIED, REFUSED, FAILED, GONE, BROKEN_OFF, REPEATS, ATTEMPTS, HITS, BYTES,
         PARENT_BYTES, ORIGIN_BYTES, MISSED_REQUESTS, MISSED_BYTES
@@ -18,12 +20,12 @@
 
     private final long[] sums;
 
-    /** All sums are 0. */
+    /** Creates totals with all sums 0. */
     public Totals() {
         this(new long[SUMS.length]);
     }
 
-    /** Takes over sums in their order. */
+    /** Wraps the array of sums, which are in the order of {@link Sum}. */
     public Totals(long[] sums) {
         if (sums.length != SUMS.length) {
             throw new IllegalArgumentException(sums.length + " sums instead of " + SUMS.length);
@@ -37,13 +39,13 @@
         add(BY_END[used.end().ordinal()], 1);
         add(Sum.REPEATS, used.repeat() ? 1 : 0);
         add(Sum.ATTEMPTS, used.attempts());
-        add(Sum.HITS, used.how() == How.HIT || used.how() == How.STALE ? 1 : 0);
+        add(Sum.HITS, used.how() == ContentSource.HIT || used.how() == ContentSource.STALE ? 1 : 0);
         add(Sum.BYTES, used.written());
         add(Sum.PARENT_BYTES, used.fromParent());
         add(Sum.ORIGIN_BYTES, used.fromOrigin());
     }
 
-    /** Adds what was missed: it counts as used, and is told apart. */
+    /** Adds missed usage: it counts as usage, and is also counted separately. */
     public void add(Entry.Gap gap) {
         add(Sum.REQUESTS, gap.count());
         add(Sum.BYTES, gap.written());
@@ -64,12 +66,12 @@
         sums[sum.ordinal()] += value;
     }
 
-    /** One sum: a number of requests, attempts or bytes, as its name says. */
+    /** Returns one sum: a number of requests, attempts or bytes, according to its name. */
     public long get(Sum sum) {
         return sums[sum.ordinal()];
     }
 
-    /** The sums in their order. */
+    /** Returns the sums in the order of {@link Sum}. */
     public long[] toArray() {
         return sums.clone();
     }
@@ -89,7 +91,7 @@
         return Arrays.toString(sums);
     }
 
-    /** The sum in which an end is counted. */
+    /** Returns the sum in which requests with this end are counted. */
     static Sum of(UsageRecord.End end) {
         return BY_END[end.ordinal()];
     }
--- a/src/main/java/clovermill/ledger/decide/package-info.java
+++ b/src/main/java/clovermill/ledger/decide/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What the ledger decides, without I/O, clocks or threads: whose a request is, which time it is dated with, when
- * a period closes, what a tenant owes, who is over its allowance and what instances that shared nothing make
- * together.
+ * The decisions of the ledger, without I/O, clocks or threads: the tenant of a request, the ledger time, period
+ * closing, totals, usage limits, and the reconciliation of independent instances.
  */
 package clovermill.ledger.decide;
--- a/src/main/java/clovermill/ledger/export/BatchText.java
+++ b/src/main/java/clovermill/ledger/export/BatchText.java
@@ -1,7 +1,7 @@
 package clovermill.ledger.export;
 
 import clovermill.ledger.LedgerFolder;
-import clovermill.ledger.decide.Accounts;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Period;
 import clovermill.ledger.decide.Totals;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -37,7 +37,7 @@
     }
 
     /** One row as it is read back from CSV. */
-    public record Row(String kind, Accounts.Key key, Totals totals) {}
+    public record Row(String kind, TotalsAggregator.Key key, Totals totals) {}
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final CSVFormat CSV = CSVFormat.RFC4180;
@@ -46,7 +46,8 @@
     private BatchText() {}
 
     /** The bytes of a batch. */
-    public static byte[] of(LedgerFolder.Identity identity, Accounts.Batch batch, Form form) throws IOException {
+    public static byte[] of(LedgerFolder.Identity identity, TotalsAggregator.Batch batch, Form form)
+            throws IOException {
         StringBuilder text = new StringBuilder();
         List<String> names = names();
         if (form == Form.CSV) {
@@ -79,15 +80,15 @@
         return names;
     }
 
-    private static List<List<Object>> rows(LedgerFolder.Identity identity, Accounts.Batch batch) {
+    private static List<List<Object>> rows(LedgerFolder.Identity identity, TotalsAggregator.Batch batch) {
         List<List<Object>> rows = new ArrayList<>();
         batch.totals().forEach((key, totals) -> rows.add(row(identity, batch, "total", key, totals)));
         batch.corrections().forEach((key, totals) -> rows.add(row(identity, batch, "correction", key, totals)));
         return rows;
     }
 
-    private static List<Object> row(LedgerFolder.Identity identity, Accounts.Batch batch, String kind,
-            Accounts.Key key, Totals totals) {
+    private static List<Object> row(LedgerFolder.Identity identity, TotalsAggregator.Batch batch, String kind,
+            TotalsAggregator.Key key, Totals totals) {
         List<Object> row = new ArrayList<>(List.of(identity.instance(), batch.epoch(), batch.number(), kind,
                 Instant.ofEpochMilli(key.period().startMs()).toString(), key.period().lengthMs() / 1000, key.tenant()));
         for (long sum : totals.toArray()) {
@@ -104,7 +105,7 @@
             for (Totals.Sum sum : Totals.Sum.values()) {
                 sums[sum.ordinal()] = Long.parseLong(each.get(sum.name().toLowerCase(Locale.ROOT)));
             }
-            rows.add(new Row(each.get("kind"), new Accounts.Key(new Period(
+            rows.add(new Row(each.get("kind"), new TotalsAggregator.Key(new Period(
                     Instant.parse(each.get("period_start")).toEpochMilli(),
                     Long.parseLong(each.get("period_s")) * 1000), plain(each.get("tenant"))), new Totals(sums)));
         }
--- a/src/test/java/clovermill/director/LedgerScenarioTest.java
+++ b/src/test/java/clovermill/director/LedgerScenarioTest.java
@@ -7,7 +7,7 @@
 import clovermill.ledger.LedgerSettings;
 import clovermill.ledger.LogReader;
 import clovermill.ledger.decide.Entry;
-import clovermill.ledger.decide.How;
+import clovermill.ledger.decide.ContentSource;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -79,7 +79,7 @@
         assertThat(first.tenant()).isEqualTo("north");
         assertThat(first.end()).isEqualTo(UsageRecord.End.SERVED);
         assertThat(first.written()).isEqualTo(11);
-        assertThat(first.how()).isEqualTo(How.PARENT);
+        assertThat(first.how()).isEqualTo(ContentSource.PARENT);
         assertThat(first.fromParent()).isEqualTo(11);
         assertThat(first.attempts()).isEqualTo(1);
         assertThat(used.get(0xa2L).end()).isEqualTo(UsageRecord.End.NOT_MODIFIED);
@@ -90,7 +90,7 @@
         assertThat(order.repeat()).isTrue();
         assertThat(order.fromOrigin()).isEqualTo(4);
         assertThat(order.tenant()).isEqualTo("unassigned");
-        assertThat(used.get(0xa5L).how()).isEqualTo(How.HIT);
+        assertThat(used.get(0xa5L).how()).isEqualTo(ContentSource.HIT);
     }
 
     /** Guards the bill against bytes that never went out: a client that disconnects while a large answer is written. */
--- a/src/test/java/clovermill/ledger/LedgerBench.java
+++ b/src/test/java/clovermill/ledger/LedgerBench.java
@@ -3,7 +3,7 @@
 import clovermill.dataplane.proxy.UsageRecord;
 import clovermill.ledger.books.TotalsStore;
 import clovermill.ledger.decide.Entry;
-import clovermill.ledger.decide.How;
+import clovermill.ledger.decide.ContentSource;
 import clovermill.storage.SegmentWriter;
 import clovermill.storage.Volume;
 import java.io.IOException;
@@ -23,7 +23,7 @@
     private static Entry.Used used(long seq) {
         long takenMs = 1000 * HOUR + seq / 5000;
         return new Entry.Used(seq, takenMs, takenMs, takenMs * 1000, seq * 31, seq * 17, "tenant-" + seq / 7 % TENANTS,
-                (int) (seq % 3), UsageRecord.End.SERVED, How.HIT, 1, false, 10_000, 0, 0);
+                (int) (seq % 3), UsageRecord.End.SERVED, ContentSource.HIT, 1, false, 10_000, 0, 0);
     }
 
     /** Writes so many records, all in one period that stays open, and reads them back. */
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -10,7 +10,7 @@
 import clovermill.ledger.books.Reconciler;
 import clovermill.ledger.books.TotalsStore;
 import clovermill.ledger.books.Verification;
-import clovermill.ledger.decide.Accounts;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.Exporter;
@@ -120,15 +120,15 @@
 
     private Totals sum(LedgerFolder read) throws IOException {
         Totals sum = new Totals();
-        Accounts accounts = new Accounts(batch -> {
+        TotalsAggregator aggregator = new TotalsAggregator(batch -> {
             batch.totals().values().forEach(sum::add);
             batch.corrections().values().forEach(sum::add);
         });
         new LogReader(read).read(LogReader.Position.START,
-                (header, entry) -> accounts.on(header.epoch(), header.periodMs(), entry));
-        accounts.open().values().forEach(sum::add);
-        accounts.corrections().values().forEach(sum::add);
-        assertThat(accounts.missing()).isZero();
+                (header, entry) -> aggregator.apply(header.epoch(), header.periodMs(), entry));
+        aggregator.open().values().forEach(sum::add);
+        aggregator.corrections().values().forEach(sum::add);
+        assertThat(aggregator.missing()).isZero();
         return sum;
     }
 
--- a/src/test/java/clovermill/ledger/export/BatchTextTest.java
+++ b/src/test/java/clovermill/ledger/export/BatchTextTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.ledger.LedgerFolder;
-import clovermill.ledger.decide.Accounts;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Period;
 import clovermill.ledger.decide.Totals;
 import java.io.IOException;
@@ -20,10 +20,11 @@
 /** Batches as text, and how their delivery is tried. */
 class BatchTextTest {
 
-    private static Accounts.Batch batch(String tenant) {
-        TreeMap<Accounts.Key, Totals> totals = new TreeMap<>();
-        totals.put(new Accounts.Key(new Period(0, 1000), tenant), new Totals(new long[Totals.Sum.values().length]));
-        return new Accounts.Batch(1, 1, 0, 1000, 2000, totals, new TreeMap<>());
+    private static TotalsAggregator.Batch batch(String tenant) {
+        TreeMap<TotalsAggregator.Key, Totals> totals = new TreeMap<>();
+        totals.put(new TotalsAggregator.Key(new Period(0, 1000), tenant),
+                new Totals(new long[Totals.Sum.values().length]));
+        return new TotalsAggregator.Batch(1, 1, 0, 1000, 2000, totals, new TreeMap<>());
     }
 
     private static String csv(String tenant) throws IOException {
