--- a/src/main/java/clovermill/cli/LedgerCloseCommand.java
+++ b/src/main/java/clovermill/cli/LedgerCloseCommand.java
@@ -1,7 +1,7 @@
 package clovermill.cli;
 
 import clovermill.ledger.LedgerSettings;
-import clovermill.ledger.PeriodCloser;
+import clovermill.ledger.OfflinePeriodClosing;
 import clovermill.storage.Volume;
 import java.util.Map;
 import picocli.CommandLine.Command;
@@ -14,7 +14,7 @@
     @Override
     public Integer call() throws Exception {
         LedgerSettings settings = settings();
-        long throughMs = PeriodCloser.close(folder(), settings, System.currentTimeMillis(), Volume.local());
+        long throughMs = OfflinePeriodClosing.close(folder(), settings, System.currentTimeMillis(), Volume.local());
         if (json()) {
             Output.json(out(), Map.of("through", LedgerFormat.time(throughMs)));
         } else {
--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -36,30 +36,36 @@
 import java.util.function.Consumer;
 
 /**
- * The ledger of a director in service. Lives on the loop and never waits for the disk: what the queue to the
- * writer does not take is counted exactly and written as a gap later, or the tenant's requests are turned away,
- * as the settings say for each tenant. {@link #open} blocks, before anything is served.
+ * The usage ledger of a running director. Runs on the event loop and never waits for the disk: what does not fit into
+ * the queue to the writer is counted exactly and written as a gap entry later, or the tenant's requests are rejected,
+ * as the settings say for each tenant. {@link #open} blocks; it runs before anything is served.
  */
 public final class Ledger implements UsageListener, AutoCloseable {
 
-    /** What the director tells of itself. {@code kinds} are the numbers of the member kinds parent and origin. */
+    /**
+     * The properties of the director. {@code parentKind} and {@code originKind} are the numbers of those member
+     * kinds.
+     */
     public record Director(String instance, List<String> classes, int parentKind, int originKind, int maxOpen) {}
 
     private static final System.Logger LOG = System.getLogger(Ledger.class.getName());
     private static final long TICK_US = 1_000_000;
-    /** Tenants and periods whose missed records are told apart; a bound on memory, some 0.5 MB. */
-    private static final int MOST_MISSED = 4096;
-    /** About what a record takes. */
+    /**
+     * The maximum number of tenant and period combinations whose missed records are counted separately; takes about
+     * 0.5 MB.
+     */
+    private static final int MAX_MISSED_KEYS = 4096;
+    /** The approximate size of a record. */
     private static final int ENTRY_BYTES = 90;
-    /** Gaps that are queued at once, so that they do not fill the queue by themselves. */
-    private static final int GAPS_AT_ONCE = 256;
+    /** The maximum number of gap entries queued at once, so that they do not fill the queue by themselves. */
+    private static final int MAX_QUEUED_GAPS = 256;
 
     private final LedgerSettings settings;
     private final Director director;
     private final Clock clock;
     private final Deadlines deadlines;
     private final FolderLock lock;
-    private final StagingArea stage;
+    private final StagingArea staging;
     private final LedgerWriter writer;
     private final TenantRules rules;
     private final LedgerClock ledgerClock;
@@ -67,24 +73,24 @@
     private final UsageLimits usageLimits;
     private final QueueAdmission queueAdmission;
     private final MissedUsage missed;
-    private final Set<String> refusers;
+    private final Set<String> rejectedWhenFull;
     private final HashStream64 hash = Hashing.wyhashFinal4().hashStream();
     private final Map<String, Integer> kinds = new HashMap<>();
-    /** Entries that may not be missed and wait for room: closings, steps of the clock. */
-    private final ArrayDeque<Entry> owed = new ArrayDeque<>();
+    /** Entries that must not be dropped and wait for space in the queue: gaps, closings, clock steps. */
+    private final ArrayDeque<Entry> pending = new ArrayDeque<>();
     private long seq;
     private long closings;
-    private boolean refusing;
-    private boolean gathering;
+    private boolean usageMissing;
+    private boolean handOverScheduled;
 
     private Ledger(LedgerSettings settings, Director director, Clock clock, Deadlines deadlines, FolderLock lock,
-            StagingArea stage, LedgerWriter writer, LedgerStart start, long throughMs, Map<String, Double> shares) {
+            StagingArea staging, LedgerWriter writer, StartState start, long throughMs, Map<String, Double> shares) {
         this.settings = settings;
         this.director = director;
         this.clock = clock;
         this.deadlines = deadlines;
         this.lock = lock;
-        this.stage = stage;
+        this.staging = staging;
         this.writer = writer;
         this.rules = settings.rules(director.classes());
         this.ledgerClock = new LedgerClock(settings.clock().toleranceMs(), settings.clock().settleS() * 1000,
@@ -94,16 +100,18 @@
         this.usageLimits = new UsageLimits(settings.usageLimits(director.classes()), shares, settings.periodMs());
         start.open().forEach((key, totals) -> usageLimits.restore(key.period(), key.tenant(), totals));
         this.queueAdmission =
-                new QueueAdmission(StagingArea.pages(), 1 + director.maxOpen() * ENTRY_BYTES * StagingArea.pages()
-                        / (settings.queueKb() << 10));
-        this.missed = new MissedUsage(MOST_MISSED, settings.periodMs());
-        this.refusers = Set.copyOf(settings.refuseWhenFull());
+                new QueueAdmission(StagingArea.pageCount(),
+                        1 + director.maxOpen() * ENTRY_BYTES * StagingArea.pageCount()
+                                / (settings.queueKb() << 10));
+        this.missed = new MissedUsage(MAX_MISSED_KEYS, settings.periodMs());
+        this.rejectedWhenFull = Set.copyOf(settings.refuseWhenFull());
     }
 
     /**
-     * Takes the folder, begins an epoch and starts to write. Throws an {@link IOException} with one clear line if
-     * the folder is another's, cannot be written to or holds what is not known, and an {@link
-     * IllegalArgumentException} if the settings name what there is not. {@code loop} runs a task on the loop.
+     * Locks the folder, begins an epoch and starts the writer. {@code loop} runs a task on the event loop.
+     *
+     * @throws IOException if the folder belongs to another instance, cannot be written to or has unknown content
+     * @throws IllegalArgumentException if the settings name an unknown class
      */
     public static Ledger open(LedgerSettings settings, Director director, Clock clock, Deadlines deadlines,
             Consumer<Runnable> loop, Volume volume) throws IOException {
@@ -114,21 +122,21 @@
         LedgerFolder.Identity identity = folder.claim(volume, instance);
         FolderLock lock = FolderLock.acquire(folder.writerLock());
         try {
-            Path staged = staged(settings, identity);
-            StagingRecovery.run(folder, identity, staged, volume);
+            Path stagingFile = stagingFile(settings, identity);
+            StagingRecovery.run(folder, identity, stagingFile, volume);
             long epoch = folder.nextEpoch(volume);
-            LedgerStart start = LedgerStart.of(folder, limited);
+            StartState start = StartState.of(folder, limited);
             long nowMs = Math.max(clock.unixMillis(), start.lastMs());
             long throughMs = start.throughMs() != Long.MIN_VALUE ? start.throughMs()
                     : Math.floorDiv(nowMs, settings.periodMs()) * settings.periodMs();
-            StagingArea stage = new StagingArea(staged, identity.folder(), epoch, settings.queueKb() << 10);
-            LedgerWriter writer = new LedgerWriter(folder, volume, stage, new LogHeader(identity.folder(), instance,
+            StagingArea staging = new StagingArea(stagingFile, identity.folder(), epoch, settings.queueKb() << 10);
+            LedgerWriter writer = new LedgerWriter(folder, volume, staging, new LogHeader(identity.folder(), instance,
                     epoch, 1, 1, nowMs, throughMs, start.closings(), settings.periodMs(), director.classes()),
-                    new LedgerWriter.Terms(settings.syncMs(), settings.syncKb() << 10,
+                    new LedgerWriter.Options(settings.syncMs(), settings.syncKb() << 10,
                             (long) settings.segmentMb() << 20, settings.retryMs()));
             Map<String, Double> shares = settings.sharesFile() == null ? Map.of()
                     : SharesFile.read(Path.of(settings.sharesFile()), instance);
-            Ledger ledger = new Ledger(settings, director, clock, deadlines, lock, stage, writer, start, throughMs,
+            Ledger ledger = new Ledger(settings, director, clock, deadlines, lock, staging, writer, start, throughMs,
                     shares);
             writer.start(settings.sharesFile() == null ? () -> {} : () -> ledger.rereadShares(instance, loop));
             LOG.log(Level.INFO, "the ledger of {0} in {1} begins epoch {2}", instance, folder.path(),
@@ -141,69 +149,71 @@
         }
     }
 
-    /** The file of the stage; null where there is no such folder: the process's own memory serves then. */
-    static Path staged(LedgerSettings settings, LedgerFolder.Identity identity) {
+    /** Returns the staging file, or null without the staging folder: then entries are staged in the heap. */
+    static Path stagingFile(LedgerSettings settings, LedgerFolder.Identity identity) {
         Path in = Path.of(settings.stageFolder());
         return settings.stageFolder().isEmpty() || !Files.isDirectory(in) ? null
                 : in.resolve("clovermill-" + identity.folder() + ".stage");
     }
 
     @Override
-    public void membersChanged(Members news) {
-        for (Member member : news.members()) {
+    public void membersChanged(Members change) {
+        for (Member member : change.members()) {
             kinds.put(member.id(), member.kind());
         }
-        if (news.scope() == ListScope.FULL) {
-            kinds.keySet().retainAll(news.members().stream().map(Member::id).toList());
+        if (change.scope() == ListScope.FULL) {
+            kinds.keySet().retainAll(change.members().stream().map(Member::id).toList());
         }
     }
 
     @Override
-    public long retryAfterMs(ClientRequest ask) {
-        String tenant = rules.tenant(ask.requestClass(), ask.group());
-        if (refusers.contains(tenant)
-                && (queueAdmission.rejects(stage.used()) || writer.failing() || !missed.isEmpty())) {
+    public long retryAfterMs(ClientRequest request) {
+        String tenant = rules.tenant(request.requestClass(), request.group());
+        if (rejectedWhenFull.contains(tenant)
+                && (queueAdmission.rejects(staging.usedPages()) || writer.isFailing() || !missed.isEmpty())) {
             return settings.retryMs();
         }
         if (usageLimits.isEmpty()) {
             return ADMITTED;
         }
         long nowMs = ledgerClock.at(clock.micros() / 1000);
-        long afterMs = usageLimits.retryAfterMs(tenant, ask.requestClass(), nowMs);
-        if (afterMs == UsageLimits.ALLOWED) {
+        long retryAfterMs = usageLimits.retryAfterMs(tenant, request.requestClass(), nowMs);
+        if (retryAfterMs == UsageLimits.ALLOWED) {
             usageLimits.requestAdmitted(tenant, nowMs);
             return ADMITTED;
         }
-        return afterMs;
+        return retryAfterMs;
     }
 
     @Override
     public void requestEnded(UsageRecord usage) {
-        ClientRequest ask = usage.request();
-        String tenant = rules.tenant(ask.requestClass(), ask.group());
-        long takenMs = ledgerClock.at(usage.receivedUs() / 1000);
+        ClientRequest request = usage.request();
+        String tenant = rules.tenant(request.requestClass(), request.group());
+        long receivedMs = ledgerClock.at(usage.receivedUs() / 1000);
         if (usage.admitted()) {
-            usageLimits.requestEnded(tenant, takenMs, usage.writtenBytes(), ledgerClock.at(usage.endedUs() / 1000));
+            usageLimits.requestEnded(tenant, receivedMs, usage.writtenBytes(), ledgerClock.at(usage.endedUs() / 1000));
         }
-        ContentSource how = how(usage);
-        // What a joined fill brought is counted with the request that began it.
-        int fromOrigin = how == ContentSource.ORIGIN ? usage.bodyBytes() : 0;
+        ContentSource source = contentSource(usage);
+        // The bytes of a joined fill are counted with the request that started it.
+        int fromOrigin = source == ContentSource.ORIGIN ? usage.bodyBytes() : 0;
         int fromParent =
-                how == ContentSource.PARENT || how == ContentSource.ORIGIN && passed(usage, director.parentKind())
-                        ? usage.bodyBytes() : 0;
-        Entry.Used used = new Entry.Used(seq + 1, takenMs, clock.unixMillis(), usage.endedUs(),
-                HexFormat.fromHexDigitsToLong(ask.id()), tryKey(ask), tenant, ask.requestClass(), usage.end(), how,
-                usage.attempts(), ask.repeat(), usage.writtenBytes(), fromParent, fromOrigin);
-        if (missed.isEmpty() && owed.isEmpty() && stage.offer(used)) {
+                source == ContentSource.PARENT
+                        || source == ContentSource.ORIGIN && involves(usage, director.parentKind())
+                                ? usage.bodyBytes() : 0;
+        Entry.Used used = new Entry.Used(seq + 1, receivedMs, clock.unixMillis(), usage.endedUs(),
+                HexFormat.fromHexDigitsToLong(request.id()), clientAttemptKey(request), tenant, request.requestClass(),
+                usage.end(), source,
+                usage.attempts(), request.repeat(), usage.writtenBytes(), fromParent, fromOrigin);
+        if (missed.isEmpty() && pending.isEmpty() && staging.offer(used)) {
             seq++;
-            gather();
+            scheduleHandOver();
         } else {
             missed.add(used);
-            settle();
+            stagePending();
         }
     }
 
-    private boolean passed(UsageRecord usage, int kind) {
+    private boolean involves(UsageRecord usage, int kind) {
         return kind(usage.member()) == kind || kind(usage.source()) == kind;
     }
 
@@ -211,8 +221,8 @@
         return member == null ? -1 : kinds.getOrDefault(member, -1);
     }
 
-    /** By what the answer's note says and where it was asked for. */
-    private ContentSource how(UsageRecord usage) {
+    /** Returns the source of the response body, by its cache status and the kind of the member. */
+    private ContentSource contentSource(UsageRecord usage) {
         if (usage.member() == null) {
             return ContentSource.NONE;
         }
@@ -235,111 +245,118 @@
         return note == Note.STALE ? ContentSource.STALE : ContentSource.HIT;
     }
 
-    /** The same for all tries of one request: by its idempotency key, or by what is asked for. */
-    private long tryKey(ClientRequest ask) {
+    /**
+     * Returns the same key for all client attempts of one request: a hash of its idempotency key, or of the requested
+     * object and class.
+     */
+    private long clientAttemptKey(ClientRequest request) {
         hash.reset();
-        return ask.idempotencyKey() != null ? hash.putString(ask.idempotencyKey()).getAsLong()
-                : hash.putString(ask.object()).putInt(ask.part()).putInt(ask.requestClass()).getAsLong();
+        return request.idempotencyKey() != null ? hash.putString(request.idempotencyKey()).getAsLong()
+                : hash.putString(request.object()).putInt(request.part()).putInt(request.requestClass()).getAsLong();
     }
 
-    /** Hands over what is owed and what was missed, as far as there is room for it. */
-    private void settle() {
-        while (!owed.isEmpty() && stage.offer(owed.peek())) {
-            owed.poll();
+    /** Stages pending entries and gaps, as far as there is space. */
+    private void stagePending() {
+        while (!pending.isEmpty() && staging.offer(pending.peek())) {
+            pending.poll();
         }
-        // Not before half of the pages are free: otherwise each record that fits would make a gap of its own.
-        if (owed.isEmpty() && !missed.isEmpty() && stage.used() <= StagingArea.pages() / 2) {
-            missed.drain(GAPS_AT_ONCE).forEach(this::owe);
-            while (!owed.isEmpty() && stage.offer(owed.peek())) {
-                owed.poll();
+        // Waits until half of the pages are free; otherwise each record that fits would lead to a gap entry of its
+        // own.
+        if (pending.isEmpty() && !missed.isEmpty() && staging.usedPages() <= StagingArea.pageCount() / 2) {
+            missed.drain(MAX_QUEUED_GAPS).forEach(this::addPending);
+            while (!pending.isEmpty() && staging.offer(pending.peek())) {
+                pending.poll();
             }
         }
-        gather();
+        scheduleHandOver();
     }
 
-    private void owe(Entry.Gap gap) {
-        owed.add(new Entry.Gap(++seq, gap.firstMs(), gap.lastMs(), gap.tenant(), gap.count(), gap.written(),
+    private void addPending(Entry.Gap gap) {
+        pending.add(new Entry.Gap(++seq, gap.firstMs(), gap.lastMs(), gap.tenant(), gap.count(), gap.written(),
                 gap.fromParent(), gap.fromOrigin()));
     }
 
-    /** Hands over what is staged after a while, so that the writer is woken for many entries at once. */
-    private void gather() {
-        if (!gathering && !stage.isEmpty()) {
-            gathering = true;
+    /**
+     * Schedules the handover of staged entries to the writer after a delay, so that it is woken for many entries at
+     * once.
+     */
+    private void scheduleHandOver() {
+        if (!handOverScheduled && !staging.isEmpty()) {
+            handOverScheduled = true;
             deadlines.add(clock.micros() + settings.gatherMs() * 1000, () -> {
-                gathering = false;
-                stage.handOver();
-                gather();
+                handOverScheduled = false;
+                staging.handOver();
+                scheduleHandOver();
             });
         }
     }
 
-    /** Once a second: compares the clocks, closes periods, and catches up on what was missed. */
+    /** Runs once a second: compares the clocks, closes periods, and stages gaps for missed usage. */
     private void tick() {
         long monoMs = clock.micros() / 1000;
         long wallMs = clock.unixMillis();
         LedgerClock.Step step = ledgerClock.observe(wallMs, monoMs);
         if (step != null) {
-            LOG.log(Level.WARNING, step.adopted() ? "the clock''s step of {0} ms has lasted and is taken over"
-                    : "the system''s clock is {0} ms off the ledger''s; it is not followed unless that lasts",
+            LOG.log(Level.WARNING, step.adopted() ? "the clock''s step of {0} ms has lasted and is adopted now"
+                    : "the system clock differs from the ledger clock by {0} ms; the step is ignored unless it lasts",
                     Long.toString(step.stepMs()));
-            owed.add(new Entry.ClockStep(++seq, wallMs, ledgerClock.at(monoMs), step.stepMs(), step.adopted()));
+            pending.add(new Entry.ClockStep(++seq, wallMs, ledgerClock.at(monoMs), step.stepMs(), step.adopted()));
         }
         closingWatermark.advance(ledgerClock.at(monoMs))
-                .ifPresent(throughMs -> owed.add(new Entry.Close(++seq, throughMs, ++closings,
+                .ifPresent(throughMs -> pending.add(new Entry.Close(++seq, throughMs, ++closings,
                         ledgerClock.at(monoMs))));
-        settle();
-        boolean now = !missed.isEmpty();
-        if (now != refusing) {
-            refusing = now;
-            LOG.log(Level.WARNING, now ? "the ledger''s queue is full: use is counted as missed"
-                    : "the ledger''s queue has room again");
+        stagePending();
+        boolean nowMissing = !missed.isEmpty();
+        if (nowMissing != usageMissing) {
+            usageMissing = nowMissing;
+            LOG.log(Level.WARNING, nowMissing ? "the ledger''s queue is full: usage is counted as missed"
+                    : "the ledger''s queue has free space again");
         }
     }
 
-    /** After a closing, on the writer's thread: takes this instance's parts of the allowances as they are now. */
+    /** Runs on the writer's thread after a closing: rereads this instance's shares of the usage limits. */
     private void rereadShares(String instance, Consumer<Runnable> loop) {
         try {
-            Map<String, Double> changed = SharesFile.read(Path.of(settings.sharesFile()), instance);
-            loop.accept(() -> usageLimits.setShares(changed));
-        } catch (IOException bad) {
-            LOG.log(Level.WARNING, "the shares stay as they are: {0}", bad.getMessage());
+            Map<String, Double> newShares = SharesFile.read(Path.of(settings.sharesFile()), instance);
+            loop.accept(() -> usageLimits.setShares(newShares));
+        } catch (IOException failure) {
+            LOG.log(Level.WARNING, "cannot read the shares file; the shares stay unchanged: {0}", failure.getMessage());
         }
     }
 
-    /** Writes down all that is still owed, for as long as the settings allow, and lets go of the folder. */
+    /** Writes all pending entries, for as long as the settings allow, and releases the folder. */
     @Override
     public void close() throws IOException {
-        missed.drain(Integer.MAX_VALUE).forEach(this::owe);
-        long untilNs = System.nanoTime() + settings.leaveMs() * 1_000_000;
+        missed.drain(Integer.MAX_VALUE).forEach(this::addPending);
+        long deadlineNs = System.nanoTime() + settings.leaveMs() * 1_000_000;
         do {
-            while (!owed.isEmpty() && stage.offer(owed.peek())) {
-                owed.poll();
+            while (!pending.isEmpty() && staging.offer(pending.peek())) {
+                pending.poll();
             }
-            stage.handOverLast();
-        } while (!owed.isEmpty() && rested(untilNs));
-        writer.close(Math.max(0, untilNs - System.nanoTime()) / 1_000_000);
-        tellLost();
+            staging.handOverNow();
+        } while (!pending.isEmpty() && waitForPages(deadlineNs));
+        writer.close(Math.max(0, deadlineNs - System.nanoTime()) / 1_000_000);
+        logLostUsage();
         lock.close();
     }
 
-    /** Gaps for which there was no room to the end are known to nobody else: what they hold is told at least. */
-    private void tellLost() {
+    /** Logs the usage of gap entries that could not be staged, which is recorded nowhere else. */
+    private void logLostUsage() {
         long requests = 0;
         long bytes = 0;
-        for (Entry entry : owed) {
+        for (Entry entry : pending) {
             requests += entry instanceof Entry.Gap gap ? gap.count() : 0;
             bytes += entry instanceof Entry.Gap gap ? gap.written() : 0;
         }
-        if (!owed.isEmpty()) {
-            LOG.log(Level.ERROR, "the ledger ends with {0} requests of {1} bytes that are not written down anywhere",
+        if (!pending.isEmpty()) {
+            LOG.log(Level.ERROR, "the ledger closes with {0} requests of {1} bytes that are not recorded anywhere",
                     Long.toString(requests), Long.toString(bytes));
         }
     }
 
-    /** Waits a little for the writer to give pages back; false when there is no time left. */
-    private static boolean rested(long untilNs) {
+    /** Waits briefly for the writer to release pages; returns false when the time is over. */
+    private static boolean waitForPages(long deadlineNs) {
         LockSupport.parkNanos(1_000_000);
-        return System.nanoTime() < untilNs;
+        return System.nanoTime() < deadlineNs;
     }
 }
--- a/src/main/java/clovermill/ledger/LedgerFolder.java
+++ b/src/main/java/clovermill/ledger/LedgerFolder.java
@@ -17,52 +17,56 @@
 import java.util.stream.Stream;
 
 /**
- * The files of one instance's ledger: {@code identity.json} (who it is), {@code epoch} (the last start),
- * {@code log/EPOCH-NUMBER.seg}, {@code writer.lock} (held by the director), {@code books.mv} with {@code
- * books.lock} (held by commands), {@code checkpoint.mv} (what compacted segments came to).
+ * The files of one instance's ledger: {@code identity.json} (folder ID and instance name), {@code epoch} (the number
+ * of the last start), {@code log/EPOCH-NUMBER.seg}, {@code writer.lock} (locked by the director), {@code books.mv}
+ * (the totals store) with {@code books.lock} (locked by commands), {@code checkpoint.mv} (the totals store as of the
+ * last compaction).
  */
 public record LedgerFolder(Path path) {
 
-    /** Who wrote here: drawn when the folder is made, so that a name given to two instances shows. */
+    /**
+     * The identity of the writer. {@code folder} is drawn at random when the folder is created, which reveals an
+     * instance name that is used twice.
+     */
     public record Identity(UUID folder, String instance) {}
 
-    /** A segment by its name. */
+    /** A segment, identified by its file name. */
     public record Segment(Path file, long epoch, int number) {}
 
     private static final Pattern NAME = Pattern.compile("([0-9]{10})-([0-9]{8})\\.seg");
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** The folder of the segments. */
+    /** Returns the folder of the segments. */
     public Path log() {
         return path.resolve("log");
     }
 
-    /** The lock of whoever writes records. */
+    /** Returns the lock file of the process that writes records. */
     public Path writerLock() {
         return path.resolve("writer.lock");
     }
 
-    /** The lock of whoever works on the books. */
-    public Path booksLock() {
+    /** Returns the lock file of the process that uses the totals store. */
+    public Path totalsLock() {
         return path.resolve("books.lock");
     }
 
-    /** The embedded store with the totals. */
-    public Path books() {
+    /** Returns the file of the totals store. */
+    public Path totals() {
         return path.resolve("books.mv");
     }
 
-    /** What compacted segments came to. */
+    /** Returns the file of the checkpoint, which contains the totals of compacted segments. */
     public Path checkpoint() {
         return path.resolve("checkpoint.mv");
     }
 
-    /** The file of a segment. */
+    /** Returns the file of a segment. */
     public Path segment(long epoch, int number) {
         return log().resolve(String.format("%010d-%08d.seg", epoch, number));
     }
 
-    /** All segments in their order; files of other names are passed over. */
+    /** Returns all segments in order; files with other names are skipped. */
     public List<Segment> segments() throws IOException {
         List<Segment> found = new ArrayList<>();
         if (!Files.isDirectory(log())) {
@@ -79,7 +83,7 @@
         return found;
     }
 
-    /** Who wrote here; throws {@link NoSuchFileException} for a folder that holds no ledger. */
+    /** Returns the identity; throws {@link NoSuchFileException} for a folder without a ledger. */
     public Identity identity() throws IOException {
         JsonNode json = JSON.readTree(Files.readAllBytes(path.resolve("identity.json")));
         try {
@@ -89,13 +93,13 @@
         }
     }
 
-    /** Makes the folder if need be, and sees to it that it is this instance's. */
+    /** Creates the folder if needed, and checks that it belongs to this instance. */
     Identity claim(Volume volume, String instance) throws IOException {
         Files.createDirectories(log());
         Identity identity;
         try {
             identity = identity();
-        } catch (NoSuchFileException none) {
+        } catch (NoSuchFileException missingFile) {
             ObjectNode json = JSON.createObjectNode();
             json.put("folder", UUID.randomUUID().toString()).put("instance", instance);
             volume.replace(path.resolve("identity.json"), JSON.writeValueAsBytes(json));
@@ -107,7 +111,7 @@
         return identity;
     }
 
-    /** Begins an epoch above all that left a trace, and makes that last. */
+    /** Returns an epoch above all that left any trace, after making it durable. */
     long nextEpoch(Volume volume) throws IOException {
         long last = 0;
         Path file = path.resolve("epoch");
@@ -115,7 +119,7 @@
             try {
                 last = Long.parseLong(Files.readString(file).strip());
             } catch (NumberFormatException bad) {
-                throw new IOException(file + " holds no number");
+                throw new IOException(file + " does not contain a number");
             }
         }
         for (Segment segment : segments()) {
--- a/src/main/java/clovermill/ledger/LedgerSettings.java
+++ b/src/main/java/clovermill/ledger/LedgerSettings.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** The part of the settings file under {@code /ledger}; docs/operate/ledger.md explains each. */
+/** The section {@code /ledger} of the settings file; docs/operate/ledger.md describes each setting. */
 public record LedgerSettings(String folder, String instance,
         @JsonProperty("period_s") Long periodS, @JsonProperty("lateness_s") Long latenessS,
         @JsonProperty("queue_kb") Integer queueKb,
@@ -22,34 +22,40 @@
         @JsonProperty("refuse_when_full") List<String> refuseWhenFull, List<Limit> limits,
         @JsonProperty("shares_file") String sharesFile, Retention retention, Export export) {
 
-    /** Linux's file system in memory, whose files outlive a process and not a machine. */
+    /** The in-memory file system of Linux, whose files survive a process but not a reboot. */
     private static final String SHARED_MEMORY = "/dev/shm";
 
-    /** Steps of the system's clock below {@code toleranceMs} are slewed; others must last for {@code settleS}. */
+    /**
+     * Differences of the system clock below {@code toleranceMs} are slewed; larger ones must last for {@code
+     * settleS}.
+     */
     public record ClockRule(@JsonProperty("tolerance_ms") Long toleranceMs, @JsonProperty("settle_s") Long settleS) {
 
-        /** Fills in what the file leaves out. */
+        /** Sets defaults for absent settings. */
         public ClockRule {
             toleranceMs = toleranceMs == null ? 2000 : toleranceMs;
             settleS = settleS == null ? 300 : settleS;
         }
     }
 
-    /** Requests of a class (all, if absent) for objects of the groups from the first to the second number. */
+    /**
+     * Assigns requests of a class (all, if absent) for objects of the groups from the first to the second number to a
+     * tenant.
+     */
     public record Tenant(String tenant, @JsonProperty("class") String requestClass, List<Integer> groups) {}
 
-    /** What a tenant may use in a period, on all instances together. */
+    /** The usage limit of a tenant for a period, on all instances together. */
     public record Limit(String tenant, Long bytes, Long requests, Double soft,
             @JsonProperty("low_worth") List<String> lowWorth) {}
 
-    /** Exported segments older than so many days, or beyond so many megabytes, may be taken away. */
+    /** The age in days and the total size in megabytes beyond which exported segments may be deleted. */
     public record Retention(Integer days, Integer mb) {}
 
-    /** Where batches go: files in a folder, a receiver over HTTP, or both. */
+    /** The destinations of batches: files in a folder, a receiver over HTTP, or both. */
     public record Export(String folder, String format, String receiver, Integer attempts,
             @JsonProperty("timeout_ms") Integer timeoutMs) {
 
-        /** Fills in what the file leaves out. */
+        /** Sets defaults for absent settings. */
         public Export {
             format = format == null ? "csv" : format;
             attempts = attempts == null ? 5 : attempts;
@@ -57,7 +63,7 @@
         }
     }
 
-    /** Fills in what the file leaves out. */
+    /** Sets defaults for absent settings. */
     public LedgerSettings {
         periodS = periodS == null ? 3600 : periodS;
         latenessS = latenessS == null ? 60 : latenessS;
@@ -77,18 +83,21 @@
         retention = retention == null ? new Retention(null, null) : retention;
     }
 
-    /** Settings with nothing but a folder. */
+    /** Returns default settings for a folder. */
     public static LedgerSettings in(String folder) {
         return new LedgerSettings(folder, null, null, null, null, null, null, null, null, null, null, null, null, null,
                 null, null, null, null, null, null);
     }
 
-    /** The length of a period in milliseconds. */
+    /** Returns the length of a period in milliseconds. */
     public long periodMs() {
         return periodS * 1000;
     }
 
-    /** Whose requests are whose; throws {@link IllegalArgumentException} naming a class that does not exist. */
+    /**
+     * Returns the rules that assign requests to tenants; throws {@link IllegalArgumentException} naming an unknown
+     * class.
+     */
     TenantRules rules(List<String> classes) {
         return new TenantRules(tenants.stream().map(each -> new TenantRules.Rule(each.tenant(),
                 each.requestClass() == null ? -1 : number(classes, each.requestClass(), "tenant " + each.tenant()),
@@ -97,28 +106,29 @@
                 classes.size());
     }
 
-    /** What tenants may use; throws {@link IllegalArgumentException} naming a class that does not exist. */
+    /** Returns the limits by tenant; throws {@link IllegalArgumentException} naming an unknown class. */
     Map<String, UsageLimits.Limit> usageLimits(List<String> classes) {
         Map<String, UsageLimits.Limit> result = new HashMap<>();
         for (Limit limit : limits) {
-            Set<Integer> low = limit.lowWorth() == null ? Set.of() : limit.lowWorth().stream()
+            Set<Integer> lowWorth = limit.lowWorth() == null ? Set.of() : limit.lowWorth().stream()
                     .map(name -> number(classes, name, "the limit of " + limit.tenant())).collect(Collectors.toSet());
             result.put(limit.tenant(), new UsageLimits.Limit(limit.bytes() == null ? 0 : limit.bytes(),
-                    limit.requests() == null ? 0 : limit.requests(), limit.soft() == null ? 1 : limit.soft(), low));
+                    limit.requests() == null ? 0 : limit.requests(), limit.soft() == null ? 1 : limit.soft(),
+                    lowWorth));
         }
         return result;
     }
 
-    /** Throws {@link IllegalArgumentException} if anything here does not go with such classes. */
+    /** Throws {@link IllegalArgumentException} if the settings do not match these classes. */
     public void check(List<String> classes) {
         rules(classes);
         usageLimits(classes);
     }
 
-    private static int number(List<String> classes, String name, String where) {
+    private static int number(List<String> classes, String name, String settingName) {
         int number = classes.indexOf(name);
         if (number < 0) {
-            throw new IllegalArgumentException(where + " names the unknown class " + name);
+            throw new IllegalArgumentException(settingName + " names the unknown class " + name);
         }
         return number;
     }
--- a/src/main/java/clovermill/ledger/LedgerWriter.java
+++ b/src/main/java/clovermill/ledger/LedgerWriter.java
@@ -13,104 +13,105 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one thread that writes a ledger's log, from the pages of a {@link StagingArea}. Entries survive the end of the
- * process as soon as they are staged, and the loss of power after the next sync, which comes after so much time or
- * so many bytes, whichever is first. A page is held until it is synced: after a fault the thread opens a new
- * segment and writes it again; the reader knows by its sequence what it has had.
+ * The thread that writes the log of a ledger, from the pages of a {@link StagingArea}. Entries survive the end of the
+ * process once they are staged, and a power failure after the next sync, which follows after a time or a number of
+ * bytes, whichever comes first. A page is retained until it is synced: after a fault the thread opens a new segment
+ * and writes the page again; the reader detects duplicates by their sequence numbers.
  */
 final class LedgerWriter {
 
-    /** How the log is written. */
-    record Terms(long syncMs, int syncBytes, long segmentBytes, long retryMs) {}
+    /** The intervals and sizes of writing. */
+    record Options(long syncMs, int syncBytes, long segmentBytes, long retryMs) {}
 
     private static final System.Logger LOG = System.getLogger(LedgerWriter.class.getName());
     private static final long IDLE_MS = 1000;
 
     private final LedgerFolder folder;
     private final Volume volume;
-    private final StagingArea stage;
-    private final Terms terms;
+    private final StagingArea staging;
+    private final Options options;
     private final LogFormat format = new LogFormat();
-    /** Pages that are not synced, or only up to {@code syncedAt} in the first one. */
-    private final List<StagingArea.Page> pages = new ArrayList<>();
+    /** Pages that are not synced, except for the first {@code syncedAt} bytes of the first page. */
+    private final List<StagingArea.Page> unsyncedPages = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "ledger");
     private LogHeader header;
     private SegmentWriter segment;
     private Runnable afterClosing;
     private int syncedAt;
-    /** What of the pages stands in the present segment: all before this place in this page. */
-    private int page;
-    private int at;
+    /** The position in the pages up to which they are written to the current segment. */
+    private int pageIndex;
+    private int pageOffset;
     private long syncedSize;
     private long syncByNs;
-    /** No entry that was written is dated later. */
+    /** The latest time of any written entry. */
     private long latestMs;
     private long writtenSeq;
     private long syncedSeq;
     private volatile boolean failing;
     private volatile boolean closing;
 
-    /** {@code header} is that of the first segment. */
-    LedgerWriter(LedgerFolder folder, Volume volume, StagingArea stage, LogHeader header, Terms terms) {
+    /** Creates a writer; {@code header} is the header of the first segment. */
+    LedgerWriter(LedgerFolder folder, Volume volume, StagingArea staging, LogHeader header, Options options) {
         this.folder = folder;
         this.volume = volume;
-        this.stage = stage;
+        this.staging = staging;
         this.header = header;
-        this.terms = terms;
+        this.options = options;
         this.latestMs = header.openedMs();
         this.syncedSeq = header.firstSeq() - 1;
         thread.setDaemon(true);
     }
 
     /**
-     * Opens the first segment, so that a folder that cannot be written to shows before anything is served. {@code
-     * closed} is run on this thread after each closing.
+     * Opens the first segment, so that a folder that is not writable is detected before anything is served, and
+     * starts the thread. {@code listener} is run on this thread after each period closing.
      */
-    void start(Runnable closed) throws IOException {
-        afterClosing = closed;
-        open();
+    void start(Runnable listener) throws IOException {
+        afterClosing = listener;
+        openSegment();
         thread.start();
     }
 
-    /** Whether the disk refuses to take what there is. */
-    boolean failing() {
+    /** Returns whether the last attempt to write failed. */
+    boolean isFailing() {
         return failing;
     }
 
     private void run() {
         try {
-            while (!closing || !stage.isTaken() || !pages.isEmpty()) {
-                turn();
+            while (!closing || !staging.isDrained() || !unsyncedPages.isEmpty()) {
+                runOnce();
             }
-            stage.remove();
+            staging.delete();
         } catch (InterruptedException | IOException stopped) {
-            LOG.log(Level.WARNING, "the ledger ends with records that are not written: they stay staged");
+            LOG.log(Level.WARNING, "the ledger closes with unwritten records: they stay in the staging area");
         } catch (RuntimeException fault) {
-            LOG.log(Level.ERROR, "the ledger's writer has ended; use is counted as missed from now on", fault);
+            LOG.log(Level.ERROR, "the ledger's writer has failed; usage is counted as missed from now on", fault);
         } finally {
             closeQuietly();
         }
     }
 
-    private void turn() throws InterruptedException {
+    private void runOnce() throws InterruptedException {
         if (!failing) {
-            gather();
+            takePages();
         }
         try {
             if (segment == null) {
-                open();
+                openSegment();
             }
             write();
-            if (!pages.isEmpty() && (segment.size() - syncedSize >= terms.syncBytes() || closing && stage.isTaken()
-                    || System.nanoTime() - syncByNs >= 0)) {
+            if (!unsyncedPages.isEmpty()
+                    && (segment.size() - syncedSize >= options.syncBytes() || closing && staging.isDrained()
+                            || System.nanoTime() - syncByNs >= 0)) {
                 sync();
-                if (segment.size() >= terms.segmentBytes()) {
-                    rotate(header.throughMs(), header.closings());
+                if (segment.size() >= options.segmentBytes()) {
+                    closeSegment(header.throughMs(), header.closings());
                 }
             }
             if (failing) {
                 failing = false;
-                LOG.log(Level.INFO, "the ledger is written again, in {0}", folder.segment(header.epoch(),
+                LOG.log(Level.INFO, "writing the ledger works again, in {0}", folder.segment(header.epoch(),
                         header.number()).getFileName());
             }
         } catch (IOException failure) {
@@ -118,72 +119,76 @@
                 failing = true;
                 LOG.log(Level.WARNING, "the ledger cannot be written and waits: {0}", failure.toString());
             }
-            abandon();
-            Thread.sleep(terms.retryMs());
+            abandonSegment();
+            Thread.sleep(options.retryMs());
         }
     }
 
-    /** Takes what is handed over; waits for that, no longer than until the next sync is due. */
-    private void gather() throws InterruptedException {
-        StagingArea.Page next = stage.take(closing ? 0 : pages.isEmpty() ? TimeUnit.MILLISECONDS.toNanos(IDLE_MS)
-                : syncByNs - System.nanoTime());
-        if (next != null && pages.isEmpty()) {
-            syncByNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(terms.syncMs());
+    /** Takes the pages that were handed over; waits for one until the next sync is due. */
+    private void takePages() throws InterruptedException {
+        StagingArea.Page next =
+                staging.poll(closing ? 0 : unsyncedPages.isEmpty() ? TimeUnit.MILLISECONDS.toNanos(IDLE_MS)
+                        : syncByNs - System.nanoTime());
+        if (next != null && unsyncedPages.isEmpty()) {
+            syncByNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(options.syncMs());
         }
-        for (; next != null; next = stage.take(0)) {
-            pages.add(next);
+        for (; next != null; next = staging.poll(0)) {
+            unsyncedPages.add(next);
         }
     }
 
     private void write() throws IOException {
-        while (page < pages.size()) {
-            ByteBuffer bytes = pages.get(page).bytes;
-            while (page < pages.size() && bytes == pages.get(page).bytes && at < pages.get(page).fill) {
-                int frame = at;
-                segment.addFrame(bytes, frame);
-                at += FrameCodec.HEADER_BYTES + FrameCodec.length(bytes, frame);
-                int type = FrameCodec.type(bytes, frame);
-                writtenSeq = bytes.getLong(frame + FrameCodec.HEADER_BYTES);
-                latestMs = Math.max(latestMs, LogFormat.latestMs(type, bytes, frame + FrameCodec.HEADER_BYTES));
+        while (pageIndex < unsyncedPages.size()) {
+            ByteBuffer bytes = unsyncedPages.get(pageIndex).bytes;
+            while (pageIndex < unsyncedPages.size() && bytes == unsyncedPages.get(pageIndex).bytes
+                    && pageOffset < unsyncedPages.get(pageIndex).fill) {
+                int frameOffset = pageOffset;
+                segment.addFrame(bytes, frameOffset);
+                pageOffset += FrameCodec.HEADER_BYTES + FrameCodec.length(bytes, frameOffset);
+                int type = FrameCodec.type(bytes, frameOffset);
+                writtenSeq = bytes.getLong(frameOffset + FrameCodec.HEADER_BYTES);
+                latestMs = Math.max(latestMs, LogFormat.latestMs(type, bytes, frameOffset + FrameCodec.HEADER_BYTES));
                 CrashPoint.reached("ledger.append");
                 if (type == LogFormat.CLOSE) {
-                    closed(bytes, frame + FrameCodec.HEADER_BYTES);
+                    onClosing(bytes, frameOffset + FrameCodec.HEADER_BYTES);
                 }
             }
-            page++;
-            at = 0;
+            pageIndex++;
+            pageOffset = 0;
         }
         segment.flush();
     }
 
-    /** A closing is the last entry of its segment, so that the next header tells of it. */
-    private void closed(ByteBuffer bytes, int payload) throws IOException {
+    /**
+     * Syncs after a closing, which is the last entry of its segment, so that the header of the next one contains it.
+     */
+    private void onClosing(ByteBuffer bytes, int payload) throws IOException {
         segment.force();
         syncedSeq = writtenSeq;
-        syncedAt = at;
-        for (; page > 0; page--) {
-            stage.giveBack(pages.remove(0));
+        syncedAt = pageOffset;
+        for (; pageIndex > 0; pageIndex--) {
+            staging.release(unsyncedPages.remove(0));
         }
         CrashPoint.reached("ledger.closed");
-        rotate(LogFormat.throughMs(bytes, payload), LogFormat.number(bytes, payload));
-        open();
+        closeSegment(LogFormat.throughMs(bytes, payload), LogFormat.number(bytes, payload));
+        openSegment();
         afterClosing.run();
     }
 
-    /** Makes all that is written last, and gives its pages back. */
+    /** Syncs the segment and releases its pages. */
     private void sync() throws IOException {
         segment.force();
         syncedSeq = writtenSeq;
-        pages.forEach(stage::giveBack);
-        pages.clear();
-        page = 0;
-        at = 0;
+        unsyncedPages.forEach(staging::release);
+        unsyncedPages.clear();
+        pageIndex = 0;
+        pageOffset = 0;
         syncedAt = 0;
         syncedSize = segment.size();
     }
 
-    /** Ends the present segment; the next one is opened when there is something for it. */
-    private void rotate(long throughMs, long closings) throws IOException {
+    /** Closes the current segment; the next one is opened when it is needed. */
+    private void closeSegment(long throughMs, long closings) throws IOException {
         SegmentWriter full = segment;
         segment = null;
         header = new LogHeader(header.folder(), header.instance(), header.epoch(), header.number() + 1,
@@ -191,57 +196,59 @@
         full.close();
     }
 
-    private void open() throws IOException {
+    private void openSegment() throws IOException {
         CrashPoint.reached("ledger.before-open");
         Path file = folder.segment(header.epoch(), header.number());
-        SegmentWriter fresh = new SegmentWriter(volume, file, LogFormat.MAGIC);
+        SegmentWriter newSegment = new SegmentWriter(volume, file, LogFormat.MAGIC);
         try {
-            fresh.add(LogFormat.HEADER, format.write(header));
-            fresh.force();
+            newSegment.add(LogFormat.HEADER, format.write(header));
+            newSegment.force();
         } catch (IOException failure) {
-            // Guards against a file for each try while the disk is full.
-            quietly(fresh::close);
-            quietly(() -> volume.delete(file));
+            // Prevents a leftover file for each attempt while the disk is full.
+            runLoggingFailure(newSegment::close);
+            runLoggingFailure(() -> volume.delete(file));
             throw failure;
         }
-        segment = fresh;
+        segment = newSegment;
         syncedSize = segment.size();
         CrashPoint.reached("ledger.opened");
     }
 
-    /** Leaves a segment in which something went wrong; what was not synced goes into the next one. */
-    private void abandon() {
+    /** Abandons a segment after a failure; entries that were not synced go into the next one. */
+    private void abandonSegment() {
         closeQuietly();
         segment = null;
-        page = 0;
-        at = syncedAt;
+        pageIndex = 0;
+        pageOffset = syncedAt;
         header = new LogHeader(header.folder(), header.instance(), header.epoch(), header.number() + 1,
                 syncedSeq + 1, latestMs, header.throughMs(), header.closings(), header.periodMs(), header.classes());
     }
 
     private void closeQuietly() {
         if (segment != null) {
-            quietly(segment::close);
+            runLoggingFailure(segment::close);
         }
     }
 
-    private interface Step {
+    private interface CleanupStep {
         void run() throws IOException;
     }
 
-    private static void quietly(Step step) {
+    private static void runLoggingFailure(CleanupStep cleanup) {
         try {
-            step.run();
+            cleanup.run();
         } catch (IOException failure) {
-            LOG.log(Level.DEBUG, "giving up a segment failed", failure);
+            LOG.log(Level.DEBUG, "cannot close or delete an abandoned segment", failure);
         }
     }
 
-    /** Writes what was handed over; waits for that, or for as long as the disk may take. */
-    void close(long mostMs) {
+    /**
+     * Writes all pages that were handed over and stops the thread, after at most {@code timeoutMs} and a second more.
+     */
+    void close(long timeoutMs) {
         closing = true;
         try {
-            thread.join(Math.max(1, mostMs));
+            thread.join(Math.max(1, timeoutMs));
             thread.interrupt();
             thread.join(IDLE_MS);
         } catch (InterruptedException stopped) {
--- a/src/main/java/clovermill/ledger/LogFormat.java
+++ b/src/main/java/clovermill/ledger/LogFormat.java
@@ -13,12 +13,12 @@
 import java.util.UUID;
 
 /**
- * The bytes of header and entries, little-endian; docs/design/ledger.md has the table. A type that is not known
- * is passed over by {@link #read}: a later version of the same magic may add some.
+ * The binary format of headers and entries, little-endian; docs/design/ledger.md has the table. {@link #read} skips
+ * unknown types: a later version with the same magic may add some.
  */
 final class LogFormat {
 
-    /** Names form and version; a later form has another one and is refused. */
+    /** Identifies the format and its version; a later format has another magic and is rejected. */
     static final String MAGIC = "CLVLEDG1";
 
     static final int HEADER = 1;
@@ -27,89 +27,89 @@
     static final int CLOSE = 4;
     static final int CLOCK = 5;
 
-    /** The longest name of a tenant, an instance or a class, in bytes. */
-    static final int LONGEST_NAME = 200;
+    /** The maximum length of the name of a tenant, an instance or a class, in bytes. */
+    static final int MAX_NAME_BYTES = 200;
 
     private static final UsageRecord.End[] ENDS = UsageRecord.End.values();
-    private static final ContentSource[] HOWS = ContentSource.values();
+    private static final ContentSource[] CONTENT_SOURCES = ContentSource.values();
 
-    private final ByteBuffer scratch = ByteBuffer.allocate(clovermill.storage.SegmentWriter.maxPayloadBytes())
+    private final ByteBuffer buffer = ByteBuffer.allocate(clovermill.storage.SegmentWriter.maxPayloadBytes())
             .order(ByteOrder.LITTLE_ENDIAN);
-    private byte[] lastName = {};
+    private byte[] lastTenantBytes = {};
     private String lastTenant = "";
 
-    /** The payload of a header; valid until the next call. */
+    /** Encodes a header; the result is valid until the next call. */
     ByteBuffer write(LogHeader header) {
-        scratch.clear();
-        scratch.putLong(header.folder().getMostSignificantBits()).putLong(header.folder().getLeastSignificantBits());
-        scratch.putLong(header.epoch()).putInt(header.number());
-        scratch.putLong(header.firstSeq()).putLong(header.openedMs());
-        scratch.putLong(header.throughMs()).putLong(header.closings()).putLong(header.periodMs());
-        name(header.instance());
-        scratch.put((byte) header.classes().size());
-        header.classes().forEach(this::name);
-        return scratch.flip();
+        buffer.clear();
+        buffer.putLong(header.folder().getMostSignificantBits()).putLong(header.folder().getLeastSignificantBits());
+        buffer.putLong(header.epoch()).putInt(header.number());
+        buffer.putLong(header.firstSeq()).putLong(header.openedMs());
+        buffer.putLong(header.throughMs()).putLong(header.closings()).putLong(header.periodMs());
+        writeName(header.instance());
+        buffer.put((byte) header.classes().size());
+        header.classes().forEach(this::writeName);
+        return buffer.flip();
     }
 
-    /** The type of an entry's frame. */
+    /** Returns the frame type of an entry. */
     static int type(Entry entry) {
         return entry instanceof Entry.Used ? USED : entry instanceof Entry.Gap ? GAP
                 : entry instanceof Entry.Close ? CLOSE : CLOCK;
     }
 
-    /** No later time is told by an entry whose payload stands at a place; 0 where it tells of none. */
-    static long latestMs(int type, ByteBuffer in, int at) {
+    /** Returns the latest time in the entry whose payload starts at an offset; 0 if it has none. */
+    static long latestMs(int type, ByteBuffer source, int offset) {
         return switch (type) {
-            case USED -> in.getLong(at + 8);
-            case GAP -> in.getLong(at + 16);
-            case CLOSE -> in.getLong(at + 24);
+            case USED -> source.getLong(offset + 8);
+            case GAP -> source.getLong(offset + 16);
+            case CLOSE -> source.getLong(offset + 24);
             default -> 0;
         };
     }
 
-    /** Through when a closing whose payload stands at a place closes. */
-    static long throughMs(ByteBuffer in, int at) {
-        return in.getLong(at + 8);
+    /** Returns the time through which the closing whose payload starts at an offset closes periods. */
+    static long throughMs(ByteBuffer source, int offset) {
+        return source.getLong(offset + 8);
     }
 
-    /** The number of a closing whose payload stands at a place. */
-    static long number(ByteBuffer in, int at) {
-        return in.getLong(at + 16);
+    /** Returns the number of the closing whose payload starts at an offset. */
+    static long number(ByteBuffer source, int offset) {
+        return source.getLong(offset + 16);
     }
 
-    /** The payload of an entry; valid until the next call. */
+    /** Encodes an entry; the result is valid until the next call. */
     ByteBuffer write(Entry entry) {
-        scratch.clear();
-        scratch.putLong(entry.seq());
+        buffer.clear();
+        buffer.putLong(entry.seq());
         if (entry instanceof Entry.Used used) {
-            scratch.putLong(used.takenMs()).putLong(used.wallMs()).putLong(used.monoUs());
-            scratch.putLong(used.request()).putLong(used.tryKey());
-            scratch.putInt(used.written()).putInt(used.fromParent()).putInt(used.fromOrigin());
-            scratch.put((byte) used.requestClass()).put((byte) used.end().ordinal()).put((byte) used.how().ordinal());
-            scratch.put((byte) Math.min(255, used.attempts())).put((byte) (used.repeat() ? 1 : 0));
-            name(used.tenant());
+            buffer.putLong(used.takenMs()).putLong(used.wallMs()).putLong(used.monoUs());
+            buffer.putLong(used.request()).putLong(used.tryKey());
+            buffer.putInt(used.written()).putInt(used.fromParent()).putInt(used.fromOrigin());
+            buffer.put((byte) used.requestClass()).put((byte) used.end().ordinal()).put((byte) used.how().ordinal());
+            buffer.put((byte) Math.min(255, used.attempts())).put((byte) (used.repeat() ? 1 : 0));
+            writeName(used.tenant());
         } else if (entry instanceof Entry.Gap gap) {
-            scratch.putLong(gap.firstMs()).putLong(gap.lastMs()).putLong(gap.count()).putLong(gap.written());
-            scratch.putLong(gap.fromParent()).putLong(gap.fromOrigin());
-            name(gap.tenant());
+            buffer.putLong(gap.firstMs()).putLong(gap.lastMs()).putLong(gap.count()).putLong(gap.written());
+            buffer.putLong(gap.fromParent()).putLong(gap.fromOrigin());
+            writeName(gap.tenant());
         } else if (entry instanceof Entry.Close close) {
-            scratch.putLong(close.throughMs()).putLong(close.number()).putLong(close.atMs());
+            buffer.putLong(close.throughMs()).putLong(close.number()).putLong(close.atMs());
         } else if (entry instanceof Entry.ClockStep step) {
-            scratch.putLong(step.wallMs()).putLong(step.lineMs()).putLong(step.stepMs());
-            scratch.put((byte) (step.taken() ? 1 : 0));
+            buffer.putLong(step.wallMs()).putLong(step.lineMs()).putLong(step.stepMs());
+            buffer.put((byte) (step.taken() ? 1 : 0));
         }
-        return scratch.flip();
+        return buffer.flip();
     }
 
-    private void name(String name) {
+    private void writeName(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > LONGEST_NAME) {
-            throw new IllegalArgumentException("a name of " + bytes.length + " bytes");
+        if (bytes.length > MAX_NAME_BYTES) {
+            throw new IllegalArgumentException("name too long: " + bytes.length + " bytes");
         }
-        scratch.put((byte) bytes.length).put(bytes);
+        buffer.put((byte) bytes.length).put(bytes);
     }
 
-    /** Reads a header. */
+    /** Decodes a header. */
     static LogHeader readHeader(ByteBuffer from) throws IOException {
         try {
             UUID folder = new UUID(from.getLong(), from.getLong());
@@ -127,12 +127,12 @@
             }
             return new LogHeader(folder, instance, epoch, number, firstSeq, openedMs, throughMs, closings, periodMs,
                     classes);
-        } catch (RuntimeException bad) {
-            throw new IOException("a header that checks but cannot be read: " + bad);
+        } catch (RuntimeException malformed) {
+            throw new IOException("header with a correct checksum cannot be decoded: " + malformed);
         }
     }
 
-    /** Reads an entry; null for a type that is not known. */
+    /** Decodes an entry; returns null for an unknown type. */
     Entry read(int type, ByteBuffer from) throws IOException {
         try {
             return switch (type) {
@@ -148,10 +148,10 @@
                     int fromOrigin = from.getInt();
                     int requestClass = from.get() & 255;
                     UsageRecord.End end = ENDS[from.get()];
-                    ContentSource how = HOWS[from.get()];
+                    ContentSource how = CONTENT_SOURCES[from.get()];
                     int attempts = from.get() & 255;
                     boolean repeat = from.get() != 0;
-                    yield new Entry.Used(seq, takenMs, wallMs, monoUs, request, tryKey, tenant(from), requestClass,
+                    yield new Entry.Used(seq, takenMs, wallMs, monoUs, request, tryKey, readTenant(from), requestClass,
                             end, how, attempts, repeat, written, fromParent, fromOrigin);
                 }
                 case GAP -> {
@@ -162,26 +162,26 @@
                     long written = from.getLong();
                     long fromParent = from.getLong();
                     long fromOrigin = from.getLong();
-                    yield new Entry.Gap(seq, firstMs, lastMs, tenant(from), count, written, fromParent, fromOrigin);
+                    yield new Entry.Gap(seq, firstMs, lastMs, readTenant(from), count, written, fromParent, fromOrigin);
                 }
                 case CLOSE -> new Entry.Close(from.getLong(), from.getLong(), from.getLong(), from.getLong());
                 case CLOCK -> new Entry.ClockStep(from.getLong(), from.getLong(), from.getLong(), from.getLong(),
                         from.get() != 0);
                 default -> null;
             };
-        } catch (RuntimeException bad) {
-            throw new IOException("an entry that checks but cannot be read: " + bad);
+        } catch (RuntimeException malformed) {
+            throw new IOException("entry with a correct checksum cannot be decoded: " + malformed);
         }
     }
 
-    /** The name of a tenant, the same string again while it stays the same. */
-    private String tenant(ByteBuffer from) {
+    /** Decodes the name of a tenant; returns the previous string object while the name does not change. */
+    private String readTenant(ByteBuffer from) {
         int length = from.get() & 255;
-        int at = from.arrayOffset() + from.position();
+        int offset = from.arrayOffset() + from.position();
         byte[] array = from.array();
-        if (!Arrays.equals(lastName, 0, lastName.length, array, at, at + length)) {
-            lastName = Arrays.copyOfRange(array, at, at + length);
-            lastTenant = new String(lastName, StandardCharsets.UTF_8);
+        if (!Arrays.equals(lastTenantBytes, 0, lastTenantBytes.length, array, offset, offset + length)) {
+            lastTenantBytes = Arrays.copyOfRange(array, offset, offset + length);
+            lastTenant = new String(lastTenantBytes, StandardCharsets.UTF_8);
         }
         from.position(from.position() + length);
         return lastTenant;
--- a/src/main/java/clovermill/ledger/LogReader.java
+++ b/src/main/java/clovermill/ledger/LogReader.java
@@ -9,37 +9,40 @@
 import java.util.List;
 import java.util.UUID;
 
-/** Reads a folder's log in its order, as often as one likes, also while a director writes. */
+/** Reads the log of a folder in order, any number of times, also while a director writes. */
 public final class LogReader {
 
-    /** Told of all that the log holds. */
+    /** Receives the content of the log. */
     public interface Visitor {
 
-        /** A segment begins; where its header cannot be read, {@code header} is that before, as far as known. */
+        /**
+         * Handles the start of a segment; {@code header} is derived from the previous one if that of the segment
+         * cannot be read.
+         */
         default void segment(Path file, LogHeader header) throws IOException {}
 
-        /** An entry of the segment that was told last. */
+        /** Handles an entry of the current segment. */
         void entry(LogHeader header, Entry entry) throws IOException;
 
-        /** Bytes of a segment's middle that hold no good frame. */
+        /** Handles a range in the middle of a segment that contains no valid frame. */
         default void damaged(Path file, long from, long to) {}
 
-        /** Bytes after the last good frame of a segment: cut off by a crash, or still being written. */
+        /** Handles bytes after the last valid frame of a segment: truncated by a crash, or still being written. */
         default void torn(Path file, long bytes) {}
     }
 
-    /** Where reading stopped: behind this byte of this segment. The start of a log is {@link #START}. */
+    /** A position in the log: an offset in a segment. The start of a log is {@link #START}. */
     public record Position(long epoch, int number, long offset) {
 
-        /** Before the first segment. */
+        /** The position before the first segment. */
         public static final Position START = new Position(0, 0, 0);
 
-        /** Whether all of a segment lies before this. */
-        public boolean isBehind(LedgerFolder.Segment segment) {
+        /** Returns whether this position is after the whole segment. */
+        public boolean isAfter(LedgerFolder.Segment segment) {
             return epoch > segment.epoch() || epoch == segment.epoch() && number > segment.number();
         }
 
-        /** Whether this lies in a segment. */
+        /** Returns whether this position is in the segment. */
         public boolean isIn(LedgerFolder.Segment segment) {
             return epoch == segment.epoch() && number == segment.number();
         }
@@ -50,20 +53,20 @@
     private final LogFormat format = new LogFormat();
     private LogHeader header;
 
-    /** Reads the segments of a ledger folder; nothing is opened yet. */
+    /** Creates a reader for a ledger folder; opens no file yet. */
     public LogReader(LedgerFolder folder) {
         this.folder = folder;
     }
 
-    /** Reads what stands behind a position; returns the new one. */
+    /** Reads everything after a position; returns the new position. */
     public Position read(Position from, Visitor visitor) throws IOException {
-        Position at = from;
+        Position position = from;
         for (LedgerFolder.Segment segment : folder.segments()) {
-            if (!from.isBehind(segment)) {
-                at = read(segment, from.isIn(segment) ? from.offset() : 0, visitor);
+            if (!from.isAfter(segment)) {
+                position = read(segment, from.isIn(segment) ? from.offset() : 0, visitor);
             }
         }
-        return at;
+        return position;
     }
 
     /** Reads one segment from an offset. */
@@ -76,11 +79,11 @@
     }
 
     private Position readSegment(LedgerFolder.Segment segment, long offset, Visitor visitor) throws IOException {
-        boolean[] begun = {false};
-        header = stand(segment);
+        boolean[] started = {false};
+        header = substituteHeader(segment);
         if (offset > 0) {
             readHeader(segment);
-            begin(segment, begun, visitor);
+            startSegment(segment, started, visitor);
         }
         SegmentReader.ReadResult end =
                 reader.read(segment.file(), LogFormat.MAGIC, offset, new SegmentReader.Visitor() {
@@ -88,10 +91,10 @@
                     public boolean frame(int type, ByteBuffer payload) throws IOException {
                         if (type == LogFormat.HEADER) {
                             header = LogFormat.readHeader(payload);
-                            begin(segment, begun, visitor);
+                            startSegment(segment, started, visitor);
                             return true;
                         }
-                        begin(segment, begun, visitor);
+                        startSegment(segment, started, visitor);
                         Entry entry = format.read(type, payload);
                         if (entry != null) {
                             visitor.entry(header, entry);
@@ -110,14 +113,14 @@
         return new Position(segment.epoch(), segment.number(), end.validEnd());
     }
 
-    private void begin(LedgerFolder.Segment segment, boolean[] begun, Visitor visitor) throws IOException {
-        if (!begun[0]) {
-            begun[0] = true;
+    private void startSegment(LedgerFolder.Segment segment, boolean[] started, Visitor visitor) throws IOException {
+        if (!started[0]) {
+            started[0] = true;
             visitor.segment(segment.file(), header);
         }
     }
 
-    /** The header of a segment; null where it has none that can be read. */
+    /** Returns the header of a segment; null if it cannot be read. */
     public LogHeader header(LedgerFolder.Segment segment) throws IOException {
         LogHeader before = header;
         header = null;
@@ -139,13 +142,16 @@
 
             @Override
             public void damaged(long from, long to) {
-                // told when the segment itself is read
+                // reported when the segment itself is read
             }
         });
     }
 
-    /** Stands in for a header that is damaged: as the segment before told, under the numbers of the file's name. */
-    private LogHeader stand(LedgerFolder.Segment segment) throws IOException {
+    /**
+     * Returns a substitute for a damaged header: the fields of the previous segment with the numbers of the file
+     * name.
+     */
+    private LogHeader substituteHeader(LedgerFolder.Segment segment) throws IOException {
         if (header == null) {
             LedgerFolder.Identity identity;
             try {
--- a/src/main/java/clovermill/ledger/PeriodCloser.java
+++ b/src/main/java/clovermill/ledger/OfflinePeriodClosing.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** Closes periods of a folder whose director does not run, or never will again. */
-public final class PeriodCloser {
+/** Closes the periods of a folder whose director is not running, also if it never runs again. */
+public final class OfflinePeriodClosing {
 
-    private PeriodCloser() {}
+    private OfflinePeriodClosing() {}
 
     /**
      * Writes the leftover staged entries of a killed director to the log and closes the periods that ended by {@code
@@ -25,30 +25,30 @@
         long periodMs = settings.periodMs();
         LedgerFolder.Identity identity = folder.identity();
         return FolderLock.withLock(folder.writerLock(), () -> {
-            StagingRecovery.run(folder, identity, Ledger.staged(settings, identity), volume);
-            LedgerStart start = LedgerStart.of(folder, false);
+            StagingRecovery.run(folder, identity, Ledger.stagingFile(settings, identity), volume);
+            StartState start = StartState.of(folder, false);
             if (start.throughMs() == Long.MIN_VALUE) {
-                throw new IOException(folder.path() + " holds no segment yet");
+                throw new IOException(folder.path() + " does not contain a segment yet");
             }
-            OptionalLong due =
+            OptionalLong closedThroughMs =
                     new ClosingWatermark(periodMs, settings.latenessS() * 1000, start.throughMs()).advance(nowMs);
-            if (due.isEmpty()) {
+            if (closedThroughMs.isEmpty()) {
                 return start.throughMs();
             }
             long epoch = folder.nextEpoch(volume);
-            StagingArea stage = new StagingArea(null, identity.folder(), epoch, 0);
-            stage.offer(new Entry.Close(1, due.getAsLong(), start.closings() + 1, nowMs));
-            stage.handOverLast();
-            LedgerWriter writer = new LedgerWriter(folder, volume, stage, new LogHeader(identity.folder(),
+            StagingArea staging = new StagingArea(null, identity.folder(), epoch, 0);
+            staging.offer(new Entry.Close(1, closedThroughMs.getAsLong(), start.closings() + 1, nowMs));
+            staging.handOverNow();
+            LedgerWriter writer = new LedgerWriter(folder, volume, staging, new LogHeader(identity.folder(),
                     identity.instance(), epoch, 1, 1, Math.max(nowMs, start.lastMs()),
                     start.throughMs(), start.closings(), periodMs, List.of()),
-                    new LedgerWriter.Terms(0, 1, 1 << 20, 100));
+                    new LedgerWriter.Options(0, 1, 1 << 20, 100));
             writer.start(() -> {});
             writer.close(10_000);
-            if (writer.failing()) {
-                throw new IOException("the closing could not be written");
+            if (writer.isFailing()) {
+                throw new IOException("cannot write the period closing");
             }
-            return due.getAsLong();
+            return closedThroughMs.getAsLong();
         });
     }
 }
--- a/src/main/java/clovermill/ledger/SharesFile.java
+++ b/src/main/java/clovermill/ledger/SharesFile.java
@@ -10,20 +10,25 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Parts of allowances, as reconciliation hands them out: {@code {"TENANT":{"INSTANCE":0.4}}}. */
+/**
+ * The file of each instance's shares of the usage limits, as reconciliation writes it: {@code
+ * {"TENANT":{"INSTANCE":0.4}}}.
+ */
 public final class SharesFile {
 
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
     private SharesFile() {}
 
-    /** This instance's part of each tenant's allowance; a tenant whose entry lacks the instance gets none. */
+    /**
+     * Reads this instance's share of each tenant's limit; the share is 0 for a tenant whose entry lacks the instance.
+     */
     public static Map<String, Double> read(Path file, String instance) throws IOException {
         JsonNode root;
         try {
             root = JSON.readTree(file.toFile());
-        } catch (IOException bad) {
-            throw new IOException(file + ": " + bad.getMessage().lines().findFirst().orElse("cannot be read"));
+        } catch (IOException failure) {
+            throw new IOException(file + ": " + failure.getMessage().lines().findFirst().orElse("cannot be read"));
         }
         Map<String, Double> shares = new HashMap<>();
         for (Map.Entry<String, JsonNode> tenant : root.properties()) {
@@ -36,7 +41,7 @@
         return shares;
     }
 
-    /** Puts a file in place, whole. */
+    /** Writes the file, replacing it atomically. */
     public static void write(Volume volume, Path file, TreeMap<String, Map<String, Double>> shares) throws IOException {
         volume.replace(file, JSON.writeValueAsBytes(shares));
     }
--- a/src/main/java/clovermill/ledger/StagingRecovery.java
+++ b/src/main/java/clovermill/ledger/StagingRecovery.java
@@ -10,92 +10,95 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Takes over what a process that was killed had staged and not yet written, into a segment of its epoch. */
+/** Recovers the entries that a killed process had staged but not written, into a new segment of their epoch. */
 final class StagingRecovery {
 
     private static final System.Logger LOG = System.getLogger(StagingRecovery.class.getName());
 
     private StagingRecovery() {}
 
-    /** Does so, as often as it is cut short; {@code staged} may be null or not there. */
-    static void run(LedgerFolder folder, LedgerFolder.Identity identity, Path staged, Volume volume)
+    /** Runs the recovery, which can be repeated if it is interrupted; {@code stagingFile} may be null or absent. */
+    static void run(LedgerFolder folder, LedgerFolder.Identity identity, Path stagingFile, Volume volume)
             throws IOException {
-        StagingArea.Left left = StagingArea.left(staged);
-        if (left == null) {
+        StagingArea.Leftover leftover = StagingArea.readLeftover(stagingFile);
+        if (leftover == null) {
             return;
         }
         List<LedgerFolder.Segment> segments = folder.segments().stream()
-                .filter(each -> each.epoch() == left.epoch()).toList();
-        if (left.folder().equals(identity.folder()) && !segments.isEmpty()) {
-            write(folder, left, segments, volume);
+                .filter(each -> each.epoch() == leftover.epoch()).toList();
+        if (leftover.folder().equals(identity.folder()) && !segments.isEmpty()) {
+            write(folder, leftover, segments, volume);
         }
         CrashPoint.reached("rescue.before-delete");
-        Files.deleteIfExists(staged);
+        Files.deleteIfExists(stagingFile);
     }
 
-    private static void write(LedgerFolder folder, StagingArea.Left left, List<LedgerFolder.Segment> segments,
+    private static void write(LedgerFolder folder, StagingArea.Leftover leftover, List<LedgerFolder.Segment> segments,
             Volume volume) throws IOException {
-        Found found = find(folder, segments);
-        if (found == null) {
+        RecoveryPoint recoveryPoint = findRecoveryPoint(folder, segments);
+        if (recoveryPoint == null) {
             return;
         }
-        var missing = left.frames().tailMap(found.throughSeq, false);
+        var missing = leftover.frames().tailMap(recoveryPoint.throughSeq, false);
         if (missing.isEmpty()) {
             return;
         }
-        LogHeader known = found.header;
-        LedgerStart state = LedgerStart.of(folder, false);
+        LogHeader lastHeader = recoveryPoint.header;
+        StartState startState = StartState.of(folder, false);
         int number = segments.get(segments.size() - 1).number() + 1;
-        Path file = folder.segment(left.epoch(), number);
+        Path file = folder.segment(leftover.epoch(), number);
         try (SegmentWriter writer = new SegmentWriter(volume, file, LogFormat.MAGIC)) {
-            writer.add(LogFormat.HEADER, new LogFormat().write(new LogHeader(known.folder(), known.instance(),
-                    left.epoch(), number, missing.firstKey(), Math.max(known.openedMs(), state.lastMs()),
-                    state.throughMs(), state.closings(), known.periodMs(), known.classes())));
+            writer.add(LogFormat.HEADER, new LogFormat().write(new LogHeader(lastHeader.folder(), lastHeader.instance(),
+                    leftover.epoch(), number, missing.firstKey(), Math.max(lastHeader.openedMs(), startState.lastMs()),
+                    startState.throughMs(), startState.closings(), lastHeader.periodMs(), lastHeader.classes())));
             for (ByteBuffer frame : missing.values()) {
                 writer.addFrame(frame, 0);
                 CrashPoint.reached("rescue.append");
             }
             writer.force();
         } catch (IOException failure) {
-            // What a sync that failed left in memory must not pass for written at the next start.
-            remove(file, volume, failure);
+            // A segment whose sync failed must not be taken for written by the next start.
+            deleteSegment(file, volume, failure);
             throw failure;
         }
-        LOG.log(Level.INFO, "{0} records that a killed process had staged are written down now",
+        LOG.log(Level.INFO, "recovered {0} records that a killed process had staged",
                 Integer.toString(missing.size()));
     }
 
-    /** The last header that can be read, and the sequence through which all is known to be written. */
-    private record Found(LogHeader header, long throughSeq) {}
+    /** The last readable header, and the sequence number through which all entries are known to be written. */
+    private record RecoveryPoint(LogHeader header, long throughSeq) {}
 
     /**
-     * Believes what was synced before the last segment was opened, and of that segment what stands there without a gap:
-     * behind a gap a sync has failed, and all that it was for is still staged.
+     * Trusts what was synced before the last segment was opened, and of that segment the entries without a sequence
+     * gap: after a gap a sync has failed, and all of its entries are still staged.
      */
-    private static Found find(LedgerFolder folder, List<LedgerFolder.Segment> segments) throws IOException {
+    private static RecoveryPoint findRecoveryPoint(LedgerFolder folder, List<LedgerFolder.Segment> segments)
+            throws IOException {
         LogReader reader = new LogReader(folder);
         int last = segments.size() - 1;
         for (int i = last; i >= 0; i--) {
             LogHeader header = reader.header(segments.get(i));
             if (header != null) {
                 long before = header.firstSeq() - 1;
-                return new Found(header, i < last ? before : unbrokenFrom(before, reader, segments.get(i)));
+                return new RecoveryPoint(header,
+                        i < last ? before : lastSeqWithoutGap(before, reader, segments.get(i)));
             }
         }
         return null;
     }
 
-    private static long unbrokenFrom(long before, LogReader reader, LedgerFolder.Segment segment) throws IOException {
+    private static long lastSeqWithoutGap(long before, LogReader reader, LedgerFolder.Segment segment)
+            throws IOException {
         long[] through = {before};
         reader.read(segment, 0, (header, entry) -> through[0] += entry.seq() == through[0] + 1 ? 1 : 0);
         return through[0];
     }
 
-    private static void remove(Path file, Volume volume, IOException first) {
+    private static void deleteSegment(Path file, Volume volume, IOException failure) {
         try {
             volume.delete(file);
-        } catch (IOException second) {
-            first.addSuppressed(second);
+        } catch (IOException deleteFailure) {
+            failure.addSuppressed(deleteFailure);
         }
     }
 }
--- a/src/main/java/clovermill/ledger/LedgerStart.java
+++ b/src/main/java/clovermill/ledger/StartState.java
@@ -9,24 +9,24 @@
 import java.util.Map;
 
 /**
- * What a start must know of the log: what is closed, the latest time that was used, and, where tenants have
- * limits, the totals of the periods that are open. Reads the last segments only: none before one that was opened
- * when all that it could lack had been closed.
+ * The state of the log that a start needs: through when periods are closed, the latest time used, and, if tenants
+ * have limits, the totals of open periods. Reads only the last segments: none before one that was opened when all
+ * periods of earlier entries had been closed.
  */
-record LedgerStart(long throughMs, long closings, long lastMs, Map<TotalsAggregator.Key, Totals> open) {
+record StartState(long throughMs, long closings, long lastMs, Map<TotalsAggregator.Key, Totals> open) {
 
-    static LedgerStart of(LedgerFolder folder, boolean totals) throws IOException {
+    static StartState of(LedgerFolder folder, boolean needsTotals) throws IOException {
         List<LedgerFolder.Segment> segments = folder.segments();
         LogReader reader = new LogReader(folder);
         long throughMs = Long.MIN_VALUE;
-        int first = segments.size();
-        boolean known = false;
-        while (first > 0 && !known) {
-            first--;
-            LogHeader header = reader.header(segments.get(first));
+        int firstSegment = segments.size();
+        boolean complete = false;
+        while (firstSegment > 0 && !complete) {
+            firstSegment--;
+            LogHeader header = reader.header(segments.get(firstSegment));
             if (header != null) {
                 throughMs = Math.max(throughMs, header.throughMs());
-                known = !totals || header.openedMs() <= throughMs;
+                complete = !needsTotals || header.openedMs() <= throughMs;
             }
         }
         TotalsAggregator aggregator = new TotalsAggregator(batch -> {});
@@ -43,10 +43,10 @@
                 aggregator.apply(header.epoch(), header.periodMs(), entry);
             }
         };
-        for (LedgerFolder.Segment segment : segments.subList(first, segments.size())) {
+        for (LedgerFolder.Segment segment : segments.subList(firstSegment, segments.size())) {
             reader.read(segment, 0, visitor);
         }
-        return new LedgerStart(aggregator.throughMs(), aggregator.closings(),
+        return new StartState(aggregator.throughMs(), aggregator.closings(),
                 Math.max(openedMs[0], aggregator.lastMs()),
                 aggregator.open());
     }
--- a/src/main/java/clovermill/ledger/books/Compactor.java
+++ b/src/main/java/clovermill/ledger/books/Compactor.java
@@ -40,7 +40,7 @@
             List<Retention.Segment> known = new ArrayList<>();
             Map<String, LedgerFolder.Segment> byName = new HashMap<>();
             LogReader reader = new LogReader(folder);
-            for (int i = 0; i + 1 < all.size() && books.position().isBehind(all.get(i)); i++) {
+            for (int i = 0; i + 1 < all.size() && books.position().isAfter(all.get(i)); i++) {
                 // The next header that can be read bounds what this segment and those before it hold.
                 LogHeader next = reader.header(all.get(i + 1));
                 if (next == null) {
--- a/src/main/java/clovermill/ledger/books/TotalsStore.java
+++ b/src/main/java/clovermill/ledger/books/TotalsStore.java
@@ -86,9 +86,9 @@
      */
     public static TotalsStore open(LedgerFolder folder) throws IOException {
         folder.identity();
-        FolderLock lock = FolderLock.acquire(folder.booksLock());
+        FolderLock lock = FolderLock.acquire(folder.totalsLock());
         try {
-            return new TotalsStore(folder, folder.books(), lock);
+            return new TotalsStore(folder, folder.totals(), lock);
         } catch (IOException | RuntimeException failure) {
             lock.close();
             throw failure;
@@ -101,7 +101,7 @@
     /** Makes a folder's books again from the checkpoint, if there is one, and the log; keeps what was acknowledged. */
     public static Rebuilt rebuild(LedgerFolder folder, LongConsumer progress) throws IOException {
         folder.identity();
-        return FolderLock.withLock(folder.booksLock(), () -> {
+        return FolderLock.withLock(folder.totalsLock(), () -> {
             Path fresh = folder.path().resolve("books.mv.new");
             Files.deleteIfExists(fresh);
             if (Files.exists(folder.checkpoint())) {
@@ -109,7 +109,7 @@
             }
             String before = null;
             Map<Long, String> known = new HashMap<>();
-            try (TotalsStore old = new TotalsStore(folder, folder.books(), null)) {
+            try (TotalsStore old = new TotalsStore(folder, folder.totals(), null)) {
                 // To the same point of the log, as far as the old ones go on; what they cannot read is not counted.
                 old.update(entries -> {});
                 before = old.digest();
@@ -125,7 +125,7 @@
                 result = new Rebuilt(before, made.digest(), made.aggregator.entries());
             }
             CrashPoint.reached("rebuild.before-rename");
-            Files.move(fresh, folder.books(), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(fresh, folder.totals(), StandardCopyOption.ATOMIC_MOVE);
             CrashPoint.reached("rebuild.after-rename");
             return result;
         });
@@ -174,7 +174,7 @@
         };
         LogReader.Position start = position;
         for (LedgerFolder.Segment segment : folder.segments()) {
-            if (start.isBehind(segment)) {
+            if (start.isAfter(segment)) {
                 continue;
             }
             position = reader.read(segment, start.isIn(segment) ? start.offset() : 0, visitor);
--- a/src/main/java/clovermill/ledger/decide/UsageLimits.java
+++ b/src/main/java/clovermill/ledger/decide/UsageLimits.java
@@ -8,7 +8,7 @@
  * Decides which tenants have reached their usage limit for a period. Each instance has a share of every tenant's
  * limit, since instances do not communicate. From the soft share on, requests of low worth are rejected, from the
  * hard limit on all. Requests in progress count with the tenant's mean size, so that a hard limit is exceeded by
- * little. At most {@code limits} tenants are counted: those that the settings limit. Not thread-safe.
+ * little. Only the tenants in {@code limits} are counted, which bounds the memory. Not thread-safe.
  */
 public final class UsageLimits {
 
--- a/src/main/java/clovermill/ledger/package-info.java
+++ b/src/main/java/clovermill/ledger/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The usage ledger: a durable record of every answer, totals per tenant and period, corrections, and limits that
- * hang on the totals. {@link clovermill.ledger.Ledger} is the running director's end of it; commands read the same
- * folder through {@link clovermill.ledger.LogReader}. What is decided (tenants, periods, accounts, allowances,
- * reconciliation) stands in {@code decide} and does no I/O; {@code books} keeps totals in an embedded store and
- * {@code export} hands closed periods out exactly once. The form of the files is told in docs/design/ledger.md.
+ * The usage ledger: a durable record of every response, totals per tenant and period, corrections, and usage limits
+ * based on the totals. {@link clovermill.ledger.Ledger} is the part in the running director; commands read the same
+ * folder through {@link clovermill.ledger.LogReader}. The decisions (tenants, periods, totals, usage limits,
+ * reconciliation) are in {@code decide}, without I/O; {@code totals} keeps totals in an embedded store and {@code
+ * export} delivers closed periods exactly once. docs/design/ledger.md describes the file formats.
  */
 package clovermill.ledger;
--- a/src/test/java/clovermill/ledger/LedgerBench.java
+++ b/src/test/java/clovermill/ledger/LedgerBench.java
@@ -63,7 +63,7 @@
             writer.close();
         }
         long startNs = System.nanoTime();
-        LedgerStart start = LedgerStart.of(folder, true);
+        StartState start = StartState.of(folder, true);
         double startS = (System.nanoTime() - startNs) / 1e9;
         if (start.open().size() != Math.min(TENANTS, records / 7)) {
             throw new IllegalStateException(start.open().size() + " tenants were found again");
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -188,7 +188,7 @@
         open().close();
         long kept = sum().get(Totals.Sum.REQUESTS);
         assertThat(kept).isBetween(100L, 2999L);
-        assertThat(told).filteredOn(line -> line.getMessage().contains("are not written down anywhere")).hasSize(1)
+        assertThat(told).filteredOn(line -> line.getMessage().contains("are not recorded anywhere")).hasSize(1)
                 .allSatisfy(line -> assertThat(line.getParameters()).containsExactly(Long.toString(3000 - kept),
                         Long.toString(10 * (3000 - kept))));
     }
