--- a/src/main/java/clovermill/cli/LedgerCloseCommand.java
+++ b/src/main/java/clovermill/cli/LedgerCloseCommand.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import picocli.CommandLine.Command;
 
-/** {@code ledger close}: closes ended periods of a folder whose director does not run. */
+/** {@code ledger close}: closes ended periods of a folder whose director is not running. */
 @Command(name = "close", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-        description = "Close what has ended, for a folder whose director does not run.")
+        description = "Close the ended periods of a folder whose director is not running.")
 final class LedgerCloseCommand extends LedgerFolderCommand {
 
     @Override
--- a/src/main/java/clovermill/cli/LedgerCommand.java
+++ b/src/main/java/clovermill/cli/LedgerCommand.java
@@ -4,9 +4,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine;
 
-/** {@code ledger …}: the commands on the usage ledger, beside a running director or without one. */
+/** {@code ledger}: the commands for the usage ledger, beside a running director or without one. */
 @Command(name = "ledger", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-        description = "What each tenant used: show, check, bill and reconcile it.",
+        description = "Show, verify, export and reconcile the usage of tenants.",
         subcommands = {LedgerShowCommand.class, LedgerTailCommand.class, LedgerVerifyCommand.class,
             LedgerExportCommand.class, LedgerReconcileCommand.class, LedgerRebuildCommand.class,
             LedgerCompactCommand.class, LedgerCloseCommand.class})
--- a/src/main/java/clovermill/cli/LedgerCompactCommand.java
+++ b/src/main/java/clovermill/cli/LedgerCompactCommand.java
@@ -1,38 +1,38 @@
 package clovermill.cli;
 
 import clovermill.ledger.LedgerSettings;
-import clovermill.ledger.books.Compactor;
+import clovermill.ledger.totals.Compactor;
 import clovermill.storage.Volume;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code ledger compact}: removes segments that are past retention. */
+/** {@code ledger compact}: deletes segments beyond the retention limits. */
 @Command(name = "compact", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-        description = "Take away exported segments beyond an age or a size.")
+        description = "Delete exported segments beyond an age or a total size.")
 final class LedgerCompactCommand extends LedgerFolderCommand {
 
-    @Option(names = "--days", description = "Keep what is younger, instead of the settings'.")
+    @Option(names = "--days", description = "Keep segments younger than this, overriding the settings.")
     private Integer days;
-    @Option(names = "--mb", description = "Keep so much, instead of the settings'.")
+    @Option(names = "--mb", description = "Keep at most this many megabytes, overriding the settings.")
     private Integer mb;
 
     @Override
     public Integer call() throws Exception {
-        LedgerSettings.Retention set = settings().retention();
-        Integer mostDays = days != null ? days : set.days();
-        Integer mostMb = mb != null ? mb : set.mb();
-        if (mostDays == null && mostMb == null) {
+        LedgerSettings.Retention retention = settings().retention();
+        Integer maxDays = days != null ? days : retention.days();
+        Integer maxMb = mb != null ? mb : retention.mb();
+        if (maxDays == null && maxMb == null) {
             throw usageError("neither --days nor --mb, nor /ledger/retention in the settings");
         }
         Compactor.Result result;
         try (Output.Progress progress = Output.progress("compacting")) {
-            result = Compactor.run(folder(), System.currentTimeMillis(), mostDays == null ? -1 : mostDays,
-                    mostMb == null ? -1 : (long) mostMb << 20, Volume.local(), progress);
+            result = Compactor.run(folder(), System.currentTimeMillis(), maxDays == null ? -1 : maxDays,
+                    maxMb == null ? -1 : (long) maxMb << 20, Volume.local(), progress);
         }
         if (json()) {
             Output.json(out(), result);
         } else {
-            out().println(result.segments().size() + " segments taken away, " + result.bytes() + " bytes");
+            out().println(result.segments().size() + " segments deleted, " + result.bytes() + " bytes");
         }
         return 0;
     }
--- a/src/main/java/clovermill/cli/LedgerExportCommand.java
+++ b/src/main/java/clovermill/cli/LedgerExportCommand.java
@@ -14,18 +14,18 @@
         description = "Deliver closed periods and corrections, each batch exactly once.")
 final class LedgerExportCommand extends LedgerFolderCommand {
 
-    @Option(names = "--to", paramLabel = "DIR", description = "A folder for the files, instead of the settings'.")
+    @Option(names = "--to", paramLabel = "DIR", description = "The folder for the files, overriding the settings.")
     private String to;
-    @Option(names = "--receiver", paramLabel = "URL", description = "A receiver, instead of the settings'.")
+    @Option(names = "--receiver", paramLabel = "URL", description = "The receiver, overriding the settings.")
     private String receiver;
-    @Option(names = "--format", description = "csv or jsonl.")
+    @Option(names = "--format", description = "The format: csv or jsonl.")
     private String format;
-    @Option(names = "--every", paramLabel = "S", description = "Go on, every so many seconds.")
+    @Option(names = "--every", paramLabel = "S", description = "Repeat after this many seconds.")
     private Integer every;
 
     @Override
     public Integer call() throws Exception {
-        Exporter exporter = new Exporter(folder(), terms(), Volume.local(), new Random());
+        Exporter exporter = new Exporter(folder(), exportOptions(), Volume.local(), new Random());
         while (true) {
             Exporter.Result result = exporter.run();
             print(result);
@@ -36,20 +36,21 @@
         }
     }
 
-    /** The settings' terms of the export, where an option does not override them. */
-    private LedgerSettings.Export terms() throws SettingsFile.Fault {
-        LedgerSettings.Export set = settings().export();
-        LedgerSettings.Export terms = new LedgerSettings.Export(to != null ? to : set == null ? null : set.folder(),
-                format != null ? format : set == null ? null : set.format(),
-                receiver != null ? receiver : set == null ? null : set.receiver(),
-                set == null ? null : set.attempts(), set == null ? null : set.timeoutMs());
-        if (terms.folder() == null && terms.receiver() == null) {
+    /** Returns the export settings, with the options of the command line in place of theirs. */
+    private LedgerSettings.Export exportOptions() throws SettingsFile.Fault {
+        LedgerSettings.Export configured = settings().export();
+        LedgerSettings.Export exportOptions = new LedgerSettings.Export(
+                to != null ? to : configured == null ? null : configured.folder(),
+                format != null ? format : configured == null ? null : configured.format(),
+                receiver != null ? receiver : configured == null ? null : configured.receiver(),
+                configured == null ? null : configured.attempts(), configured == null ? null : configured.timeoutMs());
+        if (exportOptions.folder() == null && exportOptions.receiver() == null) {
             throw usageError("neither --to nor --receiver, nor /ledger/export in the settings");
         }
-        if (!List.of("csv", "jsonl").contains(terms.format())) {
+        if (!List.of("csv", "jsonl").contains(exportOptions.format())) {
             throw usageError("--format takes csv or jsonl");
         }
-        return terms;
+        return exportOptions;
     }
 
     private void print(Exporter.Result result) {
--- a/src/main/java/clovermill/cli/LedgerFolderCommand.java
+++ b/src/main/java/clovermill/cli/LedgerFolderCommand.java
@@ -9,14 +9,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine;
 
-/** A command on the ledger of one folder, which is named itself or by a settings file. */
+/** A command for the ledger of one folder, which is given itself or by a settings file. */
 abstract class LedgerFolderCommand implements Callable<Integer> {
 
-    /** The two ways to name the folder; one of them is required. */
+    /** The two ways to give the folder; one of them is required. */
     static final class FolderOptions {
         @Option(names = "--folder", paramLabel = "DIR", description = "The ledger's folder.")
         private Path folder;
-        @Option(names = "--settings", paramLabel = "FILE", description = "Settings that name it.")
+        @Option(names = "--settings", paramLabel = "FILE", description = "The settings file with the folder.")
         private String settings;
     }
 
@@ -31,7 +31,7 @@
         return new LedgerFolder(folderOptions.folder != null ? folderOptions.folder : Path.of(settings().folder()));
     }
 
-    /** The ledger's part of the settings file, or defaults where only the folder was named. */
+    /** Returns the ledger section of the settings file, or defaults if only the folder was given. */
     final LedgerSettings settings() throws SettingsFile.Fault {
         if (folderOptions.settings == null) {
             return LedgerSettings.in(folderOptions.folder.toString());
@@ -48,7 +48,7 @@
         return json;
     }
 
-    /** Wrong usage: printed with the command's help, with exit status 2. */
+    /** Creates a usage error: printed with the help of the command, with exit status 2. */
     final CommandLine.ParameterException usageError(String reason) {
         return new CommandLine.ParameterException(spec.commandLine(), reason);
     }
--- a/src/main/java/clovermill/cli/LedgerFormat.java
+++ b/src/main/java/clovermill/cli/LedgerFormat.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** How the commands on the ledger print times, names and totals. */
+/** The output format of times, names and totals in the ledger commands. */
 final class LedgerFormat {
 
     /** The columns of {@link #row}. */
@@ -22,24 +22,24 @@
 
     private LedgerFormat() {}
 
-    /** A time as ISO 8601, {@code -} for none. */
+    /** Formats a time as ISO 8601, or {@code -} for none. */
     static String time(long ms) {
         return ms == Long.MIN_VALUE ? "-" : Instant.ofEpochMilli(ms).toString();
     }
 
-    /** A tenant's name without control characters, which a terminal would obey. */
+    /** Replaces the control characters of a tenant name, which a terminal would interpret. */
     static String printable(String name) {
         return name.isEmpty() ? "(others)" : name.replaceAll("\\p{Cntrl}", "?");
     }
 
-    /** A tenant's totals of a period as a row of the table. */
+    /** Returns the totals of a tenant and period as a row of the table. */
     static List<String> row(TotalsAggregator.Key key, String state, Totals totals) {
         List<String> row = new ArrayList<>(List.of(time(key.period().startMs()), state, printable(key.tenant())));
         COLUMN_SUMS.forEach(sum -> row.add(Long.toString(totals.get(sum))));
         return row;
     }
 
-    /** A tenant's totals of a period as a JSON object. */
+    /** Returns the totals of a tenant and period as a JSON object. */
     static Map<String, Object> object(TotalsAggregator.Key key, String state, Totals totals) {
         Map<String, Object> object = new LinkedHashMap<>();
         object.put("period", time(key.period().startMs()));
--- a/src/main/java/clovermill/cli/LedgerRebuildCommand.java
+++ b/src/main/java/clovermill/cli/LedgerRebuildCommand.java
@@ -1,11 +1,11 @@
 package clovermill.cli;
 
-import clovermill.ledger.books.TotalsStore;
+import clovermill.ledger.totals.TotalsStore;
 import picocli.CommandLine.Command;
 
-/** {@code ledger rebuild}: makes the books again from the log and compares them. */
+/** {@code ledger rebuild}: rebuilds the totals store from the log and compares the totals. */
 @Command(name = "rebuild", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-        description = "Make the books again from the log; exit status 1 if they come out otherwise.")
+        description = "Rebuild the totals store from the log; exit status 1 if the totals differ.")
 final class LedgerRebuildCommand extends LedgerFolderCommand {
 
     @Override
@@ -19,8 +19,8 @@
             Output.json(out(), rebuilt);
         } else {
             out().println(rebuilt.entries() + " entries, digest " + rebuilt.after() + (rebuilt.before() == null
-                    ? "; there were no books to compare with" : same ? ", the same as before"
-                    : ", BEFORE IT WAS " + rebuilt.before()));
+                    ? "; there were no totals to compare with" : same ? ", the same as before"
+                    : ", DIFFERENT FROM BEFORE: " + rebuilt.before()));
         }
         return same || rebuilt.before() == null ? 0 : 1;
     }
--- a/src/main/java/clovermill/cli/LedgerReconcileCommand.java
+++ b/src/main/java/clovermill/cli/LedgerReconcileCommand.java
@@ -2,7 +2,7 @@
 
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.SharesFile;
-import clovermill.ledger.books.Reconciler;
+import clovermill.ledger.totals.Reconciler;
 import clovermill.ledger.decide.Reconciliation;
 import clovermill.ledger.decide.LimitShares;
 import clovermill.ledger.decide.Totals;
@@ -21,29 +21,33 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine;
 
-/** {@code ledger reconcile}: brings the ledgers of several directors together. */
+/** {@code ledger reconcile}: combines the ledgers of several directors. */
 @Command(name = "reconcile", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-        description = "Bring instances together; exit status 1 if more than the bound is uncertain.")
+        description = "Combine the ledgers of instances; exit status 1 if more than the bound is uncertain.")
 final class LedgerReconcileCommand implements Callable<Integer> {
 
     private static final List<String> COLUMNS = List.of("period", "tenant", "requests", "bytes", "certain", "by gaps",
             "served twice");
 
-    /** What is printed: the report, differences to the bills, the uncertain share of bytes, and whether it holds. */
+    /**
+     * The output: the report, the differences to billed batches, the uncertain fraction of all bytes, and whether the
+     * check passes.
+     */
     private record Outcome(Reconciliation.Report report, List<Reconciler.Difference> differences, double uncertain,
-            boolean holds) {}
+            boolean passes) {}
 
-    @Parameters(arity = "1..*", paramLabel = "DIR", description = "The ledgers' folders.")
+    @Parameters(arity = "1..*", paramLabel = "DIR", description = "The folders of the ledgers.")
     private List<Path> folders;
     @Option(names = "--bound", defaultValue = "0.001",
             description = "Share of all bytes that may be uncertain (${DEFAULT-VALUE}).")
     private double bound;
     @Option(names = "--window", paramLabel = "S", defaultValue = "30",
-            description = "Tries of one request lie no further apart (${DEFAULT-VALUE} s).")
+            description = "Maximum time between attempts of one request (${DEFAULT-VALUE} s).")
     private long windowS;
-    @Option(names = "--billed", paramLabel = "DIR", description = "Compare with the CSV batches in there.")
+    @Option(names = "--billed", paramLabel = "DIR", description = "Compare with the CSV batches in this folder.")
     private Path billed;
-    @Option(names = "--shares", paramLabel = "FILE", description = "Write parts of allowances for the next period.")
+    @Option(names = "--shares", paramLabel = "FILE",
+            description = "Write the shares of the usage limits for the next period.")
     private Path shares;
     @Option(names = "--json", description = "Print JSON.")
     private boolean json;
@@ -52,35 +56,35 @@
 
     @Override
     public Integer call() throws IOException {
-        List<LedgerFolder> all = folders.stream().map(LedgerFolder::new).toList();
+        List<LedgerFolder> ledgers = folders.stream().map(LedgerFolder::new).toList();
         Reconciliation.Report report;
         List<Reconciler.Difference> differences = List.of();
-        long heldFromMs;
+        long completeFromMs;
         try (Output.Progress progress = Output.progress("reconciling")) {
-            Reconciler reconciler = new Reconciler(all, windowS * 1000, progress);
+            Reconciler reconciler = new Reconciler(ledgers, windowS * 1000, progress);
             report = reconciler.run();
-            heldFromMs = reconciler.heldFromMs();
+            completeFromMs = reconciler.completeFromMs();
             if (billed != null) {
                 differences = reconciler.compare(report, billed);
             }
             if (shares != null) {
-                SharesFile.write(Volume.local(), shares, shares(reconciler.lastPeriod()));
+                SharesFile.write(Volume.local(), shares, shares(reconciler.lastPeriodUsage()));
             }
         }
         Outcome outcome = outcome(report, differences);
         if (json) {
             printJson(outcome);
         } else {
-            printTable(outcome, heldFromMs);
+            printTable(outcome, completeFromMs);
         }
-        return outcome.holds ? 0 : 1;
+        return outcome.passes ? 0 : 1;
     }
 
     private Outcome outcome(Reconciliation.Report report, List<Reconciler.Difference> differences) {
-        long apart = differences.stream().mapToLong(each -> Math.abs(each.loggedBytes() - each.billedBytes()))
+        long differenceBytes = differences.stream().mapToLong(each -> Math.abs(each.loggedBytes() - each.billedBytes()))
                 .sum();
         double uncertain = report.bytes() == 0 ? report.uncertainShare()
-                : report.uncertainShare() + (double) apart / report.bytes();
+                : report.uncertainShare() + (double) differenceBytes / report.bytes();
         return new Outcome(report, differences, uncertain, uncertain <= bound && !report.duplicateInstanceName());
     }
 
@@ -100,7 +104,7 @@
         object.put("missing_records", report.missingRecords());
         object.put("repeated_records", report.repeatedRecords());
         object.put("uncertain_share", outcome.uncertain);
-        object.put("holds", outcome.holds);
+        object.put("holds", outcome.passes);
         Output.json(out(), object);
     }
 
@@ -111,7 +115,7 @@
         return object;
     }
 
-    private void printTable(Outcome outcome, long heldFromMs) {
+    private void printTable(Outcome outcome, long completeFromMs) {
         Reconciliation.Report report = outcome.report;
         Output.table(out(), COLUMNS, report.rows().stream().map(LedgerReconcileCommand::columns).toList());
         report.findings().forEach(line -> out().println("- " + line));
@@ -119,10 +123,10 @@
                 + LedgerFormat.printable(each.key().tenant()) + " for "
                 + LedgerFormat.time(each.key().period().startMs()) + ", logged " + each.loggedBytes()));
         out().println(String.format(Locale.ROOT, "%d bytes, uncertain %.6f of them (bound %s): %s", report.bytes(),
-                outcome.uncertain, bound, outcome.holds ? "agrees" : "DOES NOT AGREE"));
-        if (heldFromMs != Long.MIN_VALUE) {
-            out().println("- periods before " + LedgerFormat.time(heldFromMs)
-                    + " are left out: some folder's segments of then were compacted");
+                outcome.uncertain, bound, outcome.passes ? "agrees" : "DOES NOT AGREE"));
+        if (completeFromMs != Long.MIN_VALUE) {
+            out().println("- periods before " + LedgerFormat.time(completeFromMs)
+                    + " are omitted: their segments were compacted in some folder");
         }
     }
 
--- a/src/main/java/clovermill/cli/LedgerShowCommand.java
+++ b/src/main/java/clovermill/cli/LedgerShowCommand.java
@@ -1,6 +1,6 @@
 package clovermill.cli;
 
-import clovermill.ledger.books.TotalsStore;
+import clovermill.ledger.totals.TotalsStore;
 import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Totals;
 import java.util.ArrayList;
@@ -12,30 +12,30 @@
 
 /** {@code ledger show}: totals by period and tenant. */
 @Command(name = "show", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-        description = "Totals by period and tenant, closed and open, with corrections.")
+        description = "Show totals by period and tenant, closed and open, with corrections.")
 final class LedgerShowCommand extends LedgerFolderCommand {
 
-    @Option(names = "--tenant", description = "Only this one.")
+    @Option(names = "--tenant", description = "Show only this tenant.")
     private String tenant;
     @Option(names = "--last", paramLabel = "N", defaultValue = "24",
-            description = "So many batches back (${DEFAULT-VALUE}).")
+            description = "Number of last batches to show (${DEFAULT-VALUE}).")
     private int last;
 
     @Override
     public Integer call() throws Exception {
         List<List<String>> rows = new ArrayList<>();
         List<Object> objects = new ArrayList<>();
-        try (TotalsStore books = TotalsStore.open(folder()); Output.Progress progress = Output.progress("reading")) {
-            books.update(progress);
-            long from = books.accounts().closings() - last;
-            for (TotalsStore.BatchInfo info : books.batches().tailMap(from, false).values()) {
-                TotalsAggregator.Batch batch = books.batch(info.number());
+        try (TotalsStore store = TotalsStore.open(folder()); Output.Progress progress = Output.progress("reading")) {
+            store.update(progress);
+            long from = store.aggregator().closings() - last;
+            for (TotalsStore.BatchInfo info : store.batches().tailMap(from, false).values()) {
+                TotalsAggregator.Batch batch = store.batch(info.number());
                 String state = info.acknowledged() == null ? "closed" : "exported";
                 add(batch.totals(), state, rows, objects);
                 add(batch.corrections(), "correction", rows, objects);
             }
-            add(new TreeMap<>(books.accounts().corrections()), "correction due", rows, objects);
-            add(new TreeMap<>(books.accounts().open()), "open", rows, objects);
+            add(new TreeMap<>(store.aggregator().corrections()), "correction due", rows, objects);
+            add(new TreeMap<>(store.aggregator().open()), "open", rows, objects);
         }
         if (json()) {
             Output.json(out(), objects);
--- a/src/main/java/clovermill/cli/LedgerTailCommand.java
+++ b/src/main/java/clovermill/cli/LedgerTailCommand.java
@@ -14,15 +14,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code ledger tail}: the last entries of the log. */
+/** {@code ledger tail}: prints the last entries of the log. */
 @Command(name = "tail", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-        description = "The last entries of the log.")
+        description = "Print the last entries of the log.")
 final class LedgerTailCommand extends LedgerFolderCommand {
 
     /** An entry with the header of its segment. */
     private record LogEntry(LogHeader header, Entry entry) {}
 
-    @Option(names = "-n", paramLabel = "N", defaultValue = "10", description = "So many (${DEFAULT-VALUE}).")
+    @Option(names = "-n", paramLabel = "N", defaultValue = "10", description = "Number of entries (${DEFAULT-VALUE}).")
     private int count;
 
     @Override
@@ -36,7 +36,7 @@
         return 0;
     }
 
-    /** The last entries, oldest first; reads no more segments than it has to. */
+    /** Returns the last entries, oldest first; reads only as many segments as needed. */
     private Deque<LogEntry> last(LedgerFolder folder) throws IOException {
         Deque<LogEntry> last = new ArrayDeque<>();
         List<LedgerFolder.Segment> segments = folder.segments();
@@ -79,7 +79,7 @@
         }
         Entry.ClockStep step = (Entry.ClockStep) entry;
         return LedgerFormat.time(step.lineMs()) + " CLOCK " + step.stepMs() + " ms off"
-                + (step.taken() ? ", taken over" : "");
+                + (step.taken() ? ", adopted" : "");
     }
 
     private static String describe(LogHeader header, Entry.Used used) {
--- a/src/main/java/clovermill/cli/LedgerVerifyCommand.java
+++ b/src/main/java/clovermill/cli/LedgerVerifyCommand.java
@@ -1,27 +1,28 @@
 package clovermill.cli;
 
-import clovermill.ledger.books.Verification;
+import clovermill.ledger.totals.Verification;
 import picocli.CommandLine.Command;
 
-/** {@code ledger verify}: reads the whole log and reports what is damaged or missing. */
+/** {@code ledger verify}: reads the whole log and reports damage and missing records. */
 @Command(name = "verify", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
         description = "Read the whole log; exit status 1 if anything is damaged or missing.")
 final class LedgerVerifyCommand extends LedgerFolderCommand {
 
     @Override
     public Integer call() throws Exception {
-        Verification found;
+        Verification verification;
         try (Output.Progress progress = Output.progress("verifying")) {
-            found = Verification.of(folder(), progress);
+            verification = Verification.of(folder(), progress);
         }
         if (json()) {
-            Output.json(out(), found);
+            Output.json(out(), verification);
         } else {
-            found.faults().forEach(line -> out().println("FAULT " + line));
-            found.notes().forEach(line -> out().println("note  " + line));
-            out().println(found.segments() + " segments, " + found.entries() + " entries, " + found.missing()
-                    + " missing, " + found.repeated() + " there twice");
+            verification.faults().forEach(line -> out().println("FAULT " + line));
+            verification.notes().forEach(line -> out().println("note  " + line));
+            out().println(verification.segments() + " segments, " + verification.entries() + " entries, "
+                    + verification.missing()
+                    + " missing, " + verification.repeated() + " duplicates");
         }
-        return found.faults().isEmpty() ? 0 : 1;
+        return verification.faults().isEmpty() ? 0 : 1;
     }
 }
--- a/src/main/java/clovermill/ledger/export/BatchText.java
+++ b/src/main/java/clovermill/ledger/export/BatchText.java
@@ -20,43 +20,43 @@
 import org.apache.commons.csv.CSVRecord;
 
 /**
- * A batch as CSV (RFC 4180) or as JSON lines: one row for each total and correction, the same bytes whenever it is
- * made. In CSV a name's letters that could end a line or be taken for a formula are written as {@code %XX}, as is
- * the percent sign; {@link #plain} turns them back.
+ * The text of a batch as CSV (RFC 4180) or as JSON lines: one row for each total and correction, always with the same
+ * bytes. In CSV, characters of a name that could end a line or start a formula, and the percent sign, are written as
+ * {@code %XX}; {@link #unescaped} decodes them.
  */
 public final class BatchText {
 
-    /** The forms. */
+    /** The formats. */
     public enum Form {
         CSV, JSONL;
 
-        /** The ending of such a file's name. */
-        public String ending() {
+        /** Returns the file name extension. */
+        public String extension() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** One row as it is read back from CSV. */
+    /** A row that was read from CSV. */
     public record Row(String kind, TotalsAggregator.Key key, Totals totals) {}
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final CSVFormat CSV = CSVFormat.RFC4180;
-    private static final String FORMULA = "=+-@";
+    private static final String FORMULA_STARTS = "=+-@";
 
     private BatchText() {}
 
-    /** The bytes of a batch. */
+    /** Returns the bytes of a batch. */
     public static byte[] of(LedgerFolder.Identity identity, TotalsAggregator.Batch batch, Form form)
             throws IOException {
         StringBuilder text = new StringBuilder();
-        List<String> names = names();
+        List<String> names = columnNames();
         if (form == Form.CSV) {
             CSVPrinter printer = new CSVPrinter(text, CSV);
             printer.printRecord(names);
             for (List<Object> row : rows(identity, batch)) {
-                List<Object> safe = new ArrayList<>(row);
-                safe.replaceAll(value -> value instanceof String name ? escaped(name) : value);
-                printer.printRecord(safe);
+                List<Object> escapedRow = new ArrayList<>(row);
+                escapedRow.replaceAll(value -> value instanceof String name ? escaped(name) : value);
+                printer.printRecord(escapedRow);
             }
         } else {
             for (List<Object> row : rows(identity, batch)) {
@@ -70,8 +70,8 @@
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The columns. */
-    static List<String> names() {
+    /** Returns the column names. */
+    static List<String> columnNames() {
         List<String> names = new ArrayList<>(List.of("instance", "epoch", "batch", "kind", "period_start",
                 "period_s", "tenant"));
         for (Totals.Sum sum : Totals.Sum.values()) {
@@ -107,45 +107,46 @@
             }
             rows.add(new Row(each.get("kind"), new TotalsAggregator.Key(new Period(
                     Instant.parse(each.get("period_start")).toEpochMilli(),
-                    Long.parseLong(each.get("period_s")) * 1000), plain(each.get("tenant"))), new Totals(sums)));
+                    Long.parseLong(each.get("period_s")) * 1000), unescaped(each.get("tenant"))), new Totals(sums)));
         }
         return rows;
     }
 
-    /** A name without what could end a line or start a formula. */
+    /** Escapes a name so that it can neither end a line nor start a formula. */
     static String escaped(String name) {
-        StringBuilder safe = new StringBuilder();
+        StringBuilder escapedName = new StringBuilder();
         for (int i = 0; i < name.length(); i++) {
-            char letter = name.charAt(i);
-            if (letter < ' ' || letter == 0x7f || letter == '%' || i == 0 && FORMULA.indexOf(letter) >= 0) {
-                safe.append(String.format("%%%02X", (int) letter));
+            char character = name.charAt(i);
+            if (character < ' ' || character == 0x7f || character == '%'
+                    || i == 0 && FORMULA_STARTS.indexOf(character) >= 0) {
+                escapedName.append(String.format("%%%02X", (int) character));
             } else {
-                safe.append(letter);
+                escapedName.append(character);
             }
         }
-        return safe.toString();
+        return escapedName.toString();
     }
 
-    /** Turns {@link #escaped} back. */
-    static String plain(String safe) {
+    /** Decodes a name of {@link #escaped}. */
+    static String unescaped(String escapedName) {
         StringBuilder name = new StringBuilder();
-        for (int i = 0; i < safe.length(); i++) {
-            if (safe.charAt(i) == '%' && i + 2 < safe.length()) {
-                name.append((char) Integer.parseInt(safe.substring(i + 1, i + 3), 16));
+        for (int i = 0; i < escapedName.length(); i++) {
+            if (escapedName.charAt(i) == '%' && i + 2 < escapedName.length()) {
+                name.append((char) Integer.parseInt(escapedName.substring(i + 1, i + 3), 16));
                 i += 2;
             } else {
-                name.append(safe.charAt(i));
+                name.append(escapedName.charAt(i));
             }
         }
         return name.toString();
     }
 
-    /** The sums by their names, in order. */
+    /** Returns the sums by name, in order. */
     public static Map<String, Long> named(Totals totals) {
-        Map<String, Long> named = new LinkedHashMap<>();
+        Map<String, Long> byName = new LinkedHashMap<>();
         for (Totals.Sum sum : Totals.Sum.values()) {
-            named.put(sum.name().toLowerCase(Locale.ROOT), totals.get(sum));
+            byName.put(sum.name().toLowerCase(Locale.ROOT), totals.get(sum));
         }
-        return named;
+        return byName;
     }
 }
--- a/src/main/java/clovermill/ledger/export/Exporter.java
+++ b/src/main/java/clovermill/ledger/export/Exporter.java
@@ -2,7 +2,7 @@
 
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LedgerSettings;
-import clovermill.ledger.books.TotalsStore;
+import clovermill.ledger.totals.TotalsStore;
 import clovermill.storage.CrashPoint;
 import clovermill.storage.Volume;
 import java.io.IOException;
@@ -24,48 +24,48 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Delivers what is closed and not yet acknowledged, batch by batch in their order. A batch has the same name and
- * the same bytes at each try: a file that stands already is put in place once more, and a receiver that has the
- * batch says so. It counts as delivered when its acknowledgement is on this disk.
+ * Delivers closed batches that are not yet acknowledged, in order. A batch has the same name and the same bytes in
+ * each attempt: an existing file is replaced, and a receiver that has the batch reports so. A batch counts as
+ * delivered when its acknowledgement is on the local disk.
  */
 public final class Exporter {
 
-    /** What came of it: how many batches were delivered, how many remain, and why the first of these does. */
+    /** The result: the numbers of the delivered batches, how many remain, and the reason for the first of these. */
     public record Result(List<Long> delivered, int left, String reason) {}
 
     private final LedgerFolder folder;
-    private final LedgerSettings.Export terms;
+    private final LedgerSettings.Export options;
     private final Volume volume;
     private final RandomGenerator random;
     private final HttpClient client;
 
-    /** {@code random} spreads the pauses between attempts at a receiver. */
-    public Exporter(LedgerFolder folder, LedgerSettings.Export terms, Volume volume, RandomGenerator random) {
+    /** Creates an exporter; {@code random} spreads the delays between attempts. */
+    public Exporter(LedgerFolder folder, LedgerSettings.Export options, Volume volume, RandomGenerator random) {
         this.folder = folder;
-        this.terms = terms;
+        this.options = options;
         this.volume = volume;
         this.random = random;
-        this.client = terms.receiver() == null ? null : HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(Duration.ofMillis(terms.timeoutMs())).build();
+        this.client = options.receiver() == null ? null : HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
+                .connectTimeout(Duration.ofMillis(options.timeoutMs())).build();
     }
 
-    /** Brings the books up to date and delivers; the books are locked meanwhile. */
+    /** Updates the totals store and delivers; the store is locked meanwhile. */
     public Result run() throws IOException, InterruptedException {
         List<Long> delivered = new ArrayList<>();
-        try (TotalsStore books = TotalsStore.open(folder)) {
-            books.update(read -> {});
+        try (TotalsStore store = TotalsStore.open(folder)) {
+            store.update(read -> {});
             LedgerFolder.Identity identity = folder.identity();
-            List<TotalsStore.BatchInfo> due =
-                    books.batches().values().stream().filter(each -> each.acknowledged() == null)
+            List<TotalsStore.BatchInfo> pending =
+                    store.batches().values().stream().filter(each -> each.acknowledged() == null)
                             .toList();
-            for (TotalsStore.BatchInfo batch : due) {
-                byte[] bytes = BatchText.of(identity, books.batch(batch.number()), form());
+            for (TotalsStore.BatchInfo batch : pending) {
+                byte[] bytes = BatchText.of(identity, store.batch(batch.number()), form());
                 String reason = deliver(identity, batch, bytes);
                 if (reason != null) {
-                    return new Result(delivered, due.size() - delivered.size(), reason);
+                    return new Result(delivered, pending.size() - delivered.size(), reason);
                 }
                 CrashPoint.reached("export.before-commit");
-                books.acknowledge(batch.number(), digest(bytes));
+                store.acknowledge(batch.number(), digest(bytes));
                 CrashPoint.reached("export.after-commit");
                 delivered.add(batch.number());
             }
@@ -74,51 +74,51 @@
     }
 
     private BatchText.Form form() {
-        return BatchText.Form.valueOf(terms.format().toUpperCase(Locale.ROOT));
+        return BatchText.Form.valueOf(options.format().toUpperCase(Locale.ROOT));
     }
 
-    /** Returns null when the batch is where it belongs, else why it is not. */
+    /** Delivers a batch; returns null on success, else the reason of the failure. */
     private String deliver(LedgerFolder.Identity identity, TotalsStore.BatchInfo batch, byte[] bytes)
             throws IOException,
             InterruptedException {
-        if (terms.folder() != null) {
-            Path target = Path.of(terms.folder());
+        if (options.folder() != null) {
+            Path target = Path.of(options.folder());
             Files.createDirectories(target);
             CrashPoint.reached("export.before-write");
             volume.replace(target.resolve(identity.instance() + "-e" + batch.epoch() + "-b" + batch.number() + "."
-                    + form().ending()), bytes);
+                    + form().extension()), bytes);
             CrashPoint.reached("export.after-rename");
         }
-        return terms.receiver() == null ? null : put(identity, batch, bytes);
+        return options.receiver() == null ? null : put(identity, batch, bytes);
     }
 
     private String put(LedgerFolder.Identity identity, TotalsStore.BatchInfo batch, byte[] bytes)
             throws InterruptedException {
-        URI uri = URI.create(terms.receiver().replaceAll("/+$", "") + "/"
+        URI uri = URI.create(options.receiver().replaceAll("/+$", "") + "/"
                 + URLEncoder.encode(identity.instance(), StandardCharsets.UTF_8) + "/"
                 + batch.epoch() + "/" + batch.number());
-        HttpRequest request = HttpRequest.newBuilder(uri).timeout(Duration.ofMillis(terms.timeoutMs()))
+        HttpRequest request = HttpRequest.newBuilder(uri).timeout(Duration.ofMillis(options.timeoutMs()))
                 .header("Content-Type", form() == BatchText.Form.CSV ? "text/csv; charset=utf-8"
                         : "application/jsonl; charset=utf-8")
-                // RFC 9530; the receiver checks it, and keeps it to know the batch again.
+                // RFC 9530; the receiver verifies it and stores it to recognize the batch.
                 .header("Content-Digest", "sha-256=:" + digest(bytes) + ":")
                 .PUT(HttpRequest.BodyPublishers.ofByteArray(bytes)).build();
-        Delivery delivery = new Delivery(terms.attempts(), random);
+        RetryPolicy retryPolicy = new RetryPolicy(options.attempts(), random);
         while (true) {
             int status = 0;
-            long askedMs = 0;
-            String told;
+            long retryAfterMs = 0;
+            String outcome;
             try {
                 CrashPoint.reached("export.before-send");
                 HttpResponse<Void> response = client.send(request, HttpResponse.BodyHandlers.discarding());
                 CrashPoint.reached("export.acknowledged");
                 status = response.statusCode();
-                askedMs = retryAfterMs(response);
-                told = "it answered " + status;
+                retryAfterMs = retryAfterMs(response);
+                outcome = "status " + status;
             } catch (IOException failure) {
-                told = "no answer: " + failure;
+                outcome = "no response: " + failure;
             }
-            switch (Delivery.verdict(status)) {
+            switch (RetryPolicy.verdict(status)) {
                 case STORED -> {
                     return null;
                 }
@@ -126,15 +126,15 @@
                     return "the receiver holds another batch " + batch.number() + " of " + identity.instance()
                             + ", epoch " + batch.epoch() + "; is that name used by two instances?";
                 }
-                case REFUSED -> {
-                    return "the receiver does not take batch " + batch.number() + ": " + told;
+                case REJECTED -> {
+                    return "the receiver rejects batch " + batch.number() + ": " + outcome;
                 }
                 default -> {
-                    long waitMs = delivery.againAfterMs(askedMs);
-                    if (waitMs < 0) {
-                        return "the receiver has not acknowledged batch " + batch.number() + ": " + told;
+                    long delayMs = retryPolicy.nextDelayMs(retryAfterMs);
+                    if (delayMs < 0) {
+                        return "the receiver has not acknowledged batch " + batch.number() + ": " + outcome;
                     }
-                    Thread.sleep(waitMs);
+                    Thread.sleep(delayMs);
                 }
             }
         }
@@ -143,7 +143,7 @@
     private static long retryAfterMs(HttpResponse<?> response) {
         try {
             return response.headers().firstValue("Retry-After").map(Long::parseLong).orElse(0L) * 1000;
-        } catch (NumberFormatException date) {
+        } catch (NumberFormatException notSeconds) {
             return 0;
         }
     }
@@ -151,8 +151,8 @@
     private static String digest(byte[] bytes) {
         try {
             return Base64.getEncoder().encodeToString(MessageDigest.getInstance("SHA-256").digest(bytes));
-        } catch (NoSuchAlgorithmException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (NoSuchAlgorithmException missingAlgorithm) {
+            throw new IllegalStateException(missingAlgorithm);
         }
     }
 }
--- a/src/main/java/clovermill/ledger/books/Reconciler.java
+++ b/src/main/java/clovermill/ledger/totals/Reconciler.java
@@ -1,4 +1,4 @@
-package clovermill.ledger.books;
+package clovermill.ledger.totals;
 
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LogHeader;
@@ -21,42 +21,42 @@
 import java.util.function.LongConsumer;
 import java.util.stream.Stream;
 
-/** Reads the logs of several instances for a {@link Reconciliation}; changes nothing in them. */
+/** Reads the logs of several instances for a {@link Reconciliation}; does not change them. */
 public final class Reconciler {
 
-    /** What {@code billed} and the logs differ by, for one tenant and period. */
+    /** A difference between batches and logs for one tenant and period. */
     public record Difference(TotalsAggregator.Key key, long loggedBytes, long billedBytes) {}
 
-    /** Retries that are held in memory at a time; some 100 bytes each. */
-    private static final int MOST_RETRIES = 2_000_000;
+    /** The maximum number of retries kept in memory; each takes about 100 bytes. */
+    private static final int MAX_RETRIES = 2_000_000;
 
     private final List<LedgerFolder> folders;
     private final LongConsumer progress;
     private final long windowMs;
-    private final TreeMap<String, Map<String, Long>> lastPeriod = new TreeMap<>();
-    private Period last;
-    private long heldFromMs = Long.MIN_VALUE;
-    private long read;
+    private final TreeMap<String, Map<String, Long>> lastPeriodUsage = new TreeMap<>();
+    private Period latestPeriod;
+    private long completeFromMs = Long.MIN_VALUE;
+    private long entriesRead;
 
-    /** Tries of one request are no further apart than {@code windowMs}. */
+    /** Creates a reconciler; attempts of one request are at most {@code windowMs} apart. */
     public Reconciler(List<LedgerFolder> folders, long windowMs, LongConsumer progress) {
         this.folders = folders;
         this.windowMs = windowMs;
         this.progress = progress;
     }
 
-    /** Reads every log twice. */
+    /** Reads every log twice and returns the report. */
     public Reconciliation.Report run() throws IOException {
         Reconciliation reconciliation = new Reconciliation();
-        DoubleServedRetries retries = new DoubleServedRetries(windowMs, MOST_RETRIES);
+        DoubleServedRetries retries = new DoubleServedRetries(windowMs, MAX_RETRIES);
         for (LedgerFolder folder : folders) {
-            heldFromMs = Math.max(heldFromMs, heldFrom(folder));
+            completeFromMs = Math.max(completeFromMs, completeFrom(folder));
         }
         for (LedgerFolder folder : folders) {
             sum(folder, reconciliation, retries);
         }
         for (LedgerFolder folder : folders) {
-            // By the folder's own id: a copy of it is no other instance.
+            // Uses the folder ID: a copy of a folder is not another instance.
             String source = folder.identity().folder().toString();
             new LogReader(folder).read(LogReader.Position.START, (header, entry) -> {
                 if (entry instanceof Entry.Used used) {
@@ -71,24 +71,25 @@
             throws IOException {
         LedgerFolder.Identity identity = folder.identity();
         String source = identity.folder().toString();
-        TotalsAggregator order = new TotalsAggregator(batch -> {});
+        TotalsAggregator aggregator = new TotalsAggregator(batch -> {});
         Map<Long, Map<TotalsAggregator.Key, Totals>> byEpoch = new TreeMap<>();
         new LogReader(folder).read(LogReader.Position.START, new LogReader.Visitor() {
             @Override
             public void segment(Path file, LogHeader header) {
                 if (byEpoch.isEmpty() && Files.exists(folder.checkpoint())) {
-                    order.setFirstSeq(header.epoch(), header.firstSeq());
+                    aggregator.setFirstSeq(header.epoch(), header.firstSeq());
                 }
-                order.beginEpoch(header.epoch(), header.throughMs(), header.closings());
+                aggregator.beginEpoch(header.epoch(), header.throughMs(), header.closings());
                 byEpoch.computeIfAbsent(header.epoch(), epoch -> new HashMap<>());
             }
 
             @Override
             public void entry(LogHeader header, Entry entry) {
-                if (++read % 100_000 == 0) {
-                    progress.accept(read);
+                if (++entriesRead % 100_000 == 0) {
+                    progress.accept(entriesRead);
                 }
-                if (!order.apply(header.epoch(), header.periodMs(), entry) || startMs(header, entry) < heldFromMs) {
+                if (!aggregator.apply(header.epoch(), header.periodMs(), entry)
+                        || startMs(header, entry) < completeFromMs) {
                     return;
                 }
                 Map<TotalsAggregator.Key, Totals> totals = byEpoch.get(header.epoch());
@@ -102,22 +103,24 @@
                 }
             }
         });
-        byEpoch.values().forEach(totals -> totals.forEach((key, sums) -> use(identity.instance(), key, sums)));
+        byEpoch.values()
+                .forEach(totals -> totals.forEach((key, sums) -> addLastPeriodUsage(identity.instance(), key, sums)));
         Map<Long, Long> missing = new HashMap<>();
-        order.missingRanges().forEach(hole -> missing.merge(hole.epoch(), hole.to() - hole.from() + 1, Long::sum));
+        aggregator.missingRanges()
+                .forEach(range -> missing.merge(range.epoch(), range.to() - range.from() + 1, Long::sum));
         byEpoch.forEach((epoch, totals) -> reconciliation.add(new Reconciliation.EpochUsage(folder.path().toString(),
-                identity.folder(), identity.instance(), epoch, order.lastSeq().getOrDefault(epoch, 0L),
+                identity.folder(), identity.instance(), epoch, aggregator.lastSeq().getOrDefault(epoch, 0L),
                 missing.getOrDefault(epoch, 0L), totals)));
     }
 
-    /** The start of the period that an entry belongs to; what is no use belongs to all. */
+    /** Returns the start of the period of an entry, or the maximum for an entry that is not usage. */
     private static long startMs(LogHeader header, Entry entry) {
         return entry instanceof Entry.Used used ? Period.of(used.takenMs(), header.periodMs()).startMs()
                 : entry instanceof Entry.Gap gap ? Period.of(gap.firstMs(), header.periodMs()).startMs()
                 : Long.MAX_VALUE;
     }
 
-    private static long heldFrom(LedgerFolder folder) throws IOException {
+    private static long completeFrom(LedgerFolder folder) throws IOException {
         if (!Files.exists(folder.checkpoint()) || folder.segments().isEmpty()) {
             return Long.MIN_VALUE;
         }
@@ -125,41 +128,45 @@
         return first == null ? Long.MIN_VALUE : first.openedMs();
     }
 
-    /** Before this time some folder holds no longer all: its segments were compacted. */
-    public long heldFromMs() {
-        return heldFromMs;
+    /** Returns the time before which some folder is incomplete, because its segments were compacted. */
+    public long completeFromMs() {
+        return completeFromMs;
     }
 
-    private void use(String instance, TotalsAggregator.Key key, Totals totals) {
-        if (last == null || key.period().compareTo(last) > 0) {
-            last = key.period();
-            // Instances without use in the latest period keep a share too.
-            lastPeriod.values().forEach(used -> used.replaceAll((name, bytes) -> 0L));
+    private void addLastPeriodUsage(String instance, TotalsAggregator.Key key, Totals totals) {
+        if (latestPeriod == null || key.period().compareTo(latestPeriod) > 0) {
+            latestPeriod = key.period();
+            // Instances without usage in the latest period keep a share too.
+            lastPeriodUsage.values().forEach(used -> used.replaceAll((name, bytes) -> 0L));
         }
-        Map<String, Long> used = lastPeriod.computeIfAbsent(key.tenant(), tenant -> new TreeMap<>());
-        used.merge(instance, key.period().equals(last) ? totals.get(Totals.Sum.BYTES) : 0L, Long::sum);
+        Map<String, Long> used = lastPeriodUsage.computeIfAbsent(key.tenant(), tenant -> new TreeMap<>());
+        used.merge(instance, key.period().equals(latestPeriod) ? totals.get(Totals.Sum.BYTES) : 0L, Long::sum);
     }
 
-    /** Bytes by tenant and instance in the latest period that is known, which the next shares go by. */
-    public Map<String, Map<String, Long>> lastPeriod() {
-        return lastPeriod;
+    /**
+     * Returns the bytes by tenant and instance in the latest known period, from which the next shares are computed.
+     */
+    public Map<String, Map<String, Long>> lastPeriodUsage() {
+        return lastPeriodUsage;
     }
 
-    /** Compares the rows of all CSV batches in a folder with a report, for the periods that were billed. */
+    /** Compares the rows of all CSV batches in a folder with a report, for the periods in the batches. */
     public List<Difference> compare(Reconciliation.Report report, Path billed) throws IOException {
-        TreeMap<TotalsAggregator.Key, Long> sums = new TreeMap<>();
+        TreeMap<TotalsAggregator.Key, Long> billedBytes = new TreeMap<>();
         try (Stream<Path> files = Files.walk(billed)) {
             for (Path file : files.filter(each -> each.toString().endsWith(".csv")).sorted().toList()) {
                 try (Reader reader = Files.newBufferedReader(file)) {
-                    BatchText.read(reader).forEach(row -> sums.merge(row.key(), row.totals().get(Totals.Sum.BYTES),
-                            Long::sum));
+                    BatchText.read(reader)
+                            .forEach(row -> billedBytes.merge(row.key(), row.totals().get(Totals.Sum.BYTES),
+                                    Long::sum));
                 }
             }
         }
         TreeMap<TotalsAggregator.Key, Long> logged = new TreeMap<>();
         report.rows().forEach(row -> logged.put(row.key(), row.totals().get(Totals.Sum.BYTES)));
-        sums.keySet().removeIf(key -> key.period().startMs() < heldFromMs);
-        return sums.entrySet().stream().filter(each -> !each.getValue().equals(logged.getOrDefault(each.getKey(), 0L)))
+        billedBytes.keySet().removeIf(key -> key.period().startMs() < completeFromMs);
+        return billedBytes.entrySet().stream()
+                .filter(each -> !each.getValue().equals(logged.getOrDefault(each.getKey(), 0L)))
                 .map(each -> new Difference(each.getKey(), logged.getOrDefault(each.getKey(), 0L), each.getValue()))
                 .toList();
     }
--- a/src/main/java/clovermill/ledger/books/TotalsStore.java
+++ b/src/main/java/clovermill/ledger/totals/TotalsStore.java
@@ -1,4 +1,4 @@
-package clovermill.ledger.books;
+package clovermill.ledger.totals;
 
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LogHeader;
@@ -30,17 +30,17 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * The books of one folder: the totals of open periods, the batches that closings froze, and which of these were
- * acknowledged. What was read of the log and what it came to are committed together. A frozen batch is never
- * written a second time.
+ * The totals store of one folder: the totals of open periods, the batches that period closings froze, and which of
+ * these were acknowledged. The position in the log and the totals up to it are committed together. A frozen batch is
+ * never written a second time.
  */
 public final class TotalsStore implements AutoCloseable {
 
-    /** A batch without its rows; {@code acknowledged} is the digest it was delivered under, or null. */
+    /** A batch without its rows; {@code acknowledged} is the digest under which it was delivered, or null. */
     public record BatchInfo(long number, long epoch, long fromMs, long throughMs, long atMs, String acknowledged) {}
 
-    private static final long ENTRIES_A_COMMIT = 2_000_000;
-    private static final char CUT = '|';
+    private static final long ENTRIES_PER_COMMIT = 2_000_000;
+    private static final char SEPARATOR = '|';
 
     private final LedgerFolder folder;
     private final Path file;
@@ -50,8 +50,8 @@
     private final MVMap<String, long[]> open;
     private final MVMap<String, long[]> corrections;
     private final MVMap<Long, Long> lastSeq;
-    /** Epoch, first and last sequence of what was passed over, by their place in the order. */
-    private final MVMap<Long, long[]> holes;
+    /** Epoch, first and last sequence number of each missing range, by the index of the range. */
+    private final MVMap<Long, long[]> missingRanges;
     private final MVMap<Long, long[]> batches;
     private final MVMap<String, long[]> rows;
     private final MVMap<Long, String> acknowledged;
@@ -65,15 +65,15 @@
         this.lock = lock;
         try {
             store = new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open();
-        } catch (MVStoreException bad) {
-            throw new IOException(file + " cannot be used (" + bad.getMessage().lines().findFirst().orElse("")
-                    + "); `ledger rebuild` makes it again from the log", bad);
+        } catch (MVStoreException failure) {
+            throw new IOException(file + " cannot be used (" + failure.getMessage().lines().findFirst().orElse("")
+                    + "); `ledger rebuild` recreates it from the log", failure);
         }
         meta = store.openMap("meta");
         open = store.openMap("open");
         corrections = store.openMap("corrections");
         lastSeq = store.openMap("lastSeq");
-        holes = store.openMap("holes");
+        missingRanges = store.openMap("holes");
         batches = store.openMap("batches");
         rows = store.openMap("rows");
         acknowledged = store.openMap("acknowledged");
@@ -95,37 +95,40 @@
         }
     }
 
-    /** What came of making books again: the digests of the batches before (null if unreadable) and after. */
+    /** The result of a rebuild: the digests of the totals before (null if unreadable) and after. */
     public record Rebuilt(String before, String after, long entries) {}
 
-    /** Makes a folder's books again from the checkpoint, if there is one, and the log; keeps what was acknowledged. */
+    /**
+     * Rebuilds the totals store of a folder from the checkpoint, if there is one, and the log; keeps the
+     * acknowledgements.
+     */
     public static Rebuilt rebuild(LedgerFolder folder, LongConsumer progress) throws IOException {
         folder.identity();
         return FolderLock.withLock(folder.totalsLock(), () -> {
-            Path fresh = folder.path().resolve("books.mv.new");
-            Files.deleteIfExists(fresh);
+            Path newFile = folder.path().resolve("books.mv.new");
+            Files.deleteIfExists(newFile);
             if (Files.exists(folder.checkpoint())) {
-                Files.copy(folder.checkpoint(), fresh);
+                Files.copy(folder.checkpoint(), newFile);
             }
             String before = null;
-            Map<Long, String> known = new HashMap<>();
+            Map<Long, String> acknowledgements = new HashMap<>();
             try (TotalsStore old = new TotalsStore(folder, folder.totals(), null)) {
-                // To the same point of the log, as far as the old ones go on; what they cannot read is not counted.
+                // Updates the old store to the same position of the log. Whatever cannot be read is not compared.
                 old.update(entries -> {});
                 before = old.digest();
-                known.putAll(old.acknowledged);
+                acknowledgements.putAll(old.acknowledged);
             } catch (IOException | RuntimeException unreadable) {
                 before = null;
             }
             Rebuilt result;
-            try (TotalsStore made = new TotalsStore(folder, fresh, null)) {
-                made.update(progress);
-                known.forEach(made.acknowledged::putIfAbsent);
-                made.store.commit();
-                result = new Rebuilt(before, made.digest(), made.aggregator.entries());
+            try (TotalsStore rebuilt = new TotalsStore(folder, newFile, null)) {
+                rebuilt.update(progress);
+                acknowledgements.forEach(rebuilt.acknowledged::putIfAbsent);
+                rebuilt.store.commit();
+                result = new Rebuilt(before, rebuilt.digest(), rebuilt.aggregator.entries());
             }
             CrashPoint.reached("rebuild.before-rename");
-            Files.move(fresh, folder.totals(), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(newFile, folder.totals(), StandardCopyOption.ATOMIC_MOVE);
             CrashPoint.reached("rebuild.after-rename");
             return result;
         });
@@ -133,14 +136,16 @@
 
     private void load() {
         Map<TotalsAggregator.Key, Totals> openNow = new HashMap<>();
-        open.forEach((key, sums) -> openNow.put(key(key), new Totals(sums.clone())));
+        open.forEach((key, values) -> openNow.put(key(key), new Totals(values.clone())));
         Map<TotalsAggregator.Key, Totals> correctionsNow = new HashMap<>();
-        corrections.forEach((key, sums) -> correctionsNow.put(key(key), new Totals(sums.clone())));
-        List<TotalsAggregator.MissingRange> holesNow = new ArrayList<>();
-        holes.values().forEach(each -> holesNow.add(new TotalsAggregator.MissingRange(each[0], each[1], each[2])));
-        aggregator = new TotalsAggregator(this::freeze,
+        corrections.forEach((key, values) -> correctionsNow.put(key(key), new Totals(values.clone())));
+        List<TotalsAggregator.MissingRange> missingRangesNow = new ArrayList<>();
+        missingRanges.values()
+                .forEach(each -> missingRangesNow.add(new TotalsAggregator.MissingRange(each[0], each[1], each[2])));
+        aggregator = new TotalsAggregator(this::addBatch,
                 new TotalsAggregator.State(openNow, correctionsNow, new HashMap<>(lastSeq),
-                        holesNow, meta.getOrDefault("through", Long.MIN_VALUE), meta.getOrDefault("closings", 0L),
+                        missingRangesNow, meta.getOrDefault("through", Long.MIN_VALUE),
+                        meta.getOrDefault("closings", 0L),
                         meta.getOrDefault("entries", 0L), meta.getOrDefault("missing", 0L),
                         meta.getOrDefault("repeated", 0L),
                         meta.getOrDefault("last", Long.MIN_VALUE)));
@@ -149,7 +154,7 @@
         damagedBytes = meta.getOrDefault("damaged", 0L);
     }
 
-    /** Takes over what the log has since got; {@code progress} hears how many entries were read. */
+    /** Reads new entries of the log; {@code progress} receives the number of entries read. */
     public void update(LongConsumer progress) throws IOException {
         long[] read = {0, 0};
         LogReader reader = new LogReader(folder);
@@ -178,7 +183,7 @@
                 continue;
             }
             position = reader.read(segment, start.isIn(segment) ? start.offset() : 0, visitor);
-            if (read[0] - read[1] >= ENTRIES_A_COMMIT) {
+            if (read[0] - read[1] >= ENTRIES_PER_COMMIT) {
                 read[1] = read[0];
                 save();
             }
@@ -187,8 +192,8 @@
         save();
     }
 
-    private void freeze(TotalsAggregator.Batch batch) {
-        // A batch that stands already is the same one, read again after a crash between two commits of another.
+    private void addBatch(TotalsAggregator.Batch batch) {
+        // An existing batch is the same one, read again after a crash between two commits of an update.
         if (batches.putIfAbsent(batch.number(), new long[] {batch.epoch(), batch.fromMs(), batch.throughMs(),
             batch.atMs()}) == null) {
             batch.totals().forEach((key, totals) -> rows.put(row(batch.number(), 't', key), totals.toArray()));
@@ -196,12 +201,12 @@
         }
     }
 
-    /** Commits the state together with the place in the log that it belongs to. */
+    /** Commits the totals together with the corresponding position in the log. */
     private void save() {
         replace(open, aggregator.open());
         replace(corrections, aggregator.corrections());
         aggregator.lastSeq().forEach(lastSeq::put);
-        saveHoles();
+        saveMissingRanges();
         meta.put("through", aggregator.throughMs());
         meta.put("closings", aggregator.closings());
         meta.put("entries", aggregator.entries());
@@ -217,71 +222,72 @@
         CrashPoint.reached("books.after-commit");
     }
 
-    private void saveHoles() {
-        holes.clear();
-        long place = 0;
-        for (TotalsAggregator.MissingRange hole : aggregator.missingRanges()) {
-            holes.put(place++, new long[] {hole.epoch(), hole.from(), hole.to()});
+    private void saveMissingRanges() {
+        missingRanges.clear();
+        long index = 0;
+        for (TotalsAggregator.MissingRange range : aggregator.missingRanges()) {
+            missingRanges.put(index++, new long[] {range.epoch(), range.from(), range.to()});
         }
     }
 
-    private static void replace(MVMap<String, long[]> map, Map<TotalsAggregator.Key, Totals> with) {
+    private static void replace(MVMap<String, long[]> map, Map<TotalsAggregator.Key, Totals> newTotals) {
         map.clear();
-        with.forEach((key, totals) -> map.put(text(key), totals.toArray()));
+        newTotals.forEach((key, totals) -> map.put(text(key), totals.toArray()));
     }
 
-    /** The batches in their order. */
+    /** Returns the batches in order. */
     public TreeMap<Long, BatchInfo> batches() {
         TreeMap<Long, BatchInfo> result = new TreeMap<>();
-        batches.forEach((number, told) -> result.put(number, new BatchInfo(number, told[0], told[1], told[2], told[3],
+        batches.forEach((number, info) -> result.put(number, new BatchInfo(number, info[0], info[1], info[2], info[3],
                 acknowledged.get(number))));
         return result;
     }
 
-    /** What a closing froze. */
+    /** Returns a batch with its rows. */
     public TotalsAggregator.Batch batch(long number) {
-        long[] told = batches.get(number);
+        long[] info = batches.get(number);
         TreeMap<TotalsAggregator.Key, Totals> totals = new TreeMap<>();
-        TreeMap<TotalsAggregator.Key, Totals> corrected = new TreeMap<>();
+        TreeMap<TotalsAggregator.Key, Totals> correctionTotals = new TreeMap<>();
         String prefix = String.format("%016x", number);
         for (var each = rows.keyIterator(prefix); each.hasNext();) {
             String key = each.next();
             if (!key.startsWith(prefix)) {
                 break;
             }
-            (key.charAt(prefix.length()) == 't' ? totals : corrected).put(key(key.substring(prefix.length() + 1)),
+            (key.charAt(prefix.length()) == 't' ? totals : correctionTotals).put(
+                    key(key.substring(prefix.length() + 1)),
                     new Totals(rows.get(key).clone()));
         }
-        return new TotalsAggregator.Batch(number, told[0], told[1], told[2], told[3], totals, corrected);
+        return new TotalsAggregator.Batch(number, info[0], info[1], info[2], info[3], totals, correctionTotals);
     }
 
-    /** Notes that a batch was delivered under this digest; lasts when this returns. */
+    /** Records that a batch was delivered under this digest; durable when this returns. */
     public void acknowledge(long number, String digest) {
         acknowledged.put(number, digest);
         store.commit();
         store.sync();
     }
 
-    /** The accounts as of the last update. */
-    public TotalsAggregator accounts() {
+    /** Returns the aggregator as of the last update. */
+    public TotalsAggregator aggregator() {
         return aggregator;
     }
 
-    /** Up to where the log has been taken over. */
+    /** Returns the position up to which the log was read. */
     public LogReader.Position position() {
         return position;
     }
 
-    /** Bytes of the log that could not be read. */
+    /** Returns the number of bytes of the log that could not be read. */
     public long damagedBytes() {
         return damagedBytes;
     }
 
-    /** A digest of all that closings froze and of what is open: equal for equal totals, to the bit. */
+    /** Returns a digest of all batches and of the open totals; equal totals have equal digests. */
     public String digest() {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
-            new TreeMap<>(rows).forEach((key, sums) -> digest(sha, key, sums));
+            new TreeMap<>(rows).forEach((key, values) -> digest(sha, key, values));
             new TreeMap<>(aggregator.open()).forEach((key, totals) -> digest(sha, text(key), totals.toArray()));
             new TreeMap<>(aggregator.corrections()).forEach((key, totals) -> digest(sha, text(key), totals.toArray()));
             return HexFormat.of().formatHex(sha.digest());
@@ -290,16 +296,16 @@
         }
     }
 
-    private static void digest(MessageDigest sha, String key, long[] sums) {
+    private static void digest(MessageDigest sha, String key, long[] values) {
         sha.update(key.getBytes(StandardCharsets.UTF_8));
-        ByteBuffer bytes = ByteBuffer.allocate(Long.BYTES * sums.length);
-        bytes.asLongBuffer().put(sums);
+        ByteBuffer bytes = ByteBuffer.allocate(Long.BYTES * values.length);
+        bytes.asLongBuffer().put(values);
         sha.update(bytes);
     }
 
     /**
-     * Copies the books as they are to the checkpoint, from which they can be made again without the segments that
-     * they have taken over. Closes them.
+     * Copies the store to the checkpoint, from which it can be rebuilt without the segments that were read so far.
+     * Closes the store.
      */
     public void checkpoint(Volume volume) throws IOException {
         store.close();
@@ -312,12 +318,13 @@
     }
 
     private static String text(TotalsAggregator.Key key) {
-        return String.format("%016x", key.period().startMs()) + CUT + key.period().lengthMs() + CUT + key.tenant();
+        return String.format("%016x", key.period().startMs()) + SEPARATOR + key.period().lengthMs() + SEPARATOR
+                + key.tenant();
     }
 
     private static TotalsAggregator.Key key(String text) {
-        int first = text.indexOf(CUT);
-        int second = text.indexOf(CUT, first + 1);
+        int first = text.indexOf(SEPARATOR);
+        int second = text.indexOf(SEPARATOR, first + 1);
         return new TotalsAggregator.Key(new Period(Long.parseUnsignedLong(text.substring(0, first), 16),
                 Long.parseLong(text.substring(first + 1, second))), text.substring(second + 1));
     }
--- a/src/main/java/clovermill/ledger/books/Verification.java
+++ b/src/main/java/clovermill/ledger/totals/Verification.java
@@ -1,4 +1,4 @@
-package clovermill.ledger.books;
+package clovermill.ledger.totals;
 
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LogHeader;
@@ -13,30 +13,30 @@
 import java.util.function.LongConsumer;
 
 /**
- * Reads a whole log and tells what is wrong with it. Damage and missing records are faults; a torn tail is what a
- * crash or a writer at work leaves, and is told without being one.
+ * The result of reading a whole log. Damage and missing records are faults; a torn tail, which a crash or an active
+ * writer leaves, is only a note.
  */
 public record Verification(long segments, long entries, long missing, long repeated, List<String> faults,
         List<String> notes) {
 
-    private static final int MOST_TOLD = 1000;
+    private static final int MAX_FAULTS = 1000;
 
-    /** Reads; {@code progress} hears how many entries were read. */
+    /** Reads the log; {@code progress} receives the number of entries read. */
     public static Verification of(LedgerFolder folder, LongConsumer progress) throws IOException {
         List<String> faults = new ArrayList<>();
         List<String> notes = new ArrayList<>();
         TotalsAggregator aggregator = new TotalsAggregator(batch -> {});
         LedgerFolder.Identity identity = folder.identity();
-        long[] read = {0, 0};
+        long[] counts = {0, 0};
         new LogReader(folder).read(LogReader.Position.START, new LogReader.Visitor() {
             @Override
             public void segment(Path file, LogHeader header) {
-                read[1]++;
+                counts[1]++;
                 if (!header.folder().equals(identity.folder())) {
                     faults.add(file.getFileName() + " was written in another folder");
                 }
-                if (read[1] == 1 && Files.exists(folder.checkpoint())) {
-                    notes.add("all before " + file.getFileName() + " was compacted");
+                if (counts[1] == 1 && Files.exists(folder.checkpoint())) {
+                    notes.add("all segments before " + file.getFileName() + " were compacted");
                     aggregator.setFirstSeq(header.epoch(), header.firstSeq());
                 }
                 aggregator.beginEpoch(header.epoch(), header.throughMs(), header.closings());
@@ -45,29 +45,29 @@
             @Override
             public void entry(LogHeader header, Entry entry) {
                 aggregator.apply(header.epoch(), header.periodMs(), entry);
-                if (++read[0] % 100_000 == 0) {
-                    progress.accept(read[0]);
+                if (++counts[0] % 100_000 == 0) {
+                    progress.accept(counts[0]);
                 }
             }
 
             @Override
             public void damaged(Path file, long from, long to) {
-                if (faults.size() < MOST_TOLD) {
+                if (faults.size() < MAX_FAULTS) {
                     faults.add(file.getFileName() + ": bytes " + from + " to " + to + " are damaged");
                 }
             }
 
             @Override
             public void torn(Path file, long bytes) {
-                notes.add(file.getFileName() + ": " + bytes + " bytes at its end are no whole records");
+                notes.add(file.getFileName() + ": " + bytes + " bytes at its end are not a complete record");
             }
         });
-        progress.accept(read[0]);
-        for (TotalsAggregator.MissingRange hole : aggregator.missingRanges().subList(0,
-                Math.min(MOST_TOLD, aggregator.missingRanges().size()))) {
-            faults.add("epoch " + hole.epoch() + ": records " + hole.from() + " to " + hole.to() + " are missing");
+        progress.accept(counts[0]);
+        for (TotalsAggregator.MissingRange range : aggregator.missingRanges().subList(0,
+                Math.min(MAX_FAULTS, aggregator.missingRanges().size()))) {
+            faults.add("epoch " + range.epoch() + ": records " + range.from() + " to " + range.to() + " are missing");
         }
-        return new Verification(read[1], aggregator.entries(), aggregator.missing(), aggregator.repeated(), faults,
+        return new Verification(counts[1], aggregator.entries(), aggregator.missing(), aggregator.repeated(), faults,
                 notes);
     }
 }
--- a/src/test/java/clovermill/ledger/CrashPointsTest.java
+++ b/src/test/java/clovermill/ledger/CrashPointsTest.java
@@ -4,8 +4,8 @@
 
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.ledger.books.TotalsStore;
-import clovermill.ledger.books.Verification;
+import clovermill.ledger.totals.TotalsStore;
+import clovermill.ledger.totals.Verification;
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.BatchText;
 import clovermill.ledger.export.Exporter;
@@ -25,11 +25,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A process is stopped dead at each named point; the next ones go on, and all is billed once. */
+/** A process is halted at each crash point; the next ones continue, and all usage is exported exactly once. */
 class CrashPointsTest {
 
     private static final long HOUR = 3_600_000;
-    private static final int USES = 200;
+    private static final int REQUESTS = 200;
 
     @TempDir
     private Path folder;
@@ -40,12 +40,12 @@
         "store.replace.before-rename:2", "store.replace.after-rename:2", "export.before-write", "export.after-rename",
         "export.before-commit", "export.after-commit", "books.before-commit", "books.after-commit",
         "rebuild.before-rename", "rebuild.after-rename"})
-    void everythingIsBilledOnceWhereverAProcessStops(String point) throws Exception {
-        assertThat(child("-D" + CrashPoint.PROPERTY + "=" + point)).isEqualTo(137);
+    void exportsAllUsageOnceAfterAHaltAtAnyCrashPoint(String point) throws Exception {
+        assertThat(runProcess("-D" + CrashPoint.PROPERTY + "=" + point)).isEqualTo(137);
         if (point.startsWith("ledger") || point.startsWith("segment")) {
-            assertThat(child("-D" + CrashPoint.PROPERTY + "=rescue.before-delete")).isEqualTo(137);
+            assertThat(runProcess("-D" + CrashPoint.PROPERTY + "=rescue.before-delete")).isEqualTo(137);
         }
-        assertThat(child("-Dnothing=1")).isZero();
+        assertThat(runProcess("-Dnothing=1")).isZero();
         LedgerFolder ledger = new LedgerFolder(folder.resolve("l"));
         assertThat(Verification.of(ledger, read -> {}).faults()).isEmpty();
         long requests = 0;
@@ -60,25 +60,28 @@
                 }
             }
         }
-        long told = Files.readAllBytes(folder.resolve("told")).length;
-        // What was counted by a process that is no more, to the last request: the stage outlives it.
-        assertThat(requests).isBetween(told - 1, told);
+        long recorded = Files.readAllBytes(folder.resolve("recorded")).length;
+        // All usage of a halted process counts, except for the last request: the staging file outlives the process.
+        assertThat(requests).isBetween(recorded - 1, recorded);
         assertThat(bytes).isEqualTo(10 * requests);
     }
 
-    private int child(String option) throws Exception {
+    private int runProcess(String option) throws Exception {
         return new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), option,
                 "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"),
                 CrashPointsTest.class.getName(), folder.toString()).redirectErrorStream(true)
                 .redirectOutput(folder.resolve("printed").toFile()).start().waitFor();
     }
 
-    /** A life: uses over three hours, their closings, an export and a rebuild. Each use is noted in a file too. */
+    /**
+     * Runs one process: usage over three hours, the period closings, an export and a rebuild. Each request is also
+     * recorded in a file.
+     */
     public static void main(String[] args) throws Exception {
         Path folder = Path.of(args[0]);
-        Path noted = folder.resolve("told");
-        // Later than any life before.
-        long[] nowMs = {(1000 + (Files.exists(noted) ? Files.size(noted) : 0)) * HOUR};
+        Path recordFile = folder.resolve("recorded");
+        // Later than in any earlier process.
+        long[] nowMs = {(1000 + (Files.exists(recordFile) ? Files.size(recordFile) : 0)) * HOUR};
         Clock clock = new Clock() {
             @Override
             public long micros() {
@@ -95,16 +98,16 @@
                 folder.toString(), 0L, 0L, null, 1, 1L, null, null, null, null, null, null, null, null, null);
         Ledger ledger = Ledger.open(settings, new Ledger.Director("n1", List.of("page"), 1, 2, 4), clock, deadlines,
                 Runnable::run, Volume.local());
-        try (var told = Files.newOutputStream(noted, StandardOpenOption.CREATE,
+        try (var recorded = Files.newOutputStream(recordFile, StandardOpenOption.CREATE,
                 StandardOpenOption.APPEND)) {
-            for (int i = 0; i < USES; i++) {
-                told.write(1);
+            for (int i = 0; i < REQUESTS; i++) {
+                recorded.write(1);
                 ledger.requestEnded(new UsageRecord(
                         new ClientRequest(String.format("%016x", i), 0, "page", "7f3a9c21e0b4d655", 0, 0, 1, 1,
                                 false, null, null, new byte[0]),
                         true, nowMs[0] * 1000, nowMs[0] * 1000, UsageRecord.End.SERVED, 1,
                         "s-1", null, Note.HIT, 10, 10));
-                nowMs[0] += 3 * HOUR / USES;
+                nowMs[0] += 3 * HOUR / REQUESTS;
                 deadlines.sweep(nowMs[0] * 1000);
                 deadlines.sweep(nowMs[0] * 1000);
             }
@@ -112,9 +115,9 @@
             deadlines.sweep(nowMs[0] * 1000);
         }
         ledger.close();
-        LedgerFolder at = new LedgerFolder(folder.resolve("l"));
-        new Exporter(at, new LedgerSettings.Export(folder.resolve("out").toString(), null, null, null, null),
+        LedgerFolder ledgerFolder = new LedgerFolder(folder.resolve("l"));
+        new Exporter(ledgerFolder, new LedgerSettings.Export(folder.resolve("out").toString(), null, null, null, null),
                 Volume.local(), new Random(1)).run();
-        TotalsStore.rebuild(at, read -> {});
+        TotalsStore.rebuild(ledgerFolder, read -> {});
     }
 }
--- a/src/test/java/clovermill/ledger/LedgerTest.java
+++ b/src/test/java/clovermill/ledger/LedgerTest.java
@@ -6,10 +6,10 @@
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.UsageListener;
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.ledger.books.Compactor;
-import clovermill.ledger.books.Reconciler;
-import clovermill.ledger.books.TotalsStore;
-import clovermill.ledger.books.Verification;
+import clovermill.ledger.totals.Compactor;
+import clovermill.ledger.totals.Reconciler;
+import clovermill.ledger.totals.TotalsStore;
+import clovermill.ledger.totals.Verification;
 import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.Totals;
@@ -37,12 +37,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The ledger on a disk with faults, over restarts, closings and exports; time only moves when told to. */
+/** The ledger on a faulty disk, over restarts, period closings and exports; the test controls the clocks. */
 class LedgerTest {
 
     private static final long HOUR = 3_600_000;
-    /** Operations of the writer, some ten for each try to write anew. */
-    private static final int KILLED_STEPS = 60;
+    /**
+     * The number of writer operations before which a kill is simulated; each attempt to write again takes about ten.
+     */
+    private static final int KILL_STEPS = 60;
     private static final Ledger.Director DIRECTOR = new Ledger.Director("n1", List.of("page", "order"), 1, 2, 4);
 
     @TempDir
@@ -51,7 +53,7 @@
     private Deadlines deadlines = new Deadlines();
     private long monoMs = 1000 * HOUR + 1_000_000;
     private long wallMs = monoMs;
-    private int request;
+    private int requestCount;
 
     private final Clock clock = new Clock() {
         @Override
@@ -65,14 +67,14 @@
         }
     };
 
-    private LedgerSettings settings(int queueKb, List<String> refuse) {
-        return settings(queueKb, refuse, 20_000L);
+    private LedgerSettings settings(int queueKb, List<String> rejectWhenFull) {
+        return settings(queueKb, rejectWhenFull, 20_000L);
     }
 
-    private LedgerSettings settings(int queueKb, List<String> refuse, long leaveMs) {
+    private LedgerSettings settings(int queueKb, List<String> rejectWhenFull, long leaveMs) {
         return new LedgerSettings(folder.resolve("l").toString(), null, null, null, queueKb, folder.toString(), 0L,
                 0L, null, 1, 1L, leaveMs, null, "a",
-                List.of(new LedgerSettings.Tenant("b", "order", null)), refuse, null, null, null, null);
+                List.of(new LedgerSettings.Tenant("b", "order", null)), rejectWhenFull, null, null, null, null);
     }
 
     private Ledger open() throws IOException {
@@ -84,24 +86,25 @@
         return Ledger.open(settings, DIRECTOR, clock, deadlines, Runnable::run, disk);
     }
 
-    private void pass(long ms) {
+    private void advance(long ms) {
         monoMs += ms;
         wallMs += ms;
-        // Noting, staging and handing over are three deadlines, one after another.
+        // The tick and the handovers are up to three deadlines, one after another.
         for (int i = 0; i < 3; i++) {
             deadlines.sweep(monoMs * 1000);
         }
     }
 
-    private ClientRequest ask(int requestClass) {
-        return new ClientRequest(String.format("%016x", ++request), requestClass, "page", "7f3a9c21e0b4d655", 0, 0, 1,
+    private ClientRequest request(int requestClass) {
+        return new ClientRequest(String.format("%016x", ++requestCount), requestClass, "page", "7f3a9c21e0b4d655", 0, 0,
+                1,
                 1_000_000,
                 false, null, null, new byte[0]);
     }
 
     private void use(Ledger ledger, int requestClass, int bytes, long takenMs) {
         ledger.requestEnded(
-                new UsageRecord(ask(requestClass), true, takenMs * 1000, monoMs * 1000, UsageRecord.End.SERVED, 1,
+                new UsageRecord(request(requestClass), true, takenMs * 1000, monoMs * 1000, UsageRecord.End.SERVED, 1,
                         "s-1", null,
                         Note.HIT, bytes, bytes));
     }
@@ -132,19 +135,19 @@
         return sum;
     }
 
-    /** Waits for the writer, which is a thread of its own; the test fails by its time limit, not by this. */
+    /** A condition on the writer, which has its own thread; the test fails by its time limit if it is never met. */
     private interface Condition {
-        boolean holds();
+        boolean isMet();
     }
 
-    private static void until(Condition condition) {
-        while (!condition.holds()) {
+    private static void awaitCondition(Condition condition) {
+        while (!condition.isMet()) {
             Thread.onSpinWait();
         }
     }
 
     @Test
-    void whatIsNotTakenByAFullQueueIsAGapThatIsExact() throws Exception {
+    void usageBeyondAFullQueueIsCountedExactlyInGaps() throws Exception {
         Ledger ledger = open(settings(16, List.of()));
         disk.freeBytes = 0;
         for (int i = 0; i < 3000; i++) {
@@ -152,7 +155,7 @@
         }
         disk.freeBytes = Long.MAX_VALUE;
         for (int i = 0; i < 30; i++) {
-            pass(1000);
+            advance(1000);
         }
         use(ledger, 1);
         ledger.close();
@@ -162,14 +165,14 @@
         assertThat(sum.get(Totals.Sum.MISSED_REQUESTS)).isPositive();
     }
 
-    /** A director that ends while the disk is full and the queue too tells of what nobody else will know. */
+    /** A director that closes while the disk and the queue are full logs the usage that is recorded nowhere. */
     @Test
-    void whatCannotBeWrittenDownToTheEndIsTold() throws Exception {
-        List<LogRecord> told = new ArrayList<>();
+    void closeLogsUsageThatCannotBeRecorded() throws Exception {
+        List<LogRecord> logged = new ArrayList<>();
         Handler handler = new StreamHandler() {
             @Override
             public synchronized void publish(LogRecord line) {
-                told.add(line);
+                logged.add(line);
             }
         };
         Logger log = Logger.getLogger(Ledger.class.getName());
@@ -188,22 +191,25 @@
         open().close();
         long kept = sum().get(Totals.Sum.REQUESTS);
         assertThat(kept).isBetween(100L, 2999L);
-        assertThat(told).filteredOn(line -> line.getMessage().contains("are not recorded anywhere")).hasSize(1)
+        assertThat(logged).filteredOn(line -> line.getMessage().contains("are not recorded anywhere")).hasSize(1)
                 .allSatisfy(line -> assertThat(line.getParameters()).containsExactly(Long.toString(3000 - kept),
                         Long.toString(10 * (3000 - kept))));
     }
 
-    /** A write that stops short leaves part of a record; all is written again behind it, and nothing counts twice. */
+    /**
+     * A write that stops short leaves part of a record; everything is written again after it, and nothing counts
+     * twice.
+     */
     @Test
-    void aDiskThatFillsUpInTheMiddleOfARecordLosesNothing() throws Exception {
+    void diskFullWithinARecordLosesNothing() throws Exception {
         Ledger ledger = open();
         for (int round = 0; round < 5; round++) {
             disk.freeBytes = 200 + 37L * round;
             for (int i = 0; i < 50; i++) {
                 use(ledger, 10);
             }
-            pass(5);
-            until(() -> disk.freeBytes < 100);
+            advance(5);
+            awaitCondition(() -> disk.freeBytes < 100);
             disk.freeBytes = Long.MAX_VALUE;
         }
         ledger.close();
@@ -211,136 +217,144 @@
     }
 
     @Test
-    void aSyncThatFailsHasEverythingSinceTheLastWrittenAgain() throws Exception {
+    void failedSyncIsFollowedByWritingUnsyncedEntriesAgain() throws Exception {
         Ledger ledger = open();
         disk.failSyncs = true;
         for (int i = 0; i < 100; i++) {
             use(ledger, 10);
         }
-        pass(5);
+        advance(5);
         int before = disk.syncs;
         disk.failSyncs = false;
-        until(() -> disk.syncs > before);
+        awaitCondition(() -> disk.syncs > before);
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(1000);
     }
 
-    /** Has more than a block of records written between two syncs; of these the second fails, and has lost a page. */
-    private void loseAPage(Ledger ledger) {
+    /**
+     * Makes the writer write more than a block of records between two syncs, the second of which fails and loses a
+     * page.
+     */
+    private void loseAPageInASync(Ledger ledger) {
         disk.freeBytes = 100;
         for (int i = 0; i < 2000; i++) {
             use(ledger, 10);
         }
-        until(() -> disk.freeBytes == 0);
+        awaitCondition(() -> disk.freeBytes == 0);
         disk.loseAfterUnsyncedBytes = 40_000;
         disk.freeBytes = Long.MAX_VALUE;
-        until(() -> disk.loseAfterUnsyncedBytes == Long.MAX_VALUE);
+        awaitCondition(() -> disk.loseAfterUnsyncedBytes == Long.MAX_VALUE);
     }
 
-    /** What stands behind a page that a failed sync has lost must not hide the records that are written again. */
+    /** Records after a page that a failed sync lost must not hide the records that are written again. */
     @Test
-    void aPageThatAFailedSyncHasLostIsWrittenAgainAndCounted() throws Exception {
+    void pageLostByAFailedSyncIsWrittenAgainAndCounted() throws Exception {
         Ledger ledger = open();
-        loseAPage(ledger);
+        loseAPageInASync(ledger);
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(20_000);
-        try (TotalsStore books = TotalsStore.open(ledgerFolder())) {
-            books.update(read -> {});
-            assertThat(books.accounts().missing()).isZero();
+        try (TotalsStore store = TotalsStore.open(ledgerFolder())) {
+            store.update(read -> {});
+            assertThat(store.aggregator().missing()).isZero();
         }
     }
 
-    /** Guards against a start that believes a segment up to its last record, across what a failed sync has lost. */
+    /** The next start must not trust a segment up to its last record across the page that a failed sync lost. */
     @Test
-    void aProcessThatIsKilledAfterAFailedSyncHadLostAPageLosesNothing() throws Exception {
+    void killAfterAFailedSyncLostAPageLosesNothing() throws Exception {
         Ledger ledger = open();
         disk.failSyncsAfterLoss = true;
-        loseAPage(ledger);
-        Path stage = folder.resolve("clovermill-" + ledgerFolder().identity().folder() + ".stage");
+        loseAPageInASync(ledger);
+        Path stagingFile = folder.resolve("clovermill-" + ledgerFolder().identity().folder() + ".stage");
         Path killed = folder.resolve("killed");
-        disk.runExclusively(() -> { // the writer goes on creating and deleting segments
+        disk.runExclusively(() -> { // the writer continues to create and delete segments
             copy(folder.resolve("l"), killed);
-            Files.copy(stage, folder.resolve("kept"));
+            Files.copy(stagingFile, folder.resolve("kept"));
         });
         disk.failSyncs = false;
         ledger.close();
         LedgerFolder after = new LedgerFolder(killed);
-        Files.copy(folder.resolve("kept"), stage);
-        StagingRecovery.run(after, after.identity(), stage, disk);
+        Files.copy(folder.resolve("kept"), stagingFile);
+        StagingRecovery.run(after, after.identity(), stagingFile, disk);
         assertThat(sum(after).get(Totals.Sum.BYTES)).isEqualTo(20_000);
     }
 
-    /** A process killed before each of the operations by which the writer tries to write anew after a failed sync. */
+    /**
+     * Simulates a kill before each of the operations with which the writer tries to write again after a failed sync.
+     */
     @Test
-    void aProcessThatIsKilledAtAnyStepAfterAFailedSyncLosesNothing() throws Exception {
+    void killAtAnyStepAfterAFailedSyncLosesNothing() throws Exception {
         Ledger ledger = open();
         disk.failSyncsAfterLoss = true;
-        Path stage = folder.resolve("clovermill-" + ledgerFolder().identity().folder() + ".stage");
+        Path stagingFile = folder.resolve("clovermill-" + ledgerFolder().identity().folder() + ".stage");
         AtomicInteger steps = new AtomicInteger();
         disk.beforeOperation = () -> {
-            if (disk.loseAfterUnsyncedBytes == Long.MAX_VALUE && disk.failSyncs && steps.get() < KILLED_STEPS) {
-                copyKilled(stage, steps.get());
+            if (disk.loseAfterUnsyncedBytes == Long.MAX_VALUE && disk.failSyncs && steps.get() < KILL_STEPS) {
+                copyAsKilled(stagingFile, steps.get());
                 steps.incrementAndGet();
             }
         };
-        loseAPage(ledger);
-        until(() -> steps.get() == KILLED_STEPS);
+        loseAPageInASync(ledger);
+        awaitCondition(() -> steps.get() == KILL_STEPS);
         disk.beforeOperation = () -> {};
         disk.failSyncs = false;
         ledger.close();
-        for (int step = 0; step < KILLED_STEPS; step++) {
+        for (int step = 0; step < KILL_STEPS; step++) {
             LedgerFolder after = new LedgerFolder(folder.resolve("killed" + step));
-            Files.copy(folder.resolve("kept" + step), stage, StandardCopyOption.REPLACE_EXISTING);
-            StagingRecovery.run(after, after.identity(), stage, disk);
+            Files.copy(folder.resolve("kept" + step), stagingFile, StandardCopyOption.REPLACE_EXISTING);
+            StagingRecovery.run(after, after.identity(), stagingFile, disk);
             assertThat(sum(after).get(Totals.Sum.BYTES)).as("step %s", step).isEqualTo(20_000);
         }
     }
 
-    private void copyKilled(Path stage, int step) {
+    private void copyAsKilled(Path stagingFile, int step) {
         try {
             copy(folder.resolve("l"), folder.resolve("killed" + step));
-            Files.copy(stage, folder.resolve("kept" + step));
+            Files.copy(stagingFile, folder.resolve("kept" + step));
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
         }
     }
 
-    /** A start that cannot write down what was staged leaves it staged, and no segment that a next start believes. */
+    /**
+     * A start that cannot write the staged entries keeps the staging file and leaves no segment that the next start
+     * trusts.
+     */
     @Test
-    void aRescueOnADiskThatFailsIsTriedAgainByTheNextStart() throws Exception {
+    void recoveryThatFailsIsRepeatedByTheNextStart() throws Exception {
         Ledger ledger = open();
         for (int i = 0; i < 30; i++) {
             use(ledger, 10);
         }
-        Path stage = folder.resolve("clovermill-" + ledgerFolder().identity().folder() + ".stage");
+        Path stagingFile = folder.resolve("clovermill-" + ledgerFolder().identity().folder() + ".stage");
         Path killed = folder.resolve("killed");
         copy(folder.resolve("l"), killed);
-        Files.copy(stage, folder.resolve("kept"));
+        Files.copy(stagingFile, folder.resolve("kept"));
         ledger.close();
-        Files.copy(folder.resolve("kept"), stage);
+        Files.copy(folder.resolve("kept"), stagingFile);
         LedgerFolder after = new LedgerFolder(killed);
         int segments = after.segments().size();
         disk.failSyncs = true;
-        assertThatThrownBy(() -> StagingRecovery.run(after, after.identity(), stage, disk))
+        assertThatThrownBy(() -> StagingRecovery.run(after, after.identity(), stagingFile, disk))
                 .hasMessage("Input/output error");
-        assertThat(stage).exists();
+        assertThat(stagingFile).exists();
         assertThat(after.segments()).hasSize(segments);
         disk.failSyncs = false;
-        StagingRecovery.run(after, after.identity(), stage, disk);
-        assertThat(stage).doesNotExist();
+        StagingRecovery.run(after, after.identity(), stagingFile, disk);
+        assertThat(stagingFile).doesNotExist();
         assertThat(sum(after).get(Totals.Sum.BYTES)).isEqualTo(300);
     }
 
-    /** Serving goes on while the disk takes long: no call of the loop's waits for it. */
+    /** Requests are served while the disk is slow: no call on the event loop waits for it. */
     @Test
-    void aSlowSyncDelaysNobody() throws Exception {
+    void slowSyncDelaysNoRequest() throws Exception {
         Ledger ledger = open();
         disk.syncMs = 2000;
         use(ledger, 10);
-        pass(5);
+        advance(5);
         long fromNs = System.nanoTime();
         for (int i = 0; i < 1000; i++) {
-            ledger.retryAfterMs(ask(0));
+            ledger.retryAfterMs(request(0));
             use(ledger, 10);
         }
         assertThat(System.nanoTime() - fromNs).isLessThan(1_000_000_000L);
@@ -349,20 +363,20 @@
     }
 
     @Test
-    void aTenantThatMustBeWrittenDownIsTurnedAwayWhileTheDiskIsFull() throws Exception {
+    void rejectsTenantThatMustBeRecordedWhileTheDiskIsFull() throws Exception {
         Ledger ledger = open(settings(16, List.of("b")));
-        assertThat(ledger.retryAfterMs(ask(1))).isEqualTo(UsageListener.ADMITTED);
+        assertThat(ledger.retryAfterMs(request(1))).isEqualTo(UsageListener.ADMITTED);
         disk.freeBytes = 0;
         for (int i = 0; i < 200; i++) {
             use(ledger, 10);
-            pass(5);
+            advance(5);
         }
-        assertThat(ledger.retryAfterMs(ask(1))).isEqualTo(1);
-        assertThat(ledger.retryAfterMs(ask(0))).isEqualTo(UsageListener.ADMITTED);
+        assertThat(ledger.retryAfterMs(request(1))).isEqualTo(1);
+        assertThat(ledger.retryAfterMs(request(0))).isEqualTo(UsageListener.ADMITTED);
         disk.freeBytes = Long.MAX_VALUE;
-        until(() -> {
-            pass(1000);
-            return ledger.retryAfterMs(ask(1)) == UsageListener.ADMITTED;
+        awaitCondition(() -> {
+            advance(1000);
+            return ledger.retryAfterMs(request(1)) == UsageListener.ADMITTED;
         });
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(2000);
@@ -376,36 +390,36 @@
         }
     }
 
-    /** What a killed process had staged is written down by the next start, once, though that is cut short. */
+    /** The next start writes the staged entries of a killed process once, even if the recovery is interrupted. */
     @Test
-    void whatWasStagedByAKilledProcessIsNotLost() throws Exception {
+    void recoversEntriesStagedByAKilledProcess() throws Exception {
         Ledger ledger = open();
         for (int i = 0; i < 30; i++) {
             use(ledger, 10);
             if (i == 9) {
-                pass(5);
-                until(() -> disk.syncs > 1);
+                advance(5);
+                awaitCondition(() -> disk.syncs > 1);
             }
         }
-        // As a kill would leave it: the folder as it is, the stage beside it, nobody who holds either.
+        // The state after a kill: the folder as it is, the staging file beside it, both unlocked.
         Path killed = folder.resolve("killed");
         copy(folder.resolve("l"), Files.createDirectories(folder).resolve("killed"));
         ledger.close();
-        Path stage = folder.resolve("clovermill-" + new LedgerFolder(killed).identity().folder() + ".stage");
-        assertThat(stage).doesNotExist();
+        Path stagingFile = folder.resolve("clovermill-" + new LedgerFolder(killed).identity().folder() + ".stage");
+        assertThat(stagingFile).doesNotExist();
         Ledger second = open();
         for (int i = 0; i < 30; i++) {
             use(second, 10);
         }
-        // Staged, and not handed over.
+        // Staged, but not handed over.
         deadlines.sweep((monoMs + 5) * 1000);
         copy(folder.resolve("l"), folder.resolve("killed2"));
-        Files.copy(stage, folder.resolve("kept"));
+        Files.copy(stagingFile, folder.resolve("kept"));
         second.close();
         LedgerFolder after = new LedgerFolder(folder.resolve("killed2"));
         for (int i = 0; i < 2; i++) {
-            Files.copy(folder.resolve("kept"), stage);
-            StagingRecovery.run(after, after.identity(), stage, disk);
+            Files.copy(folder.resolve("kept"), stagingFile);
+            StagingRecovery.run(after, after.identity(), stagingFile, disk);
         }
         List<Entry> entries = new ArrayList<>();
         new LogReader(after).read(LogReader.Position.START, (header, entry) -> entries.add(entry));
@@ -414,7 +428,7 @@
     }
 
     @Test
-    void aRestartInTheSameMillisecondIsAnEpochOfItsOwn() throws Exception {
+    void restartInTheSameMillisecondBeginsANewEpoch() throws Exception {
         for (int i = 0; i < 3; i++) {
             Ledger ledger = open();
             use(ledger, 10);
@@ -426,7 +440,7 @@
     }
 
     @Test
-    void anotherInstanceOrASecondProcessIsKeptOff() throws Exception {
+    void rejectsAnotherInstanceOrASecondProcess() throws Exception {
         Ledger ledger = open();
         assertThatThrownBy(this::open).isInstanceOf(FolderLock.AlreadyLockedException.class);
         ledger.close();
@@ -435,20 +449,20 @@
                 .hasMessageContaining("is the ledger of instance n1, not of n2");
     }
 
-    /** The clock steps by an hour and back: no period closes early, no record is dated wrongly. */
+    /** The clock steps by two hours and back: no period closes early, and no record gets a wrong time. */
     @Test
-    void aClockThatStepsClosesNothingEarly() throws Exception {
+    void transientClockStepClosesNoPeriodEarly() throws Exception {
         Ledger ledger = open();
         use(ledger, 1);
-        pass(1000);
+        advance(1000);
         wallMs += 2 * HOUR;
-        pass(1000);
+        advance(1000);
         use(ledger, 2);
         wallMs -= 4 * HOUR;
-        pass(1000);
+        advance(1000);
         use(ledger, 3);
         wallMs += 2 * HOUR;
-        pass(1000);
+        advance(1000);
         ledger.close();
         List<Entry> entries = new ArrayList<>();
         new LogReader(ledgerFolder()).read(LogReader.Position.START, (header, entry) -> entries.add(entry));
@@ -459,27 +473,27 @@
     }
 
     /**
-     * A step of an hour that outlasts the time to settle is taken over, and one back after it too: what is dated into a
-     * period that was closed early becomes a correction, nothing is lost or doubled, and the next period closes when
-     * its time has come.
+     * A step of an hour that outlasts the settling time is adopted, and so is a step back after it: usage dated into
+     * a period that was closed early becomes a correction, nothing is lost or counted twice, and the next period
+     * closes on time.
      */
     @Test
-    void aStepThatIsTakenOverAndThenBackLosesNothingAndFreezesNothing() throws Exception {
+    void adoptedClockStepAndItsReversalLoseNothing() throws Exception {
         Ledger ledger = open();
         use(ledger, 1);
         wallMs += HOUR;
         for (int seconds = 0; seconds <= 400; seconds++) {
-            pass(1000);
+            advance(1000);
         }
         use(ledger, 2);
         wallMs -= HOUR;
         for (int seconds = 0; seconds <= 400; seconds++) {
-            pass(1000);
+            advance(1000);
         }
         use(ledger, 4);
-        pass(HOUR);
+        advance(HOUR);
         use(ledger, 8);
-        pass(HOUR);
+        advance(HOUR);
         ledger.close();
         assertThat(sum().get(Totals.Sum.BYTES)).isEqualTo(15);
         List<Entry.Close> closings = new ArrayList<>();
@@ -511,11 +525,11 @@
     }
 
     @Test
-    void aLateRecordIsACorrectionOfTheClosedPeriodAlsoAfterItsExport() throws Exception {
+    void lateRecordBecomesACorrectionAlsoAfterTheExport() throws Exception {
         Ledger ledger = open();
         use(ledger, 100);
         long taken = monoMs;
-        pass(HOUR);
+        advance(HOUR);
         use(ledger, 0, 7, taken);
         ledger.close();
         exporter().run();
@@ -523,27 +537,27 @@
         assertThat(first).hasSize(1);
         ledger = open();
         use(ledger, 0, 5, taken);
-        pass(HOUR);
+        advance(HOUR);
         ledger.close();
         assertThat(exporter().run().delivered()).containsExactly(2L);
-        TreeMap<String, String> both = files(folder.resolve("out"));
-        assertThat(both).containsAllEntriesOf(first);
-        // Both late ones came after the closing, and before the next one.
-        assertThat(both.get("n1-e2-b2.csv")).contains("correction,1970-02-11T16:00:00Z,3600,a,2,");
-        assertThat(both.get("n1-e1-b1.csv")).contains("total,1970-02-11T16:00:00Z,3600,a,1,")
+        TreeMap<String, String> allFiles = files(folder.resolve("out"));
+        assertThat(allFiles).containsAllEntriesOf(first);
+        // Both late records arrived after the closing and before the next one.
+        assertThat(allFiles.get("n1-e2-b2.csv")).contains("correction,1970-02-11T16:00:00Z,3600,a,2,");
+        assertThat(allFiles.get("n1-e1-b1.csv")).contains("total,1970-02-11T16:00:00Z,3600,a,1,")
                 .doesNotContain("correction");
         Reconciler reconciler = new Reconciler(List.of(ledgerFolder()), 30_000, read -> {});
         assertThat(reconciler.compare(reconciler.run(), folder.resolve("out"))).isEmpty();
     }
 
     @Test
-    void rebuildingAndCompactingLeaveEveryTotalAsItWas() throws Exception {
+    void rebuildAndCompactionKeepAllTotals() throws Exception {
         Ledger ledger = open();
         for (int hour = 0; hour < 5; hour++) {
             for (int i = 0; i < 100; i++) {
                 use(ledger, i % 2, 10 + i, monoMs);
             }
-            pass(HOUR);
+            advance(HOUR);
         }
         ledger.close();
         exporter().run();
@@ -551,21 +565,21 @@
         TotalsStore.Rebuilt rebuilt = TotalsStore.rebuild(ledgerFolder(), read -> {});
         assertThat(rebuilt.after()).isEqualTo(rebuilt.before());
         int before = ledgerFolder().segments().size();
-        Compactor.Result gone = Compactor.run(ledgerFolder(), monoMs, 0, -1, Volume.local(), read -> {});
-        assertThat(gone.segments()).hasSizeBetween(3, before - 1);
+        Compactor.Result compacted = Compactor.run(ledgerFolder(), monoMs, 0, -1, Volume.local(), read -> {});
+        assertThat(compacted.segments()).hasSizeBetween(3, before - 1);
         TotalsStore.Rebuilt again = TotalsStore.rebuild(ledgerFolder(), read -> {});
         assertThat(again.after()).isEqualTo(rebuilt.after());
         assertThat(exporter().run().delivered()).isEmpty();
         assertThat(files(folder.resolve("out"))).isEqualTo(out);
         assertThat(Verification.of(ledgerFolder(), read -> {}).faults()).isEmpty();
-        // What is left of the log still agrees with what was billed for it.
+        // The remaining log still agrees with the batches delivered for it.
         Reconciler reconciler = new Reconciler(List.of(ledgerFolder()), 30_000, read -> {});
         assertThat(reconciler.compare(reconciler.run(), folder.resolve("out"))).isEmpty();
-        assertThat(reconciler.heldFromMs()).isGreaterThan(1000 * HOUR);
+        assertThat(reconciler.completeFromMs()).isGreaterThan(1000 * HOUR);
     }
 
     @Test
-    void aFlippedBitIsNamedAndTheRestIsRead() throws Exception {
+    void flippedBitIsReportedAndTheRestIsRead() throws Exception {
         Ledger ledger = open();
         for (int i = 0; i < 500; i++) {
             use(ledger, 1);
@@ -584,10 +598,10 @@
     }
 
     @Test
-    void twoExportersAtOnceAreKeptApart() throws Exception {
+    void secondExporterIsRejectedWhileTheStoreIsLocked() throws Exception {
         open().close();
-        try (TotalsStore books = TotalsStore.open(ledgerFolder())) {
-            assertThat(books.batches()).isEmpty();
+        try (TotalsStore store = TotalsStore.open(ledgerFolder())) {
+            assertThat(store.batches()).isEmpty();
             assertThatThrownBy(() -> exporter().run()).isInstanceOf(FolderLock.AlreadyLockedException.class)
                     .hasMessageContaining("books.lock is held by process");
         }
--- a/src/test/java/clovermill/ledger/export/BatchTextTest.java
+++ b/src/test/java/clovermill/ledger/export/BatchTextTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Batches as text, and how their delivery is tried. */
+/** The text of batches, and the retry policy of their delivery. */
 class BatchTextTest {
 
     private static TotalsAggregator.Batch batch(String tenant) {
@@ -33,7 +33,7 @@
     }
 
     @Property(tries = 300, seed = "1")
-    void anyNameComesBackAsItWas(@ForAll String name) throws IOException {
+    void decodesAnyEncodedName(@ForAll String name) throws IOException {
         String plain = new String(name.getBytes(StandardCharsets.UTF_8), StandardCharsets.UTF_8);
         List<BatchText.Row> rows = BatchText.read(new StringReader(csv(plain)));
         assertThat(rows).hasSize(1);
@@ -42,7 +42,7 @@
 
     /** A name must not add a row, end a field or become a formula in a spreadsheet. */
     @Test
-    void aHostileNameStaysAName() throws IOException {
+    void maliciousNameIsEscaped() throws IOException {
         for (String name : List.of("a\r\nn1,1,1,total", "=cmd|' /C calc'!A0", "+1", "-1", "@x", "a\",\"b", "\u0000",
                 "%3D")) {
             String text = csv(name);
@@ -52,23 +52,23 @@
     }
 
     @Test
-    void answersAreTakenForWhatTheyMean() {
-        assertThat(Delivery.verdict(201)).isEqualTo(Delivery.Verdict.STORED);
-        assertThat(Delivery.verdict(0)).isEqualTo(Delivery.Verdict.AGAIN);
-        assertThat(Delivery.verdict(500)).isEqualTo(Delivery.Verdict.AGAIN);
-        assertThat(Delivery.verdict(429)).isEqualTo(Delivery.Verdict.AGAIN);
-        assertThat(Delivery.verdict(409)).isEqualTo(Delivery.Verdict.CONFLICT);
-        assertThat(Delivery.verdict(400)).isEqualTo(Delivery.Verdict.REFUSED);
+    void classifiesResponses() {
+        assertThat(RetryPolicy.verdict(201)).isEqualTo(RetryPolicy.Verdict.STORED);
+        assertThat(RetryPolicy.verdict(0)).isEqualTo(RetryPolicy.Verdict.RETRY);
+        assertThat(RetryPolicy.verdict(500)).isEqualTo(RetryPolicy.Verdict.RETRY);
+        assertThat(RetryPolicy.verdict(429)).isEqualTo(RetryPolicy.Verdict.RETRY);
+        assertThat(RetryPolicy.verdict(409)).isEqualTo(RetryPolicy.Verdict.CONFLICT);
+        assertThat(RetryPolicy.verdict(400)).isEqualTo(RetryPolicy.Verdict.REJECTED);
     }
 
     @Test
-    void waitsDoubleAreSpreadAndEnd() {
-        Delivery delivery = new Delivery(12, new Random(1));
+    void delaysDoubleWithJitterUpToTheLastAttempt() {
+        RetryPolicy retryPolicy = new RetryPolicy(12, new Random(1));
         for (int i = 0; i < 11; i++) {
-            long most = Math.min(Delivery.LONGEST_MS, Delivery.FIRST_MS << i);
-            assertThat(delivery.againAfterMs(0)).isBetween(most / 2, most);
+            long maxDelayMs = Math.min(RetryPolicy.MAX_DELAY_MS, RetryPolicy.INITIAL_DELAY_MS << i);
+            assertThat(retryPolicy.nextDelayMs(0)).isBetween(maxDelayMs / 2, maxDelayMs);
         }
-        assertThat(delivery.againAfterMs(0)).isEqualTo(-1);
-        assertThat(new Delivery(2, new Random(1)).againAfterMs(3000)).isEqualTo(3000);
+        assertThat(retryPolicy.nextDelayMs(0)).isEqualTo(-1);
+        assertThat(new RetryPolicy(2, new Random(1)).nextDelayMs(3000)).isEqualTo(3000);
     }
 }
--- a/src/test/java/clovermill/prove/LedgerProof.java
+++ b/src/test/java/clovermill/prove/LedgerProof.java
@@ -203,7 +203,7 @@
         LedgerBench.Result log = LedgerBench.run(new LedgerFolder(root.resolve("bench")), records);
         figures.put("append_per_s", Math.round(log.appendPerS()));
         figures.put("recover_s", String.format(Locale.ROOT, "%.1f", log.startS()));
-        figures.put("books_s", String.format(Locale.ROOT, "%.1f", log.booksS()));
+        figures.put("books_s", String.format(Locale.ROOT, "%.1f", log.totalsS()));
         figures.put("bytes_a_record", log.bytes() / records);
         return log.appendPerS() >= 300_000 && log.startS() < 10 * records / 1e7;
     }
