--- a/src/main/java/clovermill/cli/LedgerCommand.java
+++ b/src/main/java/clovermill/cli/LedgerCommand.java
@@ -1,8 +1,8 @@
 package clovermill.cli;
 
 import java.util.concurrent.Callable;
-import picocli.CommandLine.Command;
 import picocli.CommandLine;
+import picocli.CommandLine.Command;
 
 /** {@code ledger}: the commands for the usage ledger, beside a running director or without one. */
 @Command(name = "ledger", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
--- a/src/main/java/clovermill/cli/LedgerFolderCommand.java
+++ b/src/main/java/clovermill/cli/LedgerFolderCommand.java
@@ -6,8 +6,8 @@
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import picocli.CommandLine.Option;
 import picocli.CommandLine;
+import picocli.CommandLine.Option;
 
 /** A command for the ledger of one folder, which is given itself or by a settings file. */
 abstract class LedgerFolderCommand implements Callable<Integer> {
--- a/src/main/java/clovermill/cli/LedgerFormat.java
+++ b/src/main/java/clovermill/cli/LedgerFormat.java
@@ -1,7 +1,7 @@
 package clovermill.cli;
 
-import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Totals;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.export.BatchText;
 import java.time.Instant;
 import java.util.ArrayList;
--- a/src/main/java/clovermill/cli/LedgerReconcileCommand.java
+++ b/src/main/java/clovermill/cli/LedgerReconcileCommand.java
@@ -2,10 +2,10 @@
 
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.SharesFile;
-import clovermill.ledger.totals.Reconciler;
-import clovermill.ledger.decide.Reconciliation;
 import clovermill.ledger.decide.LimitShares;
+import clovermill.ledger.decide.Reconciliation;
 import clovermill.ledger.decide.Totals;
+import clovermill.ledger.totals.Reconciler;
 import clovermill.storage.Volume;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -16,10 +16,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.Callable;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine;
 
 /** {@code ledger reconcile}: combines the ledgers of several directors. */
 @Command(name = "reconcile", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
--- a/src/main/java/clovermill/cli/LedgerShowCommand.java
+++ b/src/main/java/clovermill/cli/LedgerShowCommand.java
@@ -1,8 +1,8 @@
 package clovermill.cli;
 
-import clovermill.ledger.totals.TotalsStore;
-import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Totals;
+import clovermill.ledger.decide.TotalsAggregator;
+import clovermill.ledger.totals.TotalsStore;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/clovermill/cli/LedgerVerifyCommand.java
+++ b/src/main/java/clovermill/cli/LedgerVerifyCommand.java
@@ -20,8 +20,7 @@
             verification.faults().forEach(line -> out().println("FAULT " + line));
             verification.notes().forEach(line -> out().println("note  " + line));
             out().println(verification.segments() + " segments, " + verification.entries() + " entries, "
-                    + verification.missing()
-                    + " missing, " + verification.repeated() + " duplicates");
+                    + verification.missing() + " missing, " + verification.repeated() + " duplicates");
         }
         return verification.faults().isEmpty() ? 0 : 1;
     }
--- a/src/main/java/clovermill/ledger/Ledger.java
+++ b/src/main/java/clovermill/ledger/Ledger.java
@@ -4,13 +4,13 @@
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.UsageListener;
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.ledger.decide.UsageLimits;
-import clovermill.ledger.decide.QueueAdmission;
 import clovermill.ledger.decide.ClosingWatermark;
-import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.ContentSource;
-import clovermill.ledger.decide.MissedUsage;
+import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.LedgerClock;
+import clovermill.ledger.decide.MissedUsage;
+import clovermill.ledger.decide.QueueAdmission;
+import clovermill.ledger.decide.UsageLimits;
 import clovermill.routing.api.ListScope;
 import clovermill.routing.api.Member;
 import clovermill.routing.api.Members;
@@ -101,8 +101,7 @@
         start.open().forEach((key, totals) -> usageLimits.restore(key.period(), key.tenant(), totals));
         this.queueAdmission =
                 new QueueAdmission(StagingArea.pageCount(),
-                        1 + director.maxOpen() * ENTRY_BYTES * StagingArea.pageCount()
-                                / (settings.queueKb() << 10));
+                        1 + director.maxOpen() * ENTRY_BYTES * StagingArea.pageCount() / (settings.queueKb() << 10));
         this.missed = new MissedUsage(MAX_MISSED_KEYS, settings.periodMs());
         this.rejectedWhenFull = Set.copyOf(settings.refuseWhenFull());
     }
@@ -202,8 +201,7 @@
                                 ? usage.bodyBytes() : 0;
         Entry.Used used = new Entry.Used(seq + 1, receivedMs, clock.unixMillis(), usage.endedUs(),
                 HexFormat.fromHexDigitsToLong(request.id()), clientAttemptKey(request), tenant, request.requestClass(),
-                usage.end(), source,
-                usage.attempts(), request.repeat(), usage.writtenBytes(), fromParent, fromOrigin);
+                usage.end(), source, usage.attempts(), request.repeat(), usage.writtenBytes(), fromParent, fromOrigin);
         if (missed.isEmpty() && pending.isEmpty() && staging.offer(used)) {
             seq++;
             scheduleHandOver();
--- a/src/main/java/clovermill/ledger/LogFormat.java
+++ b/src/main/java/clovermill/ledger/LogFormat.java
@@ -1,8 +1,8 @@
 package clovermill.ledger;
 
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.ContentSource;
+import clovermill.ledger.decide.Entry;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
--- a/src/main/java/clovermill/ledger/StartState.java
+++ b/src/main/java/clovermill/ledger/StartState.java
@@ -1,8 +1,8 @@
 package clovermill.ledger;
 
-import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.Totals;
+import clovermill.ledger.decide.TotalsAggregator;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
@@ -47,7 +47,6 @@
             reader.read(segment, 0, visitor);
         }
         return new StartState(aggregator.throughMs(), aggregator.closings(),
-                Math.max(openedMs[0], aggregator.lastMs()),
-                aggregator.open());
+                Math.max(openedMs[0], aggregator.lastMs()), aggregator.open());
     }
 }
--- a/src/main/java/clovermill/ledger/decide/Entry.java
+++ b/src/main/java/clovermill/ledger/decide/Entry.java
@@ -15,8 +15,7 @@
      */
     record Used(long seq, long takenMs, long wallMs, long monoUs, long request, long tryKey, String tenant,
             int requestClass, UsageRecord.End end, ContentSource how, int attempts, boolean repeat, int written,
-            int fromParent,
-            int fromOrigin) implements Entry {}
+            int fromParent, int fromOrigin) implements Entry {}
 
     /**
      * Requests of one tenant that were not recorded individually, received from {@code firstMs} to {@code lastMs}.
--- a/src/main/java/clovermill/ledger/decide/MissingSequences.java
+++ b/src/main/java/clovermill/ledger/decide/MissingSequences.java
@@ -51,9 +51,8 @@
     /** Returns the remaining ranges, ordered by epoch and sequence number. */
     List<TotalsAggregator.MissingRange> all() {
         List<TotalsAggregator.MissingRange> all = new ArrayList<>(count);
-        new TreeMap<>(byEpoch).forEach(
-                (epoch, ranges) -> ranges.forEach((from, to) -> all.add(new TotalsAggregator.MissingRange(epoch,
-                        from, to))));
+        new TreeMap<>(byEpoch).forEach((epoch, ranges) -> ranges.forEach(
+                (from, to) -> all.add(new TotalsAggregator.MissingRange(epoch, from, to))));
         return all;
     }
 }
--- a/src/main/java/clovermill/ledger/export/BatchText.java
+++ b/src/main/java/clovermill/ledger/export/BatchText.java
@@ -1,9 +1,9 @@
 package clovermill.ledger.export;
 
 import clovermill.ledger.LedgerFolder;
-import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Period;
 import clovermill.ledger.decide.Totals;
+import clovermill.ledger.decide.TotalsAggregator;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
--- a/src/main/java/clovermill/ledger/totals/TotalsStore.java
+++ b/src/main/java/clovermill/ledger/totals/TotalsStore.java
@@ -3,10 +3,10 @@
 import clovermill.ledger.LedgerFolder;
 import clovermill.ledger.LogHeader;
 import clovermill.ledger.LogReader;
-import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.Period;
 import clovermill.ledger.decide.Totals;
+import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.storage.CrashPoint;
 import clovermill.storage.FolderLock;
 import clovermill.storage.Volume;
@@ -147,8 +147,7 @@
                         missingRangesNow, meta.getOrDefault("through", Long.MIN_VALUE),
                         meta.getOrDefault("closings", 0L),
                         meta.getOrDefault("entries", 0L), meta.getOrDefault("missing", 0L),
-                        meta.getOrDefault("repeated", 0L),
-                        meta.getOrDefault("last", Long.MIN_VALUE)));
+                        meta.getOrDefault("repeated", 0L), meta.getOrDefault("last", Long.MIN_VALUE)));
         position = new LogReader.Position(meta.getOrDefault("epoch", 0L),
                 (int) (long) meta.getOrDefault("number", 0L), meta.getOrDefault("offset", 0L));
         damagedBytes = meta.getOrDefault("damaged", 0L);
--- a/src/test/java/clovermill/ledger/CrashPointsTest.java
+++ b/src/test/java/clovermill/ledger/CrashPointsTest.java
@@ -4,11 +4,11 @@
 
 import clovermill.dataplane.proxy.ClientRequest;
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.ledger.totals.TotalsStore;
-import clovermill.ledger.totals.Verification;
 import clovermill.ledger.decide.Totals;
 import clovermill.ledger.export.BatchText;
 import clovermill.ledger.export.Exporter;
+import clovermill.ledger.totals.TotalsStore;
+import clovermill.ledger.totals.Verification;
 import clovermill.routing.api.Note;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Deadlines;
--- a/src/test/java/clovermill/ledger/LedgerBench.java
+++ b/src/test/java/clovermill/ledger/LedgerBench.java
@@ -1,9 +1,9 @@
 package clovermill.ledger;
 
 import clovermill.dataplane.proxy.UsageRecord;
-import clovermill.ledger.totals.TotalsStore;
-import clovermill.ledger.decide.Entry;
 import clovermill.ledger.decide.ContentSource;
+import clovermill.ledger.decide.Entry;
+import clovermill.ledger.totals.TotalsStore;
 import clovermill.storage.SegmentWriter;
 import clovermill.storage.Volume;
 import java.io.IOException;
--- a/src/test/java/clovermill/ledger/decide/TotalsAggregatorTest.java
+++ b/src/test/java/clovermill/ledger/decide/TotalsAggregatorTest.java
@@ -20,8 +20,7 @@
 
     static Entry.Used used(long seq, long takenMs, String tenant, int bytes) {
         return new Entry.Used(seq, takenMs, takenMs, takenMs * 1000, seq, seq, tenant, 0, UsageRecord.End.SERVED,
-                ContentSource.HIT, 1,
-                false, bytes, 0, 0);
+                ContentSource.HIT, 1, false, bytes, 0, 0);
     }
 
     /** Creates entries as a director would write them, with late ones and closings. */
--- a/src/test/java/clovermill/ledger/export/BatchTextTest.java
+++ b/src/test/java/clovermill/ledger/export/BatchTextTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import clovermill.ledger.LedgerFolder;
-import clovermill.ledger.decide.TotalsAggregator;
 import clovermill.ledger.decide.Period;
 import clovermill.ledger.decide.Totals;
+import clovermill.ledger.decide.TotalsAggregator;
 import java.io.IOException;
 import java.io.StringReader;
 import java.nio.charset.StandardCharsets;
