--- a/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
@@ -120,8 +120,8 @@
     }
 
     private void setFailing(int voter, boolean full, boolean fails) {
-        volumes.get(voter).room = full && fails ? 10 : Long.MAX_VALUE;
-        volumes.get(voter).syncFails = !full && fails;
+        volumes.get(voter).freeBytes = full && fails ? 10 : Long.MAX_VALUE;
+        volumes.get(voter).failSyncs = !full && fails;
     }
 
     private void assertInForceEverywhere(PolicyDocument policy) {
--- a/src/test/java/clovermill/controlplane/policystore/FileRaftStorageTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FileRaftStorageTest.java
@@ -104,7 +104,7 @@
         FaultyVolume volume = new FaultyVolume();
         FileRaftStorage disk = writeState(open(volume));
         byte[] before = Files.readAllBytes(folder.resolve("votes"));
-        volume.syncsThatFail = 1;
+        volume.remainingSyncFailures = 1;
         assertThatThrownBy(() -> persistVote(disk, 4)).isInstanceOf(UncheckedIOException.class);
         assertThat(disk.failed()).isTrue();
         assertThatThrownBy(disk::flush).hasMessageContaining("accepts no writes after a failure");
@@ -125,8 +125,8 @@
     void restoresThePreviousStateWhileTheDiskKeepsFailing(boolean full) throws IOException {
         FaultyVolume volume = new FaultyVolume();
         FileRaftStorage disk = writeState(open(volume));
-        volume.room = full ? 20 : Long.MAX_VALUE;
-        volume.syncFails = !full;
+        volume.freeBytes = full ? 20 : Long.MAX_VALUE;
+        volume.failSyncs = !full;
         assertThatThrownBy(() -> persistVote(disk, 4)).isInstanceOf(UncheckedIOException.class);
         for (int attempt = 0; attempt < 3; attempt++) {
             assertThat(disk.recover()).isFalse();
@@ -138,8 +138,8 @@
         assertThat(next.restored().getTermPersistentState().getTerm()).isBetween(3, 4);
         assertThat(next.restored().getLogEntries()).hasSize(38);
         next.close();
-        volume.room = Long.MAX_VALUE;
-        volume.syncFails = false;
+        volume.freeBytes = Long.MAX_VALUE;
+        volume.failSyncs = false;
         assertThat(disk.recover()).isTrue();
         assertThat(disk.restored().getTermPersistentState().getTerm()).isEqualTo(4);
         disk.close();
@@ -149,10 +149,10 @@
     void completesAFailedClearWhenTheDiskRecovers() throws IOException {
         FaultyVolume volume = new FaultyVolume();
         FileRaftStorage disk = writeState(open(volume));
-        volume.syncFails = true;
+        volume.failSyncs = true;
         assertThatThrownBy(disk::clear).isInstanceOf(UncheckedIOException.class);
         assertThat(disk.failed()).isTrue();
-        volume.syncFails = false;
+        volume.failSyncs = false;
         assertThat(disk.recover()).isTrue();
         disk.close();
         assertThat(open().restored()).isNull();
