--- a/src/main/java/clovermill/routing/AttemptSender.java
+++ b/src/main/java/clovermill/routing/AttemptSender.java
@@ -7,7 +7,7 @@
 import clovermill.routing.api.SendVia;
 import clovermill.routing.stats.PurgeLog;
 
-/** Sends attempts: charges them to the endpoints that they load, and gives the host its orders for a miss. */
+/** Sends attempts: charges them to the endpoints that they load, and instructs the target how to fill a miss. */
 final class AttemptSender {
 
     private final RoutingContext context;
@@ -27,7 +27,7 @@
         this.hedging = hedging;
     }
 
-    /** Sends an attempt of a request by a route that has a target. */
+    /** Sends an attempt of a request along a route that has a target. */
     void send(PendingRequest pending, Route route) {
         int index = pending.attemptsSent++;
         charge(pending, route.target());
@@ -52,15 +52,15 @@
 
     private void emitSend(PendingRequest pending, Route route) {
         Request request = pending.request;
-        long leftUs = pending.deadlineUs - context.nowUs;
+        long remainingUs = pending.deadlineUs - context.nowUs;
         if (route.source() == null) {
-            context.emit(new Send(request.id(), route.target().id, leftUs));
+            context.emit(new Send(request.id(), route.target().id, remainingUs));
             return;
         }
         HostCapabilities capabilities = context.settings.capabilities();
-        boolean join = capabilities.fillJoining() && contents.activePurgeUs(request) == PurgeLog.NEVER;
-        boolean renew = pending.requestClass.freshUs() > 0;
-        context.emit(new SendVia(request.id(), route.target().id, leftUs, route.source().id, route.copyRank(),
-                contents.maxAgeUs(pending), join, route.onlyIfCached(), false, renew));
+        boolean joinFill = capabilities.fillJoining() && contents.activePurgeUs(request) == PurgeLog.NEVER;
+        boolean staleWhileRevalidate = pending.requestClass.freshUs() > 0;
+        context.emit(new SendVia(request.id(), route.target().id, remainingUs, route.source().id, route.copyRank(),
+                contents.maxAgeUs(pending), joinFill, route.onlyIfCached(), false, staleWhileRevalidate));
     }
 }
--- a/src/main/java/clovermill/routing/CacheContentsIndex.java
+++ b/src/main/java/clovermill/routing/CacheContentsIndex.java
@@ -9,16 +9,16 @@
 import java.util.Map;
 
 /**
- * An index, by this director's own observations, of which cache holds which part; with it how often requests for a part
- * have passed each node of its object's tree, and which purges bound the age of a copy.
+ * An index of the parts that each cache has, from this director's own observations. It also counts the requests for a
+ * part that passed each node of its object's tree, and records the purges that bound the age of a copy.
  */
 final class CacheContentsIndex {
 
-    /** An entry that nothing confirms expires after this time (the design's default). */
+    /** Time after which an entry that is not confirmed again expires. */
     private static final long ENTRY_LIFETIME_US = 30_000_000;
-    /** The counts of requests that passed a tree node are halved this often (the design's default). */
+    /** Interval at which the counts of requests that passed a tree node are halved. */
     private static final long PASS_COUNT_HALVING_US = 10_000_000;
-    /** Parts remembered; the least recently used are evicted, which bounds memory to some megabytes. */
+    /** Maximum number of indexed parts, which bounds memory to some megabytes; evicted by LRU. */
     private static final int MAX_PARTS = 30_000;
 
     private final RoutingContext context;
@@ -31,40 +31,40 @@
 
     private record PartKey(long object, int part) {}
 
-    /** What is known of one part: when each cache last confirmed a copy, and the passes of each tree node. */
+    /** The entry of a part: the time at which each cache last confirmed a copy, and the passes of each tree node. */
     record PartEntry(Map<Endpoint, Long> confirmedUs, DecayingCounts passes) {}
 
-    /** The entry of the part that a request asks for; a new one where none is remembered. */
+    /** Returns the entry of the requested part; creates it if there is none. */
     PartEntry entryFor(Request request) {
         return parts.computeIfAbsent(new PartKey(request.object(), request.part()),
                 key -> new PartEntry(new HashMap<>(4), new DecayingCounts(PASS_COUNT_HALVING_US)));
     }
 
-    /** Whether a cache is believed to hold a part: confirmed lately, since the cache's start and any purge. */
-    boolean isHeldBy(PartEntry entry, Endpoint cache, Request request) {
+    /** Returns whether a cache probably has a part: confirmed recently, after the cache's start and any purge. */
+    boolean isCachedAt(PartEntry entry, Endpoint cache, Request request) {
         long confirmedUs = entry.confirmedUs.getOrDefault(cache, RoutingContext.NEVER);
         return context.nowUs - confirmedUs <= ENTRY_LIFETIME_US && confirmedUs >= cache.startedUs
                 && purges.confirmedSincePurge(request.object(), request.group(), confirmedUs);
     }
 
-    /** Records that a cache holds the part of a request, or that it does not. */
-    void recordHolder(Request request, Endpoint cache, boolean holds) {
-        entryFor(request).confirmedUs.put(cache, holds ? context.nowUs : RoutingContext.NEVER);
+    /** Records whether a cache has a copy of the requested part. */
+    void recordCopy(Request request, Endpoint cache, boolean hasCopy) {
+        entryFor(request).confirmedUs.put(cache, hasCopy ? context.nowUs : RoutingContext.NEVER);
     }
 
-    /** Records a purge; it is remembered until every entry from before it has expired. */
+    /** Records a purge; it is retained until every entry from before it has expired. */
     void recordPurge(Purge purge) {
         purges.add(purge.object(), purge.group(), context.nowUs - purge.ageUs(), context.nowUs,
                 ENTRY_LIFETIME_US + context.settings.purgeCompletionUs());
     }
 
-    /** When the latest purge was made whose older copies, or a fill of one, may still be about; or NEVER. */
+    /** Returns the time of the latest purge before which copies or fills may still exist, or NEVER. */
     long activePurgeUs(Request request) {
         return purges.latestPurgeUs(request.object(), request.group(), context.nowUs,
                 context.settings.purgeCompletionUs());
     }
 
-    /** The greatest age of a copy that may be served, in microseconds: fresh, and from after any purge; 0 for any. */
+    /** Returns the maximum age of a copy that is fresh and newer than any purge, in microseconds; 0 for any age. */
     long maxAgeUs(PendingRequest pending) {
         long freshUs = pending.requestClass.freshUs();
         long purgeUs = activePurgeUs(pending.request);
--- a/src/main/java/clovermill/routing/CapacityEstimator.java
+++ b/src/main/java/clovermill/routing/CapacityEstimator.java
@@ -9,21 +9,21 @@
 import java.util.List;
 
 /**
- * The load and the capacity of endpoints and of the link in, both in transfers: configured, reported or learned. From
- * both follows whether an endpoint would answer a request in time.
+ * Estimates the load and the capacity of endpoints and of the inbound link, both in transfers, from configuration, load
+ * reports and response times. Predicts from both whether an endpoint would answer a request in time.
  */
 final class CapacityEstimator {
 
-    /** A loaded cache hands a request over when its answer would take this share of the latency target. */
+    /** The share of the latency target from which on a loaded cache hands a request over to another one. */
     static final double HANDOVER_SHARE = 0.6;
 
     private final RoutingContext context;
     private final EndpointSet endpoints;
-    /** The link into the location, which all fills share; where its rate is not configured its capacity is learned. */
+    /** The inbound link of the location, shared by all fills; its capacity is learned if its rate is not configured. */
     private final Endpoint link = new Endpoint("link");
     /**
-     * Attempts that count as load: until they end or their latency target has passed, because an attempt that hangs is
-     * no transfer. Bounded by the open requests.
+     * Attempts that count as load, until they end or exceed their latency target: an attempt that hangs is not a
+     * transfer. Bounded by the open requests.
      */
     private final DeadlineQueue<Attempt> counted = new DeadlineQueue<>(Attempt::targetUs);
 
@@ -34,18 +34,18 @@
         link.weight = linkKbPerS > 0 ? linkKbPerS / context.settings.paceKbPerS() : Double.NaN;
     }
 
-    /** The load that an attempt meets if it is sent now. */
+    /** Returns the current load along a route. */
     LoadSnapshot loadOn(Route route) {
         return new LoadSnapshot(load(route.target()), route.fillExpected() ? load(route.source()) : 0, load(link));
     }
 
-    /** Counts an attempt that was sent. */
+    /** Adds an attempt that was sent to the load. */
     void recordSent(Attempt attempt) {
         addToLoad(attempt, 1);
         counted.add(attempt);
     }
 
-    /** An attempt has ended; {@code report}, the endpoint's own load report, may be null. */
+    /** Records the end of an attempt; {@code report}, the endpoint's load report, may be null. */
     void recordEnd(Attempt attempt, LoadReport report) {
         if (counted.remove(attempt)) {
             addToLoad(attempt, -1);
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Lets time pass: an attempt whose latency target has passed shows how slow its endpoint is at least. */
+    /** Samples attempts that have exceeded their latency target: their endpoint is at least that slow. */
     void advance() {
         for (Attempt late = counted.pollDue(context.nowUs); late != null; late = counted.pollDue(context.nowUs)) {
             addToLoad(late, -1);
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Counts an attempt at its target and, where a fill is expected, at its source and the link. */
+    /** Adds an attempt to the load of its target and, if a fill is expected, of its source and the link. */
     private void addToLoad(Attempt attempt, int delta) {
         Route route = attempt.route();
         for (Endpoint loaded : route.fillExpected() ? List.of(route.target(), route.source(), link)
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Learns from the time of an answer that came, or is late: of the target where it was a hit, otherwise of the
-     * source and the link. What the source's known load explains is no evidence about the link.
+     * Records the time that a response took, or has taken so far: as a sample of the target if it was a hit, otherwise
+     * of the source and the link. A slowdown that the source's known load explains is no evidence about the link.
      */
     void recordPace(Attempt attempt, boolean filled, long elapsedUs) {
         if (!attempt.request().isPaceBound()) {
@@ -108,31 +108,33 @@
         endpoint.concurrency.recordSample(meanLoad / slowdown, slowdown, capacity(endpoint), context.nowUs);
     }
 
-    /** An endpoint has rejected a request. */
+    /** Records that an endpoint rejected a request. */
     void recordRejection(Endpoint endpoint) {
         endpoint.concurrency.recordRejection(load(endpoint), capacity(endpoint), context.nowUs);
     }
 
-    /** The link had no place for a fill. */
+    /** Records that the link had no capacity for a fill. */
     void recordLinkRejection() {
         recordRejection(link);
     }
 
     /**
-     * Transfers at an endpoint: this director's own and, by reports, those of the other directors. Without reports each
-     * other director is taken to have what this one has on average, because all see the same clients.
+     * Returns the transfers at an endpoint: this director's own and those of the other directors, estimated from
+     * reports. Without reports, each other director is assumed to have this director's average, because the clients
+     * of all directors are alike.
      */
     private double load(Endpoint endpoint) {
         double observedShare = 1
                 - Math.exp(-Math.max(1, context.nowUs - context.startedUs) / InFlightCount.AVERAGING_TIME_US);
         double ownMean = endpoint.inFlight.meanAt(context.nowUs);
-        double guess = (endpoints.directorsSharing(endpoint) - 1) * ownMean / observedShare;
-        return endpoint.inFlight.current() + endpoint.peerLoad.peerLoad(ownMean, guess, context.nowUs);
+        double assumed = (endpoints.directorsSharing(endpoint) - 1) * ownMean / observedShare;
+        return endpoint.inFlight.current() + endpoint.peerLoad.peerLoad(ownMean, assumed, context.nowUs);
     }
 
     /**
-     * Whether an endpoint, its pace shared among all that it holds, would answer within a share of the latency target;
-     * the more of its load is other directors' and so only guessed, the more of HANDOVER_SHARE is reserved.
+     * Returns whether an endpoint, whose pace is shared among its transfers, would answer within a share of the latency
+     * target. The greater the share of its load that belongs to other directors, and is thus only estimated, the closer
+     * the limit is to HANDOVER_SHARE.
      */
     boolean canAnswerWithin(double share, Endpoint endpoint, PendingRequest pending) {
         double ownShare = (endpoint.inFlight.current() + 1) / (load(endpoint) + 1);
@@ -140,18 +142,18 @@
         return pending.serviceUs * Math.max(1, utilization(endpoint)) <= safeShare * pending.targetLatencyUs;
     }
 
-    /** Whether a fill over the link would come within the latency target. */
+    /** Returns whether a fill over the link would complete within the latency target. */
     boolean canFillInTime(PendingRequest pending) {
         return canAnswerWithin(1, link, pending);
     }
 
-    /** Transfers at an endpoint with one more, over its capacity; infinite just after it has rejected a request. */
+    /** Returns the utilization of an endpoint with one more transfer; infinite just after it rejected a request. */
     double utilization(Endpoint endpoint) {
         return endpoint.concurrency.isBackingOff(context.nowUs) ? Double.POSITIVE_INFINITY
                 : (load(endpoint) + 1) / capacity(endpoint);
     }
 
-    /** The transfers that an endpoint can hold at full pace: learned, else configured, else unlimited. */
+    /** Returns the transfers that an endpoint can serve at full pace: learned, else configured, else unlimited. */
     private double capacity(Endpoint endpoint) {
         boolean configured = endpoint == link ? link.weight > 0
                 : context.settings.weighted() && endpoint.role == Role.CACHE;
--- a/src/main/java/clovermill/routing/Endpoint.java
+++ b/src/main/java/clovermill/routing/Endpoint.java
@@ -6,30 +6,30 @@
 import clovermill.routing.stats.InFlightCount;
 import clovermill.routing.stats.TokenBucket;
 
-/** A cache, a parent, the origin or the location's link in, with what this director has learned of it. */
+/** A cache, a parent, the origin or the location's inbound link, with this director's statistics of it. */
 final class Endpoint {
 
     /** The tier of an endpoint. */
     enum Role { CACHE, PARENT, ORIGIN }
 
     final String id;
-    /** Attempts of this director that load it. */
+    /** This director's attempts that load it. */
     final InFlightCount inFlight = new InFlightCount();
-    /** Attempts of the other directors. */
+    /** The other directors' attempts that load it. */
     final PeerLoadEstimator peerLoad = new PeerLoadEstimator();
-    /** Transfers that it can hold at full pace. */
+    /** The transfers that it can serve at full pace. */
     final ConcurrencyEstimator concurrency = new ConcurrencyEstimator();
     final CircuitBreaker breaker = new CircuitBreaker();
-    /** The service time that this director may still ask of it during slow start, in microseconds. */
+    /** The service time that this director may still request of it during slow start, in microseconds. */
     final TokenBucket slowStartBudget = new TokenBucket();
     Role role = Role.CACHE;
     int zone;
     int cell;
-    /** Capacity in transfers at full pace, or in proportion to it, as listed. */
+    /** The listed capacity in transfers at full pace, or a value in proportion to it. */
     double weight;
-    /** When it started, in microseconds; 0 if long ago. */
+    /** The time of its start, in microseconds; 0 if long ago. */
     long startedUs;
-    /** Whether it may be used: listed as healthy and not taken out by operators. */
+    /** True if it may be used: it is listed as healthy and not disabled by operators. */
     boolean listed;
 
     Endpoint(String id) {
--- a/src/main/java/clovermill/routing/EndpointRing.java
+++ b/src/main/java/clovermill/routing/EndpointRing.java
@@ -9,19 +9,19 @@
 final class EndpointRing {
 
     final HashRing<Endpoint> hashRing = new HashRing<>();
-    /** Service time that warm endpoints have given this director, for each unit of weight and time. */
+    /** Service time that warm endpoints have delivered to this director, per unit of weight and time. */
     final DecayingRate throughput = new DecayingRate();
     List<Endpoint> endpoints = List.of();
     private double totalWeight;
 
-    /** Replaces the endpoints; the measured throughput stays. */
+    /** Replaces the endpoints; the measured throughput is retained. */
     void setEndpoints(List<Endpoint> listed) {
         endpoints = listed;
         totalWeight = endpoints.stream().mapToDouble(endpoint -> endpoint.weight).sum();
         hashRing.setMembers(endpoints, endpoint -> endpoint.id, endpoint -> endpoint.weight);
     }
 
-    /** Lets time pass for the throughput; endpoints that are warming up or failing count as not available. */
+    /** Advances the throughput to {@code nowUs}; endpoints that are warming up or failing count as unavailable. */
     void advance(long nowUs, Predicate<Endpoint> warmingUp) {
         throughput.advance(nowUs, totalWeight, () -> endpoints.stream()
                 .mapToDouble(endpoint -> endpoint.breaker.isOpen() || warmingUp.test(endpoint) ? 0 : endpoint.weight)
--- a/src/main/java/clovermill/routing/EndpointSet.java
+++ b/src/main/java/clovermill/routing/EndpointSet.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The listed endpoints by role. Bounded by the list of members. */
+/** The listed endpoints by role. Bounded by the member list. */
 final class EndpointSet {
 
-    /** Notified of an endpoint that has restarted, with the time of its start in microseconds. */
+    /** Notified of the start of an endpoint, with its time in microseconds. */
     @FunctionalInterface
     interface StartListener {
         void onStart(Endpoint endpoint, long startedUs);
@@ -23,14 +23,14 @@
     private final Map<String, Endpoint> byId = new HashMap<>();
     private final EndpointRing caches = new EndpointRing();
     private final EndpointRing parents = new EndpointRing();
-    private List<String> takenOut = List.of();
+    private List<String> disabledIds = List.of();
     private Endpoint origin;
 
     EndpointSet(RoutingContext context) {
         this.context = context;
     }
 
-    /** The caches of this director's location. */
+    /** Returns the caches of this director's location. */
     EndpointRing caches() {
         return caches;
     }
@@ -39,17 +39,17 @@
         return parents;
     }
 
-    /** The origin; null while none is listed. */
+    /** Returns the origin, or null while none is listed. */
     Endpoint origin() {
         return origin;
     }
 
-    /** The ring of an endpoint's role; the origin counts with the caches. */
+    /** Returns the ring of an endpoint's role; the origin counts as a cache. */
     EndpointRing ringOf(Endpoint endpoint) {
         return endpoint.role == Role.PARENT ? parents : caches;
     }
 
-    /** How many directors send to an endpoint, at least 1; the origin counts as this director's own. */
+    /** Returns the number of directors that send to an endpoint, at least 1; always 1 for the origin. */
     int directorsSharing(Endpoint endpoint) {
         return Math.max(1, switch (endpoint.role) {
             case ORIGIN -> 1;
@@ -58,12 +58,12 @@
         });
     }
 
-    /** Ids that operators have taken out, in force from the next list on; they may leave the list and come back. */
-    void setTakenOut(List<String> ids) {
-        takenOut = ids;
+    /** Sets the ids that operators have disabled, listed or not; effective from the next member list. */
+    void setDisabled(List<String> ids) {
+        disabledIds = ids;
     }
 
-    /** Applies a full list of members, or changes to it. */
+    /** Applies a full member list, or changes to it. */
     void update(MembersChanged update, StartListener listener) {
         if (update.scope() == ListScope.FULL || update.scope() == ListScope.LAST_KNOWN) {
             byId.values().forEach(endpoint -> endpoint.listed = false);
@@ -86,7 +86,7 @@
         endpoint.zone = member.zone();
         endpoint.cell = member.cell();
         endpoint.weight = member.weight() > 0 ? member.weight() : 1;
-        endpoint.listed = member.availability() == Availability.HEALTHY && !takenOut.contains(endpoint.id);
+        endpoint.listed = member.availability() == Availability.HEALTHY && !disabledIds.contains(endpoint.id);
         if (member.startedUs() > endpoint.startedUs) {
             listener.onStart(endpoint, member.startedUs());
         }
--- a/src/main/java/clovermill/routing/HedgingPolicy.java
+++ b/src/main/java/clovermill/routing/HedgingPolicy.java
@@ -3,23 +3,23 @@
 import clovermill.routing.stats.DeadlineQueue;
 
 /**
- * Hedged requests (Dean, Barroso, "The Tail at Scale", 2013): a request whose answer is overdue is sent to a second
- * endpoint too, and the first answer counts. Guards against answers that never arrive, which nothing else reports.
- * Within a budget: where more than a small share of requests is overdue the cause is congestion, and none is hedged.
- * Could harm where all endpoints are slow but complete.
+ * Hedged requests (Dean, Barroso, "The Tail at Scale", 2013): a request whose response is overdue is also sent to a
+ * second endpoint, and the first response counts. This covers responses that never arrive, which nothing else reports.
+ * A budget limits hedging: if more than a small share of requests is overdue, the cause is congestion and none is
+ * hedged. Drawback: extra load if all endpoints are slow but complete their requests.
  */
 final class HedgingPolicy {
 
-    /** Hedges earned by each request. */
+    /** The part of a hedge by which each request increases the budget. */
     private static final double BUDGET_PER_REQUEST = 0.1;
-    /** Hedges that may be saved up, and owed. */
+    /** Upper bound of the budget, and of its overdraft, in hedges. */
     private static final double MAX_BUDGET = 10;
 
-    /** First attempts that may be hedged, by when they are overdue; bounded by the open requests. */
+    /** First attempts that may be hedged, by the time at which they are overdue; bounded by the open requests. */
     private final DeadlineQueue<Attempt> candidates = new DeadlineQueue<>(Attempt::hedgeDueUs);
     private double budget;
 
-    /** Each request earns a part of a hedge. */
+    /** Adds a request's part of a hedge to the budget. */
     void recordRequest() {
         budget = Math.min(MAX_BUDGET, budget + BUDGET_PER_REQUEST);
     }
@@ -34,7 +34,7 @@
         return candidates.pollDue(nowUs);
     }
 
-    /** Whether an overdue attempt may be hedged: still in flight, and within the budget, which it is charged to. */
+    /** Charges a hedge of an overdue attempt to the budget if it is still in flight; returns whether it is allowed. */
     boolean takeBudget(Attempt overdue) {
         PendingRequest pending = overdue.request();
         boolean inFlight = !pending.finished && pending.inFlight.containsValue(overdue);
--- a/src/main/java/clovermill/routing/OriginLoadShedder.java
+++ b/src/main/java/clovermill/routing/OriginLoadShedder.java
@@ -7,35 +7,35 @@
 import clovermill.routing.stats.DecayingAverage;
 
 /**
- * Sheds load from the origin while it is slow, rejects work or is down: the greater the share of recent requests to it
- * (of all fills, where the answers tell no more) that failed or came late, the more fills are limited to what their
- * parent holds. Could harm where single parents fail.
+ * Sheds load from the origin while it is slow, rejects requests or is down: the greater the share of recent requests to
+ * it that failed or were late (of all fills, if responses do not report the use of the origin), the more fills are
+ * limited to cached copies of their parent. Drawback: the failure of a single parent may look like one of the origin.
  */
 final class OriginLoadShedder {
 
     private final RoutingContext context;
-    /** Share of recent requests to the origin that failed or came late, 0 to 1. */
+    /** Share of recent requests to the origin that failed or were late, 0 to 1. */
     private final DecayingAverage failureShare = new DecayingAverage();
 
     OriginLoadShedder(RoutingContext context) {
         this.context = context;
     }
 
-    /** Whether a fill is to take only what its parent holds; draws a random number. */
+    /** Returns whether a fill should use only a cached copy of its parent; draws a random number. */
     boolean shouldShed() {
         return context.random.nextDouble() < failureShare.valueAt(context.nowUs);
     }
 
-    /** Learns from an outcome, if it concerns the origin, which may be null. */
+    /** Records an outcome if it concerns the origin, which may be null. */
     void observe(Attempt attempt, AttemptEnded outcome, boolean filled, Endpoint origin) {
-        if (tellsOfOrigin(attempt, outcome, filled, origin)) {
-            long tookUs = outcome.elapsedUs();
-            boolean late = tookUs > attempt.request().targetLatencyUs && 2 * outcome.waitedUs() > tookUs;
+        if (concernsOrigin(attempt, outcome, filled, origin)) {
+            long elapsedUs = outcome.elapsedUs();
+            boolean late = elapsedUs > attempt.request().targetLatencyUs && 2 * outcome.waitedUs() > elapsedUs;
             failureShare.add(outcome.result() != Result.OK || late ? 1 : 0, context.nowUs);
         }
     }
 
-    private boolean tellsOfOrigin(Attempt attempt, AttemptEnded outcome, boolean filled, Endpoint origin) {
+    private boolean concernsOrigin(Attempt attempt, AttemptEnded outcome, boolean filled, Endpoint origin) {
         Route route = attempt.route();
         CacheStatus cacheStatus = outcome.cacheStatus();
         if (route.target() == origin || cacheStatus == CacheStatus.FILLED_FROM_ORIGIN
@@ -46,9 +46,9 @@
         if (!route.fillExpected() || route.onlyIfCached()) {
             return false;
         }
-        boolean filledFromUntoldSource = filled && context.settings.cacheStatusDetail() != CacheStatusDetail.ALL;
+        boolean filledFromUnreportedSource = filled && context.settings.cacheStatusDetail() != CacheStatusDetail.ALL;
         boolean parentAnsweredOthers = outcome.result() == Result.TIMED_OUT
                 && route.source().breaker.succeededAfter(attempt.sentUs());
-        return filledFromUntoldSource || parentAnsweredOthers;
+        return filledFromUnreportedSource || parentAnsweredOthers;
     }
 }
--- a/src/main/java/clovermill/routing/OutcomeObserver.java
+++ b/src/main/java/clovermill/routing/OutcomeObserver.java
@@ -6,7 +6,7 @@
 import clovermill.routing.api.Result;
 import clovermill.routing.stats.ClassServiceTimes;
 
-/** Learns from the outcome of each attempt: which cache holds what, the pace of endpoints, and which of them failed. */
+/** Records the outcome of each attempt in the cache contents index, the capacity estimates and the outlier detector. */
 final class OutcomeObserver {
 
     private final RoutingContext context;
@@ -31,14 +31,14 @@
         this.serviceTimes = serviceTimes;
     }
 
-    /** Learns from the outcome of an attempt. */
+    /** Records the outcome of an attempt. */
     void observe(Attempt attempt, AttemptEnded outcome) {
         PendingRequest pending = attempt.request();
         Route route = attempt.route();
         Result result = outcome.result();
         boolean filled = wasFilled(route, outcome);
         if (route.copyRank() > 0 && result != Result.CANCELLED && result != Result.NOT_SENT) {
-            contents.recordHolder(pending.request, route.target(), result == Result.OK);
+            contents.recordCopy(pending.request, route.target(), result == Result.OK);
         }
         originShedder.observe(attempt, outcome, filled, endpoints.origin());
         switch (result) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Whether the answer was a fill: by the note or, where none are given, by what was expected. */
+    /** Returns whether the response was filled: by the cache status or, if none is reported, by expectation. */
     private boolean wasFilled(Route route, AttemptEnded outcome) {
         return outcome.result() == Result.OK && switch (outcome.cacheStatus()) {
             case FILLED, FILLED_FROM_ORIGIN, COLLAPSED -> true;
@@ -75,7 +75,7 @@
         pending.errored.forEach(outliers::recordFailure);
     }
 
-    /** Attributes a failure by the note; without one to the source of a fill, the target or the link. */
+    /** Attributes a failure by the cache status; without one, to the source of a fill, the target or the link. */
     private void observeFailure(Attempt attempt, AttemptEnded outcome) {
         Route route = attempt.route();
         Endpoint target = route.target();
@@ -84,10 +84,10 @@
         switch (outcome.cacheStatus()) {
             case SOURCE_REJECTED -> capacity.recordRejection(source);
             case SOURCE_UNREACHABLE -> outliers.recordTimeout(source, attempt);
-            case SOURCE_MISS -> contents.recordHolder(attempt.request().request, source, false);
+            case SOURCE_MISS -> contents.recordCopy(attempt.request().request, source, false);
             case ORIGIN_FAILED -> outliers.recordTimeout(endpoints.origin(), attempt);
             case FILL_LIMIT_REACHED -> capacity.recordLinkRejection();
-            default -> attributeWithoutNote(attempt, outcome.result(), ofSource ? source : target, ofSource);
+            default -> attributeWithoutCacheStatus(attempt, outcome.result(), ofSource ? source : target, ofSource);
         }
         if (outcome.result() == Result.TIMED_OUT && route.fillExpected()) {
             outliers.recordTimeout(source, attempt);
@@ -104,26 +104,26 @@
             default -> outcome.result() == Result.ERROR
                     ? context.settings.cacheStatusDetail() != CacheStatusDetail.ALL && fillExpected
                             && attempt.request().errored.isEmpty()
-                    : isFillWithoutNotes(attempt) && outcome.result() == Result.TIMED_OUT;
+                    : isFillWithoutCacheStatus(attempt) && outcome.result() == Result.TIMED_OUT;
         };
     }
 
-    private boolean isFillWithoutNotes(Attempt attempt) {
+    private boolean isFillWithoutCacheStatus(Attempt attempt) {
         return context.settings.cacheStatusDetail() == CacheStatusDetail.NONE && attempt.route().fillExpected();
     }
 
-    /** A rejected fill, where no notes are given, is taken for the link's: it had no place for it. */
-    private void attributeWithoutNote(Attempt attempt, Result result, Endpoint suspect, boolean ofSource) {
-        if (result == Result.REJECTED && !ofSource && isFillWithoutNotes(attempt)) {
+    /** Attributes a failure by its result; a rejected fill without a cache status is attributed to the full link. */
+    private void attributeWithoutCacheStatus(Attempt attempt, Result result, Endpoint suspect, boolean ofSource) {
+        if (result == Result.REJECTED && !ofSource && isFillWithoutCacheStatus(attempt)) {
             capacity.recordLinkRejection();
             return;
         }
         switch (result) {
             case REJECTED -> capacity.recordRejection(suspect);
             case CONNECT_FAILED -> outliers.recordConnectFailure(suspect);
-            case CONNECTION_LOST -> outliers.recordBrokenConnection(suspect);
+            case CONNECTION_LOST -> outliers.recordConnectionLoss(suspect);
             case TIMED_OUT -> outliers.recordTimeout(suspect, attempt);
-            // The request itself may be at fault: counted once another endpoint has served it.
+            // The request itself may be at fault: counted as a failure once another endpoint has served it.
             case ERROR -> attempt.request().errored.add(suspect);
             default -> {}
         }
--- a/src/main/java/clovermill/routing/OutlierDetector.java
+++ b/src/main/java/clovermill/routing/OutlierDetector.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Outlier detection: takes endpoints that fail out of their ring by a circuit breaker each, and brings them back by
- * trials with real requests.
+ * Outlier detection: ejects failing endpoints from their ring by a circuit breaker each, and readmits them after a
+ * trial with a real request.
  */
 final class OutlierDetector {
 
@@ -21,16 +21,19 @@
         this.slowStart = slowStart;
     }
 
-    /** Whether a request may go to an endpoint now: healthy, not failed before, allowed, within slow start's budget. */
+    /**
+     * Returns whether a request may go to an endpoint now: the endpoint is healthy, has not failed this request, is
+     * accepted by its member filter and is within its slow-start budget.
+     */
     boolean isUsable(Endpoint endpoint, PendingRequest pending) {
         return isHealthy(endpoint) && !pending.excluded.contains(endpoint)
                 && pending.request.memberFilter().test(endpoint.id) && slowStart.admits(endpoint);
     }
 
     /**
-     * Whether an endpoint is in its ring: its breaker is closed or a trial is due. Where more than half of a ring's
-     * breakers are open the cause is shared (a link, a hub, plain overload) and ejection would only move the load: then
-     * only endpoints that cannot be reached stay out.
+     * Returns whether an endpoint is in its ring: its breaker is closed or a trial is due. If more than half of a
+     * ring's breakers are open, the cause is shared (a link, a hub, plain overload) and ejection would only move the
+     * load: then only endpoints that cannot be reached remain ejected.
      */
     boolean isHealthy(Endpoint endpoint) {
         List<Endpoint> ring = endpoints.ringOf(endpoint).endpoints;
@@ -39,12 +42,14 @@
                 || !endpoint.breaker.isFullyFailed() && mostlyOpen);
     }
 
-    /** Records that a request was sent: to an endpoint whose breaker is open, this is the trial. */
+    /** Records that a request was sent, which is the trial if the endpoint's breaker is open. */
     void recordAttempt(Endpoint endpoint) {
         endpoint.breaker.recordAttempt(context.nowUs);
     }
 
-    /** An attempt timed out: a failure of an endpoint, which may be null, if that has answered nothing since. */
+    /**
+     * Records a timeout as a failure of an endpoint, which may be null, if it has answered nothing since the attempt.
+     */
     void recordTimeout(Endpoint endpoint, Attempt attempt) {
         if (endpoint != null && !endpoint.breaker.succeededAfter(attempt.sentUs())) {
             recordFailure(endpoint);
@@ -52,21 +57,22 @@
     }
 
     /**
-     * A connection broke, which ends all attempts on it: they count as one failure, and are no proof of a restart (the
-     * next connection is then refused). Could harm where an endpoint breaks every request and still accepts.
+     * Records the loss of a connection. All attempts on it end, but they count as one failure and do not prove a
+     * restart (in that case the next connection is refused). Drawback: an endpoint that accepts connections and closes
+     * them on every request is ejected late.
      */
-    void recordBrokenConnection(Endpoint endpoint) {
-        if (endpoint.breaker.recordBrokenConnection(context.nowUs, ConcurrencyEstimator.REJECTION_BACKOFF_US)) {
+    void recordConnectionLoss(Endpoint endpoint) {
+        if (endpoint.breaker.recordConnectionLoss(context.nowUs, ConcurrencyEstimator.REJECTION_BACKOFF_US)) {
             recordFailure(endpoint);
         }
     }
 
-    /** An endpoint could not be connected to, which opens its breaker at once. */
+    /** Records that no connection to an endpoint could be made, which opens its breaker at once. */
     void recordConnectFailure(Endpoint endpoint) {
         recordFailure(endpoint, 1, true);
     }
 
-    /** An endpoint failed a request. */
+    /** Records that an endpoint failed a request. */
     void recordFailure(Endpoint endpoint) {
         recordFailure(endpoint, CircuitBreaker.OUTCOME_WEIGHT, false);
     }
@@ -78,8 +84,9 @@
     }
 
     /**
-     * An endpoint answered. One that could not be reached before may have restarted, empty and cold, before the list
-     * says so: it is taken to have started now. Could harm after a network fault: some seconds of less work.
+     * Records a success of an endpoint. If it could not be reached before, it may have restarted, empty and cold,
+     * before the member list shows it, so it is treated as started now. Drawback: after a mere network fault it gets
+     * less load for some seconds.
      */
     void recordSuccess(Endpoint endpoint) {
         if (endpoint.breaker.recordSuccess(context.nowUs)) {
--- a/src/main/java/clovermill/routing/PendingRequest.java
+++ b/src/main/java/clovermill/routing/PendingRequest.java
@@ -11,35 +11,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** A request without its final answer, or with attempts in flight, and which retries its effects still allow. */
+/** A request that has no final response yet or has attempts in flight, and the retries that its effect permits. */
 final class PendingRequest {
 
-    /** The least time, in microseconds, for which an attempt makes sense: a round trip to a far hub. */
+    /** The minimum time for an attempt, in microseconds: a round trip to a distant hub. */
     static final long MIN_ATTEMPT_US = 20_000;
-    /** No answer comes in less than this share of its service time. */
+    /** The minimum share of its service time that any response takes. */
     private static final double FASTEST_SHARE = 0.8;
 
     final Request request;
     final RequestClass requestClass;
-    /** When the client gives up, in microseconds. */
+    /** The time at which the client gives up, in microseconds. */
     final long deadlineUs;
-    /** The time that the answer takes at full pace, in microseconds: by size, else the mean of its class. */
+    /** The time that the response takes at full pace, in microseconds: by its size, else the mean of its class. */
     final long serviceUs;
-    /** Within this time the answer should come to be worth most, in microseconds. */
+    /** The time within which the response has its full value, in microseconds. */
     final long targetLatencyUs;
-    /** Endpoints that have failed this request and are not tried again, until a pause. */
+    /** Endpoints that failed this request and are not tried again before a pause. */
     final List<Endpoint> excluded = new ArrayList<>();
-    /** Endpoints that answered with an error: theirs, or the request's own. */
+    /** Endpoints that returned an error, caused by them or by the request itself. */
     final List<Endpoint> errored = new ArrayList<>(2);
     /** Attempts in flight by their index. */
     final Map<Integer, Attempt> inFlight = new HashMap<>(2);
     private final int maxAttempts;
     int attemptsSent;
-    /** Nothing more is owed to the client. */
+    /** True once the client expects no response any more. */
     boolean finished;
-    /** When an attempt was sent that may have run, in microseconds; NEVER if none was. */
-    private long possibleRunUs = RoutingContext.NEVER;
-    private Endpoint possibleRunAt;
+    /** The time at which an attempt was sent that may have been executed, in microseconds; NEVER if none was. */
+    private long possibleExecutionUs = RoutingContext.NEVER;
+    private Endpoint possibleExecutionAt;
 
     PendingRequest(Request request, Settings settings, ClassServiceTimes serviceTimes, long nowUs) {
         this.request = request;
@@ -53,46 +53,46 @@
                 requestClass.targetUs() + (long) (requestClass.targetServiceFactor() * serviceUs));
     }
 
-    /** Whether no time or attempt is left; of the limits on attempts at arrival and now the lesser holds. */
+    /** Returns whether no time or attempt is left, by the lower of the attempt limits at arrival and now. */
     boolean isExhausted(long nowUs, Settings settings) {
         return deadlineUs - nowUs < Math.max(MIN_ATTEMPT_US, FASTEST_SHARE * serviceUs)
                 || attemptsSent >= Math.min(maxAttempts, settings.capabilities().maxAttempts());
     }
 
-    /** Whether the answer is so large that its time is a measure of the endpoints' throughput. */
+    /** Returns whether the response is so large that its duration measures the throughput of the endpoints. */
     boolean isPaceBound() {
         return 2 * serviceUs >= requestClass.targetUs();
     }
 
-    /** Whether an attempt may have run. */
-    boolean mayHaveRun() {
-        return possibleRunUs != RoutingContext.NEVER;
+    /** Returns whether an attempt may have been executed. */
+    boolean mayHaveExecuted() {
+        return possibleExecutionUs != RoutingContext.NEVER;
     }
 
-    /** An attempt may have run, or is in flight, which binds retries as if it had. */
-    void recordPossibleRun(Attempt attempt) {
-        possibleRunUs = attempt.sentUs();
-        possibleRunAt = attempt.route().target();
+    /** Records an attempt that may have been executed or is in flight; it restricts retries as if it was executed. */
+    void recordPossibleExecution(Attempt attempt) {
+        possibleExecutionUs = attempt.sentUs();
+        possibleExecutionAt = attempt.route().target();
     }
 
-    /** Whether a further attempt is safe: none may have run before, or the target recognises the repeat. */
+    /** Returns whether another attempt is safe: no earlier one was executed, or the target detects duplicates. */
     boolean mayRetryAt(Endpoint target, long nowUs, Settings settings) {
-        if (!mayHaveRun() || requestClass.effect() == Effect.IDEMPOTENT) {
+        if (!mayHaveExecuted() || requestClass.effect() == Effect.IDEMPOTENT) {
             return true;
         }
-        // A repeat may still wait for its connection: the window must not close meanwhile.
-        long windowUsedUs = nowUs - possibleRunUs + settings.dialTimeoutUs();
+        // The retry may still wait for its connection, and the window must not close meanwhile.
+        long windowUsedUs = nowUs - possibleExecutionUs + settings.dialTimeoutUs();
         return requestClass.effect() != Effect.AT_MOST_ONCE && windowUsedUs < requestClass.windowUs()
                 && switch (requestClass.keyScope()) {
                     case ALL -> true;
-                    case ZONE -> possibleRunAt.zone == target.zone;
-                    case CELL -> possibleRunAt.cell == target.cell;
+                    case ZONE -> possibleExecutionAt.zone == target.zone;
+                    case CELL -> possibleExecutionAt.cell == target.cell;
                 };
     }
 
-    /** Whether a refusal is allowed, which says to the client that a further try is harmless. */
+    /** Returns whether the request may be rejected, which permits the client to retry it. */
     boolean mayReject() {
-        return requestClass.effect() == Effect.IDEMPOTENT || inFlight.isEmpty() && !mayHaveRun()
+        return requestClass.effect() == Effect.IDEMPOTENT || inFlight.isEmpty() && !mayHaveExecuted()
                 || requestClass.effect() == Effect.DEDUPLICATED && requestClass.keyScope() == KeyScope.ALL;
     }
 }
--- a/src/main/java/clovermill/routing/RequestLifecycle.java
+++ b/src/main/java/clovermill/routing/RequestLifecycle.java
@@ -15,16 +15,16 @@
 import java.util.Map;
 
 /**
- * Leads each request from its arrival to its one final answer: first attempt, retries, pauses, hedges, cancellation and
- * rejection. Bounded by the requests that the host has open.
+ * Manages each request from its arrival to its one final response: first attempt, retries, pauses, hedges, cancellation
+ * and rejection. Bounded by the host's open requests.
  */
 final class RequestLifecycle {
 
-    /** A request without a usable endpoint waits this long; a rejected client is asked to, in microseconds. */
+    /** Delay before a retry if no endpoint is usable, also the retry delay of rejected clients, in microseconds. */
     private static final long RETRY_PAUSE_US = 100_000;
-    /** Errors of different endpoints that a request survives: with more it is taken to be at fault itself. */
-    private static final int MAX_ERRORS_WITH_NOTES = 1;
-    private static final int MAX_ERRORS_WITHOUT_NOTES = 2;
+    /** Errors of different endpoints after which a request is still retried; with more, the request is at fault. */
+    private static final int MAX_ERRORS_WITH_CACHE_STATUS = 1;
+    private static final int MAX_ERRORS_WITHOUT_CACHE_STATUS = 2;
 
     private final RoutingContext context;
     private final EndpointSet endpoints;
@@ -36,7 +36,7 @@
     private final OutcomeObserver observer;
     /** Requests that are not finished or have attempts in flight, by id. */
     private final Map<String, PendingRequest> requests = new HashMap<>();
-    /** Requests that wait for an endpoint, by the token of their timer. */
+    /** Requests that are waiting for a retry, by the token of their timer. */
     private final Map<Long, PendingRequest> paused = new HashMap<>();
     private long nextToken;
 
@@ -53,7 +53,7 @@
         this.observer = observer;
     }
 
-    /** A request has arrived. */
+    /** Handles the arrival of a request. */
     void onRequest(Request request) {
         PendingRequest pending = new PendingRequest(request, context.settings, serviceTimes, context.nowUs);
         requests.put(request.id(), pending);
@@ -62,8 +62,8 @@
         attempt(pending);
     }
 
-    /** An attempt has ended; one that is not known any more is ignored. */
-    void onOutcome(AttemptEnded outcome) {
+    /** Handles the end of an attempt; ignores an unknown one. */
+    void onAttemptEnded(AttemptEnded outcome) {
         PendingRequest pending = requests.get(outcome.request());
         Attempt attempt = pending == null ? null : pending.inFlight.remove(outcome.attempt());
         if (attempt == null) {
@@ -75,11 +75,11 @@
             abandon(pending);
             return;
         }
-        if (!outcome.result().neverRan() && !pending.mayHaveRun()) {
-            pending.recordPossibleRun(attempt);
+        if (!outcome.result().neverRan() && !pending.mayHaveExecuted()) {
+            pending.recordPossibleExecution(attempt);
         }
         if (!pending.inFlight.isEmpty()) {
-            return; // the hedge may still be answered
+            return; // the other attempt may still succeed
         }
         if (isFinalFailure(attempt, outcome)) {
             reject(pending);
@@ -90,15 +90,15 @@
         }
     }
 
-    /** The client has left; ignored if its request is not known any more. */
-    void onClientGone(String requestId) {
+    /** Handles the cancellation of a request by its client; ignores an unknown one. */
+    void onRequestCancelled(String requestId) {
         PendingRequest pending = requests.get(requestId);
         if (pending != null) {
             abandon(pending);
         }
     }
 
-    /** A timer is due: the request that waits for it, if any, gets its next attempt. */
+    /** Handles the expiry of a timer: retries the request that waits for it, if any. */
     void onTimer(long token) {
         PendingRequest pending = paused.remove(token);
         if (pending != null && !pending.finished) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Hedges the requests whose answers are overdue. */
+    /** Hedges the requests whose responses are overdue. */
     void hedgeOverdue() {
         for (Attempt overdue = hedging.pollOverdue(context.nowUs); overdue != null; overdue =
                 hedging.pollOverdue(context.nowUs)) {
@@ -114,21 +114,21 @@
         }
     }
 
-    /** Sends a request whose answer is overdue to a second endpoint too, which keeps no copy. */
+    /** Also sends a request whose response is overdue to a second endpoint, which caches no copy. */
     private void hedge(Attempt overdue) {
         PendingRequest pending = overdue.request();
         if (!hedging.takeBudget(overdue) || pending.isExhausted(context.nowUs, context.settings)) {
             return;
         }
         pending.excluded.add(overdue.route().target());
-        pending.recordPossibleRun(overdue);
+        pending.recordPossibleExecution(overdue);
         Route route = routes.select(pending);
         if (route.hasTarget() && pending.mayRetryAt(route.target(), context.nowUs, context.settings)) {
             sender.send(pending, route.withoutCopy());
         }
     }
 
-    /** Sends the next attempt of a request; pauses or rejects it where there is none. */
+    /** Sends the next attempt of a request; pauses or rejects the request if there is no route. */
     private void attempt(PendingRequest pending) {
         Route route = pending.isExhausted(context.nowUs, context.settings) ? Route.NONE_IN_TIME
                 : routes.select(pending);
@@ -143,19 +143,22 @@
         }
     }
 
-    /** Whether no further attempt could do better: the part does not exist, is held nowhere, or the request errs. */
+    /**
+     * Returns whether no further attempt could succeed: the part does not exist or is not cached, or the request itself
+     * causes the errors.
+     */
     private boolean isFinalFailure(Attempt attempt, AttemptEnded outcome) {
         Route route = attempt.route();
-        boolean parentLacks = outcome.cacheStatus() == CacheStatus.SOURCE_MISS
+        boolean parentMiss = outcome.cacheStatus() == CacheStatus.SOURCE_MISS
                 && endpoints.parents().endpoints.contains(route.source());
         boolean missWithoutFill = outcome.result() == Result.MISS
                 && (route.onlyIfCached() || route.source() == route.target());
-        int maxErrors = context.settings.cacheStatusDetail() == CacheStatusDetail.ALL ? MAX_ERRORS_WITH_NOTES
-                : MAX_ERRORS_WITHOUT_NOTES;
-        return parentLacks || missWithoutFill || attempt.request().errored.size() > maxErrors;
+        int maxErrors = context.settings.cacheStatusDetail() == CacheStatusDetail.ALL ? MAX_ERRORS_WITH_CACHE_STATUS
+                : MAX_ERRORS_WITHOUT_CACHE_STATUS;
+        return parentMiss || missWithoutFill || attempt.request().errored.size() > maxErrors;
     }
 
-    /** Nothing more is owed for a request; it is forgotten when its last attempt has ended. */
+    /** Marks a request as finished; removes it once its last attempt has ended. */
     private void finish(PendingRequest pending) {
         pending.finished = true;
         if (pending.inFlight.isEmpty()) {
@@ -163,7 +166,7 @@
         }
     }
 
-    /** Finishes a request that nobody waits for: attempts in flight would only take capacity from others. */
+    /** Finishes a request that no client waits for and cancels its attempts, which would only use capacity. */
     private void abandon(PendingRequest pending) {
         finish(pending);
         if (context.settings.capabilities().cancellation()) {
@@ -173,13 +176,13 @@
     }
 
     /**
-     * Waits a little where no endpoint is usable, if the request could still be answered after that. A request that
-     * nothing was sent for is rejected in the first half of its time: its client can still come again.
+     * Delays the next attempt if the request could still be answered after that, else rejects the request. A request
+     * without any attempt is rejected within the first half of its timeout, so that its client can still retry.
      */
     private void pause(PendingRequest pending) {
-        long leftAfterUs = pending.deadlineUs - context.nowUs - RETRY_PAUSE_US;
-        long minLeftUs = pending.attemptsSent > 0 ? 0 : pending.request.timeoutUs() / 2;
-        if (leftAfterUs < Math.max(minLeftUs, pending.serviceUs + PendingRequest.MIN_ATTEMPT_US)) {
+        long remainingAfterUs = pending.deadlineUs - context.nowUs - RETRY_PAUSE_US;
+        long minRemainingUs = pending.attemptsSent > 0 ? 0 : pending.request.timeoutUs() / 2;
+        if (remainingAfterUs < Math.max(minRemainingUs, pending.serviceUs + PendingRequest.MIN_ATTEMPT_US)) {
             reject(pending);
             return;
         }
@@ -187,7 +190,7 @@
         context.emit(new SetTimer(RETRY_PAUSE_US, nextToken++));
     }
 
-    /** The final answer: a refusal where a further try is harmless, else a failure. */
+    /** Sends the final response: a rejection if a retry by the client is safe, else a failure. */
     private void reject(PendingRequest pending) {
         finish(pending);
         long retryAfterUs = Math.min(RETRY_PAUSE_US, context.settings.capabilities().maxRetryAfterUs());
--- a/src/main/java/clovermill/routing/RequestRouter.java
+++ b/src/main/java/clovermill/routing/RequestRouter.java
@@ -20,12 +20,12 @@
 import java.util.function.Consumer;
 
 /**
- * The entry of the routing decisions: wires their parts and gives each event to the part that it concerns. One instance
- * serves one director. Not thread-safe; the host passes the time in microseconds of its monotonic clock.
+ * The entry point of the routing decisions: creates their components and dispatches each event to its component. One
+ * instance serves one director. Not thread-safe; the host passes the time in microseconds of its monotonic clock.
  */
 public final class RequestRouter implements CacheRouter {
 
-    /** The token of the timer after which the list of members is asked for again. */
+    /** The token of the timer after which the member list is requested again. */
     private static final long MEMBER_LIST_TOKEN = Long.MAX_VALUE;
 
     private final RoutingContext context;
@@ -35,7 +35,7 @@
     private final CacheContentsIndex contents;
     private final RequestLifecycle lifecycle;
 
-    /** A router for one director; {@code seed} is the source of all its random numbers. */
+    /** Creates a router for one director; {@code seed} initializes its random number generator. */
     public RequestRouter(Settings settings, long seed) {
         ClassServiceTimes serviceTimes = new ClassServiceTimes();
         context = new RoutingContext(settings, seed);
@@ -64,24 +64,24 @@
             onFirstEvent();
         }
         dispatch(event);
-        // Only now: the event may have ended a request, or listed an endpoint as draining.
+        // After the event, which may have ended a request or listed an endpoint as draining.
         lifecycle.hedgeOverdue();
     }
 
-    /** Gives an event to its method; events that the decisions make no use of are ignored. */
+    /** Dispatches an event; ignores events that no decision uses. */
     private void dispatch(Event event) {
         if (event instanceof Request request) {
             lifecycle.onRequest(request);
         } else if (event instanceof AttemptEnded outcome) {
-            lifecycle.onOutcome(outcome);
+            lifecycle.onAttemptEnded(outcome);
         } else if (event instanceof RequestCancelled cancelled) {
-            lifecycle.onClientGone(cancelled.request());
+            lifecycle.onRequestCancelled(cancelled.request());
         } else if (event instanceof TimerExpired timer) {
             onTimer(timer);
         } else if (event instanceof MembersChanged members) {
             onMembers(members);
         } else if (event instanceof DisabledMembersChanged change) {
-            endpoints.setTakenOut(change.disabledIds());
+            endpoints.setDisabled(change.disabledIds());
         } else if (event instanceof Purge purge) {
             contents.recordPurge(purge);
         } else if (event instanceof SettingsChanged change) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Where the list could not be had and is asked for by this director, it is asked for again after a while. */
+    /** Applies the member list; if a request of this director for it failed, it is requested again after a delay. */
     private void onMembers(MembersChanged members) {
         if (members.scope() == ListScope.FAILED && context.settings.listOnRequest()) {
             context.emit(new SetTimer(CircuitBreaker.FIRST_TRIAL_DELAY_US, MEMBER_LIST_TOKEN));
--- a/src/main/java/clovermill/routing/RouteSelector.java
+++ b/src/main/java/clovermill/routing/RouteSelector.java
@@ -9,18 +9,18 @@
 /**
  * Selects the route of a request by the random tree of its object, after section 7 of "CS 7800 Lecture Notes:
  * Consistent Hashing": the nodes of the tree lie on the location's caches by consistent hashing; a request enters at a
- * random leaf and goes to the first node towards the root that is believed to hold the part; a node that many requests
- * have passed takes a copy. The cache at the root is the object's home.
+ * random leaf and goes to the first node towards the root that probably has the part; a node that many requests
+ * have passed caches a copy. The cache at the root is the object's home.
  */
 final class RouteSelector {
 
-    /** Children of a tree node: the design's d. */
+    /** Children of a tree node; d in the lecture notes. */
     private static final int ARITY = 2;
-    /** Requests that pass a node before it takes a copy: the design's q. */
+    /** Requests that pass a node before it caches a copy; q in the lecture notes. */
     private static final double PASSES_BEFORE_COPY = 8;
-    /** Rank of every copy: the middle rank of homes; a lower one could not push out what the homes keep. */
+    /** Rank of every copy: the middle rank of homes; a lower one could not evict copies of the homes. */
     private static final int COPY_RANK = 2;
-    /** Another endpoint relieves a loaded one only if it has this factor less utilization. */
+    /** Another endpoint relieves a loaded one only if its utilization is lower by this factor. */
     private static final double RELIEF_FACTOR = 2;
     private static final long POINT_STEP = 0x9E3779B97F4A7C15L;
 
@@ -44,10 +44,10 @@
         this.originShedder = originShedder;
     }
 
-    /** The node of the tree where a walk ended; {@code cache} is null where none is usable, not even at the root. */
+    /** The tree node at which a walk ended; {@code cache} is null if none is usable, not even at the root. */
     private record WalkEnd(int treeNode, Endpoint cache, boolean takesCopy) {}
 
-    /** The route of the next attempt of a request; NONE_AVAILABLE or NONE_IN_TIME where there is none. */
+    /** Returns the route of the next attempt of a request, or NONE_AVAILABLE or NONE_IN_TIME. */
     Route select(PendingRequest pending) {
         return pending.requestClass.passThrough() ? selectForWrite(pending) : selectForRead(pending);
     }
@@ -64,9 +64,9 @@
         if (target == null) {
             return Route.NONE_IN_TIME;
         }
-        boolean hitExpected = contents.isHeldBy(entry, target, pending.request);
+        boolean hitExpected = contents.isCachedAt(entry, target, pending.request);
         Endpoint source = end.takesCopy || target != found || hitExpected && target != home
-                ? holderAbove(end.treeNode, target, entry, pending) : null;
+                ? siblingWithCopy(end.treeNode, target, entry, pending) : null;
         if (source == null) {
             source = parentOrOrigin(pending, !hitExpected);
         }
@@ -74,8 +74,8 @@
     }
 
     /**
-     * The walk from a random leaf to the first node whose cache holds the part or is due for a copy; a first attempt
-     * counts as a pass at each node before.
+     * Walks from a random leaf to the first node whose cache has the part or is due for a copy; a first attempt counts
+     * as a pass at each node before.
      */
     private WalkEnd walk(PartEntry entry, PendingRequest pending) {
         Request request = pending.request;
@@ -85,9 +85,9 @@
         int treeNode = firstLeaf + context.random.nextInt(Math.max(1, treeSize - firstLeaf));
         while (treeNode > 0) {
             Endpoint cache = cacheAt(treeNode, pending);
-            boolean holds = cache != null && contents.isHeldBy(entry, cache, request);
-            boolean takesCopy = cache != null && !holds && passes[treeNode] >= PASSES_BEFORE_COPY;
-            if (holds || takesCopy) {
+            boolean hasCopy = cache != null && contents.isCachedAt(entry, cache, request);
+            boolean takesCopy = cache != null && !hasCopy && passes[treeNode] >= PASSES_BEFORE_COPY;
+            if (hasCopy || takesCopy) {
                 return new WalkEnd(treeNode, cache, takesCopy);
             }
             passes[treeNode] += pending.attemptsSent == 0 ? 1 : 0;
@@ -101,27 +101,27 @@
                 && !slowStart.isWarmingUp(cache) && pending.request.memberFilter().test(cache.id));
     }
 
-    /** A route to a cache. Where no fill would come in time, it may yet hold what other directors have asked it for. */
+    /** Returns a route to a cache; without a fill if none would be in time, as it may have other directors' copies. */
     private Route routeTo(Endpoint target, Endpoint source, boolean hitExpected, PendingRequest pending) {
-        boolean outside = source != null && source.role != Role.CACHE;
-        boolean spareOrigin = outside && originShedder.shouldShed();
+        boolean fromUpstream = source != null && source.role != Role.CACHE;
+        boolean spareOrigin = fromUpstream && originShedder.shouldShed();
         boolean noFill = source == null || spareOrigin && source == endpoints.origin()
-                || outside && !hitExpected && !capacity.canFillInTime(pending);
+                || fromUpstream && !hitExpected && !capacity.canFillInTime(pending);
         return new Route(target, noFill ? target : source, COPY_RANK, hitExpected, spareOrigin);
     }
 
-    /** The cache of a tree node: the first one clockwise from its point that can take this request; or null. */
+    /** Returns the cache of a tree node: the first one clockwise from its point that is usable, or null. */
     private Endpoint cacheAt(int treeNode, PendingRequest pending) {
         long point = HashRing.mix(pending.request.object() + treeNode * POINT_STEP);
         return endpoints.caches().hashRing.firstClockwise(point, cache -> outliers.isUsable(cache, pending));
     }
 
-    /** The source of a copy: the first node towards the root, on another cache, that holds the part; or null. */
-    private Endpoint holderAbove(int fromNode, Endpoint target, PartEntry entry, PendingRequest pending) {
-        boolean allowed = context.settings.siblings() != SiblingScope.NONE;
-        for (int treeNode = fromNode; allowed && treeNode >= 0; treeNode = Math.floorDiv(treeNode - 1, ARITY)) {
+    /** Returns the first other cache towards the root that has the part, as the source of a copy, or null. */
+    private Endpoint siblingWithCopy(int fromNode, Endpoint target, PartEntry entry, PendingRequest pending) {
+        boolean siblingsAllowed = context.settings.siblings() != SiblingScope.NONE;
+        for (int treeNode = fromNode; siblingsAllowed && treeNode >= 0; treeNode = Math.floorDiv(treeNode - 1, ARITY)) {
             Endpoint cache = cacheAt(treeNode, pending);
-            if (cache != null && cache != target && contents.isHeldBy(entry, cache, pending.request)) {
+            if (cache != null && cache != target && contents.isCachedAt(entry, cache, pending.request)) {
                 return cache;
             }
         }
@@ -129,23 +129,24 @@
     }
 
     /**
-     * Consistent hashing with bounded loads (Mirrokni et al., 2018), against hot objects, uneven weights and slow or
-     * cold caches: a cache whose answer would come late hands the request over within the object's tree, preferably to
-     * a holder; one that reports an overload sheds a part of it, to a cache of half its utilization. Null where none
-     * could answer in time: more work would make the rest late too. Could harm if a pace is misjudged.
+     * Consistent hashing with bounded loads (Mirrokni et al., 2018), for hot objects, uneven weights and slow or cold
+     * caches: a cache whose response would be late hands the request over within the object's tree, preferably to one
+     * that has the part; one that reports an overload sheds part of it to a cache with half its utilization. Returns
+     * null if none could answer in time, as more load would delay the other requests too. Drawback: depends on a good
+     * estimate of the pace.
      */
     private Endpoint relieve(Endpoint target, PartEntry entry, PendingRequest pending) {
         double utilization = capacity.utilization(target);
         boolean sheds = target.peerLoad.shouldShed(utilization, context.nowUs, context.random);
-        if (!sheds && canTakeOver(target, pending)) {
+        if (!sheds && canServeInTime(target, pending)) {
             return target;
         }
         Endpoint firstOther = null;
         for (int treeNode = 0; treeNode < endpoints.caches().endpoints.size(); treeNode++) {
             Endpoint cache = cacheAt(treeNode, pending);
-            if (cache != null && canTakeOver(cache, pending)
+            if (cache != null && canServeInTime(cache, pending)
                     && !(sheds && RELIEF_FACTOR * capacity.utilization(cache) > utilization)) {
-                if (contents.isHeldBy(entry, cache, pending.request)) {
+                if (contents.isCachedAt(entry, cache, pending.request)) {
                     return cache;
                 }
                 firstOther = firstOther == null ? cache : firstOther;
@@ -154,14 +155,14 @@
         return firstOther != null ? firstOther : capacity.canAnswerWithin(1, target, pending) ? target : null;
     }
 
-    private boolean canTakeOver(Endpoint endpoint, PendingRequest pending) {
+    private boolean canServeInTime(Endpoint endpoint, PendingRequest pending) {
         return capacity.canAnswerWithin(CapacityEstimator.HANDOVER_SHARE, endpoint, pending);
     }
 
     /**
-     * The parent hashed over all listed, or the next if that is not usable; the origin only when no parent is. With
-     * {@code inTime}, where the first is too loaded, the next of half its utilization; null where there is none. Could
-     * harm if fills only look slow.
+     * Returns the parent by consistent hashing over all listed ones, or the next one if it is not usable; the origin
+     * only if no parent is usable. With {@code inTime}, if the first parent is too loaded, returns the next one with
+     * half its utilization, or null. Drawback: fills that only look slow lose their parent.
      */
     private Endpoint parentOrOrigin(PendingRequest pending, boolean inTime) {
         HashRing<Endpoint> parents = endpoints.parents().hashRing;
@@ -175,14 +176,14 @@
             return parent;
         }
         return parents.firstClockwise(point, candidate -> outliers.isUsable(candidate, pending)
-                && canTakeOver(candidate, pending) && RELIEF_FACTOR * capacity.utilization(candidate) < utilization);
+                && canServeInTime(candidate, pending) && RELIEF_FACTOR * capacity.utilization(candidate) < utilization);
     }
 
     private boolean originIsUsable(PendingRequest pending) {
         return endpoints.origin() != null && outliers.isUsable(endpoints.origin(), pending);
     }
 
-    /** Past the caches, where none is healthy and warm and it is permitted: to a parent, else to the origin. */
+    /** Returns a route to a parent, else the origin, if permitted; used if no cache is healthy and warm. */
     private Route bypassCaches(PendingRequest pending) {
         Endpoint parent = context.settings.capabilities().cacheBypass()
                 ? parentOrOrigin(pending, !pending.requestClass.passThrough()) : null;
@@ -192,7 +193,7 @@
         return new Route(parent, endpoints.origin() == null ? parent : endpoints.origin(), 0, false, false);
     }
 
-    /** A request that runs at the origin goes straight there where permitted, else through a cache. */
+    /** Returns the route of a request that the origin executes: directly if permitted, else through a cache. */
     private Route selectForWrite(PendingRequest pending) {
         boolean originUsable = originIsUsable(pending);
         if (context.settings.capabilities().cacheBypass()) {
--- a/src/main/java/clovermill/routing/RoutingContext.java
+++ b/src/main/java/clovermill/routing/RoutingContext.java
@@ -6,17 +6,17 @@
 import java.util.function.Consumer;
 
 /**
- * What holds for the event in hand: its time, the settings in force and where actions go; and the one source of
- * randomness. {@link RequestRouter} alone writes it.
+ * The context of the current event: its time, the effective settings, the consumer of actions and the random number
+ * generator. Only {@link RequestRouter} modifies it.
  */
 final class RoutingContext {
 
-    /** A time before any other, in microseconds. */
+    /** Earlier than any other time, in microseconds. */
     static final long NEVER = Long.MIN_VALUE / 2;
 
     final SplittableRandom random;
     Settings settings;
-    /** The time of the event, in microseconds. */
+    /** The time of the current event, in microseconds. */
     long nowUs;
     /** The time of the first event, in microseconds; NEVER before it. */
     long startedUs = NEVER;
@@ -27,13 +27,13 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** An event has come in. */
-    void begin(long eventUs, Consumer<Action> out) {
+    /** Begins the handling of an event. */
+    void begin(long eventUs, Consumer<Action> consumer) {
         nowUs = eventUs;
-        actions = out;
+        actions = consumer;
     }
 
-    /** Hands an action to the host. */
+    /** Passes an action to the host. */
     void emit(Action action) {
         actions.accept(action);
     }
--- a/src/main/java/clovermill/routing/SlowStart.java
+++ b/src/main/java/clovermill/routing/SlowStart.java
@@ -6,19 +6,19 @@
 import java.util.function.Predicate;
 
 /**
- * Slow start: limits what an endpoint that has just started gets, because it has little capacity at first and fails
- * under the sum of all directors. Its capacity is reported nowhere; what warm endpoints have served this director for
- * each unit of weight is a safe estimate of this director's share of it.
+ * Slow start: limits the load of an endpoint that has just started, because its capacity is low at first and the load
+ * of all directors together makes it fail. Its capacity is not reported; the throughput of warm endpoints for this
+ * director per unit of weight is a safe estimate of this director's share of it.
  */
 final class SlowStart {
 
-    /** Share of the estimated budget that is used: weights are rough and the load of directors is uneven. */
+    /** Share of the estimated budget that is used, as weights are rough and the load of directors is uneven. */
     private static final double BUDGET_MARGIN = 0.7;
 
     private final RoutingContext context;
     private final EndpointSet endpoints;
     private final ClassServiceTimes serviceTimes;
-    /** Held in a field because it is passed on at each event. */
+    /** Allocated once because it is used for each event. */
     private final Predicate<Endpoint> warmingUp = this::isWarmingUp;
 
     SlowStart(RoutingContext context, EndpointSet endpoints, ClassServiceTimes serviceTimes) {
@@ -27,7 +27,7 @@
         this.serviceTimes = serviceTimes;
     }
 
-    /** Lets time pass for the throughput of warm endpoints. */
+    /** Advances the throughput of warm endpoints to the time of the current event. */
     void advance() {
         endpoints.caches().advance(context.nowUs, warmingUp);
         endpoints.parents().advance(context.nowUs, warmingUp);
@@ -37,20 +37,20 @@
         return endpoint.role == Role.PARENT ? context.settings.parentSlowStart() : context.settings.slowStart();
     }
 
-    /** Whether an endpoint started less than the warm-up time ago. */
+    /** Returns whether an endpoint is within its slow-start duration. */
     boolean isWarmingUp(Endpoint endpoint) {
         return endpoint.role != Role.ORIGIN && endpoint.startedUs > 0
                 && context.nowUs - endpoint.startedUs < rule(endpoint).durationUs();
     }
 
-    /** Whether an endpoint is warm or has budget left; one request may overdraw it. */
+    /** Returns whether an endpoint is warm or has budget left; one request may overdraw it. */
     boolean admits(Endpoint endpoint) {
         return !isWarmingUp(endpoint) || budgetUs(endpoint) >= 0;
     }
 
     /**
-     * The service time that this director may still ask of an endpoint, in microseconds. It refills at the rate of the
-     * part of the capacity that the endpoint had, on average, since the last refill.
+     * Returns the service time that this director may still request of an endpoint, in microseconds. It refills at the
+     * rate of the mean share of its capacity that the endpoint had since the last refill.
      */
     private double budgetUs(Endpoint endpoint) {
         SlowStartRule rule = rule(endpoint);
@@ -65,8 +65,8 @@
     }
 
     /**
-     * An endpoint has started: what was learned of it is void. The initial debt is random, so that many directors that
-     * each send a first request keep within the sum.
+     * Handles the start of an endpoint: discards its statistics. The initial debt is random, so that the first requests
+     * of many directors together stay within the limit.
      */
     void onStart(Endpoint endpoint, long startedUs) {
         endpoint.startedUs = startedUs;
@@ -76,12 +76,12 @@
         endpoint.slowStartBudget.reset(context.random.nextDouble(), context.nowUs);
     }
 
-    /** Takes the cost of an attempt from an endpoint's budget. */
+    /** Charges an attempt to an endpoint's budget. */
     void chargeAttempt(Endpoint endpoint, PendingRequest pending) {
         endpoint.slowStartBudget.consume(serviceUs(pending));
     }
 
-    /** Records what a warm endpoint has served; what it was only sent, or has rejected, would raise the estimate. */
+    /** Records a request served by a warm endpoint; unserved or rejected ones would make the estimate too high. */
     void recordServed(Endpoint endpoint, PendingRequest pending) {
         if (endpoint.role != Role.ORIGIN && !isWarmingUp(endpoint)) {
             endpoints.ringOf(endpoint).throughput.add(serviceUs(pending));
--- a/src/main/java/clovermill/routing/api/CacheRouter.java
+++ b/src/main/java/clovermill/routing/api/CacheRouter.java
@@ -11,6 +11,6 @@
  */
 public interface CacheRouter {
 
-    /** Handles one event that occurred at {@code nowUs} and passes every resulting action to {@code out}. */
-    void handle(long nowUs, Event event, Consumer<Action> out);
+    /** Handles one event that occurred at {@code nowUs} and passes every resulting action to {@code actions}. */
+    void handle(long nowUs, Event event, Consumer<Action> actions);
 }
--- a/src/main/java/clovermill/routing/stats/CircuitBreaker.java
+++ b/src/main/java/clovermill/routing/stats/CircuitBreaker.java
@@ -20,25 +20,25 @@
     /** Average of failures, from 0 (none) to 1. */
     private double failureAverage;
     private boolean open;
-    /** Whether a connection could not be made since the last success. */
+    /** True if a connection could not be made since the last success. */
     private boolean unreachable;
-    /** Present delay between trials; 0 while the endpoint counts as healthy for long. */
+    /** Current delay between trials; 0 if the endpoint has long been healthy. */
     private long trialDelayUs;
     private long nextTrialUs;
     private long lastSuccessUs = NEVER;
-    private long lastBreakUs = NEVER;
+    private long lastConnectionLossUs = NEVER;
 
-    /** Whether only trial requests may pass. */
+    /** Returns whether the breaker is open, so that only trial requests may pass. */
     public boolean isOpen() {
         return open;
     }
 
-    /** Whether a request may pass: the breaker is closed, or a trial is due. */
+    /** Returns whether a request may pass: the breaker is closed, or a trial is due. */
     public boolean allowsRequest(long nowUs) {
         return !open || nowUs >= nextTrialUs;
     }
 
-    /** Whether the latest failure had the full weight of 1: not even a connection could be made. */
+    /** Returns whether the latest failure had the full weight of 1: not even a connection could be made. */
     public boolean isFullyFailed() {
         return failureAverage >= 1;
     }
@@ -46,9 +46,9 @@
     /**
      * Records a failure.
      *
-     * @param weight how much it counts, from 0 to 1
+     * @param weight the weight of the failure, from 0 to 1
      * @param connectFailed whether not even a connection could be made
-     * @return whether the breaker, closed for long, has opened by this failure
+     * @return whether this failure opened the breaker after it had long been closed
      */
     public boolean recordFailure(double weight, boolean connectFailed, long nowUs) {
         unreachable |= connectFailed;
@@ -76,24 +76,24 @@
         return reachableAgain;
     }
 
-    /** Whether there was a success after that time. */
+    /** Returns whether a success was recorded after a time. */
     public boolean succeededAfter(long timeUs) {
         return lastSuccessUs > timeUs;
     }
 
-    /** Records a broken connection; returns whether it is the first within {@code windowUs}. */
-    public boolean recordBrokenConnection(long nowUs, long windowUs) {
-        boolean first = nowUs - lastBreakUs >= windowUs;
-        lastBreakUs = first ? nowUs : lastBreakUs;
+    /** Records a lost connection; returns whether it is the first one within {@code windowUs}. */
+    public boolean recordConnectionLoss(long nowUs, long windowUs) {
+        boolean first = nowUs - lastConnectionLossUs >= windowUs;
+        lastConnectionLossUs = first ? nowUs : lastConnectionLossUs;
         return first;
     }
 
-    /** Records that a request was sent: while the breaker is open this is the trial, and the next one has to wait. */
+    /** Records that a request was sent; while the breaker is open it is the trial, and the next trial is delayed. */
     public void recordAttempt(long nowUs) {
         nextTrialUs = open ? nowUs + trialDelayUs : nextTrialUs;
     }
 
-    /** Closes the breaker and forgets past failures: the endpoint has restarted. */
+    /** Closes the breaker and discards past failures because the endpoint has restarted. */
     public void reset() {
         open = false;
         failureAverage = 0;
--- a/src/main/java/clovermill/routing/stats/DeadlineQueue.java
+++ b/src/main/java/clovermill/routing/stats/DeadlineQueue.java
@@ -4,7 +4,7 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Items ordered by their deadline in microseconds, the earliest first; the order among equal deadlines is that of a
+ * A queue of items by deadline in microseconds, the earliest first; the order among equal deadlines is that of a
  * binary heap. Its owner bounds it. Not thread-safe.
  */
 public final class DeadlineQueue<T> {
@@ -12,7 +12,7 @@
     private final PriorityQueue<T> queue;
     private final ToLongFunction<T> deadlineUs;
 
-    /** A queue ordered by {@code deadlineUs}, which must give the same value for an item at all times. */
+    /** Creates a queue ordered by {@code deadlineUs}, which must always return the same value for an item. */
     public DeadlineQueue(ToLongFunction<T> deadlineUs) {
         this.deadlineUs = deadlineUs;
         this.queue = new PriorityQueue<>((one, other) -> Long.compare(deadlineUs.applyAsLong(one),
@@ -29,7 +29,7 @@
         return queue.remove(item);
     }
 
-    /** Removes and returns the next item whose deadline has come, or returns null. */
+    /** Removes and returns the next item whose deadline has passed, or returns null. */
     public T pollDue(long nowUs) {
         return queue.isEmpty() || deadlineUs.applyAsLong(queue.peek()) > nowUs ? null : queue.poll();
     }
--- a/src/main/java/clovermill/routing/stats/DecayingAverage.java
+++ b/src/main/java/clovermill/routing/stats/DecayingAverage.java
@@ -15,7 +15,7 @@
         lastOutcomeUs = nowUs;
     }
 
-    /** The average, decayed since the last outcome. */
+    /** Returns the average, decayed since the last outcome. */
     public double valueAt(long nowUs) {
         return average * Math.exp(-(nowUs - lastOutcomeUs) / InFlightCount.AVERAGING_TIME_US);
     }
--- a/src/main/java/clovermill/routing/stats/DecayingCounts.java
+++ b/src/main/java/clovermill/routing/stats/DecayingCounts.java
@@ -12,12 +12,12 @@
     private double[] counts = {};
     private long lastHalvingUs;
 
-    /** Counts that are halved each {@code halvingIntervalUs}. */
+    /** Creates counts that are halved every {@code halvingIntervalUs}. */
     public DecayingCounts(long halvingIntervalUs) {
         this.halvingIntervalUs = halvingIntervalUs;
     }
 
-    /** The counts as they are now, {@code size} of them at least, in the array itself: the caller may add to them. */
+    /** Returns the current counts, at least {@code size} of them; the caller may add to the returned array. */
     public double[] countsAt(int size, long nowUs) {
         lastHalvingUs = counts.length == 0 ? nowUs : lastHalvingUs;
         counts = counts.length < size ? Arrays.copyOf(counts, size) : counts;
--- a/src/main/java/clovermill/routing/stats/DecayingRate.java
+++ b/src/main/java/clovermill/routing/stats/DecayingRate.java
@@ -3,13 +3,13 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The throughput of a group of endpoints for each unit of weight: recent work over recent exposure (weight times time
- * of what could serve). Both sums decay only with the time during which something could serve, so that what is known of
- * the capacity stays while all is down. Not thread-safe; times are microseconds on the owner's monotonic clock.
+ * The throughput of a group of endpoints per unit of weight: recent work divided by recent exposure (weight times time
+ * of the available endpoints). Both sums decay only while endpoints are available, so that the measured capacity is
+ * retained while all are down. Not thread-safe; times are microseconds on the owner's monotonic clock.
  */
 public final class DecayingRate {
 
-    /** Sums are brought up to date no more often than this. */
+    /** Minimum interval between updates of the sums. */
     private static final long UPDATE_INTERVAL_US = 100_000;
 
     private double workUs;
@@ -17,10 +17,11 @@
     private long lastUpdateUs;
 
     /**
-     * Lets time pass.
+     * Advances the sums to {@code nowUs}.
      *
      * @param totalWeight the weight of the entire group
-     * @param availableWeight the weight of what could have served since the last call; asked only where it is used
+     * @param availableWeight the weight of the endpoints that were available since the last call; evaluated only if
+     *     used
      */
     public void advance(long nowUs, double totalWeight, DoubleSupplier availableWeight) {
         double spanUs = nowUs - lastUpdateUs;
@@ -39,7 +40,7 @@
         workUs += servedUs;
     }
 
-    /** Microseconds of service time for each unit of weight and microsecond; 0 where nothing is known. */
+    /** Returns the service time in microseconds per unit of weight and microsecond; 0 if it is unknown. */
     public double rate() {
         return exposure == 0 ? 0 : workUs / exposure;
     }
--- a/src/main/java/clovermill/routing/stats/HashRing.java
+++ b/src/main/java/clovermill/routing/stats/HashRing.java
@@ -16,16 +16,16 @@
  */
 public final class HashRing<T> {
 
-    /** Virtual nodes of a member of mean weight: with a few members their shares are even to about a tenth. */
+    /** Virtual nodes of a member of mean weight; the shares of a few members then differ by about a tenth. */
     private static final int VIRTUAL_NODES = 100;
 
     private final TreeMap<Long, T> virtualNodes = new TreeMap<>();
-    /** How many virtual nodes each member has. */
+    /** The number of virtual nodes of each member. */
     private Map<T, Long> counts = new LinkedHashMap<>();
 
     /**
-     * Replaces all members. Costs time for those whose number of virtual nodes changes: a list of some hundred members
-     * that tells its changes one by one would otherwise have all of them hashed each time.
+     * Replaces all members. Hashes only those whose number of virtual nodes changes; otherwise a list of some hundred
+     * members that reports its changes one by one would have all of them hashed each time.
      */
     public void setMembers(List<T> members, Function<T, String> id, ToDoubleFunction<T> weight) {
         double totalWeight = members.stream().mapToDouble(weight).sum();
@@ -34,7 +34,7 @@
             wanted.put(member, Math.max(1,
                     Math.round(VIRTUAL_NODES * weight.applyAsDouble(member) * members.size() / totalWeight)));
         }
-        // Removed first: a member may have the id, and so the points, of one that has gone.
+        // Removed first: a new member may have the id, and thus the points, of a removed one.
         counts.forEach((member, count) -> {
             long kept = wanted.getOrDefault(member, 0L);
             if (kept < count) {
@@ -50,13 +50,13 @@
         counts = wanted;
     }
 
-    /** The points of a member's virtual nodes from one number to before another. */
+    /** Returns the points of a member's virtual nodes {@code from} to {@code to}, exclusive. */
     private static LongStream points(String id, long from, long to) {
         long seed = hash(id);
         return LongStream.range(from, to).map(number -> mix(seed + number));
     }
 
-    /** The first member clockwise from a point that is accepted, or null; each member is tested at most once. */
+    /** Returns the first accepted member clockwise from a point, or null; tests each member at most once. */
     public T firstClockwise(long point, Predicate<T> accepts) {
         List<T> tested = new ArrayList<>(4);
         for (Map<Long, T> arc : List.of(virtualNodes.tailMap(point), virtualNodes.headMap(point))) {
--- a/src/main/java/clovermill/routing/stats/LruMap.java
+++ b/src/main/java/clovermill/routing/stats/LruMap.java
@@ -10,7 +10,7 @@
 
     private final int maxEntries;
 
-    /** Holds {@code maxEntries} at most. */
+    /** Creates a map of at most {@code maxEntries}. */
     public LruMap(int maxEntries) {
         super(1024, 0.75f, true);
         this.maxEntries = maxEntries;
--- a/src/main/java/clovermill/routing/stats/PurgeLog.java
+++ b/src/main/java/clovermill/routing/stats/PurgeLog.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 
 /**
- * Recent purges of objects and of groups of objects, each with the time when it was made at the origin and the time
- * when it became known here. Bounded by age alone. Not thread-safe; times are microseconds on the owner's monotonic
+ * Recent purges of objects and of groups of objects, each with the time at which it was made at the origin and the time
+ * at which it became known here. Bounded only by age. Not thread-safe; times are microseconds on the owner's monotonic
  * clock.
  */
 public final class PurgeLog {
 
-    /** Stands for no purge: a time before any other. */
+    /** Denotes no purge; earlier than any other time. */
     public static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** By object (a Long) or group (an Integer), the latest known last. */
+    /** Purges by object (a Long) or group (an Integer), the latest known last. */
     private final Map<Object, Purge> purges = new LinkedHashMap<>();
 
     private record Purge(long madeUs, long knownUs) {}
 
     /**
-     * Adds a purge of an object or, where that is null, of a group, and drops those known for longer than
+     * Adds a purge of an object or, if that is null, of a group, and removes those known for longer than
      * {@code retentionUs}.
      */
     public void add(Long object, int group, long madeUs, long nowUs, long retentionUs) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Whether a copy that was confirmed then was confirmed after every known purge of its object and group. */
+    /** Returns whether a copy was confirmed after every known purge of its object and group. */
     public boolean confirmedSincePurge(long object, int group, long confirmedUs) {
         return isAfter(purges.get(object), confirmedUs) && isAfter(purges.get(group), confirmedUs);
     }
@@ -40,7 +40,7 @@
         return purge == null || confirmedUs > purge.knownUs;
     }
 
-    /** When the latest purge of an object or its group was made, if known for {@code activeUs} at most; else NEVER. */
+    /** Returns the time of the latest purge of an object or its group, or NEVER if known for over {@code activeUs}. */
     public long latestPurgeUs(long object, int group, long nowUs, long activeUs) {
         Purge ofObject = purges.get(object);
         Purge ofGroup = purges.get(group);
