--- a/src/main/java/clovermill/simulation/adapter/ActionWriter.java
+++ b/src/main/java/clovermill/simulation/adapter/ActionWriter.java
@@ -18,48 +18,48 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Writes routers' actions as lines of the reply to a batch. Not thread-safe. */
+/** Writes the actions of routers as lines of the reply to a batch. Not thread-safe. */
 final class ActionWriter {
 
-    private static final int JOIN_FLAG = 1;
-    private static final int HELD_ONLY_FLAG = 2;
-    private static final int PARENT_KEEPS_NONE_FLAG = 4;
-    private static final int RENEW_FLAG = 8;
+    private static final int JOIN_FILL_FLAG = 1;
+    private static final int ONLY_IF_CACHED_FLAG = 2;
+    private static final int PARENT_NO_STORE_FLAG = 4;
+    private static final int STALE_WHILE_REVALIDATE_FLAG = 8;
 
-    /** How one type of action is written. */
-    private record Format(String word, Consumer<Action> fields) {}
+    /** The format of one type of action: its keyword and the writer of its fields. */
+    private record Format(String keyword, Consumer<Action> fields) {}
 
     private final StringBuilder reply = new StringBuilder();
     private final Map<Class<? extends Action>, Format> formats = new HashMap<>();
 
     ActionWriter() {
-        format(SendVia.class, "SERVE_VIA", this::sendVia);
-        format(Send.class, "PASS_ON", send -> fields(send.request(), send.member(), send.timeoutUs()));
-        format(Cancel.class, "CALL_OFF", cancel -> fields(cancel.request(), cancel.attempt()));
-        format(Reject.class, "SHED", reject -> fields(reject.request(), reject.retryAfterUs()));
-        format(Fail.class, "FAIL", fail -> fields(fail.request()));
-        format(SetTimer.class, "WAKE_ME", timer -> fields(timer.delayUs(), timer.token()));
-        format(Probe.class, "ASK_LOAD", probe -> fields(probe.member()));
-        format(CloseIdle.class, "RELEASE", close -> fields(close.member()));
-        format(SendPeerMessage.class, "NOTIFY", this::peerMessage);
-        format(WatchMembers.class, "OBSERVE", watch -> fields(watch.enabled() ? 1 : 0));
-        format(FetchMembers.class, "FETCH", fetch -> fields());
-        format(Log.class, "NOTE_DOWN", log -> fields(log.line()));
+        register(SendVia.class, "SERVE_VIA", this::writeSendVia);
+        register(Send.class, "PASS_ON", send -> writeFields(send.request(), send.member(), send.timeoutUs()));
+        register(Cancel.class, "CALL_OFF", cancel -> writeFields(cancel.request(), cancel.attempt()));
+        register(Reject.class, "SHED", reject -> writeFields(reject.request(), reject.retryAfterUs()));
+        register(Fail.class, "FAIL", fail -> writeFields(fail.request()));
+        register(SetTimer.class, "WAKE_ME", timer -> writeFields(timer.delayUs(), timer.token()));
+        register(Probe.class, "ASK_LOAD", probe -> writeFields(probe.member()));
+        register(CloseIdle.class, "RELEASE", close -> writeFields(close.member()));
+        register(SendPeerMessage.class, "NOTIFY", this::writePeerMessage);
+        register(WatchMembers.class, "OBSERVE", watch -> writeFields(watch.enabled() ? 1 : 0));
+        register(FetchMembers.class, "FETCH", fetch -> writeFields());
+        register(Log.class, "NOTE_DOWN", log -> writeFields(log.line()));
     }
 
-    private <A extends Action> void format(Class<A> type, String word, Consumer<A> fields) {
-        formats.put(type, new Format(word, action -> fields.accept(type.cast(action))));
+    private <A extends Action> void register(Class<A> type, String keyword, Consumer<A> fields) {
+        formats.put(type, new Format(keyword, action -> fields.accept(type.cast(action))));
     }
 
     /** Writes an action of a router instance. */
     void write(int instance, Action action) {
         Format format = formats.get(action.getClass());
-        reply.append(format.word()).append(' ').append(instance);
+        reply.append(format.keyword()).append(' ').append(instance);
         format.fields().accept(action);
         reply.append('\n');
     }
 
-    /** Writes that a router instance failed, and where. */
+    /** Writes the failure of a router instance with its source location. */
     void writeFailure(int instance, RuntimeException failure) {
         StackTraceElement[] trace = failure.getStackTrace();
         reply.append("DIE ").append(instance).append(' ').append(failure)
@@ -73,21 +73,23 @@
         return batch;
     }
 
-    private void fields(Object... values) {
+    private void writeFields(Object... values) {
         for (Object each : values) {
             reply.append(' ').append(each);
         }
     }
 
-    private void sendVia(SendVia send) {
-        int flags = (send.joinFill() ? JOIN_FLAG : 0) + (send.onlyIfCached() ? HELD_ONLY_FLAG : 0)
-                + (send.parentNoStore() ? PARENT_KEEPS_NONE_FLAG : 0) + (send.staleWhileRevalidate() ? RENEW_FLAG : 0);
-        fields(send.request(), send.member(), send.timeoutUs(), send.source(), send.rank(), send.maxAgeUs(), flags);
+    private void writeSendVia(SendVia send) {
+        int flags = (send.joinFill() ? JOIN_FILL_FLAG : 0) + (send.onlyIfCached() ? ONLY_IF_CACHED_FLAG : 0)
+                + (send.parentNoStore() ? PARENT_NO_STORE_FLAG : 0)
+                + (send.staleWhileRevalidate() ? STALE_WHILE_REVALIDATE_FLAG : 0);
+        writeFields(send.request(), send.member(), send.timeoutUs(), send.source(), send.rank(), send.maxAgeUs(),
+                flags);
     }
 
-    private void peerMessage(SendPeerMessage message) {
+    private void writePeerMessage(SendPeerMessage message) {
         byte[] payload = message.payload();
-        fields(message.to() < 0 ? "all" : message.to(),
+        writeFields(message.to() < 0 ? "all" : message.to(),
                 payload.length == 0 ? "-" : Base64.getEncoder().encodeToString(payload));
     }
 }
--- a/src/main/java/clovermill/simulation/adapter/Adapter.java
+++ b/src/main/java/clovermill/simulation/adapter/Adapter.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Connects routers to the simulator's wire: reads batches of events line by line and writes one reply for each batch.
- * {@link RouterHost} has the routers, {@link EventReader} the events' fields, {@link ActionWriter} the actions'.
+ * Connects routers to the simulator: reads batches of events line by line and writes one reply for each batch. {@link
+ * RouterHost} manages the routers, {@link EventReader} parses events, and {@link ActionWriter} formats actions.
  */
 public final class Adapter {
 
@@ -17,25 +17,25 @@
     private final EndpointLists lists = new EndpointLists();
     private final RouterHost routers = new RouterHost(new EventReader(lists), actions);
 
-    /** An adapter that reads batches from one stream and writes replies to the other; both stay open. */
+    /** Creates an adapter that reads batches from one stream and writes replies to the other; it closes neither. */
     public Adapter(InputStream input, OutputStream output) {
         this.lines = new LineReader(input);
         this.output = output;
     }
 
     /**
-     * Serves batch after batch until the input ends.
+     * Processes batches until the input ends.
      *
-     * @throws MalformedInput at a line that the protocol does not allow
+     * @throws MalformedInput if a line violates the protocol
      * @throws IOException if a stream fails
      */
     public void run() throws IOException {
         for (String line = lines.next(); line != null; line = lines.next()) {
             Fields fields = new Fields(line, lines.number());
             if (!fields.text().equals("BEGIN_BATCH")) {
-                throw fields.malformed("a batch was expected");
+                throw fields.malformed("expected the start of a batch");
             }
-            readBatch(fields.integer());
+            readBatch(fields.int64());
             output.write(actions.takeReply().getBytes(StandardCharsets.UTF_8));
             output.flush();
         }
@@ -69,7 +69,7 @@
     private Fields nextLine() throws IOException {
         String line = lines.next();
         if (line == null) {
-            throw new MalformedInput("line " + (lines.number() + 1) + ": the input ended inside a batch");
+            throw new MalformedInput("line " + (lines.number() + 1) + ": input ended within a batch");
         }
         return new Fields(line, lines.number());
     }
--- a/src/main/java/clovermill/simulation/adapter/EndpointLists.java
+++ b/src/main/java/clovermill/simulation/adapter/EndpointLists.java
@@ -8,7 +8,8 @@
 import java.util.Map;
 
 /**
- * The lists of endpoints that {@code DIRECTORY} and {@code NODE} lines define, by number; a later list replaces one.
+ * The endpoint lists defined by {@code DIRECTORY} and {@code NODE} lines, by number; a later list replaces an earlier
+ * one with the same number.
  */
 final class EndpointLists {
 
@@ -16,7 +17,7 @@
 
     private final Map<Integer, List<Member>> lists = new HashMap<>();
 
-    /** The list of a number; the line in {@code fields} is malformed if there is none. */
+    /** Returns the list with a number; throws the error for the line of {@code fields} if there is none. */
     List<Member> get(int number, Fields fields) {
         List<Member> members = lists.get(number);
         if (members == null) {
@@ -25,7 +26,7 @@
         return members;
     }
 
-    /** Begins the list of a number. */
+    /** Begins a list with a number. */
     Builder begin(int number) {
         return new Builder(number);
     }
@@ -43,30 +44,30 @@
         /** Adds the endpoint of a {@code NODE} line. */
         void add(Fields fields) {
             if (!fields.text().equals("NODE")) {
-                throw fields.malformed("an entry of list " + number + " was expected");
+                throw fields.malformed("expected an entry of list " + number);
             }
             String id = fields.text();
-            int zone = fields.int32Or(0);
-            int kind = fields.int32Or(0);
-            int cell = fields.int32Or(0);
+            int zone = fields.int32OrDefault(0);
+            int kind = fields.int32OrDefault(0);
+            int cell = fields.int32OrDefault(0);
             Availability availability = availability(fields);
-            double weight = fields.numberOr(DEFAULT_WEIGHT);
-            members.add(new Member(id, zone, kind, cell, availability, weight, fields.integerOr(0)));
+            double weight = fields.numberOrDefault(DEFAULT_WEIGHT);
+            members.add(new Member(id, zone, kind, cell, availability, weight, fields.int64OrDefault(0)));
         }
 
-        /** Makes the list the one of its number. */
+        /** Stores the list under its number. */
         void finish() {
             lists.put(number, List.copyOf(members));
         }
     }
 
     private static Availability availability(Fields fields) {
-        String word = fields.text();
-        return switch (word) {
+        String value = fields.text();
+        return switch (value) {
             case "healthy" -> Availability.HEALTHY;
             case "cordoned" -> Availability.DRAINING;
             case "deregistered" -> Availability.REMOVED;
-            default -> throw fields.malformed("unknown availability " + word);
+            default -> throw fields.malformed("unknown availability " + value);
         };
     }
 }
--- a/src/main/java/clovermill/simulation/adapter/EventReader.java
+++ b/src/main/java/clovermill/simulation/adapter/EventReader.java
@@ -17,41 +17,41 @@
 import clovermill.routing.api.TimerExpired;
 import java.util.List;
 
-/** Reads the simulator's events: the fields of a line, in the order of the protocol. Spans are microseconds. */
+/** Parses the simulator's events: the fields of a line, in the order of the protocol. Durations are microseconds. */
 final class EventReader {
 
     private static final CacheStatus[] CACHE_STATUSES = CacheStatus.values();
-    /** The flag of a request that a client repeats. */
+    /** The flag of a request that its client sent before. */
     private static final int REPEAT_FLAG = 2;
 
     private final EndpointLists lists;
 
-    /** Reads events that refer to these lists. */
+    /** Creates a reader of events that refer to {@code lists}. */
     EventReader(EndpointLists lists) {
         this.lists = lists;
     }
 
-    /** The event of a message, from the fields after the instance's number. */
+    /** Returns the event of a message from the fields after the instance number. */
     Event read(String message, Fields fields) {
         return switch (message) {
             case "CALL" -> request(fields);
             case "ACCEPTED" -> {
                 String request = fields.text();
-                long elapsedUs = fields.integer();
+                long elapsedUs = fields.int64();
                 String member = fields.text();
                 yield new ResponseStarted(request, fields.int32(), member, elapsedUs);
             }
-            case "REPORT_BACK" -> outcome(fields);
+            case "REPORT_BACK" -> attemptEnded(fields);
             case "CLIENT_GONE" -> new RequestCancelled(fields.text());
-            case "TICK_DUE" -> new TimerExpired(fields.integer());
-            case "ROSTER_CHANGE" -> members(fields);
+            case "TICK_DUE" -> new TimerExpired(fields.int64());
+            case "ROSTER_CHANGE" -> membersChanged(fields);
             case "PURGED" -> {
                 Long object = fields.optionalHex();
-                long ageUs = fields.integerOr(0);
-                yield new Purge(object, fields.int32Or(0), ageUs);
+                long ageUs = fields.int64OrDefault(0);
+                yield new Purge(object, fields.int32OrDefault(0), ageUs);
             }
             case "CHECK_RESULT" -> {
-                long elapsedUs = fields.integer();
+                long elapsedUs = fields.int64();
                 String member = fields.text();
                 Result result = result(fields);
                 yield new ProbeEnded(member, result, elapsedUs, load(fields));
@@ -64,32 +64,33 @@
     private static Event request(Fields fields) {
         String id = fields.text();
         int requestClass = fields.int32();
-        int tenant = fields.int32Or(0);
+        int tenant = fields.int32OrDefault(0);
         Long object = fields.optionalHex();
-        long graceUs = fields.integer();
-        double sizeKb = fields.numberOr(0);
-        int group = fields.int32Or(0);
-        int part = fields.int32Or(0);
-        boolean repeat = (fields.int32Or(0) & REPEAT_FLAG) != 0;
-        return new Request(id, requestClass, tenant, object == null ? 0 : object, part, group, sizeKb, graceUs, repeat);
+        long timeoutUs = fields.int64();
+        double sizeKb = fields.numberOrDefault(0);
+        int group = fields.int32OrDefault(0);
+        int part = fields.int32OrDefault(0);
+        boolean repeat = (fields.int32OrDefault(0) & REPEAT_FLAG) != 0;
+        return new Request(id, requestClass, tenant, object == null ? 0 : object, part, group, sizeKb, timeoutUs,
+                repeat);
     }
 
-    private static Event outcome(Fields fields) {
+    private static Event attemptEnded(Fields fields) {
         String request = fields.text();
         int attempt = fields.int32();
         String member = fields.text();
         Result result = result(fields);
-        long elapsedUs = fields.integer();
+        long elapsedUs = fields.int64();
         boolean requestEnded = fields.flag();
-        int cacheStatus = fields.int32Or(0);
-        long waitedUs = fields.integerOr(0);
+        int cacheStatus = fields.int32OrDefault(0);
+        long waitedUs = fields.int64OrDefault(0);
         return new AttemptEnded(request, attempt, member, result, elapsedUs, requestEnded,
                 cacheStatus >= 0 && cacheStatus < CACHE_STATUSES.length ? CACHE_STATUSES[cacheStatus]
                         : CacheStatus.NONE,
                 waitedUs, load(fields));
     }
 
-    /** An outcome's code, as an HTTP status. */
+    /** Parses a result code, which resembles an HTTP status. */
     private static Result result(Fields fields) {
         int code = fields.int32();
         return switch (code) {
@@ -102,11 +103,11 @@
             case 499 -> Result.CANCELLED;
             case 410 -> Result.NOT_SENT;
             case 404 -> Result.MISS;
-            default -> throw fields.malformed("unknown outcome " + code);
+            default -> throw fields.malformed("unknown result code " + code);
         };
     }
 
-    /** A load report of name:value pairs; unknown names are ignored. */
+    /** Parses a load report of name:value pairs; ignores unknown names. */
     private static LoadReport load(Fields fields) {
         String pairs = fields.optionalText();
         if (pairs == null) {
@@ -115,27 +116,27 @@
         try {
             return LoadReports.read(pairs, ",");
         } catch (NumberFormatException invalid) {
-            throw fields.malformed("not a load report: " + pairs);
+            throw fields.malformed("invalid load report: " + pairs);
         }
     }
 
-    private Event members(Fields fields) {
+    private Event membersChanged(Fields fields) {
         ListScope scope = scope(fields);
         if (scope == ListScope.FAILED) {
             return new MembersChanged(scope, List.of());
         }
-        fields.integerOr(0); // the list's version, which no router needs
+        fields.int64OrDefault(0); // the version of the list, which no router uses
         return new MembersChanged(scope, lists.get(fields.int32(), fields));
     }
 
     private static ListScope scope(Fields fields) {
-        String word = fields.text();
-        return switch (word) {
+        String value = fields.text();
+        return switch (value) {
             case "delta" -> ListScope.CHANGES;
             case "full" -> ListScope.FULL;
             case "cached" -> ListScope.LAST_KNOWN;
             case "failed" -> ListScope.FAILED;
-            default -> throw fields.malformed("unknown scope " + word);
+            default -> throw fields.malformed("unknown scope " + value);
         };
     }
 }
--- a/src/main/java/clovermill/simulation/adapter/Fields.java
+++ b/src/main/java/clovermill/simulation/adapter/Fields.java
@@ -4,8 +4,8 @@
 
 /**
  * The fields of one line, separated by single spaces and read in order. Each method reads the next field and throws
- * {@link MalformedInput} if it is missing or of another type; those with a default accept its absence, written as
- * {@code -} or as the end of the line.
+ * {@link MalformedInput} if it is missing or of another type; methods with a default, and those named optional, also
+ * accept {@code -} or the end of the line in place of a field.
  */
 final class Fields {
 
@@ -13,96 +13,96 @@
 
     private final String line;
     private final long number;
-    /** Where the next field begins; beyond the line's length when all are read. */
+    /** The index of the next field; beyond the end of the line once all fields are read. */
     private int position;
 
-    /** The fields of a line; {@code number} counts lines from 1. */
+    /** Creates the fields of a line; {@code number} counts lines from 1. */
     Fields(String line, long number) {
         this.line = line;
         this.number = number;
     }
 
-    /** The exception for this line, with a reason. */
+    /** Returns an exception for this line with a reason. */
     MalformedInput malformed(String reason) {
         String shown = line.length() <= MAX_SHOWN_CHARS ? line : line.substring(0, MAX_SHOWN_CHARS) + "...";
         return new MalformedInput("line " + number + ": " + reason + ": " + shown);
     }
 
-    /** Whether there is a further field. */
-    boolean more() {
+    /** Returns whether there is another field. */
+    boolean hasNext() {
         return position <= line.length() && !line.isEmpty();
     }
 
-    /** A text. */
+    /** Reads a text. */
     String text() {
-        if (!more()) {
-            throw malformed("a value is missing");
+        if (!hasNext()) {
+            throw malformed("missing value");
         }
         int end = line.indexOf(' ', position);
         String field = end < 0 ? line.substring(position) : line.substring(position, end);
         position = end < 0 ? line.length() + 1 : end + 1;
         if (field.isEmpty()) {
-            throw malformed("an empty value");
+            throw malformed("empty value");
         }
         return field;
     }
 
-    /** A text, or null if it is absent. */
+    /** Reads a text, or null if it is absent. */
     String optionalText() {
-        if (!more()) {
+        if (!hasNext()) {
             return null;
         }
         String field = text();
         return field.equals("-") ? null : field;
     }
 
-    /** A decimal number of 64 bits. */
-    long integer() {
+    /** Reads a decimal integer of 64 bits. */
+    long int64() {
         return toLong(text());
     }
 
-    /** A decimal number of 64 bits, or a default. */
-    long integerOr(long absent) {
+    /** Reads a decimal integer of 64 bits, or returns a default if it is absent. */
+    long int64OrDefault(long defaultValue) {
         String field = optionalText();
-        return field == null ? absent : toLong(field);
+        return field == null ? defaultValue : toLong(field);
     }
 
-    /** A decimal number of 32 bits, or a default. */
-    int int32Or(int absent) {
-        return toInt(integerOr(absent));
+    /** Reads a decimal integer of 32 bits, or returns a default if it is absent. */
+    int int32OrDefault(int defaultValue) {
+        return toInt(int64OrDefault(defaultValue));
     }
 
-    /** A decimal number of 32 bits. */
+    /** Reads a decimal integer of 32 bits. */
     int int32() {
-        return toInt(integer());
+        return toInt(int64());
     }
 
-    /** A floating-point number, or a default. */
-    double numberOr(double absent) {
+    /** Reads a floating-point number, or returns a default if it is absent. */
+    double numberOrDefault(double defaultValue) {
         String field = optionalText();
         try {
-            return field == null ? absent : Double.parseDouble(field);
+            return field == null ? defaultValue : Double.parseDouble(field);
         } catch (NumberFormatException invalid) {
             throw malformed("not a number: " + field);
         }
     }
 
-    /** A flag, 1 or 0. */
+    /** Reads a flag, 1 or 0. */
     boolean flag() {
         String field = text();
         if (!field.equals("1") && !field.equals("0")) {
-            throw malformed("neither 1 nor 0: " + field);
+            throw malformed("expected 0 or 1: " + field);
         }
         return field.equals("1");
     }
 
-    /** A hexadecimal number of 64 bits, unsigned, or null if it is absent. */
+    /** Reads an unsigned hexadecimal integer of 64 bits, or returns null if it is absent. */
     Long optionalHex() {
         String field = optionalText();
         return field == null ? null : Long.valueOf(toHex(field));
     }
 
-    /** Bytes as base64, empty if they are absent. */
+    /** Reads base64-encoded bytes; returns none if they are absent. */
     byte[] bytes() {
         String field = optionalText();
         try {
@@ -114,7 +114,7 @@
 
     private int toInt(long value) {
         if (value != (int) value) {
-            throw malformed("too large: " + value);
+            throw malformed("out of the 32-bit range: " + value);
         }
         return (int) value;
     }
--- a/src/main/java/clovermill/simulation/adapter/LineReader.java
+++ b/src/main/java/clovermill/simulation/adapter/LineReader.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads lines of UTF-8, ended by LF or CRLF, through a buffer that grows with the longest line. Not thread-safe. */
+/** Reads UTF-8 lines, terminated by LF or CRLF, through a buffer that grows to the longest line. Not thread-safe. */
 final class LineReader {
 
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
@@ -16,20 +16,20 @@
     private int to;
     private long number;
 
-    /** Reads from a stream, which stays open. */
+    /** Creates a reader of a stream, which it does not close. */
     LineReader(InputStream in) {
         this.in = in;
     }
 
-    /** The number of the line read last, from 1. */
+    /** Returns the number of the last line read, from 1. */
     long number() {
         return number;
     }
 
     /**
-     * The next line without its end, or null when the input has ended.
+     * Returns the next line without its terminator, or null at the end of the input.
      *
-     * @throws MalformedInput if the input ended inside a line
+     * @throws MalformedInput if the input ends within a line
      */
     String next() throws IOException {
         int scanned = from;
@@ -44,7 +44,7 @@
             scanned -= from;
             if (!fill()) {
                 if (from < to) {
-                    throw new MalformedInput("line " + (number + 1) + ": cut off by the end of input");
+                    throw new MalformedInput("line " + (number + 1) + ": input ended within a line");
                 }
                 return null;
             }
@@ -58,7 +58,7 @@
         return new String(buffer, from, last - from, StandardCharsets.UTF_8);
     }
 
-    /** Reads further bytes; false at the end of the input. */
+    /** Reads more bytes; returns false at the end of the input. */
     private boolean fill() throws IOException {
         if (from > 0) {
             System.arraycopy(buffer, from, buffer, 0, to - from);
--- a/src/main/java/clovermill/simulation/adapter/MalformedInput.java
+++ b/src/main/java/clovermill/simulation/adapter/MalformedInput.java
@@ -1,7 +1,7 @@
 package clovermill.simulation.adapter;
 
 /**
- * Input that the protocol does not allow; the message names the line's number and the reason, without a stack trace.
+ * Input that violates the protocol. The message contains the line number and the reason; there is no stack trace.
  */
 public final class MalformedInput extends RuntimeException {
 
--- a/src/main/java/clovermill/simulation/adapter/RouterHost.java
+++ b/src/main/java/clovermill/simulation/adapter/RouterHost.java
@@ -9,7 +9,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The routers by instance number: starts and stops them, and passes each event to the instance that it names. */
+/** Manages the routers by instance number: starts and stops them, and passes each event to its instance. */
 final class RouterHost {
 
     private final EventReader events;
@@ -22,11 +22,11 @@
     }
 
     /**
-     * Handles a message to an instance.
+     * Handles a message for an instance.
      *
-     * @param nowUs the batch's time
-     * @param message the message's name
-     * @param fields the line after it, the instance's number first
+     * @param nowUs the time of the batch
+     * @param message the name of the message
+     * @param fields the rest of the line, which begins with the instance number
      */
     void handle(long nowUs, String message, Fields fields) {
         int instance = fields.int32();
@@ -41,18 +41,18 @@
     }
 
     private void start(int instance, Fields fields) {
-        long seed = fields.integer();
+        long seed = fields.int64();
         routers.put(instance, new RequestRouter(settings(fields), seed));
     }
 
-    /** The rest of a line as settings, {@code name=value} each. */
+    /** Parses the rest of a line as settings of the form {@code name=value}. */
     private static Settings settings(Fields fields) {
         Map<String, String> values = new HashMap<>();
-        while (fields.more()) {
+        while (fields.hasNext()) {
             String pair = fields.text();
             int separator = pair.indexOf('=');
             if (separator < 1) {
-                throw fields.malformed("not a setting: " + pair);
+                throw fields.malformed("invalid setting: " + pair);
             }
             values.put(pair.substring(0, separator), pair.substring(separator + 1));
         }
@@ -71,7 +71,7 @@
         return router;
     }
 
-    /** A router that fails is reported on the wire, and the batch goes on. */
+    /** Passes an event to a router; if the router fails, reports that in the reply and continues with the batch. */
     private void deliver(long nowUs, int instance, CacheRouter router, Event event) {
         try {
             router.handle(nowUs, event, action -> actions.write(instance, action));
