--- a/src/main/java/clovermill/routing/Route.java
+++ b/src/main/java/clovermill/routing/Route.java
@@ -7,7 +7,7 @@
  * @param source the endpoint from which a miss is filled; the target itself for no fill, null for a plain send
  * @param copyRank the rank at which the target caches the copy; 0 if it caches none
  * @param hitExpected whether the target probably has the part
- * @param onlyIfCached whether the source may use only its cached copy, which spares the origin
+ * @param onlyIfCached whether the source may use only its cached copy, to shed load from the origin
  */
 record Route(Endpoint target, Endpoint source, int copyRank, boolean hitExpected, boolean onlyIfCached) {
 
--- a/src/main/java/clovermill/routing/RouteSelector.java
+++ b/src/main/java/clovermill/routing/RouteSelector.java
@@ -104,10 +104,10 @@
     /** Returns a route to a cache; without a fill if none would be in time, as it may have other directors' copies. */
     private Route routeTo(Endpoint target, Endpoint source, boolean hitExpected, PendingRequest pending) {
         boolean fromUpstream = source != null && source.role != Role.CACHE;
-        boolean spareOrigin = fromUpstream && originShedder.shouldShed();
-        boolean noFill = source == null || spareOrigin && source == endpoints.origin()
+        boolean shedOriginLoad = fromUpstream && originShedder.shouldShed();
+        boolean noFill = source == null || shedOriginLoad && source == endpoints.origin()
                 || fromUpstream && !hitExpected && !capacity.canFillInTime(pending);
-        return new Route(target, noFill ? target : source, COPY_RANK, hitExpected, spareOrigin);
+        return new Route(target, noFill ? target : source, COPY_RANK, hitExpected, shedOriginLoad);
     }
 
     /** Returns the cache of a tree node: the first one clockwise from its point that is usable, or null. */
--- a/src/main/java/clovermill/routing/api/Request.java
+++ b/src/main/java/clovermill/routing/api/Request.java
@@ -14,7 +14,7 @@
 
     /** Creates a request that every member may serve. */
     public Request(String id, int requestClass, int tenant, long object, int part, int group, double sizeKb,
-            long graceUs, boolean repeat) {
-        this(id, requestClass, tenant, object, part, group, sizeKb, graceUs, repeat, member -> true);
+            long timeoutUs, boolean repeat) {
+        this(id, requestClass, tenant, object, part, group, sizeKb, timeoutUs, repeat, member -> true);
     }
 }
--- a/src/test/java/clovermill/routing/ActionDigestTest.java
+++ b/src/test/java/clovermill/routing/ActionDigestTest.java
@@ -40,9 +40,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Seeded runs of one director over 60 s of virtual time, with the digest of every action that the decisions gave, as
- * recorded. A change that is meant to leave the decisions alone (a rename, a move, a split) leaves these digests alone;
- * one that is meant to change decisions records them anew and says so.
+ * Seeded runs of one director over 60 s of virtual time, compared with the recorded digest of all its actions. A change
+ * that should not affect the decisions (a rename, a move, a split) does not change these digests; one that should
+ * change decisions records new digests, and its commit says so.
  */
 class ActionDigestTest {
 
@@ -62,7 +62,7 @@
     private final Map<String, Integer> kinds = new HashMap<>();
     private final MessageDigest digest = sha256();
     private SplittableRandom random;
-    private RequestRouter policy;
+    private RequestRouter router;
     private Settings settings;
     private boolean sizesKnown;
     private boolean loadReported;
@@ -78,7 +78,7 @@
         }
     }
 
-    /** One row: what the deployment tells and permits, the load, the seed, and the recorded digest. */
+    /** Each row: the capabilities and reports of the deployment, the load, the seed, and the recorded digest. */
     @ParameterizedTest
     @CsvSource({
         "true,  ALL,  1, true,  true,  1,   1, a306b242cd0e8005",
@@ -89,17 +89,17 @@
         "false, NONE, 3, false, false, 2,   6, 72cc634fae34a41a",
         "false, ALL,  1, true,  false, 1,   7, 8eaf84b16001a1a7",
         "false, HITS, 9, false, true,  4,   8, f0cda6f41c20ac00"})
-    void theActionsAreTheRecordedOnes(boolean straight, CacheStatusDetail cacheStatusDetail, int directors,
+    void actionsMatchRecordedDigest(boolean cacheBypass, CacheStatusDetail cacheStatusDetail, int directors,
             boolean sizes, boolean loads,
             double slow, long seed, String recorded) {
         random = new SplittableRandom(seed);
-        settings = withLinkAndListOnRequest(seed % 2 == 0 ? Director.tight(directors)
-                : Director.settings(straight, cacheStatusDetail, directors), straight, cacheStatusDetail);
+        settings = withLinkRateAndListOnRequest(seed % 2 == 0 ? TestDirector.tightSettings(directors)
+                : TestDirector.settings(cacheBypass, cacheStatusDetail, directors), cacheBypass, cacheStatusDetail);
         sizesKnown = sizes;
         loadReported = loads;
         slowdown = slow;
-        policy = new RequestRouter(settings, seed);
-        feed(Director.fleet(CACHES));
+        router = new RequestRouter(settings, seed);
+        handle(TestDirector.fullList(CACHES));
         for (long endUs = nowUs + SPAN_US; nowUs < endUs; nowUs += STEP_US) {
             step();
         }
@@ -108,10 +108,10 @@
                 .isEqualTo(recorded);
     }
 
-    /** The same settings with a link of known rate, a list that is asked for by the director, and what is told. */
-    private static Settings withLinkAndListOnRequest(Settings given, boolean straight,
+    /** Returns the settings with a known link rate, a member list on request, and the given capabilities and detail. */
+    private static Settings withLinkRateAndListOnRequest(Settings given, boolean cacheBypass,
             CacheStatusDetail cacheStatusDetail) {
-        HostCapabilities capabilities = new HostCapabilities(straight, true, true, true, false, false, 6, 1000,
+        HostCapabilities capabilities = new HostCapabilities(cacheBypass, true, true, true, false, false, 6, 1000,
                 400_000);
         return new Settings(given.directorIndex(), given.directorCount(), given.zone(), given.classes(),
                 given.directorsByZone(), given.hubByZone(), given.parentKind(), given.originKind(), given.paceKbPerS(),
@@ -124,7 +124,7 @@
 
     private void step() {
         while (!scheduled.isEmpty() && scheduled.peek().atUs() <= nowUs) {
-            feed(scheduled.poll().event());
+            handle(scheduled.poll().event());
         }
         if (random.nextInt(100) < 40) {
             request();
@@ -140,35 +140,35 @@
         long object = (long) (40 * Math.pow(random.nextDouble(), 3));
         double kb = sizesKnown ? random.nextInt(4) == 0 ? 600 : 60 : 0;
         String excluded = random.nextInt(50) == 0 ? "cache-1" : "";
-        feed(new Request(id, kind < 6 ? 0 : kind - 6, 0, object, random.nextInt(2), (int) (object % 8), kb,
+        handle(new Request(id, kind < 6 ? 0 : kind - 6, 0, object, random.nextInt(2), (int) (object % 8), kb,
                 1_000_000 + random.nextInt(4_000_000), false, member -> !member.equals(excluded)));
         if (random.nextInt(40) == 0) {
             schedule(random.nextInt(300_000), new RequestCancelled(id));
         }
     }
 
-    /** A purge, a member that starts, drains or returns, a failed list, members taken out, settings anew. */
+    /** Handles a purge, a member that starts, drains or returns, a failed list, disabled members, or new settings. */
     private void configurationEvent() {
-        Member cache = Director.cache(random.nextInt(CACHES));
-        Member parent = Director.parent(random.nextInt(2));
+        Member cache = TestDirector.cache(random.nextInt(CACHES));
+        Member parent = TestDirector.parent(random.nextInt(2));
         switch (random.nextInt(9)) {
-            case 0 -> feed(new Purge((long) random.nextInt(40), random.nextInt(8), random.nextInt(2_000_000)));
-            case 1 -> feed(new Purge(null, random.nextInt(8), random.nextInt(2_000_000)));
-            case 2 -> feed(changes(Director.with(cache, Availability.HEALTHY, nowUs - random.nextInt(500_000))));
-            case 3 -> feed(changes(Director.with(parent, Availability.HEALTHY, nowUs - random.nextInt(500_000))));
+            case 0 -> handle(new Purge((long) random.nextInt(40), random.nextInt(8), random.nextInt(2_000_000)));
+            case 1 -> handle(new Purge(null, random.nextInt(8), random.nextInt(2_000_000)));
+            case 2 -> handle(changes(TestDirector.with(cache, Availability.HEALTHY, nowUs - random.nextInt(500_000))));
+            case 3 -> handle(changes(TestDirector.with(parent, Availability.HEALTHY, nowUs - random.nextInt(500_000))));
             case 4 -> {
-                feed(changes(Director.with(cache, Availability.DRAINING, 0)));
+                handle(changes(TestDirector.with(cache, Availability.DRAINING, 0)));
                 schedule(2_000_000, changes(cache));
             }
-            case 5 -> feed(new MembersChanged(ListScope.FAILED, List.of()));
-            case 6 -> feed(new SettingsChanged(settings));
+            case 5 -> handle(new MembersChanged(ListScope.FAILED, List.of()));
+            case 6 -> handle(new SettingsChanged(settings));
             case 7 -> {
-                feed(new DisabledMembersChanged(List.of(cache.id())));
-                feed(Director.fleet(CACHES));
+                handle(new DisabledMembersChanged(List.of(cache.id())));
+                handle(TestDirector.fullList(CACHES));
                 schedule(1_500_000, new DisabledMembersChanged(List.of()));
-                schedule(1_500_001, Director.fleet(CACHES));
+                schedule(1_500_001, TestDirector.fullList(CACHES));
             }
-            default -> feed(Director.fleet(CACHES));
+            default -> handle(TestDirector.fullList(CACHES));
         }
     }
 
@@ -180,9 +180,9 @@
         scheduled.add(new Scheduled(nowUs + inUs, ++sequence, event));
     }
 
-    private void feed(Event event) {
+    private void handle(Event event) {
         List<Action> actions = new ArrayList<>();
-        policy.handle(nowUs, event, actions::add);
+        router.handle(nowUs, event, actions::add);
         for (Action action : actions) {
             digest.update((nowUs + values(action) + "\n").getBytes(StandardCharsets.UTF_8));
             kinds.merge(action.getClass().getSimpleName(), 1, Integer::sum);
@@ -190,7 +190,7 @@
         }
     }
 
-    /** The types and values of an action's components: names may change and the digest stays. */
+    /** Returns the types and values of an action's components, without names, so that renames keep the digest. */
     private static String values(Action action) {
         StringBuilder text = new StringBuilder();
         for (RecordComponent component : action.getClass().getRecordComponents()) {
@@ -217,20 +217,21 @@
         }
     }
 
-    /** Schedules how an attempt ends: mostly well, at a time of its own; a tenth hang, fail or are turned away. */
-    private void attempt(String request, String member, boolean heldOnly) {
+    /** Schedules the end of an attempt at a random time; about a tenth time out, fail or are rejected. */
+    private void attempt(String request, String member, boolean onlyIfCached) {
         int chance = random.nextInt(100);
         boolean ok = chance >= 12;
         boolean timedOut = chance < 4;
-        Result result = ok ? heldOnly && random.nextBoolean() ? Result.MISS : Result.OK
+        Result result = ok ? onlyIfCached && random.nextBoolean() ? Result.MISS : Result.OK
                 : timedOut ? Result.TIMED_OUT : Result.values()[1 + random.nextInt(Result.values().length - 1)];
         CacheStatus cacheStatus = result == Result.OK
                 ? random.nextInt(3) == 0 ? CacheStatus.values()[2 + random.nextInt(4)] : CacheStatus.HIT
                 : CacheStatus.values()[random.nextInt(3) == 0 ? 6 + random.nextInt(5) : 0];
-        long tookUs = timedOut ? 2_000_000 : (long) (100_000 * slowdown * -Math.log(1 - random.nextDouble()));
+        long elapsedUs = timedOut ? 2_000_000 : (long) (100_000 * slowdown * -Math.log(1 - random.nextDouble()));
         LoadReport load = loadReported && random.nextBoolean()
                 ? new LoadReport(random.nextInt(20) * slowdown, 0.5, random.nextDouble()) : null;
-        schedule(tookUs, new AttemptEnded(request, attempts.merge(request, 1, Integer::sum) - 1, member, result, tookUs,
-                result == Result.OK, cacheStatus, cacheStatus == CacheStatus.HIT ? 0 : tookUs / 2, load));
+        schedule(elapsedUs,
+                new AttemptEnded(request, attempts.merge(request, 1, Integer::sum) - 1, member, result, elapsedUs,
+                        result == Result.OK, cacheStatus, cacheStatus == CacheStatus.HIT ? 0 : elapsedUs / 2, load));
     }
 }
--- a/src/test/java/clovermill/routing/BoundRequestTest.java
+++ b/src/test/java/clovermill/routing/MemberFilterTest.java
@@ -22,8 +22,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** The module is given the members that a request may meet, and keeps to them with targets, sources and repeats. */
-class BoundRequestTest {
+/** A request's member filter applies to its targets, sources and retries. */
+class MemberFilterTest {
 
     private static final List<String> IDS = List.of("s-1", "s-2", "s-3", "p-1", "p-2", "o-1");
 
@@ -33,14 +33,14 @@
     }
 
     @Property(tries = 200)
-    void neitherTargetNorSourceNorRepeatIsOutside(@ForAll Set<@IntRange(max = 5) Integer> places,
+    void targetsSourcesAndRetriesPassMemberFilter(@ForAll Set<@IntRange(max = 5) Integer> indexes,
             @ForAll long seed) throws Exception {
         RequestRouter policy =
                 new RequestRouter(Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                         .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null).settings(), seed);
-        List<String> allowed = places.stream().map(IDS::get).toList();
+        List<String> allowed = indexes.stream().map(IDS::get).toList();
         List<Action> actions = new ArrayList<>();
-        policy.handle(0, new MembersChanged(ListScope.FULL, IDS.stream().map(BoundRequestTest::member).toList()),
+        policy.handle(0, new MembersChanged(ListScope.FULL, IDS.stream().map(MemberFilterTest::member).toList()),
                 actions::add);
         for (int i = 0; i < 40; i++) {
             String id = String.format("%016x", i);
--- a/src/test/java/clovermill/routing/ModuleSizeTest.java
+++ b/src/test/java/clovermill/routing/ModuleSizeTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The decision code stays in short files and short methods, and the deploy file names each file of the decisions. */
+/** The routing code has short files and short methods, and the deploy file lists each of its source files. */
 class ModuleSizeTest {
 
     private static final int MAX_FILE_LINES = 200;
@@ -33,13 +33,13 @@
         for (Path file : files) {
             List<String> lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).toList();
             assertThat(lines).as(file.toString()).hasSizeLessThanOrEqualTo(MAX_FILE_LINES);
-            assertThat(bodies(lines)).as(file.toString()).allSatisfy(
+            assertThat(memberBodies(lines)).as(file.toString()).allSatisfy(
                     body -> assertThat(body).hasSizeLessThanOrEqualTo(MAX_METHOD_LINES));
         }
     }
 
-    /** Methods and nested types, as the formatter lays them out: from the first line to the closing brace. */
-    private static List<List<String>> bodies(List<String> lines) {
+    /** Returns methods and nested types, as laid out by the formatter, from the first line to the closing brace. */
+    private static List<List<String>> memberBodies(List<String> lines) {
         List<List<String>> bodies = new ArrayList<>();
         int start = -1;
         for (int i = 0; i < lines.size(); i++) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void theDeployFileNamesEveryFileOfTheDecisionsAndNoOther() throws IOException {
+    void deployFileListsExactlyTheRoutingSources() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = ")).findFirst().orElseThrow();
         assertThat(policy).isEqualTo(sources("routing").stream().map(file -> '"' + file.toString() + '"').toList()
--- a/src/test/java/clovermill/routing/RandomRunTest.java
+++ b/src/test/java/clovermill/routing/RandomRunTest.java
@@ -29,23 +29,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Seeded runs of legal events: every request ends once, nothing is sent after that or to a drained member. */
+/** Seeded runs of valid events: every request ends once, and nothing is sent after that or to a drained member. */
 class RandomRunTest {
 
-    private final Director director = Director.ready();
-    private final Map<String, Integer> sent = new HashMap<>();
+    private final TestDirector director = TestDirector.create();
+    private final Map<String, Integer> attemptCounts = new HashMap<>();
     private final Set<String> ended = new HashSet<>();
     private final Set<String> drained = new HashSet<>();
-    private final ArrayDeque<String[]> out = new ArrayDeque<>();
+    private final ArrayDeque<String[]> open = new ArrayDeque<>();
     private final ArrayDeque<Long> timers = new ArrayDeque<>();
 
-    private void take(List<Action> actions) {
+    private void process(List<Action> actions) {
         for (Action action : actions) {
             if (action instanceof SendVia a) {
-                attempt(a.request(), a.member());
+                recordAttempt(a.request(), a.member());
                 assertFalse(drained.contains(a.source()));
             } else if (action instanceof Send a) {
-                attempt(a.request(), a.member());
+                recordAttempt(a.request(), a.member());
             } else if (action instanceof Reject a) {
                 assertTrue(ended.add(a.request()));
             } else if (action instanceof Fail a) {
@@ -56,40 +56,40 @@
         }
     }
 
-    private void attempt(String request, String member) {
-        assertFalse(ended.contains(request), "sent after the final answer");
+    private void recordAttempt(String request, String member) {
+        assertFalse(ended.contains(request), "sent after the final response");
         assertFalse(drained.contains(member), "sent to a drained member");
-        out.add(new String[] {request, Integer.toString(sent.merge(request, 1, Integer::sum) - 1), member});
+        open.add(new String[] {request, Integer.toString(attemptCounts.merge(request, 1, Integer::sum) - 1), member});
     }
 
-    private void answer(Random random) {
-        String[] attempt = out.poll();
+    private void endRandomAttempt(Random random) {
+        String[] attempt = open.poll();
         Result result = random.nextInt(3) == 0 ? Result.values()[random.nextInt(Result.values().length)] : Result.OK;
         if (result == Result.OK) {
             ended.add(attempt[0]);
         }
         CacheStatus cacheStatus = result == Result.OK ? CacheStatus.HIT
                 : CacheStatus.values()[random.nextInt(CacheStatus.values().length)];
-        take(director.tell(new AttemptEnded(attempt[0], Integer.parseInt(attempt[1]), attempt[2], result, 50_000,
+        process(director.handle(new AttemptEnded(attempt[0], Integer.parseInt(attempt[1]), attempt[2], result, 50_000,
                 result == Result.OK, cacheStatus, 0, null)));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void everyRequestEndsOnce(long seed) {
+    void everyRequestEndsExactlyOnce(long seed) {
         Random random = new Random(seed);
         int requests = 0;
         for (int step = 0; step < 5_000; step++) {
-            director.now += random.nextInt(20_000);
+            director.nowUs += random.nextInt(20_000);
             int kind = random.nextInt(100);
             if (kind < 45) {
                 requests++;
                 Request request = director.request(random.nextInt(4), random.nextInt(50), random.nextInt(3));
-                take(director.tell(request));
-            } else if (kind < 90 && !out.isEmpty()) {
-                answer(random);
+                process(director.handle(request));
+            } else if (kind < 90 && !open.isEmpty()) {
+                endRandomAttempt(random);
             } else if (kind < 93) {
-                take(director.tell(new Purge(random.nextBoolean() ? 7L : null, random.nextInt(32), 1_000)));
+                process(director.handle(new Purge(random.nextBoolean() ? 7L : null, random.nextInt(32), 1_000)));
             } else if (kind < 95) {
                 int cache = random.nextInt(4);
                 boolean drain = drained.isEmpty();
@@ -97,19 +97,20 @@
                 if (drain) {
                     drained.add("cache-" + cache);
                 }
-                take(director.tell(Director.fleet(4)));
-                take(director.tell(new MembersChanged(ListScope.CHANGES, List.of(Director.with(Director.cache(cache),
-                        drain ? Availability.DRAINING : Availability.HEALTHY, 0)))));
+                process(director.handle(TestDirector.fullList(4)));
+                process(director.handle(
+                        new MembersChanged(ListScope.CHANGES, List.of(TestDirector.with(TestDirector.cache(cache),
+                                drain ? Availability.DRAINING : Availability.HEALTHY, 0)))));
             } else if (!timers.isEmpty()) {
-                take(director.tell(new TimerExpired(timers.poll())));
+                process(director.handle(new TimerExpired(timers.poll())));
             }
         }
-        while (!out.isEmpty() || !timers.isEmpty()) {
-            director.now += 100_000;
-            if (!out.isEmpty()) {
-                answer(random);
+        while (!open.isEmpty() || !timers.isEmpty()) {
+            director.nowUs += 100_000;
+            if (!open.isEmpty()) {
+                endRandomAttempt(random);
             } else {
-                take(director.tell(new TimerExpired(timers.poll())));
+                process(director.handle(new TimerExpired(timers.poll())));
             }
         }
         assertEquals(requests, ended.size());
--- a/src/test/java/clovermill/routing/RequestPathTest.java
+++ b/src/test/java/clovermill/routing/RequestPathTest.java
@@ -15,61 +15,62 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The ordinary path of the design. */
+/** The path of requests without failures or overload. */
 class RequestPathTest {
 
     @Test
-    void aColdObjectStaysAtItsHome() {
-        Director director = Director.ready();
+    void servesUnpopularObjectFromItsHome() {
+        TestDirector director = TestDirector.create();
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 7; i++) {
-            used.add(director.served(42, i == 0 ? CacheStatus.FILLED : CacheStatus.HIT).member());
+            used.add(director.serve(42, i == 0 ? CacheStatus.FILLED : CacheStatus.HIT).member());
         }
         assertEquals(1, used.size());
     }
 
     @Test
-    void aHotObjectReachesTwoCachesAndItsCopyComesFromAHolder() {
+    void copiesHotObjectFromCacheThatHasIt() {
         int spread = 0;
         for (long object = 0; object < 20; object++) {
-            Director director = Director.ready();
-            SendVia home = director.served(object, CacheStatus.FILLED);
+            TestDirector director = TestDirector.create();
+            SendVia home = director.serve(object, CacheStatus.FILLED);
             Set<String> used = new HashSet<>(Set.of(home.member()));
             for (int i = 0; i < 60; i++) {
                 SendVia sent = director.read(object);
                 if (used.add(sent.member())) {
                     assertTrue(used.contains(sent.source()),
-                            "a promoted copy is filled by a believed holder");
+                            "the source of a copy is a cache that has the part");
                     assertNotEquals(0, sent.rank());
                 }
-                director.answer(sent, 0, Result.OK, CacheStatus.HIT, 110_000);
+                director.endAttempt(sent, 0, Result.OK, CacheStatus.HIT, 110_000);
             }
             spread += used.size() > 1 ? 1 : 0;
         }
-        assertTrue(spread >= 15, spread + " of 20 spread; only trees on a single cache may stay");
+        assertTrue(spread >= 15, spread + " of 20 spread; only trees on a single cache may not");
     }
 
     @Test
-    void fewObjectsMoveWhenACacheGoes() {
-        Director four = Director.ready();
-        Director three = new Director(Director.settings(true, CacheStatusDetail.ALL), 7);
-        three.tell(Director.fleet(3));
+    void movesOnlyObjectsOfRemovedCache() {
+        TestDirector four = TestDirector.create();
+        TestDirector three = new TestDirector(TestDirector.settings(true, CacheStatusDetail.ALL), 7);
+        three.handle(TestDirector.fullList(3));
         int moved = 0;
-        int lost = 0;
+        int atRemoved = 0;
         for (long object = 0; object < 400; object++) {
-            String before = four.served(object, CacheStatus.FILLED).member();
-            String after = three.served(object, CacheStatus.FILLED).member();
-            lost += before.equals("cache-3") ? 1 : 0;
+            String before = four.serve(object, CacheStatus.FILLED).member();
+            String after = three.serve(object, CacheStatus.FILLED).member();
+            atRemoved += before.equals("cache-3") ? 1 : 0;
             moved += before.equals(after) ? 0 : 1;
         }
-        assertEquals(lost, moved, "only the objects of the cache that went may move");
-        assertTrue(lost > 40 && lost < 180, "a quarter of the objects lived there, found " + lost);
+        assertEquals(atRemoved, moved, "only the objects of the removed cache may move");
+        assertTrue(atRemoved > 40 && atRemoved < 180,
+                "about a quarter of the objects were at the removed cache: " + atRemoved);
     }
 
     @Test
-    void anObjectHasOneParentFromEveryLocation() {
-        Settings here = Director.settings(true, CacheStatusDetail.ALL);
-        Director one = Director.ready();
+    void selectsSameParentFromEveryLocation() {
+        Settings here = TestDirector.settings(true, CacheStatusDetail.ALL);
+        TestDirector one = TestDirector.create();
         Settings there = new Settings(1, 2, 2, here.classes(), here.directorsByZone(), here.hubByZone(),
                 here.parentKind(),
                 here.originKind(), here.paceKbPerS(), here.weighted(), here.siblings(), here.cacheStatusDetail(),
@@ -78,25 +79,25 @@
                 here.purgeCompletionUs(),
                 here.dialTimeoutUs(), here.listOnRequest(), here.fetchMembersWithinUs(), here.originOverloadMultiple(),
                 here.originOverloadWindowUs(), here.linkKbPerS(), here.capabilities());
-        Director other = new Director(there, 99);
-        other.tell(Director.fleet(4));
+        TestDirector other = new TestDirector(there, 99);
+        other.handle(TestDirector.fullList(4));
         Map<String, Integer> parents = new HashMap<>();
         for (long object = 0; object < 100; object++) {
-            String parent = one.served(object, CacheStatus.FILLED).source();
-            assertEquals(parent, other.served(object, CacheStatus.FILLED).source());
+            String parent = one.serve(object, CacheStatus.FILLED).source();
+            assertEquals(parent, other.serve(object, CacheStatus.FILLED).source());
             parents.merge(parent, 1, Integer::sum);
         }
         assertEquals(Set.of("parent-0", "parent-1"), parents.keySet());
     }
 
     @Test
-    void equalEventsGiveEqualActions() {
-        Director one = Director.ready();
-        Director noise = Director.ready();
-        Director two = Director.ready();
+    void equalEventsResultInEqualActions() {
+        TestDirector one = TestDirector.create();
+        TestDirector noise = TestDirector.create();
+        TestDirector two = TestDirector.create();
         for (int i = 0; i < 300; i++) {
-            noise.served(i * 7919L % 31, CacheStatus.HIT);
-            assertEquals(one.served(i % 13, CacheStatus.HIT), two.served(i % 13, CacheStatus.HIT));
+            noise.serve(i * 7919L % 31, CacheStatus.HIT);
+            assertEquals(one.serve(i % 13, CacheStatus.HIT), two.serve(i % 13, CacheStatus.HIT));
         }
     }
 }
--- a/src/test/java/clovermill/routing/load/PeerLoadEstimatorTest.java
+++ b/src/test/java/clovermill/routing/load/PeerLoadEstimatorTest.java
@@ -12,78 +12,79 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What one director estimates of the load that the other directors make. */
+/** The estimate of one director of the load of the other directors. */
 class PeerLoadEstimatorTest {
 
-    private static final long SECOND = 1_000_000;
-    private final PeerLoadEstimator load = new PeerLoadEstimator();
+    private static final long SECOND_US = 1_000_000;
+    private final PeerLoadEstimator estimator = new PeerLoadEstimator();
 
     @Test
-    void withoutReportsTheGuessStands() {
-        assertThat(load.hasReport()).isFalse();
-        assertThat(load.peerLoad(3, 9, 5 * SECOND)).isEqualTo(9);
+    void usesFallbackWithoutReports() {
+        assertThat(estimator.hasReport()).isFalse();
+        assertThat(estimator.peerLoad(3, 9, 5 * SECOND_US)).isEqualTo(9);
     }
 
     @Test
-    void ownWorkIsNotCountedTwice() {
-        load.recordReport(20, 0);
-        assertThat(load.peerLoad(5, 99, 0)).isEqualTo(15);
-        assertThat(load.peerLoad(30, 99, 0)).as("a report from before this director's burst").isZero();
+    void subtractsOwnTransfers() {
+        estimator.recordReport(20, 0);
+        assertThat(estimator.peerLoad(5, 99, 0)).isEqualTo(15);
+        assertThat(estimator.peerLoad(30, 99, 0)).as("a report from before this director's burst").isZero();
     }
 
     @Test
-    void aHerdOfReportsAfterSilenceMovesNoMoreThanOneOfThem() {
-        load.recordReport(10, 0);
+    void burstOfDelayedReportsCountsAsOne() {
+        estimator.recordReport(10, 0);
         for (int i = 0; i < 100; i++) {
-            load.recordReport(0, 10_000); // all that was held back arrives at once, each saying idle
+            estimator.recordReport(0, 10_000); // delayed reports of an idle endpoint arrive at once
         }
-        assertThat(load.peerLoad(0, 99, 10_000)).isGreaterThan(9);
+        assertThat(estimator.peerLoad(0, 99, 10_000)).isGreaterThan(9);
     }
 
     @Test
-    void reportsThatStopGiveWayToTheGuess() {
-        load.recordReport(0, 0);
-        assertThat(load.peerLoad(0, 40, SECOND)).isLessThan(15);
-        assertThat(load.peerLoad(0, 40, 3 * SECOND)).isBetween(20.0, 30.0);
-        assertThat(load.peerLoad(0, 40, 60 * SECOND)).isCloseTo(40, within(0.01));
+    void movesToFallbackAsReportsAge() {
+        estimator.recordReport(0, 0);
+        assertThat(estimator.peerLoad(0, 40, SECOND_US)).isLessThan(15);
+        assertThat(estimator.peerLoad(0, 40, 3 * SECOND_US)).isBetween(20.0, 30.0);
+        assertThat(estimator.peerLoad(0, 40, 60 * SECOND_US)).isCloseTo(40, within(0.01));
     }
 
     @Test
-    void aStartVoidsWhatWasReported() {
-        load.recordReport(50, 0);
-        load.reset();
-        assertThat(load.peerLoad(0, 2, 1)).isEqualTo(2);
-        load.recordReport(4, 10);
-        assertThat(load.peerLoad(0, 2, 10)).as("nothing of before is left in it").isEqualTo(4);
+    void resetDiscardsReports() {
+        estimator.recordReport(50, 0);
+        estimator.reset();
+        assertThat(estimator.peerLoad(0, 2, 1)).isEqualTo(2);
+        estimator.recordReport(4, 10);
+        assertThat(estimator.peerLoad(0, 2, 10)).as("earlier reports are discarded").isEqualTo(4);
     }
 
     @Test
-    void directorsTogetherShedTheExcessAndNoMore() {
+    void shedsExactlyTheExcess() {
         SplittableRandom random = new SplittableRandom(3);
-        load.recordReport(40, 0);
-        long gone = IntStream.range(0, 10_000).filter(i -> load.shouldShed(4, 0, random)).count();
-        assertThat(gone).as("of 10,000 to one that holds four times its room").isBetween(7_300L, 7_700L);
-        assertThat(IntStream.range(0, 1000).filter(i -> load.shouldShed(1, 0, random)).count()).isZero();
+        estimator.recordReport(40, 0);
+        long shed = IntStream.range(0, 10_000).filter(i -> estimator.shouldShed(4, 0, random)).count();
+        assertThat(shed).as("of 10,000 to an endpoint at four times its limit").isBetween(7_300L, 7_700L);
+        assertThat(IntStream.range(0, 1000).filter(i -> estimator.shouldShed(1, 0, random)).count()).isZero();
     }
 
     @Test
-    void nothingIsShedOnAGuessNorOnReportsOfLongAgo() {
+    void shedsNothingWithoutRecentReports() {
         SplittableRandom random = new SplittableRandom(3);
-        assertThat(load.shouldShed(50, 0, random)).isFalse();
-        load.recordReport(40, 0);
-        assertThat(IntStream.range(0, 1000).filter(i -> load.shouldShed(50, 30 * SECOND, random)).count()).isZero();
+        assertThat(estimator.shouldShed(50, 0, random)).isFalse();
+        estimator.recordReport(40, 0);
+        assertThat(IntStream.range(0, 1000).filter(i -> estimator.shouldShed(50, 30 * SECOND_US, random)).count())
+                .isZero();
     }
 
     @Test
-    void whatIsNoCountIsPassedOver() {
-        load.recordReport(Double.NaN, 0);
-        load.recordReport(-1, 0);
-        load.recordReport(Double.POSITIVE_INFINITY, 0);
-        assertThat(load.hasReport()).isFalse();
+    void ignoresInvalidReports() {
+        estimator.recordReport(Double.NaN, 0);
+        estimator.recordReport(-1, 0);
+        estimator.recordReport(Double.POSITIVE_INFINITY, 0);
+        assertThat(estimator.hasReport()).isFalse();
     }
 
     @Property
-    void theBeliefStaysWithinWhatWasToldAndGuessed(
+    void estimateStaysWithinReportsAndFallback(
             @ForAll @Size(min = 1, max = 30) List<@DoubleRange(min = 0, max = 1000) Double> reports,
             @ForAll @DoubleRange(min = 0, max = 1000) double guess,
             @ForAll @DoubleRange(min = 0, max = 10) double later) {
@@ -95,7 +96,7 @@
         }
         double most = Math.max(guess, reports.stream().mapToDouble(d -> d).max().orElse(0));
         double least = Math.min(guess, reports.stream().mapToDouble(d -> d).min().orElse(0));
-        double peerLoad = any.peerLoad(0, guess, now + (long) (later * SECOND));
+        double peerLoad = any.peerLoad(0, guess, now + (long) (later * SECOND_US));
         assertThat(peerLoad).isBetween(least - 1e-6, most + 1e-6);
     }
 }
--- a/src/test/java/clovermill/routing/stats/HashRingTest.java
+++ b/src/test/java/clovermill/routing/stats/HashRingTest.java
@@ -13,7 +13,7 @@
 
     private static final int MEMBERS = 320;
 
-    /** A member without equality of its own, as endpoints are. */
+    /** A member with identity equality, like an endpoint. */
     private static final class Node {
         private final String id;
         private double weight = 6;
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aChangeOfOneMemberHashesNoOther() {
+    void hashesOnlyChangedMember() {
         List<Node> nodes = nodes(MEMBERS);
         HashRing<Node> ring = new HashRing<>();
         ring.setMembers(nodes.subList(0, MEMBERS - 1), node -> node.id, node -> node.weight);
@@ -50,9 +50,9 @@
         assertThat(hashed).containsExactly("s-0");
     }
 
-    /** The ring is a function of its members, whatever came before. */
+    /** The ring is a function of its current members, independent of its history. */
     @Test
-    void aRingAfterManyChangesIsThatOfItsMembersAlone() {
+    void ringDependsOnlyOnCurrentMembers() {
         Random random = new Random(5);
         HashRing<Node> changed = new HashRing<>();
         List<Node> nodes = nodes(40);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void sharesFollowWeights() {
+    void sharesAreProportionalToWeights() {
         List<Node> nodes = nodes(4);
         nodes.get(0).weight = 18;
         HashRing<Node> ring = new HashRing<>();
--- a/src/test/java/clovermill/simulation/adapter/ActionWriterTest.java
+++ b/src/test/java/clovermill/simulation/adapter/ActionWriterTest.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The line of each action on the wire. */
+/** The line of each action in the protocol. */
 class ActionWriterTest {
 
     private static final Map<Action, String> LINES = lines();
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void eachActionIsOneLine() {
+    void writesEachActionAsOneLine() {
         ActionWriter writer = new ActionWriter();
         LINES.keySet().forEach(action -> writer.write(3, action));
         assertThat(writer.takeReply()).isEqualTo(String.join("\n", LINES.values()) + "\nYIELD\n");
@@ -54,14 +54,14 @@
     }
 
     @Test
-    void noTypeOfActionIsMissing() {
+    void coversEveryActionType() {
         assertThat(LINES.keySet()).extracting(Action::getClass).containsAll(Arrays.stream(Action.class
                 .getPermittedSubclasses()).<Class<? extends Action>>map(each -> each.asSubclass(Action.class))
                 .toList());
     }
 
     @Test
-    void aFailedRouterIsReportedWithItsPlace() {
+    void writesRouterFailureWithSourceLocation() {
         ActionWriter writer = new ActionWriter();
         IllegalStateException failure = new IllegalStateException("no ring");
         writer.writeFailure(3, failure);
