--- a/src/main/java/clovermill/cli/FleetSimCommand.java
+++ b/src/main/java/clovermill/cli/FleetSimCommand.java
@@ -58,8 +58,8 @@
         Plan plan = file == null ? Plan.standard(directors == null ? 100 : directors) : read();
         PrintWriter out = spec.commandLine().getOut();
         for (String choice : choices == null ? List.of(plan.choice()) : choices) {
-            Plan chosen = plan.choosing(choice);
-            FleetMetrics tally = Emulation.play(chosen, seed);
+            Plan chosen = plan.withChoice(choice);
+            FleetMetrics tally = Emulation.simulate(chosen, seed);
             Map<String, Object> line = new LinkedHashMap<>();
             line.put("choice", choice);
             line.put("directors", chosen.directors());
--- a/src/main/java/clovermill/simulation/emulator/EmulatedCache.java
+++ b/src/main/java/clovermill/simulation/emulator/EmulatedCache.java
@@ -10,15 +10,15 @@
 import java.util.Map;
 
 /**
- * A cache whose transfers share its link: as many as its capacity run at full pace, more are slowed evenly. It caches
- * objects by LRU, its capacity grows linearly after a cold start, and it fails if it
- * gets too much work while cold. Times are microseconds. Not thread-safe.
+ * A cache whose transfers share its link: up to its capacity they run at full rate; beyond that, all are slowed
+ * equally. It evicts the least recently used object, its capacity grows linearly after a cold start, and it fails if it
+ * receives too much work while cold. Times are in microseconds. Not thread-safe.
  */
 public final class EmulatedCache {
 
-    /** Open transfers from which on it rejects work, in multiples of its capacity. */
+    /** Number of open transfers at which it starts to reject work, as a multiple of its capacity. */
     private static final double FULL_FACTOR = 5;
-    /** Tolerance of the cold-start budget, in requests: what the last one overdraws. */
+    /** Tolerance of the cold-start work budget, in requests: covers the overdraft of the last one. */
     private static final double SLACK_REQUESTS = 2;
 
     /** An open transfer. */
@@ -28,7 +28,13 @@
         double leftUs;
         double waitUs;
 
-        /** A transfer that calls {@code done} after it has waited and its work at full pace is done. */
+        /**
+         * Creates a transfer.
+         *
+         * @param done called on completion
+         * @param workUs time that it takes at full rate
+         * @param waitUs time before the first byte
+         */
         public Transfer(Runnable done, boolean fill, double workUs, double waitUs) {
             this.done = done;
             this.fill = fill;
@@ -53,7 +59,7 @@
     /** The open transfers. */
     public final List<Transfer> open = new ArrayList<>();
     private LoadReport visibleLoad;
-    public double pace = 1;
+    public double speedFactor = 1;
     boolean reportsSuppressed;
     public boolean draining;
     boolean failed;
@@ -61,12 +67,12 @@
     private double transferTimeUs;
 
     /**
-     * A cache that starts cold, or warm if {@code startedUs} is 0.
+     * Creates a cache that starts cold, or warm if {@code startedUs} is 0.
      *
-     * @param declaredCapacity transfers at full pace that the list of members states
-     * @param capacity transfers at full pace in truth
-     * @param phase part of a report's period by which its reports are shifted
-     * @param rule how it warms up, and how much work it can take meanwhile
+     * @param declaredCapacity transfers at full rate according to the member list
+     * @param capacity actual number of transfers at full rate
+     * @param phase fraction of the report period by which its reports are shifted
+     * @param rule how it warms up, and how much work it can accept meanwhile
      */
     public EmulatedCache(String id, double declaredCapacity, double capacity, long startedUs, double phase,
             int maxCachedObjects,
@@ -87,28 +93,28 @@
         };
     }
 
-    /** The part of its capacity that is available, 1 when it is warm. */
+    /** Returns the available share of its capacity, 1 when it is warm. */
     public double warmUpFraction(long now) {
         return startedUs == 0 ? 1
                 : Math.min(1, rule.initialShare() + (1 - rule.initialShare()) * (now - startedUs) / rule.durationUs());
     }
 
-    /** Whether it is still warming up. */
+    /** Returns whether it is still warming up. */
     public boolean cold(long now) {
         return warmUpFraction(now) < 1;
     }
 
-    /** The transfers that run at full pace now. */
+    /** Returns the number of transfers that can run at full rate now. */
     public double currentCapacity(long now) {
-        return capacity * pace * warmUpFraction(now);
+        return capacity * speedFactor * warmUpFraction(now);
     }
 
-    /** Whether it rejects further work. */
+    /** Returns whether it rejects further work. */
     public boolean full() {
         return open.size() >= FULL_FACTOR * capacity;
     }
 
-    /** Whether an object is cached, which counts as a use; {@code keep} caches it after a miss. */
+    /** Returns whether an object is cached, and marks it as used; after a miss, caches it if {@code keep} is set. */
     public boolean lookUp(long object, boolean keep) {
         boolean hit = cached.get(object) != null;
         if (!hit && keep) {
@@ -117,7 +123,7 @@
         return hit;
     }
 
-    /** Counts work that arrives while it is cold; true, once, if it fails by too much of it. */
+    /** Counts work that arrives while it is cold; returns true, once, if this work makes it fail. */
     public boolean overloadedWhileCold(long now, double workUs) {
         if (!cold(now) || failed) {
             return false;
@@ -135,8 +141,10 @@
     }
 
     /**
-     * Advances the transfers by a step, fills at {@code link} of full pace at most; returns those that are complete.
-     * Their number is summed up for the mean load.
+     * Advances the transfers by one step and returns those that are complete. Adds the time of each open transfer to
+     * the mean load.
+     *
+     * @param link maximum rate of a fill, relative to full rate
      */
     public List<Transfer> step(long now, long stepUs, double link) {
         double share = Math.min(1, currentCapacity(now) / Math.max(1, open.size()));
@@ -158,20 +166,21 @@
         return done;
     }
 
-    /** The mean number of transfers since the last call, relative to the current capacity; starts the next mean. */
+    /** Returns and resets the mean number of transfers since the last call, relative to the current capacity. */
     public double load(long now, double spanUs) {
         double load = transferTimeUs / spanUs / currentCapacity(now);
         transferTimeUs = 0;
         return load;
     }
 
-    /** Makes a load report, which answers carry after the delay. */
+    /** Creates a load report, which responses carry after the delay. */
     public void report(long now, long delayUs, double noise, double linkUse) {
-        double held = Math.max(0, open.size() * (1 + noise));
-        reports.add(new Report(now + delayUs, new LoadReport(held * pace, Math.min(1, held / capacity), linkUse)));
+        double concurrency = Math.max(0, open.size() * (1 + noise));
+        reports.add(new Report(now + delayUs,
+                new LoadReport(concurrency * speedFactor, Math.min(1, concurrency / capacity), linkUse)));
     }
 
-    /** The load report that an answer carries; null before the first one, and while they are suppressed. */
+    /** Returns the load report that a response carries; null before the first report and while they are suppressed. */
     public LoadReport visibleReport(long now, boolean frozen) {
         while (!frozen && !reports.isEmpty() && reports.peek().visibleUs <= now) {
             visibleLoad = reports.poll().load;
--- a/src/main/java/clovermill/simulation/emulator/EmulatedDirector.java
+++ b/src/main/java/clovermill/simulation/emulator/EmulatedDirector.java
@@ -25,26 +25,26 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** One director of an {@link Emulation}: its router, the requests that it has open, and its clients. */
+/** One director of an {@link Emulation}: its router, its open requests, and its clients. */
 final class EmulatedDirector {
 
-    /** A request of a client, and how to cancel each open attempt. */
-    private static final class Call {
+    /** A client's request, with an action for each open attempt that cancels it. */
+    private static final class PendingRequest {
         final Request request;
-        final long takenUs;
-        final long aimUs;
+        final long receivedUs;
+        final long targetUs;
         final Map<Integer, Runnable> attempts = new TreeMap<>();
-        int sent;
-        boolean over;
+        int attemptCount;
+        boolean ended;
 
-        Call(Request request, long takenUs, long aimUs) {
+        PendingRequest(Request request, long receivedUs, long targetUs) {
             this.request = request;
-            this.takenUs = takenUs;
-            this.aimUs = aimUs;
+            this.receivedUs = receivedUs;
+            this.targetUs = targetUs;
         }
     }
 
-    /** How long a fill waits for its first byte. */
+    /** Time until the first byte of a fill. */
     private static final double FILL_LATENCY_US = 30_000;
 
     private final Emulation emulation;
@@ -53,7 +53,7 @@
     private final SplittableRandom random;
     private final FleetMetrics metrics;
     private final int number;
-    private final Map<String, Call> calls = new LinkedHashMap<>();
+    private final Map<String, PendingRequest> pendingRequests = new LinkedHashMap<>();
     private CacheRouter router;
     private long nextArrivalUs;
     private int requestCount;
@@ -68,7 +68,7 @@
         this.metrics = emulation.metrics();
     }
 
-    /** Starts its process, which knows nothing but the list of members. */
+    /** Starts its process with no state but the member list. */
     void start() {
         long seed = random.nextLong();
         starts++;
@@ -83,15 +83,15 @@
     /** Kills its process; all open requests fail with it. */
     void stop() {
         router = null;
-        List.copyOf(calls.values()).forEach(call -> {
-            metrics.failed += call.over ? 0 : 1;
-            call.over = true;
-            List.copyOf(call.attempts.values()).forEach(Runnable::run);
+        List.copyOf(pendingRequests.values()).forEach(pending -> {
+            metrics.failed += pending.ended ? 0 : 1;
+            pending.ended = true;
+            List.copyOf(pending.attempts.values()).forEach(Runnable::run);
         });
-        calls.clear();
+        pendingRequests.clear();
     }
 
-    /** Has its first request arrive at a time; each schedules the next. */
+    /** Schedules the arrival of the first request; each arrival schedules the next. */
     void firstArrival(long atUs) {
         nextArrivalUs = atUs;
         emulation.at(atUs, this::arrive);
@@ -110,9 +110,9 @@
         long object = workload.nextObject(random);
         Request request =
                 new Request(number + "-" + starts + "-" + requestCount++, 0, 0, object, 0, (int) (object & 255),
-                        Math.max(1, workUs * Workload.PACE_KB_PER_S / 1e6), Workload.DEADLINE_US, false);
-        long aimUs = Math.min(Workload.DEADLINE_US, 500_000 + (long) (2 * workUs));
-        calls.put(request.id(), new Call(request, emulation.now(), aimUs));
+                        Math.max(1, workUs * Workload.FULL_RATE_KB_PER_S / 1e6), Workload.DEADLINE_US, false);
+        long targetUs = Math.min(Workload.DEADLINE_US, 500_000 + (long) (2 * workUs));
+        pendingRequests.put(request.id(), new PendingRequest(request, emulation.now(), targetUs));
         handle(request);
     }
 
@@ -127,17 +127,17 @@
 
     private void execute(Action action) {
         if (action instanceof SendVia via) {
-            send(calls.get(via.request()), via.member(), via.timeoutUs(), !via.source().equals(via.member()),
+            send(pendingRequests.get(via.request()), via.member(), via.timeoutUs(), !via.source().equals(via.member()),
                     via.rank() > 0);
         } else if (action instanceof Send plain) {
-            send(calls.get(plain.request()), plain.member(), plain.timeoutUs(), false, false);
+            send(pendingRequests.get(plain.request()), plain.member(), plain.timeoutUs(), false, false);
         } else if (action instanceof Cancel cancel) {
             cancel(cancel);
         } else if (action instanceof Reject reject) {
-            end(calls.get(reject.request()));
+            endRequest(pendingRequests.get(reject.request()));
             metrics.refused++;
         } else if (action instanceof Fail fail) {
-            end(calls.get(fail.request()));
+            endRequest(pendingRequests.get(fail.request()));
             metrics.failed++;
         } else if (action instanceof SetTimer timer) {
             setTimer(timer);
@@ -145,14 +145,14 @@
     }
 
     private void cancel(Cancel cancel) {
-        Call call = calls.get(cancel.request());
-        Runnable attempt = call == null ? null : call.attempts.get(cancel.attempt());
+        PendingRequest pending = pendingRequests.get(cancel.request());
+        Runnable attempt = pending == null ? null : pending.attempts.get(cancel.attempt());
         if (attempt != null) {
             attempt.run();
         }
     }
 
-    /** A timer of a process that was killed meanwhile does not fire. */
+    /** Sets a timer, which does not fire if the process is killed meanwhile. */
     private void setTimer(SetTimer timer) {
         CacheRouter owner = router;
         emulation.at(emulation.now() + timer.delayUs(), () -> {
@@ -162,48 +162,51 @@
         });
     }
 
-    private void end(Call call) {
-        call.over = true;
-        if (call.attempts.isEmpty()) {
-            calls.remove(call.request.id());
+    private void endRequest(PendingRequest pending) {
+        pending.ended = true;
+        if (pending.attempts.isEmpty()) {
+            pendingRequests.remove(pending.request.id());
         }
     }
 
-    private void send(Call call, String member, long timeoutUs, boolean fills, boolean keeps) {
-        int index = call.sent++;
+    private void send(PendingRequest pending, String member, long timeoutUs, boolean canFill, boolean cacheAfterFill) {
+        int index = pending.attemptCount++;
         long sentUs = emulation.now();
         EmulatedCache cache = emulation.cache(member);
-        double workUs = call.request.sizeKb() / Workload.PACE_KB_PER_S * 1e6;
-        call.attempts.put(index, () -> ended(call, index, cache, Result.CANCELLED, sentUs, false));
+        double workUs = pending.request.sizeKb() / Workload.FULL_RATE_KB_PER_S * 1e6;
+        pending.attempts.put(index, () -> attemptEnded(pending, index, cache, Result.CANCELLED, sentUs, false));
         if (cache.overloadedWhileCold(emulation.now(), workUs)) {
             metrics.overruns++;
         }
         if (cache.full() || cache.failed) {
             endInNextStep(
-                    () -> ended(call, index, cache, cache.failed ? Result.CONNECT_FAILED : Result.REJECTED, sentUs,
+                    () -> attemptEnded(pending, index, cache, cache.failed ? Result.CONNECT_FAILED : Result.REJECTED,
+                            sentUs,
                             false));
             return;
         }
-        boolean hit = cache.lookUp(call.request.object(), keeps && fills);
-        if (!hit && !fills) {
-            endInNextStep(() -> ended(call, index, cache, Result.MISS, sentUs, false));
+        boolean hit = cache.lookUp(pending.request.object(), cacheAfterFill && canFill);
+        if (!hit && !canFill) {
+            endInNextStep(() -> attemptEnded(pending, index, cache, Result.MISS, sentUs, false));
             return;
         }
-        startTransfer(call, index, cache, workUs, sentUs, timeoutUs, hit);
+        startTransfer(pending, index, cache, workUs, sentUs, timeoutUs, hit);
     }
 
-    private void startTransfer(Call call, int index, EmulatedCache cache, double workUs, long sentUs, long timeoutUs,
+    private void startTransfer(PendingRequest pending, int index, EmulatedCache cache, double workUs, long sentUs,
+            long timeoutUs,
             boolean hit) {
-        Transfer transfer = new Transfer(() -> ended(call, index, cache, Result.OK, sentUs, hit), !hit, workUs,
-                hit ? 0 : FILL_LATENCY_US);
+        Transfer transfer =
+                new Transfer(() -> attemptEnded(pending, index, cache, Result.OK, sentUs, hit), !hit, workUs,
+                        hit ? 0 : FILL_LATENCY_US);
         cache.open.add(transfer);
-        call.attempts.put(index, () -> {
+        pending.attempts.put(index, () -> {
             cache.open.remove(transfer);
-            ended(call, index, cache, Result.CANCELLED, sentUs, false);
+            attemptEnded(pending, index, cache, Result.CANCELLED, sentUs, false);
         });
         emulation.at(emulation.now() + timeoutUs, () -> {
             if (cache.open.remove(transfer)) {
-                ended(call, index, cache, Result.TIMED_OUT, sentUs, false);
+                attemptEnded(pending, index, cache, Result.TIMED_OUT, sentUs, false);
             }
         });
     }
@@ -212,35 +215,36 @@
         emulation.at(emulation.now() + Emulation.STEP_US, end);
     }
 
-    private void answer(Call call, boolean hit) {
-        boolean inTime = emulation.now() - call.takenUs <= call.aimUs;
-        call.over = true;
+    private void respond(PendingRequest pending, boolean hit) {
+        boolean inTime = emulation.now() - pending.receivedUs <= pending.targetUs;
+        pending.ended = true;
         metrics.answered++;
         metrics.hits += hit ? 1 : 0;
         metrics.inTime += inTime ? 1 : 0;
         metrics.late += inTime ? 0 : 1;
     }
 
-    /** An attempt has ended: answers the client if it succeeded, and reports the outcome to the router. */
-    private void ended(Call call, int index, EmulatedCache cache, Result result, long sentUs, boolean hit) {
-        if (call.attempts.remove(index) == null || calls.get(call.request.id()) != call) {
+    /** Handles the end of an attempt: responds to the client if it succeeded, and passes the outcome to the router. */
+    private void attemptEnded(PendingRequest pending, int index, EmulatedCache cache, Result result, long sentUs,
+            boolean hit) {
+        if (pending.attempts.remove(index) == null || pendingRequests.get(pending.request.id()) != pending) {
             return;
         }
-        if (result == Result.OK && !call.over) {
-            answer(call, hit);
+        if (result == Result.OK && !pending.ended) {
+            respond(pending, hit);
         }
-        boolean reports = !plan.choice().equals("guess") && result == Result.OK
+        boolean reportsLoad = !plan.choice().equals("guess") && result == Result.OK
                 && random.nextDouble() >= plan.reports().loss();
-        LoadReport load = reports ? cache.visibleReport(emulation.now(), emulation.reportsFrozen()) : null;
-        handle(new AttemptEnded(call.request.id(), index, cache.id, result, emulation.now() - sentUs, call.over,
+        LoadReport load = reportsLoad ? cache.visibleReport(emulation.now(), emulation.reportsFrozen()) : null;
+        handle(new AttemptEnded(pending.request.id(), index, cache.id, result, emulation.now() - sentUs, pending.ended,
                 result != Result.OK ? CacheStatus.NONE : hit ? CacheStatus.HIT : CacheStatus.FILLED, 0, load));
-        if (call.over && call.attempts.isEmpty()) {
-            calls.remove(call.request.id());
+        if (pending.ended && pending.attempts.isEmpty()) {
+            pendingRequests.remove(pending.request.id());
         }
-        if (!call.over && emulation.now() - call.takenUs >= Workload.DEADLINE_US) {
-            end(call);
+        if (!pending.ended && emulation.now() - pending.receivedUs >= Workload.DEADLINE_US) {
+            endRequest(pending);
             metrics.failed++;
-            handle(new RequestCancelled(call.request.id()));
+            handle(new RequestCancelled(pending.request.id()));
         }
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/Emulation.java
+++ b/src/main/java/clovermill/simulation/emulator/Emulation.java
@@ -12,18 +12,18 @@
 import java.util.TreeMap;
 
 /**
- * One run of a {@link Plan}. Time moves in steps of 5 ms, in which every transfer goes on at the pace that its cache
- * and, for a fill, the location's link leave it; all that happens in a step happens in the order in which it was due.
- * Not thread-safe, and nothing in it depends on the clock or on the order of a hash table.
+ * One run of a {@link Plan}. Time advances in steps of 5 ms. In each step every transfer progresses at the rate that
+ * its cache and, for a fill, the location's link allow; events within a step run in order of due time. Deterministic:
+ * nothing depends on the system clock or on hash table order. Not thread-safe.
  */
 public final class Emulation {
 
     static final long STEP_US = 5_000;
     static final long SECOND_US = 1_000_000;
-    /** Start of the emulated clock: any time long after 0, which stands for a start long ago. */
+    /** Start of the emulated clock: well above 0, because a start time of 0 marks a cache that started long ago. */
     private static final long EPOCH_US = 100_000_000;
-    /** How much faster than to a client a fill may run. */
-    private static final double FILL_PACE = 2.5;
+    /** Maximum rate of a fill, relative to that of a transfer to a client. */
+    private static final double MAX_FILL_RATE = 2.5;
 
     private final Plan plan;
     private final Workload workload;
@@ -34,7 +34,7 @@
     private final FleetMetrics metrics;
     private final double linkCapacity;
     private long now = EPOCH_US;
-    private int joined;
+    private int joinedCaches;
     private boolean reportsFrozen;
     private int activeFills;
 
@@ -60,8 +60,8 @@
         }
     }
 
-    /** Plays a plan, which has to be usable; the same seed gives the same run. */
-    public static FleetMetrics play(Plan plan, long seed) throws Plan.InvalidPlanException {
+    /** Simulates a plan; the same seed gives the same run. Throws if the plan is invalid. */
+    public static FleetMetrics simulate(Plan plan, long seed) throws Plan.InvalidPlanException {
         plan.check();
         Emulation emulation = new Emulation(plan, seed);
         for (int second = 0; second < plan.seconds(); second++) {
@@ -70,7 +70,7 @@
         return emulation.metrics;
     }
 
-    // ---- What directors use ---------------------------------------------------------------------------
+    // ---- Accessors for directors ----------------------------------------------------------------------
 
     Plan plan() {
         return plan;
@@ -92,7 +92,7 @@
         return caches.get(id);
     }
 
-    /** Whether load reports are frozen now, by a fault of the plan. */
+    /** Returns whether load reports are frozen now by a fault of the plan. */
     boolean reportsFrozen() {
         return reportsFrozen;
     }
@@ -104,7 +104,7 @@
         events.add(atUs, action);
     }
 
-    /** The emulated clock. */
+    /** Returns the time of the emulated clock, in microseconds. */
     long now() {
         return now;
     }
@@ -125,9 +125,9 @@
         metrics.second(second, loads);
     }
 
-    /** One step of every transfer. */
+    /** Advances every transfer by one step. */
     private void stepTransfers() {
-        double link = Math.min(FILL_PACE, linkCapacity / Math.max(1, activeFills));
+        double link = Math.min(MAX_FILL_RATE, linkCapacity / Math.max(1, activeFills));
         activeFills = 0;
         for (EmulatedCache cache : List.copyOf(caches.values())) {
             List<Transfer> done = cache.step(now, STEP_US, link);
@@ -139,9 +139,10 @@
     // ---- Caches -----------------------------------------------------------------------------------
 
     private EmulatedCache cache(String id, double capacity, long startedUs) {
-        double speed = 0.85 + 0.3 * random.nextDouble();
-        return new EmulatedCache(id, Math.max(1, Math.round(capacity)), Math.max(1, capacity) * speed, startedUs,
-                random.nextDouble(), plan.keeps(), Workload.COLD);
+        double capacityFactor = 0.85 + 0.3 * random.nextDouble();
+        return new EmulatedCache(id, Math.max(1, Math.round(capacity)), Math.max(1, capacity) * capacityFactor,
+                startedUs,
+                random.nextDouble(), plan.keeps(), Workload.SLOW_START);
     }
 
     private void add(EmulatedCache cache) {
@@ -175,8 +176,8 @@
                 at(until, () -> caches.get(id).reportsSuppressed = false);
             }
             case "slow" -> {
-                at(from, () -> caches.get(id).pace = fault.factor());
-                at(until, () -> caches.get(id).pace = 1);
+                at(from, () -> caches.get(id).speedFactor = fault.factor());
+                at(until, () -> caches.get(id).speedFactor = 1);
             }
             case "join" -> at(from, this::join);
             case "leave" -> at(from, () -> {
@@ -192,13 +193,13 @@
 
     private void join() {
         double mean = caches.values().stream().mapToDouble(cache -> cache.declaredCapacity).average().orElse(1);
-        EmulatedCache cache = cache("joined-" + joined++, mean, now);
+        EmulatedCache cache = cache("joined-" + joinedCaches++, mean, now);
         add(cache);
         scheduleReports(cache);
         announce(cache, Availability.HEALTHY);
     }
 
-    /** Every director receives the change of the list after a delay of its own, up to some seconds. */
+    /** Notifies every director of a change of the member list, each after a random delay of up to some seconds. */
     private void announce(EmulatedCache cache, Availability state) {
         MembersChanged change = new MembersChanged(ListScope.CHANGES, List.of(member(cache, state)));
         for (EmulatedDirector director : directors) {
@@ -210,7 +211,7 @@
         return new Member(cache.id, 1, 0, 0, state, cache.declaredCapacity, cache.startedUs);
     }
 
-    /** The full list of members, as a director gets it when it starts. */
+    /** Returns the full member list, as a director receives it when it starts. */
     MembersChanged allMembers() {
         List<Member> all = new ArrayList<>();
         caches.values().forEach(cache -> all.add(member(cache,
--- a/src/main/java/clovermill/simulation/emulator/EventQueue.java
+++ b/src/main/java/clovermill/simulation/emulator/EventQueue.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** Actions by the time at which each is due; those of one time run in the order in which they were added. */
+/** A queue of actions ordered by due time; actions with the same due time run in insertion order. */
 final class EventQueue {
 
     private record Event(long atUs, long order, Runnable action) implements Comparable<Event> {
@@ -19,7 +19,7 @@
         events.add(new Event(atUs, nextOrder++, action));
     }
 
-    /** Runs what is due until a time, also what the actions add meanwhile. */
+    /** Runs all actions that are due by the given time, including those added by the actions themselves. */
     void runUntil(long untilUs) {
         while (!events.isEmpty() && events.peek().atUs <= untilUs) {
             events.poll().action.run();
--- a/src/main/java/clovermill/simulation/emulator/FleetMetrics.java
+++ b/src/main/java/clovermill/simulation/emulator/FleetMetrics.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** The measurements of a run: the load of each cache by second, relative to its capacity, and outcomes of requests. */
+/** The measurements of a run: the load of each cache per second, relative to its capacity, and request outcomes. */
 public final class FleetMetrics {
 
-    /** Mean load below which a second does not count for {@link #idleSeconds}. */
-    private static final double MIN_JUDGED_LOAD = 0.1;
+    /** Mean load below which a second is not counted by {@link #idleSeconds}. */
+    private static final double MIN_EVALUATED_LOAD = 0.1;
 
-    /** One second: the load of each cache that is warm and in service, by id. */
+    /** The load in one second of each cache that is warm and in service, by id. */
     public record Second(int second, Map<String, Double> loads) {
 
-        /** The mean of all caches. */
+        /** Returns the mean load of all caches. */
         public double mean() {
             return loads.values().stream().mapToDouble(d -> d).average().orElse(0);
         }
 
-        /** The highest of all caches. */
+        /** Returns the highest load of all caches. */
         public double max() {
             return loads.values().stream().mapToDouble(d -> d).max().orElse(0);
         }
@@ -30,6 +30,7 @@
         }
     }
 
+    /** Seconds at the start that are not evaluated. */
     private final int settle;
     private final List<Second> seconds = new ArrayList<>();
     private final List<Double> loads = new ArrayList<>();
@@ -53,38 +54,38 @@
         }
     }
 
-    /** The seconds that are judged. */
+    /** Returns the evaluated seconds. */
     public List<Second> seconds() {
         return List.copyOf(seconds);
     }
 
-    /** The most loaded cache over the mean, on average over all judged seconds. */
+    /** Returns the ratio of the highest load to the mean load, averaged over all evaluated seconds. */
     public double maxOverMean() {
         return seconds.stream().mapToDouble(Second::spread).average().orElse(1);
     }
 
-    /** The 99th percentile over time of the most loaded cache over the mean. */
+    /** Returns the 99th percentile over time of the ratio of the highest load to the mean load. */
     public double p99OverMean() {
         return percentile(seconds.stream().mapToDouble(Second::spread).toArray());
     }
 
-    /** The 99th percentile of the load of one cache in one second. */
+    /** Returns the 99th percentile of the load of one cache in one second. */
     public double p99Load() {
         return percentile(loads.stream().mapToDouble(d -> d).toArray());
     }
 
-    /** Seconds, summed over caches, in which a cache was idle while the fleet was not. */
+    /** Returns the number of seconds, summed over caches, in which a cache was idle while the fleet was not. */
     public int idleSeconds() {
-        return (int) seconds.stream().filter(each -> each.mean() >= MIN_JUDGED_LOAD)
+        return (int) seconds.stream().filter(each -> each.mean() >= MIN_EVALUATED_LOAD)
                 .mapToLong(each -> each.loads.values().stream().filter(load -> load == 0).count()).sum();
     }
 
-    /** Cold caches that failed by too much work. */
+    /** Returns the number of cold caches that failed because of too much work. */
     public int overruns() {
         return overruns;
     }
 
-    /** The part of the requests that were answered within their target time. */
+    /** Returns the share of requests that were answered within their target time. */
     public double inTimeShare() {
         return requests == 0 ? 1 : (double) inTime / requests;
     }
@@ -98,7 +99,7 @@
         return Math.round(value * 1000) / 1000.0;
     }
 
-    /** The figures of the run by name, in the order of output. */
+    /** Returns the figures of the run by name, in output order. */
     public Map<String, Object> figures() {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("requests", requests);
--- a/src/main/java/clovermill/simulation/emulator/GossipFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/GossipFleet.java
@@ -13,30 +13,41 @@
 import java.util.SplittableRandom;
 
 /**
- * Directors that gossip over links that lose, delay, duplicate and are cut, each by a clock of its own that is seconds
- * off and drifts, under one limit and with entries put at any of them. The members are the real {@link GossipMember};
- * one seed gives one run.
+ * A fleet of directors that gossip over links that lose, delay and duplicate messages and can be cut. Each director has
+ * its own clock, which is seconds off and drifts. They share one rate limit, and entries are put at any of them. The
+ * members are production {@link GossipMember}s; the seed determines the run.
  */
 public final class GossipFleet {
 
     /**
-     * A run: so many directors under a limit by second, which the first {@code hot} of them are asked for {@code
-     * offered} times over; links with a loss, a delay of up to so long, and faults. One entry is put every second.
+     * The parameters of a run. One entry is put every second.
+     *
+     * @param limit requests per second that all directors together may admit
+     * @param hot how many directors, from number 0 on, receive requests
+     * @param offered rate of requests, as a multiple of the limit
+     * @param loss the share of messages that are lost
+     * @param delayMs the maximum delay of a message
      */
     public record Scenario(int directors, double limit, int hot, double offered, double loss, long delayMs, int seconds,
             List<Cut> cuts, List<Kill> kills) {}
 
-    /** From a time, for so many seconds, the directors from one number up to another are cut off from the others. */
+    /** Cuts off directors {@code from} to {@code to}, exclusive, from second {@code at} for {@code lasts} seconds. */
     public record Cut(double at, double lasts, int from, int to) {}
 
-    /** A director dies at a time and starts anew after so many seconds, knowing nothing. */
+    /** Crashes a director at second {@code at}; it restarts without state after {@code lasts} seconds. */
     public record Kill(double at, double lasts, int which) {}
 
     /**
-     * What was seen. {@code maxAdmittedPerSecond}: admitted by all within any one second, beside its {@code bound};
-     * {@code usedShare}: of the limit, where more was offered; {@code staleMs}: the longest until an entry was
-     * everywhere, from when the links allowed it, beside its bound; {@code lostEntries}: missing somewhere at the end;
-     * {@code excessWhileIsolated}: by a director that was cut off for longer than a term, beyond its own share.
+     * The measurements of a run.
+     *
+     * @param maxAdmittedPerSecond the maximum that all directors together admitted within any one second
+     * @param bound upper bound of {@code maxAdmittedPerSecond}
+     * @param usedShare the admitted share of the limit
+     * @param staleMs the longest time until an entry was replicated everywhere, counted from when the links allowed it
+     * @param staleBoundMs upper bound of {@code staleMs}
+     * @param lostEntries entries that are missing at some director at the end
+     * @param excessWhileIsolated the maximum rate, beyond its own share, of a director that was cut off for longer than
+     *     a lease term
      */
     public record GossipMetrics(double maxAdmittedPerSecond, double bound, double usedShare, long staleMs,
             long staleBoundMs,
@@ -45,6 +56,7 @@
     private static final long STEP_US = 10_000;
     private static final long SECOND_US = 1_000_000;
     private static final double BURST_S = 0.1;
+    /** The term of a lease of a limit's share. */
     private static final long TERM_US = 2_000_000;
     private static final double DRIFT = 0.01;
     private static final long INTERVAL_US = 200_000;
@@ -58,7 +70,7 @@
         }
     }
 
-    /** An entry that was put, and whether it has reached everywhere. */
+    /** An entry that was put, and whether it has been replicated to all directors. */
     private static final class PutEntry {
         private final String key;
         private long fromUs;
@@ -70,10 +82,10 @@
         }
     }
 
-    /** A director: its member, null while it is dead, and its clock. */
+    /** A director: its gossip member, null while it is down, and its clock. */
     private final class Peer {
         private final int number;
-        private final double pace = 1 + DRIFT * (random.nextDouble() - 0.5);
+        private final double clockRate = 1 + DRIFT * (random.nextDouble() - 0.5);
         private final long offsetUs = (long) (random.nextDouble() * 20 * SECOND_US);
         private final long phaseUs = (long) (random.nextDouble() * INTERVAL_US);
         private GossipMember member;
@@ -85,7 +97,7 @@
         }
 
         long clock() {
-            return offsetUs + (long) (nowUs * pace);
+            return offsetUs + (long) (nowUs * clockRate);
         }
 
         void start() {
@@ -126,8 +138,8 @@
         return new GroupMembership(number, scenario.directors(), INTERVAL_US, FANOUT);
     }
 
-    /** Plays a case. */
-    public static GossipMetrics play(Scenario scenario, long seed) {
+    /** Simulates a scenario; the same seed gives the same metrics. */
+    public static GossipMetrics simulate(Scenario scenario, long seed) {
         return new GossipFleet(scenario, seed).run();
     }
 
@@ -189,8 +201,8 @@
 
     private boolean linked(int one, int other) {
         for (Cut cut : scenario.cuts()) {
-            boolean now = nowUs >= cut.at() * SECOND_US && nowUs < (cut.at() + cut.lasts()) * SECOND_US;
-            if (now && inside(cut, one) != inside(cut, other)) {
+            boolean active = nowUs >= cut.at() * SECOND_US && nowUs < (cut.at() + cut.lasts()) * SECOND_US;
+            if (active && inside(cut, one) != inside(cut, other)) {
                 return false;
             }
         }
@@ -201,7 +213,7 @@
         return number >= cut.from() && number < cut.to();
     }
 
-    /** Every message takes a time of its own, so that they overtake one another; some are lost and some come twice. */
+    /** Sends messages, each with its own delay, so that they can be reordered; some are lost and some duplicated. */
     private void send(List<OutgoingMessage> messages) {
         for (OutgoingMessage each : messages) {
             int copies = random.nextDouble() < scenario.loss() ? 0 : random.nextDouble() < DUPLICATE_RATE ? 2 : 1;
@@ -212,7 +224,7 @@
         }
     }
 
-    /** Puts an entry at a director, which sends it to some peers at once. */
+    /** Puts an entry at a random director, which immediately sends it to some peers. */
     private void put() {
         Peer peer = peers.get(random.nextInt(peers.size()));
         if (peer.member != null) {
@@ -223,34 +235,34 @@
         }
     }
 
-    /** Each hot director is asked for its share of what is offered. */
+    /** Offers each hot director its share of the requests. */
     private void admit() {
-        int now = 0;
+        int admittedNow = 0;
         for (int i = 0; i < scenario.hot(); i++) {
             Peer peer = peers.get(i);
             peer.dueRequests += scenario.offered() * scenario.limit() / scenario.hot() * STEP_US / SECOND_US;
             for (; peer.dueRequests >= 1; peer.dueRequests--) {
-                now += peer.member != null && peer.member.share(0).admit(peer.clock(), 0) ? 1 : 0;
+                admittedNow += peer.member != null && peer.member.share(0).admit(peer.clock(), 0) ? 1 : 0;
             }
             if (peer.member != null && isIsolated(i)) {
                 double share = limitParameters.perSecond() / limitParameters.directors();
                 excessWhileIsolated = Math.max(excessWhileIsolated, peer.member.share(0).amount(peer.clock()) - share);
             }
         }
-        admitted += now;
-        admittedInWindow += now;
-        window.add(now);
+        admitted += admittedNow;
+        admittedInWindow += admittedNow;
+        window.add(admittedNow);
         if (window.size() > SECOND_US / STEP_US) {
             admittedInWindow -= window.poll();
         }
         maxAdmittedPerSecond = Math.max(maxAdmittedPerSecond, admittedInWindow);
     }
 
-    /** Whether a director has been cut off for longer than a term. */
+    /** Returns whether a director has been cut off for longer than a lease term. */
     private boolean isIsolated(int number) {
         for (Cut cut : scenario.cuts()) {
-            boolean longer = nowUs > cut.at() * SECOND_US + 1.1 * TERM_US;
-            if (longer && nowUs < (cut.at() + cut.lasts()) * SECOND_US && cut.to() - cut.from() == 1
+            boolean termOver = nowUs > cut.at() * SECOND_US + 1.1 * TERM_US;
+            if (termOver && nowUs < (cut.at() + cut.lasts()) * SECOND_US && cut.to() - cut.from() == 1
                     && cut.from() == number) {
                 return true;
             }
@@ -258,7 +270,7 @@
         return false;
     }
 
-    /** How long entries take; while links are cut or directors are dead, the time starts anew with the last of it. */
+    /** Measures replication times, which restart when the last cut link or crashed director has recovered. */
     private void trackReplication() {
         boolean connected = peers.stream().allMatch(peer -> peer.member != null) && scenario.cuts().stream()
                 .noneMatch(cut -> nowUs >= cut.at() * SECOND_US && nowUs < (cut.at() + cut.lasts()) * SECOND_US);
--- a/src/main/java/clovermill/simulation/emulator/LeastLoadedRouter.java
+++ b/src/main/java/clovermill/simulation/emulator/LeastLoadedRouter.java
@@ -20,20 +20,20 @@
 import java.util.function.Consumer;
 
 /**
- * Baselines from the literature: the cache that was reported least busy, of all or of a few drawn at random
- * (Mitzenmacher, "The Power of Two Choices", 2001). They follow each report as it stands and know neither homes nor
- * cold starts; a miss is filled from the one hub.
+ * A baseline router from the literature: selects the cache with the lowest reported load, of all caches or of a random
+ * sample (Mitzenmacher, "The Power of Two Choices", 2001). It uses each report unchanged, without a hash ring or slow
+ * start; a miss is filled from a fixed hub.
  */
 final class LeastLoadedRouter implements CacheRouter {
 
     private final SplittableRandom random;
-    private final int drawn;
+    private final int sampleSize;
     private final Map<String, Member> members = new TreeMap<>();
-    private final Map<String, Double> reported = new HashMap<>();
+    private final Map<String, Double> reportedConcurrency = new HashMap<>();
 
-    LeastLoadedRouter(long seed, int drawn) {
+    LeastLoadedRouter(long seed, int sampleSize) {
         this.random = new SplittableRandom(seed);
-        this.drawn = drawn;
+        this.sampleSize = sampleSize;
     }
 
     @Override
@@ -42,10 +42,10 @@
             change.members().stream().filter(each -> each.kind() == 0).forEach(each -> members.put(each.id(), each));
             members.values().removeIf(member -> member.availability() != Availability.HEALTHY);
         } else if (event instanceof Request request) {
-            List<Member> left = new ArrayList<>(members.values());
+            List<Member> candidates = new ArrayList<>(members.values());
             Member best = null;
-            for (int i = 0; i < drawn && !left.isEmpty(); i++) {
-                Member next = left.remove(random.nextInt(left.size()));
+            for (int i = 0; i < sampleSize && !candidates.isEmpty(); i++) {
+                Member next = candidates.remove(random.nextInt(candidates.size()));
                 best = best == null || load(next) < load(best) ? next : best;
             }
             out.accept(best == null ? new Reject(request.id(), 0)
@@ -53,7 +53,7 @@
                             false));
         } else if (event instanceof AttemptEnded outcome) {
             if (outcome.load() != null) {
-                reported.put(outcome.member(), outcome.load().concurrency());
+                reportedConcurrency.put(outcome.member(), outcome.load().concurrency());
             }
             if (!outcome.requestEnded()) {
                 out.accept(new Fail(outcome.request()));
@@ -62,6 +62,6 @@
     }
 
     private double load(Member member) {
-        return reported.getOrDefault(member.id(), 0.0) / member.weight();
+        return reportedConcurrency.getOrDefault(member.id(), 0.0) / member.weight();
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/Plan.java
+++ b/src/main/java/clovermill/simulation/emulator/Plan.java
@@ -12,39 +12,52 @@
 import java.util.stream.Collectors;
 
 /**
- * The plan of an emulation; read from JSON, where a field that is left out has its value in {@link #standard}.
+ * The plan of an emulation. It is read from JSON, where an omitted field has its value from {@link #standard}.
  *
- * @param directors how many directors serve the one location
+ * @param directors how many directors serve the single location
  * @param caches how many caches it has at first; half of them are about twice as large as the others
- * @param perDirector requests a second that a director gets on average
- * @param load what clients ask for, over what all caches can send; the caches are sized by it
- * @param skew how many times the others' share the first director gets
- * @param seconds how long it lasts, and {@code settle} how many of them are not judged
- * @param objects how many objects there are, asked for with popularity 1/rank^{@code zipf}
- * @param keeps objects that one cache can hold
- * @param workMs mean time of sending one object at full pace
+ * @param perDirector requests per second that a director receives on average
+ * @param load requested load relative to the total capacity of the caches, which are sized accordingly
+ * @param skew request rate of the first director, as a multiple of that of each other director
+ * @param seconds duration of the run
+ * @param settle seconds at the start that are not evaluated
+ * @param objects number of objects
+ * @param zipf exponent of the objects' popularity, 1/rank^{@code zipf}
+ * @param keeps objects that one cache can store
+ * @param workMs mean time to send one object at full rate
  * @param link capacity of the location's inbound link, relative to that of all caches
- * @param choice the router: {@code module} (the real one), {@code guess} (the same without load reports), {@code least}
- *     (the least loaded cache by reports) or {@code two} (the less loaded of two at random)
- * @param reports how load reports come
- * @param faults what goes wrong
+ * @param choice the router: {@code module} (the production router), {@code guess} (the same without load reports),
+ *     {@code least} (the least loaded cache by reports) or {@code two} (the less loaded of two at random)
+ * @param reports timing and quality of load reports
+ * @param faults the faults to inject
  */
 public record Plan(int directors, int caches, double perDirector, double load, double skew, int seconds, int settle,
         int objects, double zipf, int keeps, double workMs, double link, String choice, Reports reports,
         List<Fault> faults) {
 
-    /** Each cache makes a report every period, which answers carry after a delay, with noise; some come without. */
+    /**
+     * The load reports of each cache.
+     *
+     * @param periodMs interval between reports
+     * @param delayMs time from a report's creation until responses carry it
+     * @param noise relative error of a report
+     * @param loss share of responses without a report
+     */
     public record Reports(int periodMs, int delayMs, double noise, double loss) {}
 
     /**
-     * Something that goes wrong at a time, in seconds, for so long. Kinds: {@code freeze} (reports stay as they are),
-     * {@code mute} (a cache's answers bring none), {@code slow} (a cache sends at {@code factor} of its pace and
-     * reports as if nothing were), {@code join} (a new cache, cold), {@code leave} (a cache drains and goes for good),
-     * {@code kill} (a director ends and starts anew after the time). {@code which} counts from 0.
+     * A fault. Kinds: {@code freeze} (all load reports stay unchanged), {@code mute} (a cache's responses carry no load
+     * reports), {@code slow} (a cache sends at {@code factor} of its rate, which its load reports do not show), {@code
+     * join} (a new, cold cache joins), {@code leave} (a cache drains and does not return), {@code kill} (a director
+     * crashes, and restarts after {@code lasts}).
+     *
+     * @param at start, in seconds
+     * @param lasts duration in seconds
+     * @param which index of the cache or director, from 0
      */
     public record Fault(String kind, double at, double lasts, int which, double factor) {}
 
-    /** A plan that cannot be played; the message names the field and the reason. */
+    /** Thrown for an invalid plan; the message names the field and the reason. */
     public static final class InvalidPlanException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -55,18 +68,18 @@
 
     private static final List<String> CHOICES = List.of("module", "guess", "least", "two");
     private static final List<String> FAULTS = List.of("freeze", "mute", "slow", "join", "leave", "kill");
-    /** Bounds of a run: what one machine plays in minutes within its memory. */
+    /** Bounds of a run: what one machine can simulate within minutes and within its memory. */
     private static final int MAX_DIRECTORS = 2000;
     private static final int MAX_CACHES = 500;
     private static final double MAX_REQUESTS = 5e6;
 
-    /** So many directors with a thousand requests a second together, or one each where that is more. */
+    /** Returns a plan in which the directors together receive 1000 requests per second, or one each if that is more. */
     public static Plan standard(int directors) {
         return new Plan(directors, 20, Math.max(1, 1000.0 / directors), 0.55, 1, 60, 15, 4000, 0.9, 600, 150, 0.5,
                 "module", new Reports(500, 150, 0.1, 0.05), List.of());
     }
 
-    /** Reads a file; what it leaves out is as in the standard plan for its number of directors. */
+    /** Reads a plan from a file; omitted fields are as in the standard plan for its number of directors. */
     public static Plan read(Path file) throws IOException, InvalidPlanException {
         ObjectMapper mapper = new ObjectMapper();
         try {
@@ -131,19 +144,19 @@
         }
     }
 
-    private static void checkChoice(String field, String word, List<String> words) throws InvalidPlanException {
-        if (!words.contains(word)) {
-            throw new InvalidPlanException("/" + field + ": " + word + " is none of " + words);
+    private static void checkChoice(String field, String choice, List<String> choices) throws InvalidPlanException {
+        if (!choices.contains(choice)) {
+            throw new InvalidPlanException("/" + field + ": " + choice + " is none of " + choices);
         }
     }
 
-    /** The same with another choice, for comparison. */
-    public Plan choosing(String other) {
+    /** Returns this plan with another router. */
+    public Plan withChoice(String newChoice) {
         return new Plan(directors, caches, perDirector, load, skew, seconds, settle, objects, zipf, keeps, workMs, link,
-                other, reports, faults);
+                newChoice, reports, faults);
     }
 
-    /** The same with one more fault. */
+    /** Returns this plan with an additional fault. */
     public Plan with(Fault fault) {
         List<Fault> more = new ArrayList<>(faults);
         more.add(fault);
@@ -151,9 +164,9 @@
                 choice, reports, List.copyOf(more));
     }
 
-    /** The same with the first director's share so many times the others'. */
-    public Plan skewed(double times) {
-        return new Plan(directors, caches, perDirector, load, times, seconds, settle, objects, zipf, keeps, workMs,
+    /** Returns this plan with another skew. */
+    public Plan withSkew(double newSkew) {
+        return new Plan(directors, caches, perDirector, load, newSkew, seconds, settle, objects, zipf, keeps, workMs,
                 link, choice, reports, faults);
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/Workload.java
+++ b/src/main/java/clovermill/simulation/emulator/Workload.java
@@ -12,19 +12,23 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** What the clients of an {@link Emulation} ask for, and the settings under which its directors serve them. */
+/** The client requests of an {@link Emulation}, and the settings of its directors. */
 final class Workload {
 
-    static final double PACE_KB_PER_S = 10_000;
+    static final double FULL_RATE_KB_PER_S = 10_000;
     static final long DEADLINE_US = 6_000_000;
-    static final SlowStartRule COLD = new SlowStartRule(0.25, 15_000_000, 3, 3_000_000);
+    static final SlowStartRule SLOW_START = new SlowStartRule(0.25, 15_000_000, 3, 3_000_000);
 
     private final Settings settings;
-    /** By rank: the share of requests for this object and all more popular ones. */
+    /** By rank: the share of requests for this object and all more popular objects. */
     private final double[] popularity;
     private final double[] requestsPerSecond;
 
-    /** {@code linkCapacity} is how many fills the location's link carries at once. */
+    /**
+     * Creates the workload of a plan.
+     *
+     * @param linkCapacity number of fills that the location's link carries at full rate
+     */
     Workload(Plan plan, double linkCapacity) {
         this.settings = settings(plan, linkCapacity);
         this.popularity = popularity(plan.objects(), plan.zipf());
@@ -35,12 +39,12 @@
         return settings;
     }
 
-    /** Of one director's clients. */
+    /** Returns the request rate of one director's clients. */
     double requestsPerSecond(int director) {
         return requestsPerSecond[director];
     }
 
-    /** An object drawn by popularity, as its hash. */
+    /** Returns the hash of an object drawn by popularity. */
     long nextObject(SplittableRandom random) {
         int rank = Arrays.binarySearch(popularity, random.nextDouble());
         return 0x5DEECE66DL * (rank < 0 ? -rank - 1 : rank) + 11;
@@ -52,12 +56,14 @@
         HostCapabilities capabilities =
                 new HostCapabilities(false, false, true, true, false, false, 6, 100_000, 500_000);
         return new Settings(0, plan.directors(), 1, List.of(read), List.of(0, plan.directors()), List.of(0, 0), 1, 2,
-                PACE_KB_PER_S, true, SiblingScope.NONE, CacheStatusDetail.HITS, COLD, COLD, 250_000, 8_000, 500_000,
+                FULL_RATE_KB_PER_S, true, SiblingScope.NONE, CacheStatusDetail.HITS, SLOW_START, SLOW_START, 250_000,
+                8_000,
+                500_000,
                 6_000_000,
-                400_000, false, 10_000_000, 0, 0, linkCapacity * PACE_KB_PER_S, capabilities);
+                400_000, false, 10_000_000, 0, 0, linkCapacity * FULL_RATE_KB_PER_S, capabilities);
     }
 
-    /** Zipf's law, summed up. */
+    /** Returns the cumulative distribution of Zipf's law. */
     private static double[] popularity(int objects, double zipf) {
         double[] sums = new double[objects];
         double sum = 0;
@@ -71,7 +77,7 @@
         return sums;
     }
 
-    /** The first director's clients ask {@code skew} times as much; all together ask as much as without skew. */
+    /** The first director's clients send {@code skew} times as many requests; the total is the same as without skew. */
     private static double[] requestsPerSecond(Plan plan) {
         double unit = plan.directors() * plan.perDirector() / (plan.skew() + plan.directors() - 1);
         double[] result = new double[plan.directors()];
--- a/src/main/java/clovermill/simulation/emulator/eventlog/CrashingStorage.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/CrashingStorage.java
@@ -14,8 +14,8 @@
 import java.util.Random;
 
 /**
- * An emulated replica's disk: what was not flushed is lost in a crash, but for a random part of its beginning, so that
- * a snapshot is torn at any of its chunks.
+ * A replica's emulated disk. A crash loses unflushed writes except for a random prefix, so a snapshot can be torn at
+ * any of its chunks.
  */
 final class CrashingStorage implements RaftStorage {
 
@@ -25,10 +25,10 @@
     private int tornSnapshots;
     private int chunksUntilCrash = Integer.MAX_VALUE;
     private boolean crashed;
-    private Runnable whenCrashed;
+    private Runnable crashCallback;
     private Random crashRandom;
 
-    /** The machine dies; what is left on the disk is drawn from {@code random}. */
+    /** Crashes the machine; {@code random} determines how many unflushed writes survive. */
     void crash(Random random) {
         int survivors = unflushed.isEmpty() ? 0 : random.nextInt(unflushed.size() + 1);
         tornSnapshots += snapshotUnflushed && !crashed ? 1 : 0;
@@ -39,36 +39,36 @@
         snapshotUnflushed = false;
     }
 
-    /** The machine dies while it writes a later chunk of a snapshot, counted from now; {@code then} runs after it. */
-    void crashAtChunk(int chunk, Random random, Runnable then) {
+    /** Crashes the machine at the {@code chunk}th snapshot chunk written from now on, then runs {@code callback}. */
+    void crashAtChunk(int chunk, Random random, Runnable callback) {
         chunksUntilCrash = chunk;
         crashRandom = random;
-        whenCrashed = then;
+        crashCallback = callback;
     }
 
-    /** Whether the machine died while it wrote; from then on it writes nothing until it is started again. */
+    /** Returns whether the machine crashed during a write; it then writes nothing until it is restarted. */
     boolean crashed() {
         return crashed;
     }
 
-    /** The machine starts again. */
+    /** Restarts the machine. */
     void restart() {
         crashed = false;
     }
 
-    /** The disk is lost. */
+    /** Erases the disk. */
     void lose() {
         disk = new MemoryRaftStorage();
         unflushed.clear();
         snapshotUnflushed = false;
     }
 
-    /** Crashes that found a snapshot half written. */
+    /** Returns the number of crashes that interrupted the write of a snapshot. */
     int tornSnapshots() {
         return tornSnapshots;
     }
 
-    private void later(Runnable write) {
+    private void enqueue(Runnable write) {
         if (!crashed) {
             unflushed.addLast(write);
         }
@@ -86,51 +86,51 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) {
-        later(() -> disk.persistAndFlushLocalEndpoint(state));
+        enqueue(() -> disk.persistAndFlushLocalEndpoint(state));
         flush();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView initial) {
-        later(() -> disk.persistAndFlushInitialGroupMembers(initial));
+        enqueue(() -> disk.persistAndFlushInitialGroupMembers(initial));
         flush();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) {
-        later(() -> disk.persistAndFlushTerm(state));
+        enqueue(() -> disk.persistAndFlushTerm(state));
         flush();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) {
-        later(() -> disk.persistLogEntries(entries));
+        enqueue(() -> disk.persistLogEntries(entries));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) {
         snapshotUnflushed = true;
-        later(() -> disk.persistSnapshotChunk(chunk));
+        enqueue(() -> disk.persistSnapshotChunk(chunk));
         if (--chunksUntilCrash == 0) {
             crash(crashRandom);
             crashed = true;
-            whenCrashed.run();
+            crashCallback.run();
         }
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) {
-        later(() -> disk.truncateLogEntriesFrom(index));
+        enqueue(() -> disk.truncateLogEntriesFrom(index));
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) {
-        later(() -> disk.truncateLogEntriesUntil(index));
+        enqueue(() -> disk.truncateLogEntriesUntil(index));
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) {
-        later(() -> disk.deleteSnapshotChunks(index, count));
+        enqueue(() -> disk.deleteSnapshotChunks(index, count));
     }
 
     @Override
--- a/src/main/java/clovermill/simulation/emulator/eventlog/DatagramListener.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/DatagramListener.java
@@ -1,8 +1,8 @@
 package clovermill.simulation.emulator.eventlog;
 
-/** Observes each datagram that a machine sends. */
+/** A listener for the datagrams that machines send. */
 @FunctionalInterface
 public interface DatagramListener {
-    /** A datagram was sent. */
+    /** Called when a datagram is sent. */
     void sent(int from, int to, byte[] bytes);
 }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/EventLogFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/EventLogFleet.java
@@ -15,18 +15,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * Four replicas, machines 0 to 3, and directors that follow them and append, on the emulated world. A test drives it by
- * hand; {@link #play} has events and faults drawn from a seed. An {@link InvariantChecker} sees what directors are
- * handed; {@link FleetMachines}, {@link FleetLinks}, {@link EventWorkload} and {@link FaultInjector} run, connect, load
- * and disturb the fleet.
+ * A fleet on the emulated world: four replicas, machines 0 to 3, and directors that follow them and append events. A
+ * test can control it step by step; {@link #simulate} draws events and faults from a seed. An {@link InvariantChecker}
+ * checks the deliveries to directors; {@link FleetMachines} runs the machines, {@link FleetLinks} connects them, {@link
+ * EventWorkload} appends events and {@link FaultInjector} injects faults.
  */
 public final class EventLogFleet {
 
-    /** How many replicas there are. */
+    /** The number of replicas. */
     public static final int REPLICAS = 4;
-    /** A copy may be called proven for so long after a purge of it was acknowledged. */
+    /** The time after a purge was acknowledged for which a copy without it may still be proven current. */
     public static final long STALENESS_US = EventLogTiming.DEFAULT.stalenessUs();
-    /** An event is in force at each director that can be reached after so long. */
+    /** The time after which an event is in force at each reachable director. */
     public static final long IN_FORCE_US = 7_100_000;
 
     private static final long SECOND_US = 1_000_000;
@@ -45,7 +45,7 @@
     private long observations;
     private long provenObservations;
 
-    /** A fleet whose machines run from now on. */
+    /** Creates a fleet and starts all machines. */
     public EventLogFleet(FleetSize size, long seed) {
         int count = REPLICAS + size.directors();
         this.size = size;
@@ -61,66 +61,66 @@
         IntStream.range(0, count).forEach(this::start);
     }
 
-    /** What is retained, with a fifth for headers and repeats, at the rate of one follower. */
+    /** Returns the time to send the retained bytes, plus a fifth for headers and resends, at a follower's rate. */
     private static long catchUpUs(FleetSize size) {
         return size.retentionBytes() * 6 / 5 * SECOND_US / ReplicaFeed.Bounds.DEFAULT.followerRate();
     }
 
-    /** Lets five calm seconds pass, after which all directors have to hold all events. */
+    /** Runs five seconds without faults, then checks that all directors contain all events. */
     public void finish() {
         run(world.nowUs() + 5 * SECOND_US);
-        checker.end(world.nowUs());
+        checker.checkAllDelivered(world.nowUs());
     }
 
-    /** Plays a scenario; the same seed gives the same metrics. */
-    public static FleetMetrics play(Scenario plan, long seed) {
-        EventLogFleet fleet = new EventLogFleet(plan.size(), seed);
-        long end = plan.seconds() * SECOND_US;
+    /** Simulates a scenario; the same seed gives the same metrics. */
+    public static FleetMetrics simulate(Scenario scenario, long seed) {
+        EventLogFleet fleet = new EventLogFleet(scenario.size(), seed);
+        long end = scenario.seconds() * SECOND_US;
         long faultsEndUs = end - FAULT_FREE_END_S * SECOND_US;
-        fleet.every(1 / plan.eventsPerSecond(), end - 10 * SECOND_US, fleet::appendAnywhere);
-        fleet.every(plan.faultEveryS(), faultsEndUs, fleet.faults::inject);
+        fleet.every(1 / scenario.eventsPerSecond(), end - 10 * SECOND_US, fleet::appendAnywhere);
+        fleet.every(scenario.faultIntervalSeconds(), faultsEndUs, fleet.faults::inject);
         fleet.world.at(faultsEndUs, fleet::endFaults);
         fleet.run(end);
-        fleet.checker.end(end);
-        return fleet.figures();
+        fleet.checker.checkAllDelivered(end);
+        return fleet.metrics();
     }
 
-    /** What was seen so far. */
-    public FleetMetrics figures() {
+    /** Returns the metrics so far. */
+    public FleetMetrics metrics() {
         Follower.Counts followers = machines.followerTotals();
-        return new FleetMetrics(checker.known(), faults.injected(), checker.lost(), checker.misordered(),
-                checker.duplicated(), checker.stale(), checker.late(), checker.longestUs() / 1000,
+        return new FleetMetrics(checker.acknowledgedCount(), faults.injected(), checker.lost(), checker.misordered(),
+                checker.duplicated(), checker.stale(), checker.late(), checker.maxDeliveryUs() / 1000,
                 observations == 0 ? 0 : 100 * provenObservations / observations, machines.tornSnapshots(),
                 followers.failovers(),
                 followers.truncations(), checker.firstViolation(), digest.getValue());
     }
 
-    /** True time. */
+    /** Returns the true time. */
     public long nowUs() {
         return world.nowUs();
     }
 
-    /** The task of a machine, as it runs or ran last. */
+    /** Returns the current or last task of a machine. */
     public EventLogTask task(int machine) {
         return machines.task(machine);
     }
 
-    /** The machine of a director. */
+    /** Returns the machine of a director. */
     public static int machine(int director) {
         return REPLICAS + director;
     }
 
-    /** What a machine has sent and been sent so far. */
+    /** Returns the traffic of a machine so far. */
     public Traffic traffic(int machine) {
         return links.traffic(machine);
     }
 
-    /** Whether a director that is up calls what it holds proven. */
+    /** Returns whether a director is up and its copy of the log is proven current. */
     public boolean proven(int director) {
         return machines.proven(machine(director));
     }
 
-    /** The replica that leads and is up, or -1. */
+    /** Returns the leader among the replicas that are up, or -1. */
     public int leader() {
         return IntStream.range(0, REPLICAS).filter(i -> machines.up(i) && machines.task(i).leads()).findFirst()
                 .orElse(-1);
@@ -145,57 +145,57 @@
         };
     }
 
-    /** A datagram leaves a machine. */
+    /** Sends a datagram from one machine to another. */
     public void send(int from, int to, byte[] bytes) {
         machines.send(from, to, bytes);
     }
 
-    /** From now on a machine sends so many datagrams, at least one, and dies. */
-    public void dieAfterSending(int machine, int datagrams) {
-        machines.dieAfterSending(machine, datagrams);
+    /** Crashes a machine after it has sent {@code datagrams} more datagrams, at least one. */
+    public void crashAfterSending(int machine, int datagrams) {
+        machines.crashAfterSending(machine, datagrams);
     }
 
-    /** A replica dies while it writes the so-manieth chunk of a snapshot from now on. */
-    public void dieAtSnapshotChunk(int replica, int chunk) {
-        machines.dieAtSnapshotChunk(replica, chunk);
+    /** Crashes a replica while it writes a snapshot chunk, the {@code chunk}th from now on. */
+    public void crashAtSnapshotChunk(int replica, int chunk) {
+        machines.crashAtSnapshotChunk(replica, chunk);
     }
 
-    /** Has each datagram that leaves a machine seen. */
+    /** Sets the listener for all datagrams, replacing the previous one. */
     public void observeDatagrams(DatagramListener listener) {
         links.listener(listener);
     }
 
-    /** Kills a machine; a replica's disk holds what was flushed, and maybe some of the rest. */
+    /** Kills a machine; a replica's disk keeps flushed writes, and possibly some of the others. */
     public void kill(int machine) {
         machines.kill(machine);
     }
 
-    /** A replica that is down loses its disk. */
+    /** Erases the disk of a replica that is down. */
     public void loseDisk(int replica) {
         machines.loseDisk(replica);
     }
 
-    /** A machine stands still for a while. */
+    /** Pauses a machine; its clock keeps running. */
     public void pause(int machine, long durationUs) {
         machines.pause(machine, durationUs);
     }
 
-    /** Cuts or mends the way from one machine to another, and not the way back. */
-    public void cut(int from, int to, boolean off) {
-        links.cut(from, to, off);
+    /** Cuts or restores the link from one machine to another, but not the reverse direction. */
+    public void cut(int from, int to, boolean disconnected) {
+        links.cut(from, to, disconnected);
     }
 
-    /** Cuts or mends both ways between all of one set of machines and all others. */
-    public void isolate(List<Integer> machines, boolean off) {
-        links.isolate(machines, off);
+    /** Cuts or restores both directions of the links between a set of machines and all others. */
+    public void isolate(List<Integer> machines, boolean disconnected) {
+        links.isolate(machines, disconnected);
     }
 
-    /** Has something done at a time. */
-    public void at(long atUs, Runnable what) {
-        world.at(atUs, what);
+    /** Schedules an action. */
+    public void at(long atUs, Runnable action) {
+        world.at(atUs, action);
     }
 
-    /** A director appends events as one call, each of its own; the checker sees the acknowledgement. */
+    /** Appends {@code count} distinct events at a director as one call; the checker records the acknowledgement. */
     public void append(int director, int count) {
         workload.append(machine(director), count);
     }
@@ -204,12 +204,12 @@
         append(random.nextInt(size.directors()), 1);
     }
 
-    /** Events are appended at some director, so many a second, until a time. */
+    /** Appends events at random directors at a mean rate until the given time. */
     public void appendEvenly(double eventsPerSecond, long untilUs) {
         every(1 / eventsPerSecond, untilUs, this::appendAnywhere);
     }
 
-    /** Lets time pass up to a moment, while the checker observations. */
+    /** Runs the fleet until the given time while the checker observes all directors. */
     public void run(long untilUs) {
         for (long at = world.nowUs() + OBSERVATION_INTERVAL_US; at <= untilUs; at += OBSERVATION_INTERVAL_US) {
             world.run(at);
@@ -222,59 +222,59 @@
         }
     }
 
-    /** Whether a director is up, and reaches voters that are up and can elect a leader. */
+    /** Returns whether a director is up, and reaches voters that are up and can elect a leader. */
     private boolean reachable(int machine) {
         List<Integer> voters = IntStream.range(0, REPLICAS)
                 .filter(each -> machines.up(each) && machines.task(each).votes()).boxed().toList();
         return machines.up(machine) && ReachableQuorum.isReachable(machine, voters, links::connected);
     }
 
-    private void every(double seconds, long until, Runnable what) {
+    private void every(double seconds, long until, Runnable action) {
         if (seconds > 0) {
             long next = world.nowUs() + (long) (seconds * SECOND_US * (0.5 + random.nextDouble()));
             if (next < until) {
                 world.at(next, () -> {
-                    what.run();
-                    every(seconds, until, what);
+                    action.run();
+                    every(seconds, until, action);
                 });
             }
         }
     }
 
-    /** All links lose and delay so much from now on. */
-    void degradeLinks(double loss, long wayUs) {
-        world.links(loss, wayUs);
+    /** Sets loss and maximum delay of all links. */
+    void degradeLinks(double loss, long maxDelayUs) {
+        world.links(loss, maxDelayUs);
     }
 
-    /** All links lose and delay as they did at first. */
+    /** Sets loss and maximum delay of all links to their initial values. */
     void restoreLinks() {
-        world.links(size.loss(), size.wayUs());
+        world.links(size.loss(), size.maxDelayUs());
     }
 
-    /** Whether a machine's process runs, maybe paused. */
+    /** Returns whether a machine's process runs, possibly paused. */
     boolean alive(int machine) {
         return machines.alive(machine);
     }
 
-    /** Starts a machine unless its process runs. */
+    /** Starts a machine if it is down. */
     void startIfDown(int machine) {
         machines.startIfDown(machine);
     }
 
     private void endFaults() {
-        links.mendAll();
+        links.restoreAll();
         restoreLinks();
         machines.cancelSnapshotCrashes();
         IntStream.range(0, world.size()).forEach(this::startIfDown);
     }
 
-    /** Seeds from, to; directors; seconds: one line a run. */
+    /** Arguments: first seed, last seed (exclusive), directors, seconds. Prints the metrics of each run. */
     public static void main(String[] args) {
-        Scenario plan = new Scenario(new FleetSize(Integer.parseInt(args[2]), 2500, 150, 0.01, 40_000),
+        Scenario scenario = new Scenario(new FleetSize(Integer.parseInt(args[2]), 2500, 150, 0.01, 40_000),
                 Integer.parseInt(args[3]),
                 9.1, 2);
         for (long seed = Long.parseLong(args[0]); seed < Long.parseLong(args[1]); seed++) {
-            System.out.println(seed + " " + play(plan, seed));
+            System.out.println(seed + " " + simulate(scenario, seed));
         }
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/EventWorkload.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/EventWorkload.java
@@ -10,16 +10,16 @@
 import java.util.List;
 import java.util.Random;
 
-/** Appends purges of random objects at directors; the {@link InvariantChecker} sees what is acknowledged. */
+/** Appends purges of random objects at directors; reports acknowledgements to the {@link InvariantChecker}. */
 final class EventWorkload {
 
     private final World<EventLogTaskMessage> world;
     private final InvariantChecker checker;
     private final Random random;
     private final int subjects;
-    private int eventsMade;
+    private int eventCount;
 
-    /** Events about so many different objects, drawn from {@code random}. */
+    /** Creates a workload on {@code subjects} distinct objects, drawn from {@code random}. */
     EventWorkload(World<EventLogTaskMessage> world, InvariantChecker checker, Random random, int subjects) {
         this.world = world;
         this.checker = checker;
@@ -27,16 +27,16 @@
         this.subjects = subjects;
     }
 
-    /** Has the director on a machine append events as one call; lost where the machine is down. */
+    /** Appends events as one call at the director on a machine; does nothing if the machine is down. */
     void append(int machine, int count) {
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            eventsMade++; // the detail makes each event different
+            eventCount++; // the detail makes each event different
             events.add(new Event(new Subject(Kind.OBJECT_PURGE, random.nextInt(subjects)), world.nowUs() / 1000,
-                    Integer.toString(eventsMade)));
+                    Integer.toString(eventCount)));
         }
         if (world.machine(machine).alive()) {
-            world.machine(machine).hand(new EventLogTaskMessage.AppendRequested(events, answer -> {
+            world.machine(machine).deliver(new EventLogTaskMessage.AppendRequested(events, answer -> {
                 if (answer != null && answer.outcome() == AppendOutcome.APPENDED) {
                     checker.acknowledged(events, answer.last(), world.nowUs());
                 }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/FaultInjector.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FaultInjector.java
@@ -4,8 +4,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Draws faults for an {@link EventLogFleet} from its seed: machines that die, pause or lose their disk, links that are
- * cut one or both ways, a fleet that is split in two, torn snapshots, and links that lose and delay much.
+ * Injects random faults into an {@link EventLogFleet}: machines that crash, pause or lose their disk, links that are
+ * cut in one or both directions, partitions of the fleet, torn snapshots, and links with high loss and delay.
  */
 final class FaultInjector {
 
@@ -21,19 +21,19 @@
     private final int machines;
     private int injected;
 
-    /** Faults in a fleet of so many machines, drawn from {@code random}. */
+    /** Creates an injector for a fleet of {@code machines} machines; the faults are drawn from {@code random}. */
     FaultInjector(EventLogFleet fleet, int machines, Random random) {
         this.fleet = fleet;
         this.machines = machines;
         this.random = random;
     }
 
-    /** Faults so far. */
+    /** Returns the number of injected faults. */
     int injected() {
         return injected;
     }
 
-    /** Begins one fault, which ends by itself within 20 seconds, a torn snapshot within 30. */
+    /** Starts one fault, which ends by itself within 20 seconds, a torn snapshot within 30. */
     void inject() {
         injected++;
         int machine = random.nextInt(3) > 0 ? random.nextInt(EventLogFleet.REPLICAS) : random.nextInt(machines);
@@ -45,13 +45,13 @@
             case 3 -> fleet.pause(machine, durationUs);
             case 4 -> IntStream.range(0, machines).forEach(other -> cutUntil(machine, other, untilUs, false));
             case 5 -> IntStream.range(0, machines).forEach(other -> cutUntil(machine, other, untilUs, true));
-            case 6 -> split(untilUs);
+            case 6 -> partitionUntil(untilUs);
             case 7 -> tearSnapshot(machine % EventLogFleet.REPLICAS, untilUs + RESTART_AFTER_TORN_SNAPSHOT_US);
-            default -> worsenLinks(untilUs);
+            default -> degradeLinksUntil(untilUs);
         }
     }
 
-    private void split(long untilUs) {
+    private void partitionUntil(long untilUs) {
         boolean[] side = new boolean[machines];
         IntStream.range(0, side.length).forEach(i -> side[i] = random.nextBoolean());
         for (int i = 0; i < side.length; i++) {
@@ -64,25 +64,25 @@
     }
 
     private void tearSnapshot(int replica, long restartUs) {
-        fleet.dieAtSnapshotChunk(replica, 1 + random.nextInt(MAX_CHUNKS_UNTIL_CRASH));
+        fleet.crashAtSnapshotChunk(replica, 1 + random.nextInt(MAX_CHUNKS_UNTIL_CRASH));
         fleet.at(restartUs, () -> fleet.startIfDown(replica));
     }
 
-    private void worsenLinks(long untilUs) {
+    private void degradeLinksUntil(long untilUs) {
         fleet.degradeLinks(BAD_LINK_LOSS, BAD_LINK_DELAY_US);
         fleet.at(untilUs, fleet::restoreLinks);
     }
 
-    private void cutUntil(int one, int other, long untilUs, boolean bothWays) {
+    private void cutUntil(int one, int other, long untilUs, boolean bothDirections) {
         fleet.cut(one, other, true);
-        fleet.cut(other, one, bothWays);
+        fleet.cut(other, one, bothDirections);
         fleet.at(untilUs, () -> {
             fleet.cut(one, other, false);
             fleet.cut(other, one, false);
         });
     }
 
-    /** Of the replicas one at most, the first, loses its disk: the log promises nothing for more at a time. */
+    /** Kills a machine for a while. Only replica 0 ever loses its disk: the log tolerates one lost disk at a time. */
     private void killFor(int machine, long durationUs, boolean losesDisk) {
         if (!fleet.alive(machine)) {
             return;
--- a/src/main/java/clovermill/simulation/emulator/eventlog/FleetLinks.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FleetLinks.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * The links between the machines of an {@link EventLogFleet}: which are cut, and what each machine has sent and
- * received, in bytes with the headers of IP and UDP.
+ * The links between the machines of an {@link EventLogFleet}: which of them are cut, and the traffic of each machine,
+ * including IP and UDP headers.
  */
 final class FleetLinks {
 
-    /** Bytes of the headers of IPv4 and UDP. */
+    /** Size of the IPv4 and UDP headers. */
     private static final int HEADER_BYTES = 28;
 
     private final World<EventLogTaskMessage> world;
@@ -26,12 +26,12 @@
         Arrays.fill(traffic, new Traffic(0, 0, 0, 0));
     }
 
-    /** Has each datagram that leaves a machine seen, in place of who saw them before. */
+    /** Sets the listener for datagrams, replacing the previous one. */
     void listener(DatagramListener newListener) {
         listener = newListener;
     }
 
-    /** A datagram leaves a machine. */
+    /** Sends a datagram. */
     void send(int from, int to, byte[] bytes) {
         listener.sent(from, to, bytes);
         traffic[from] = traffic[from].out(bytes.length + HEADER_BYTES);
@@ -39,38 +39,38 @@
         world.send(from, to, new EventLogTaskMessage.DatagramReceived(bytes));
     }
 
-    /** What a machine has sent and been sent so far. */
+    /** Returns the traffic of a machine so far. */
     Traffic traffic(int machine) {
         return traffic[machine];
     }
 
-    /** Cuts or mends the way from one machine to another, and not the way back. */
-    void cut(int from, int to, boolean off) {
-        cut[from][to] = off;
-        world.cut(from, to, off);
+    /** Cuts or restores the link from one machine to another, but not the reverse direction. */
+    void cut(int from, int to, boolean disconnected) {
+        cut[from][to] = disconnected;
+        world.cut(from, to, disconnected);
     }
 
-    /** Cuts or mends both ways between all of one set of machines and all others. */
-    void isolate(List<Integer> machines, boolean off) {
+    /** Cuts or restores both directions of the links between a set of machines and all others. */
+    void isolate(List<Integer> machines, boolean disconnected) {
         for (int one : machines) {
             for (int other = 0; other < world.size(); other++) {
                 if (!machines.contains(other)) {
-                    cut(one, other, off);
-                    cut(other, one, off);
+                    cut(one, other, disconnected);
+                    cut(other, one, disconnected);
                 }
             }
         }
     }
 
-    /** Mends all links. */
-    void mendAll() {
-        world.mend();
+    /** Restores all links. */
+    void restoreAll() {
+        world.restoreLinks();
         for (boolean[] from : cut) {
             Arrays.fill(from, false);
         }
     }
 
-    /** Whether two machines reach each other. */
+    /** Returns whether two machines reach each other. */
     boolean connected(int one, int other) {
         return !cut[one][other] && !cut[other][one];
     }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/FleetMachines.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FleetMachines.java
@@ -19,8 +19,8 @@
 import java.util.stream.IntStream;
 
 /**
- * The processes of an {@link EventLogFleet} and the replicas' disks: starts, kills and pauses machines, and has them
- * die at chosen moments. Machines 0 to 3 are the replicas, the others directors.
+ * The processes of an {@link EventLogFleet} and the replicas' disks: starts, kills and pauses machines, and crashes
+ * them at chosen moments. Machines 0 to 3 are the replicas, the others directors.
  */
 final class FleetMachines {
 
@@ -35,17 +35,18 @@
     private final IntFunction<Listener> directorListeners;
     private final EventLogTask[] tasks;
     private final CrashingStorage[] storages = new CrashingStorage[EventLogFleet.REPLICAS];
-    /** Datagrams that a machine sends before it dies; none for most. */
-    private final Map<Integer, Integer> sendsUntilDeath = new HashMap<>();
-    /** Of directors that were killed. */
+    /** Number of datagrams that a machine still sends before it crashes; only for machines that are to crash. */
+    private final Map<Integer, Integer> sendsUntilCrash = new HashMap<>();
+    /** Failovers of directors that were killed. */
     private long failovers;
+    /** Truncations of directors that were killed. */
     private long truncations;
 
     /**
-     * Machines that are all down.
+     * Creates the machines, all down.
      *
-     * @param random what a crash leaves on a disk is drawn from it
-     * @param directorListeners gives the listener of a machine's director, each time that it starts
+     * @param random determines what remains on a disk after a crash
+     * @param directorListeners provides the listener of a machine's director each time it starts
      */
     FleetMachines(World<EventLogTaskMessage> world, FleetLinks links, Random random, long retentionBytes,
             IntFunction<Listener> directorListeners) {
@@ -65,22 +66,22 @@
         return machine < EventLogFleet.REPLICAS;
     }
 
-    /** The task of a machine, as it runs or ran last. */
+    /** Returns the current or last task of a machine. */
     EventLogTask task(int machine) {
         return tasks[machine];
     }
 
-    /** Whether a machine's process runs and is not paused. */
+    /** Returns whether a machine's process runs and is not paused. */
     boolean up(int machine) {
         return world.machine(machine).up();
     }
 
-    /** Whether a machine's process runs, maybe paused. */
+    /** Returns whether a machine's process runs, possibly paused. */
     boolean alive(int machine) {
         return world.machine(machine).alive();
     }
 
-    /** Whether a director that is up calls what it holds proven. */
+    /** Returns whether a director is up and its copy of the log is proven current. */
     boolean proven(int machine) {
         return up(machine) && tasks[machine].proven(world.machine(machine).clock());
     }
@@ -100,20 +101,20 @@
         });
     }
 
-    /** Starts a machine unless its process runs. */
+    /** Starts a machine if it is down. */
     void startIfDown(int machine) {
         if (!alive(machine)) {
             start(machine);
         }
     }
 
-    /** Kills a machine; a replica's disk holds what was flushed, and maybe some of the rest. */
+    /** Kills a machine; a replica's disk keeps flushed writes, and possibly some of the others. */
     void kill(int machine) {
         if (!alive(machine)) {
             return;
         }
         world.machine(machine).kill();
-        sendsUntilDeath.remove(machine);
+        sendsUntilCrash.remove(machine);
         if (isReplica(machine)) {
             storages[machine].crash(random);
             storages[machine].restart();
@@ -123,59 +124,59 @@
         }
     }
 
-    /** A machine stands still for a while; its clock runs on. */
+    /** Pauses a machine; its clock keeps running. */
     void pause(int machine, long durationUs) {
-        world.machine(machine).stop(durationUs);
+        world.machine(machine).pause(durationUs);
     }
 
-    /** A replica that is down loses its disk. */
+    /** Erases the disk of a replica that is down. */
     void loseDisk(int replica) {
         storages[replica].lose();
     }
 
-    /** From now on a machine sends so many datagrams, at least one, and dies. */
-    void dieAfterSending(int machine, int datagrams) {
-        sendsUntilDeath.put(machine, datagrams);
+    /** Crashes a machine after it has sent {@code datagrams} more datagrams, at least one. */
+    void crashAfterSending(int machine, int datagrams) {
+        sendsUntilCrash.put(machine, datagrams);
     }
 
-    /** A replica dies while it writes the so-manieth chunk of a snapshot from now on. */
-    void dieAtSnapshotChunk(int replica, int chunk) {
+    /** Crashes a replica while it writes a snapshot chunk, the {@code chunk}th from now on. */
+    void crashAtSnapshotChunk(int replica, int chunk) {
         storages[replica].crashAtChunk(chunk, random, () -> world.at(world.nowUs(), () -> kill(replica)));
     }
 
-    /** No replica dies at a chunk of a snapshot any more. */
+    /** Cancels all scheduled crashes at snapshot chunks. */
     void cancelSnapshotCrashes() {
         for (CrashingStorage each : storages) {
             each.crashAtChunk(Integer.MAX_VALUE, random, () -> {});
         }
     }
 
-    /** A datagram leaves a machine, unless the machine dies before. */
+    /** Sends a datagram, unless the machine has crashed. */
     void send(int from, int to, byte[] bytes) {
-        if (isReplica(from) && storages[from].crashed() || !sendsBeforeDeath(from)) {
+        if (isReplica(from) && storages[from].crashed() || !sendsBeforeCrash(from)) {
             return;
         }
         links.send(from, to, bytes);
     }
 
-    private boolean sendsBeforeDeath(int machine) {
-        Integer left = sendsUntilDeath.get(machine);
-        if (left == null) {
+    private boolean sendsBeforeCrash(int machine) {
+        Integer remaining = sendsUntilCrash.get(machine);
+        if (remaining == null) {
             return true;
         }
-        sendsUntilDeath.put(machine, left - 1);
-        if (left == 1) {
+        sendsUntilCrash.put(machine, remaining - 1);
+        if (remaining == 1) {
             world.at(world.nowUs(), () -> kill(machine));
         }
-        return left > 0;
+        return remaining > 0;
     }
 
-    /** Crashes that found a snapshot half written. */
+    /** Returns the number of crashes that interrupted the write of a snapshot. */
     int tornSnapshots() {
         return IntStream.range(0, storages.length).map(i -> storages[i].tornSnapshots()).sum();
     }
 
-    /** What all directors have seen, those that were killed too; only failovers and clears are counted over lives. */
+    /** Returns the failovers and truncations of all directors, including killed ones; the other counts are 0. */
     Follower.Counts followerTotals() {
         long allFailovers = failovers;
         long allTruncations = truncations;
--- a/src/main/java/clovermill/simulation/emulator/eventlog/InvariantChecker.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/InvariantChecker.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 
 /**
- * Observes from outside, in true time, which events were acknowledged and what each director was delivered, without
- * regard to replicas, positions or proofs. Counts violations of the log's invariants. Not thread-safe.
+ * Counts violations of the log's invariants. It observes from the outside, in true time, which events were acknowledged
+ * and which were delivered to each director, independently of replicas, positions and proofs. Not thread-safe.
  */
 final class InvariantChecker {
 
-    /** What identifies an event; not its time, which is moved to that of an earlier event of the subject. */
+    /** The identity of an event, without its time, which can be raised to that of an earlier event of the subject. */
     private record Identity(Subject subject, String detail) {}
 
     /** An event that was acknowledged. */
@@ -26,12 +26,12 @@
     private static final class Director {
         private final Map<Subject, Entry> latest = new HashMap<>();
         private TruncatedPrefix truncatedPrefix = TruncatedPrefix.NONE;
-        private long last;
-        /** Events of the list before this one are held; for speed only. */
-        private int coveredBefore;
+        private long lastSequence;
+        /** Number of acknowledged events, from the first on, that are known to be contained; an optimization. */
+        private int containedCount;
         private long reachableSinceUs;
 
-        /** An earlier event about the same subject was applied too, so what it purged stays purged. */
+        /** Applies an event. An earlier event of the same subject stays in force, so the later of both times counts. */
         private void apply(Entry entry) {
             Event event = entry.event();
             Entry earlier = latest.get(event.subject());
@@ -41,7 +41,7 @@
                     new Entry(entry.sequence(), new Event(event.subject(), createdAtMs, event.detail())));
         }
 
-        private boolean holds(Entry entry) {
+        private boolean contains(Entry entry) {
             Entry own = latest.get(entry.event().subject());
             return own != null && own.sequence() >= entry.sequence()
                     && own.event().createdAtMs() >= entry.event().createdAtMs()
@@ -54,23 +54,24 @@
     private final long stalenessUs;
     private final long inForceUs;
     private final long catchUpUs;
-    private final List<AcknowledgedEvent> known = new ArrayList<>();
-    private final Map<Long, Identity> bySequence = new HashMap<>();
+    private final List<AcknowledgedEvent> acknowledgedEvents = new ArrayList<>();
+    private final Map<Long, Identity> identities = new HashMap<>();
     private final Map<Identity, Long> sequences = new HashMap<>();
     private long misordered;
     private long duplicated;
     private long stale;
     private long late;
     private long lost;
-    private long longestUs;
+    private long maxDeliveryUs;
     private String firstViolation;
 
     /**
-     * Checks so many directors.
+     * Creates a checker.
      *
-     * @param stalenessUs how long after its acknowledgement an event may be unknown where all is called proven
-     * @param inForceUs how long after its acknowledgement it may be unknown where a director could be reached all along
-     * @param catchUpUs how much longer that is while a director that can be reached again catches up
+     * @param count number of directors
+     * @param stalenessUs time after its acknowledgement for which a director with a proven copy may lack an event
+     * @param inForceUs time after its acknowledgement for which a director that was reachable throughout may lack it
+     * @param catchUpUs additional time for a director that catches up after it was unreachable
      */
     InvariantChecker(int count, long stalenessUs, long inForceUs, long catchUpUs) {
         this.catchUpUs = catchUpUs;
@@ -82,110 +83,113 @@
         }
     }
 
-    /** A director starts, with an empty copy of the log. */
+    /** Records the start of a director, with an empty copy of the log. */
     void started(int director, long nowUs) {
         directors[director] = new Director();
         directors[director].reachableSinceUs = nowUs;
     }
 
-    /** A client's events were acknowledged with the numbers up to {@code last}; they are all different. */
+    /** Records that a client's events, all distinct, were acknowledged with sequence numbers up to {@code last}. */
     void acknowledged(List<Event> events, long last, long nowUs) {
         for (int i = 0; i < events.size(); i++) {
             Entry entry = new Entry(last - events.size() + 1 + i, events.get(i));
-            known.add(new AcknowledgedEvent(entry, nowUs));
+            acknowledgedEvents.add(new AcknowledgedEvent(entry, nowUs));
             recordSequence(entry, nowUs);
         }
     }
 
-    /** Checks that an event has one number, and a number one event, whoever reports it. */
+    /** Checks that each event has only one sequence number, and each sequence number only one event. */
     private void recordSequence(Entry entry, long nowUs) {
         Identity identity = new Identity(entry.event().subject(), entry.event().detail());
-        Identity other = bySequence.putIfAbsent(entry.sequence(), identity);
+        Identity other = identities.putIfAbsent(entry.sequence(), identity);
         Long earlierSequence = sequences.putIfAbsent(identity, entry.sequence());
         if (other != null && !other.equals(identity)
                 || earlierSequence != null && earlierSequence != entry.sequence()) {
             duplicated++;
-            note("twice: " + entry + " beside " + other + " and " + earlierSequence + " at " + nowUs);
+            recordViolation(
+                    "duplicate: " + entry + " conflicts with " + other + " and " + earlierSequence + " at " + nowUs);
         }
     }
 
-    /** A delivery was made to a director. */
+    /** Records a delivery to a director. */
     void delivered(int number, Delivery delivery, long nowUs) {
         Director director = directors[number];
         if (delivery instanceof Delivery.Applied applied) {
             Entry entry = applied.entry();
-            ordered(director, entry.sequence(), number, nowUs);
+            checkOrder(director, entry.sequence(), number, nowUs);
             recordSequence(entry, nowUs);
             director.apply(entry);
         } else if (delivery instanceof Delivery.Truncated truncated) {
-            ordered(director, truncated.prefix().sequence(), number, nowUs);
+            checkOrder(director, truncated.prefix().sequence(), number, nowUs);
             director.truncatedPrefix = truncated.prefix();
         } else {
-            lost++; // no run loses a log
-            note("another log at director " + number + " at " + nowUs);
+            lost++; // the log is never replaced in a simulation
+            recordViolation("log replaced at director " + number + " at " + nowUs);
         }
     }
 
-    private void ordered(Director director, long sequence, int number, long nowUs) {
-        if (sequence <= director.last) {
+    private void checkOrder(Director director, long sequence, int number, long nowUs) {
+        if (sequence <= director.lastSequence) {
             misordered++;
-            note("misordered: " + sequence + " after " + director.last + " at director " + number + " at " + nowUs);
+            recordViolation("misordered: " + sequence + " after " + director.lastSequence + " at director " + number
+                    + " at " + nowUs);
         }
-        director.last = sequence;
+        director.lastSequence = sequence;
     }
 
     /**
      * Observes a director.
      *
-     * @param proven whether it calls what it holds proven at this moment
-     * @param reachable whether it is up and some replica could reach it and the others at this moment
+     * @param proven whether its copy is proven current at this moment
+     * @param reachable whether it is up and reaches replicas that can elect a leader at this moment
      */
     void observe(int number, boolean proven, boolean reachable, long nowUs) {
         Director director = directors[number];
         if (!reachable) {
             director.reachableSinceUs = nowUs;
         }
-        while (director.coveredBefore < known.size() && director.holds(known.get(director.coveredBefore).entry)) {
-            AcknowledgedEvent held = known.get(director.coveredBefore++);
-            if (director.reachableSinceUs <= held.atUs) {
-                longestUs = Math.max(longestUs, nowUs - held.atUs);
+        while (director.containedCount < acknowledgedEvents.size()
+                && director.contains(acknowledgedEvents.get(director.containedCount).entry)) {
+            AcknowledgedEvent event = acknowledgedEvents.get(director.containedCount++);
+            if (director.reachableSinceUs <= event.atUs) {
+                maxDeliveryUs = Math.max(maxDeliveryUs, nowUs - event.atUs);
             }
         }
-        for (int i = director.coveredBefore; i < known.size(); i++) {
-            AcknowledgedEvent each = known.get(i);
-            boolean old = nowUs - each.atUs > stalenessUs;
-            boolean returned = each.atUs < director.reachableSinceUs + catchUpUs;
+        for (int i = director.containedCount; i < acknowledgedEvents.size(); i++) {
+            AcknowledgedEvent each = acknowledgedEvents.get(i);
+            boolean pastStaleness = nowUs - each.atUs > stalenessUs;
+            boolean catchingUp = each.atUs < director.reachableSinceUs + catchUpUs;
             boolean overdue =
-                    nowUs - Math.max(each.atUs, director.reachableSinceUs) > inForceUs + (returned ? catchUpUs : 0);
-            if (!(proven && old) && !overdue) {
+                    nowUs - Math.max(each.atUs, director.reachableSinceUs) > inForceUs + (catchingUp ? catchUpUs : 0);
+            if (!(proven && pastStaleness) && !overdue) {
                 break; // later ones are younger
             }
-            if (!director.holds(each.entry)) {
-                stale += proven && old ? 1 : 0;
+            if (!director.contains(each.entry)) {
+                stale += proven && pastStaleness ? 1 : 0;
                 late += overdue ? 1 : 0;
-                note((overdue ? "late: " : "stale: ") + each + " at director " + number + " at " + nowUs);
+                recordViolation((overdue ? "late: " : "stale: ") + each + " at director " + number + " at " + nowUs);
             }
         }
     }
 
-    /** The end, after a calm: all directors hold all. */
-    void end(long nowUs) {
+    /** Checks at the end, after a fault-free phase, that all directors contain all acknowledged events. */
+    void checkAllDelivered(long nowUs) {
         for (int i = 0; i < directors.length; i++) {
-            for (AcknowledgedEvent each : known) {
-                if (!directors[i].holds(each.entry)) {
+            for (AcknowledgedEvent each : acknowledgedEvents) {
+                if (!directors[i].contains(each.entry)) {
                     lost++;
-                    note("lost: " + each + " at director " + i + " at " + nowUs);
+                    recordViolation("lost: " + each + " at director " + i + " at " + nowUs);
                 }
             }
         }
     }
 
-    private void note(String what) {
-        firstViolation = firstViolation == null ? what : firstViolation;
+    private void recordViolation(String description) {
+        firstViolation = firstViolation == null ? description : firstViolation;
     }
 
-    int known() {
-        return known.size();
+    int acknowledgedCount() {
+        return acknowledgedEvents.size();
     }
 
     long misordered() {
@@ -208,12 +212,12 @@
         return lost;
     }
 
-    /** The longest time from an acknowledgement until a director that was reachable all along had the event. */
-    long longestUs() {
-        return longestUs;
+    /** Returns the longest time from acknowledgement to delivery at a director that was reachable throughout. */
+    long maxDeliveryUs() {
+        return maxDeliveryUs;
     }
 
-    /** The first violation, or null. */
+    /** Returns a description of the first violation, or null. */
     String firstViolation() {
         return firstViolation;
     }
--- a/src/main/java/clovermill/simulation/emulator/eventlog/Scenario.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/Scenario.java
@@ -1,4 +1,8 @@
 package clovermill.simulation.emulator.eventlog;
 
-/** A run of a fleet: events a second, a fault every so often, until shortly before the end, which is calm. */
-public record Scenario(FleetSize size, int seconds, double eventsPerSecond, double faultEveryS) {}
+/**
+ * The parameters of a run. The last seconds are without faults.
+ *
+ * @param faultIntervalSeconds the mean interval between faults; 0 for none
+ */
+public record Scenario(FleetSize size, int seconds, double eventsPerSecond, double faultIntervalSeconds) {}
--- a/src/main/java/clovermill/simulation/emulator/eventlog/Traffic.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/Traffic.java
@@ -1,6 +1,6 @@
 package clovermill.simulation.emulator.eventlog;
 
-/** Bytes, with headers of IP and UDP, and datagrams that a machine has sent and received. */
+/** Bytes, including IP and UDP headers, and datagrams that a machine has sent and received. */
 public record Traffic(long bytesOut, long bytesIn, long datagramsOut, long datagramsIn) {
 
     Traffic out(int bytes) {
@@ -11,7 +11,7 @@
         return new Traffic(bytesOut, bytesIn + bytes, datagramsOut, datagramsIn + 1);
     }
 
-    /** The difference to an earlier moment. */
+    /** Returns the difference from an earlier measurement. */
     public Traffic since(Traffic earlier) {
         return new Traffic(bytesOut - earlier.bytesOut, bytesIn - earlier.bytesIn,
                 datagramsOut - earlier.datagramsOut, datagramsIn - earlier.datagramsIn);
--- a/src/main/java/clovermill/simulation/emulator/eventlog/package-info.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Emulated fleets that follow the event log under faults, on the scheduler of {@code
- * clovermill.simulation.emulator.world}; the tasks, codecs and storages are those of service.
+ * Emulated fleets that follow the event log while faults are injected, on {@code
+ * clovermill.simulation.emulator.world}; tasks and codecs are the production classes.
  */
 package clovermill.simulation.emulator.eventlog;
--- a/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
+++ b/src/main/java/clovermill/simulation/emulator/policystore/PolicyFleet.java
@@ -18,57 +18,58 @@
 import java.util.zip.CRC32C;
 
 /**
- * A fleet of real {@link PolicyStoreTask}s on the emulated world. Operators change the policy at any director while
- * processes are killed and paused, disks are lost, and links lose messages and are cut. An {@link InvariantChecker}
- * observes which director acts by which version. A seed determines the run.
+ * A fleet of production {@link PolicyStoreTask}s on the emulated world. Operators change the policy at any director
+ * while processes are killed and paused, disks are lost, and links lose messages and are cut. An {@link
+ * InvariantChecker} observes which version each director applies. The seed determines the run.
  */
 public final class PolicyFleet {
 
     /**
      * The parameters of a run. The last 30 seconds are without faults.
      *
-     * @param voters how many of the directors vote, from number 0 on
+     * @param voters number of directors that vote, from number 0 on
      * @param seconds the length of the run
      * @param changeIntervalSeconds the mean interval between operators' changes; 0 for none
      * @param faultIntervalSeconds the mean interval between faults; 0 for none
      * @param loss the share of messages that are lost
      */
-    public record Case(int directors, int voters, int seconds, double changeIntervalSeconds,
+    public record Scenario(int directors, int voters, int seconds, double changeIntervalSeconds,
             double faultIntervalSeconds, double loss) {}
 
     /**
      * The result of a run.
      *
-     * @param violations how often an invariant was violated
-     * @param firstViolation a description, or null
-     * @param commitMs from each operator's request to the policy alone in force at the director that received it
-     * @param maxLeaselessMs the longest that a running director had no lease in the calm at the end
-     * @param agreed whether all directors hold a valid lease on the same step at the end
-     * @param sent how many messages were sent
-     * @param digest a checksum of all that was observed
+     * @param violations number of invariant violations
+     * @param firstViolation description of the first violation, or null
+     * @param commitMs times from each operator's request until the director that received it applied only that policy
+     * @param maxLeaselessMs the longest time that a running director had no lease in the fault-free end phase
+     * @param agreed whether all directors have a valid lease on the same step at the end
+     * @param sent number of messages that were sent
+     * @param digest checksum of all observations
      */
-    public record Figures(int changes, int completed, int aborted, int faults, long violations, String firstViolation,
+    public record PolicyMetrics(int changes, int completed, int aborted, int faults, long violations,
+            String firstViolation,
             List<Long> commitMs, long maxLeaselessMs, boolean agreed, long sent, long digest) {}
 
     private static final long SECOND_US = 1_000_000;
-    private static final long MILLI_US = 1000;
+    private static final long US_PER_MS = 1000;
     private static final long LEASE_US = 5 * SECOND_US;
     private static final double DRIFT = 0.01;
     private static final long OBSERVATION_INTERVAL_US = 10_000;
-    private static final long CALM_US = 30 * SECOND_US;
-    /** How long after the last fault every director must have a lease. */
+    private static final long FAULT_FREE_END_US = 30 * SECOND_US;
+    /** Time after the last fault within which every director must have a lease. */
     private static final long RECOVERY_US = 10 * SECOND_US;
-    /** A change that is not in force after so long counts as aborted. */
+    /** Time after which a change that is not in force counts as aborted. */
     private static final long CHANGE_TIMEOUT_US = 60 * SECOND_US;
     private static final long MAX_FAULT_US = 20 * SECOND_US;
     private static final long ABORT_DELAY_US = 200_000;
     private static final long LINK_DELAY_US = 3000;
     private static final long SLOW_LINK_DELAY_US = 200_000;
     private static final double LOSSY_LINK_LOSS = 0.4;
-    /** A word in a policy that directors with an odd number reject. */
-    private static final String REJECTED_WORD = "bad";
+    /** Text in a policy that makes directors with an odd number reject it. */
+    private static final String REJECTED_TEXT = "bad";
 
-    private final Case plan;
+    private final Scenario scenario;
     private final World<PolicyTaskMessage> world;
     private final Random random;
     private final LeaseTiming timing;
@@ -84,55 +85,56 @@
     private int faults;
     private long maxLeaselessUs;
 
-    private PolicyFleet(Case plan, long seed) {
-        this.plan = plan;
-        this.timing = new LeaseTiming(plan.directors(), LEASE_US, SECOND_US, DRIFT);
-        this.world = new World<>(plan.directors(), timing.drift(), seed);
+    private PolicyFleet(Scenario scenario, long seed) {
+        this.scenario = scenario;
+        this.timing = new LeaseTiming(scenario.directors(), LEASE_US, SECOND_US, DRIFT);
+        this.world = new World<>(scenario.directors(), timing.drift(), seed);
         this.random = new Random(seed * 31 + 7);
-        this.views = new PolicyView[plan.directors()];
-        this.leaselessSinceUs = new long[plan.directors()];
-        for (int i = 0; i < plan.directors(); i++) {
-            disks.add(i < plan.voters() ? new MemoryRaftStorage() : null);
+        this.views = new PolicyView[scenario.directors()];
+        this.leaselessSinceUs = new long[scenario.directors()];
+        for (int i = 0; i < scenario.directors(); i++) {
+            disks.add(i < scenario.voters() ? new MemoryRaftStorage() : null);
             views[i] = PolicyView.NONE;
         }
     }
 
-    /** Runs a case with a seed. */
-    public static Figures play(Case plan, long seed) {
-        return new PolicyFleet(plan, seed).run();
+    /** Simulates a scenario; the same seed gives the same metrics. */
+    public static PolicyMetrics simulate(Scenario scenario, long seed) {
+        return new PolicyFleet(scenario, seed).run();
     }
 
     private void startDirector(int i) {
         views[i] = PolicyView.NONE;
-        List<Integer> voters = IntStream.range(0, plan.voters()).boxed().toList();
+        List<Integer> voters = IntStream.range(0, scenario.voters()).boxed().toList();
         Random own = new Random(world.random().nextLong());
         world.machine(i).start(clock -> new PolicyStoreTask(new PolicyStoreTask.Membership(i, voters, timing),
                 new PolicyRules(
-                        text -> i % 2 == 1 && text.text().contains(REJECTED_WORD) ? "rejected by an odd director"
+                        text -> i % 2 == 1 && text.text().contains(REJECTED_TEXT) ? "rejected by an odd director"
                                 : null,
                         (old, next) -> true),
                 (to, message) -> world.send(i, to, new PolicyTaskMessage.MessageReceived(message)), disks.get(i), own,
                 view -> views[i] = view, clock));
     }
 
-    private Figures run() {
-        IntStream.range(0, plan.directors()).forEach(this::startDirector);
-        world.links(plan.loss(), LINK_DELAY_US);
-        long end = plan.seconds() * SECOND_US;
-        long calmFrom = end - CALM_US;
-        every(plan.changeIntervalSeconds(), end - 10 * SECOND_US, this::requestChange);
-        every(plan.faultIntervalSeconds(), calmFrom, this::injectFault);
-        world.at(calmFrom, this::endFaults);
-        for (long at = OBSERVATION_INTERVAL_US; at <= end; at += OBSERVATION_INTERVAL_US) {
+    private PolicyMetrics run() {
+        IntStream.range(0, scenario.directors()).forEach(this::startDirector);
+        world.links(scenario.loss(), LINK_DELAY_US);
+        long endUs = scenario.seconds() * SECOND_US;
+        long faultsEndUs = endUs - FAULT_FREE_END_US;
+        every(scenario.changeIntervalSeconds(), endUs - 10 * SECOND_US, this::requestChange);
+        every(scenario.faultIntervalSeconds(), faultsEndUs, this::injectFault);
+        world.at(faultsEndUs, this::endFaults);
+        for (long at = OBSERVATION_INTERVAL_US; at <= endUs; at += OBSERVATION_INTERVAL_US) {
             world.run(at);
-            observe(at, at > calmFrom + RECOVERY_US);
+            observe(at, at > faultsEndUs + RECOVERY_US);
         }
         PolicyTransition step = views[0].step();
-        boolean agreed = step != null && IntStream.range(0, plan.directors()).allMatch(i -> step.equals(views[i].step())
-                && views[i].isValid(world.machine(i).clock()));
-        return new Figures(changes, completed, aborted, faults, checker.violations(), checker.firstViolation(),
+        boolean agreed =
+                step != null && IntStream.range(0, scenario.directors()).allMatch(i -> step.equals(views[i].step())
+                        && views[i].isValid(world.machine(i).clock()));
+        return new PolicyMetrics(changes, completed, aborted, faults, checker.violations(), checker.firstViolation(),
                 commitMs,
-                maxLeaselessUs / MILLI_US, agreed, world.sent(), digest.getValue());
+                maxLeaselessUs / US_PER_MS, agreed, world.sent(), digest.getValue());
     }
 
     private void every(double seconds, long until, Runnable action) {
@@ -147,10 +149,10 @@
         }
     }
 
-    /** Every director with a valid lease acts, and is observed. */
-    private void observe(long at, boolean calm) {
+    /** Passes the versions of every director with a valid lease to the checker. */
+    private void observe(long at, boolean faultFree) {
         checker.beginMoment();
-        for (int i = 0; i < plan.directors(); i++) {
+        for (int i = 0; i < scenario.directors(); i++) {
             World<PolicyTaskMessage>.Machine machine = world.machine(i);
             boolean leased = machine.up() && views[i].isValid(machine.clock());
             if (leased) {
@@ -158,7 +160,7 @@
                 checker.recordAction(at, i, step.version(), step.next());
                 addToDigest(i + ":" + step + "@" + at);
             }
-            leaselessSinceUs[i] = leased || !calm ? at : leaselessSinceUs[i];
+            leaselessSinceUs[i] = leased || !faultFree ? at : leaselessSinceUs[i];
             maxLeaselessUs = Math.max(maxLeaselessUs, at - leaselessSinceUs[i]);
         }
         checker.endMoment(at);
@@ -168,28 +170,30 @@
         digest.update(event.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Operators request a change at a random director, sometimes at two at once, on the version seen there. */
+    /** Requests a change at a random director, sometimes at two at once, based on the version in force there. */
     private void requestChange() {
-        for (int calls = random.nextInt(4) == 0 ? 2 : 1; calls > 0; calls--) {
-            int at = random.nextInt(plan.directors());
+        for (int remaining = random.nextInt(4) == 0 ? 2 : 1; remaining > 0; remaining--) {
+            int at = random.nextInt(scenario.directors());
             PolicyTransition step = views[at].step();
             if (!world.machine(at).alive() || step == null) {
                 continue;
             }
-            String text = "{\"change\":" + ++changes + (random.nextInt(6) == 0 ? ",\"" + REJECTED_WORD + "\":1" : "")
+            String text = "{\"change\":" + ++changes + (random.nextInt(6) == 0 ? ",\"" + REJECTED_TEXT + "\":1" : "")
                     + ",\"fill\":\"" + "x".repeat(random.nextInt(3000)) + "\"}";
             long requestedUs = world.nowUs();
             PolicyDocument policy = PolicyDocument.of(text);
-            world.machine(at).hand(new PolicyTaskMessage.ChangeRequested(step.version(), policy, (taken, version) -> {
-                addToDigest("wanted " + taken + " " + version);
-                if (taken == ProposalResult.BEGUN || taken == ProposalResult.SAME) {
-                    awaitCompletion(at, policy, requestedUs);
-                }
-            }));
+            world.machine(at)
+                    .deliver(new PolicyTaskMessage.ChangeRequested(step.version(), policy, (result, version) -> {
+                        addToDigest("wanted " + result + " " + version);
+                        if (result == ProposalResult.BEGUN || result == ProposalResult.SAME) {
+                            awaitCompletion(at, policy, requestedUs);
+                        }
+                    }));
             if (random.nextInt(10) == 0) {
                 world.at(world.nowUs() + ABORT_DELAY_US,
-                        () -> world.machine(at).hand(new PolicyTaskMessage.ChangeRequested(
-                                views[at].step() == null ? 0 : views[at].step().next(), null, (taken, version) -> {})));
+                        () -> world.machine(at).deliver(new PolicyTaskMessage.ChangeRequested(
+                                views[at].step() == null ? 0 : views[at].step().next(), null,
+                                (result, version) -> {})));
             }
         }
     }
@@ -198,7 +202,7 @@
         PolicyView view = views[at];
         if (view.step() != null && !view.step().inTransition() && view.policy().equals(policy)) {
             completed++;
-            commitMs.add((world.nowUs() - requestedUs) / MILLI_US);
+            commitMs.add((world.nowUs() - requestedUs) / US_PER_MS);
         } else if (world.nowUs() - requestedUs < CHANGE_TIMEOUT_US) {
             world.at(world.nowUs() + OBSERVATION_INTERVAL_US, () -> awaitCompletion(at, policy, requestedUs));
         } else {
@@ -208,18 +212,18 @@
 
     private void injectFault() {
         faults++;
-        int which = random.nextInt(plan.directors());
+        int which = random.nextInt(scenario.directors());
         World<PolicyTaskMessage>.Machine machine = world.machine(which);
         long durationUs = (long) (random.nextDouble() * random.nextDouble() * MAX_FAULT_US);
         long until = world.nowUs() + durationUs;
         switch (random.nextInt(8)) {
             case 0, 1 -> kill(which, durationUs, false);
             case 2 -> kill(which, durationUs, true);
-            case 3 -> machine.stop(durationUs);
-            case 4 -> IntStream.range(0, plan.directors()).forEach(other -> cut(which, other, until, false));
-            case 5 -> IntStream.range(0, plan.directors()).forEach(other -> cut(which, other, until, true));
+            case 3 -> machine.pause(durationUs);
+            case 4 -> IntStream.range(0, scenario.directors()).forEach(other -> cut(which, other, until, false));
+            case 5 -> IntStream.range(0, scenario.directors()).forEach(other -> cut(which, other, until, true));
             case 6 -> {
-                boolean[] side = new boolean[plan.directors()];
+                boolean[] side = new boolean[scenario.directors()];
                 IntStream.range(0, side.length).forEach(i -> side[i] = random.nextBoolean());
                 for (int i = 0; i < side.length; i++) {
                     for (int j = 0; j < side.length; j++) {
@@ -231,7 +235,7 @@
             }
             default -> {
                 world.links(LOSSY_LINK_LOSS, SLOW_LINK_DELAY_US);
-                world.at(until, () -> world.links(plan.loss(), LINK_DELAY_US));
+                world.at(until, () -> world.links(scenario.loss(), LINK_DELAY_US));
             }
         }
     }
@@ -245,7 +249,7 @@
         });
     }
 
-    /** Only voter 0 ever loses its disk: a majority must keep theirs. */
+    /** Kills a director for a while. Only voter 0 ever loses its disk: a majority must keep theirs. */
     private void kill(int which, long durationUs, boolean loseDisk) {
         if (!world.machine(which).alive()) {
             return;
@@ -263,22 +267,23 @@
     }
 
     private void endFaults() {
-        world.mend();
-        world.links(plan.loss(), LINK_DELAY_US);
-        for (int i = 0; i < plan.directors(); i++) {
+        world.restoreLinks();
+        world.links(scenario.loss(), LINK_DELAY_US);
+        for (int i = 0; i < scenario.directors(); i++) {
             if (!world.machine(i).alive()) {
                 startDirector(i);
             }
         }
     }
 
-    /** Arguments: first seed, last seed (exclusive), directors, voters, seconds. Prints the figures of each run. */
+    /** Arguments: first seed, last seed (exclusive), directors, voters, seconds. Prints the metrics of each run. */
     public static void main(String[] args) {
-        Case plan = new Case(Integer.parseInt(args[2]), Integer.parseInt(args[3]), Integer.parseInt(args[4]), 3, 2,
-                0.01);
+        Scenario scenario =
+                new Scenario(Integer.parseInt(args[2]), Integer.parseInt(args[3]), Integer.parseInt(args[4]), 3, 2,
+                        0.01);
         for (long seed = Long.parseLong(args[0]); seed < Long.parseLong(args[1]); seed++) {
-            Figures figures = play(plan, seed);
-            System.out.println(seed + " " + figures);
+            PolicyMetrics metrics = simulate(scenario, seed);
+            System.out.println(seed + " " + metrics);
         }
     }
 }
--- a/src/main/java/clovermill/simulation/emulator/world/World.java
+++ b/src/main/java/clovermill/simulation/emulator/world/World.java
@@ -10,10 +10,11 @@
 import java.util.function.LongFunction;
 
 /**
- * Machines, each with a clock of its own that is offset and drifts, and one task while it is up. Links between them
- * delay, lose, duplicate, and can be cut in each direction. Time is true time in microseconds from 0. Not thread-safe.
+ * A set of machines, each with its own clock, which is offset and drifts, and with one task while it runs. Links
+ * between machines delay, lose and duplicate messages, and can be cut in each direction. Time is true time in
+ * microseconds, starting at 0. Not thread-safe.
  *
- * @param <M> the messages of the tasks
+ * @param <M> the type of the tasks' messages
  */
 public final class World<M> {
 
@@ -22,7 +23,7 @@
     private static final long LOOPBACK_DELAY_US = 10;
     private static final long MIN_DELAY_US = 50;
     private static final long MIN_TICK_INTERVAL_US = 100;
-    /** The maximum latency, in addition to the minimum, until {@link #links} sets another. */
+    /** The maximum latency, in addition to the minimum, until {@link #links} changes it. */
     private static final long INITIAL_MAX_DELAY_US = 2000;
 
     private record Event(long atUs, long order, Runnable action) implements Comparable<Event> {
@@ -32,57 +33,57 @@
         }
     }
 
-    /** A machine. Messages that reach it while it is stopped wait; those that reach it while it is down are lost. */
+    /** A machine. Messages that arrive while it is paused are delivered afterwards; while it is down, they are lost. */
     public final class Machine {
-        private final double pace;
+        private final double clockRate;
         private final long offsetUs;
         private Task<M> task;
         private long incarnation;
-        private long stoppedUntilUs;
+        private long pausedUntilUs;
         private long nextTickUs = Long.MAX_VALUE;
 
         private Machine(double drift) {
-            this.pace = 1 + drift * (2 * random.nextDouble() - 1);
+            this.clockRate = 1 + drift * (2 * random.nextDouble() - 1);
             this.offsetUs = (long) (random.nextDouble() * MAX_CLOCK_OFFSET_US);
         }
 
-        /** This machine's clock. */
+        /** Returns the time of this machine's clock. */
         public long clock() {
-            return offsetUs + (long) (nowUs * pace);
+            return offsetUs + (long) (nowUs * clockRate);
         }
 
-        /** Whether its task runs, and is not stopped. */
+        /** Returns whether its task runs and is not paused. */
         public boolean up() {
-            return task != null && nowUs >= stoppedUntilUs;
+            return task != null && nowUs >= pausedUntilUs;
         }
 
-        /** Whether it has a task, maybe a stopped one. */
+        /** Returns whether it has a task, which may be paused. */
         public boolean alive() {
             return task != null;
         }
 
-        /** Starts a task, which is given the time by this machine's clock. */
+        /** Starts a task; the factory receives the time of this machine's clock. */
         public void start(LongFunction<Task<M>> factory) {
             incarnation++;
-            stoppedUntilUs = 0;
+            pausedUntilUs = 0;
             nextTickUs = Long.MAX_VALUE;
             task = factory.apply(clock());
             tick(incarnation);
         }
 
-        /** Its process dies; all state that is not on its disk is lost. */
+        /** Kills its process; all state that is not on its disk is lost. */
         public void kill() {
             incarnation++;
             task = null;
         }
 
-        /** Its process stops for a while; its clock runs on. */
-        public void stop(long forUs) {
-            stoppedUntilUs = Math.max(stoppedUntilUs, nowUs + forUs);
+        /** Pauses its process; its clock keeps running. */
+        public void pause(long durationUs) {
+            pausedUntilUs = Math.max(pausedUntilUs, nowUs + durationUs);
         }
 
-        /** Delivers a message from a part of the same process, at once. */
-        public void hand(M message) {
+        /** Delivers a message from the same process immediately. */
+        public void deliver(M message) {
             if (task != null) {
                 receive(incarnation, message);
             }
@@ -92,8 +93,8 @@
             if (expectedIncarnation != incarnation || task == null) {
                 return;
             }
-            if (nowUs < stoppedUntilUs) {
-                at(stoppedUntilUs, () -> receive(expectedIncarnation, message));
+            if (nowUs < pausedUntilUs) {
+                at(pausedUntilUs, () -> receive(expectedIncarnation, message));
                 return;
             }
             task.on(message, clock());
@@ -104,12 +105,13 @@
             if (expectedIncarnation != incarnation || task == null) {
                 return;
             }
-            if (nowUs < stoppedUntilUs) {
-                at(stoppedUntilUs, () -> tick(expectedIncarnation));
+            if (nowUs < pausedUntilUs) {
+                at(pausedUntilUs, () -> tick(expectedIncarnation));
                 return;
             }
             long next = task.tick(clock());
-            long afterUs = next == Long.MAX_VALUE ? Long.MAX_VALUE / 4 : (long) Math.ceil((next - clock()) / pace) + 1;
+            long afterUs =
+                    next == Long.MAX_VALUE ? Long.MAX_VALUE / 4 : (long) Math.ceil((next - clock()) / clockRate) + 1;
             long atUs = nowUs + Math.max(MIN_TICK_INTERVAL_US, afterUs);
             if (atUs < nextTickUs || nextTickUs <= nowUs) {
                 nextTickUs = atUs;
@@ -133,7 +135,7 @@
     private long maxDelayUs = INITIAL_MAX_DELAY_US;
     private long sent;
 
-    /** So many machines, whose clocks drift by up to {@code drift}. */
+    /** Creates {@code count} machines, whose clocks drift by up to {@code drift}. */
     public World(int count, double drift, long seed) {
         this.random = new Random(seed);
         for (int i = 0; i < count; i++) {
@@ -141,53 +143,53 @@
         }
     }
 
-    /** A machine by its number. */
+    /** Returns a machine by its number. */
     public Machine machine(int number) {
         return machines.get(number);
     }
 
-    /** The number of machines. */
+    /** Returns the number of machines. */
     public int size() {
         return machines.size();
     }
 
-    /** True time. */
+    /** Returns the true time. */
     public long nowUs() {
         return nowUs;
     }
 
-    /** Messages that were sent between machines. */
+    /** Returns the number of messages that were sent. */
     public long sent() {
         return sent;
     }
 
-    /** The source of all randomness. */
+    /** Returns the source of all randomness. */
     public Random random() {
         return random;
     }
 
-    /** Sets the part of messages that are lost from now on, and the maximum latency. */
+    /** Sets the share of messages that are lost from now on, and the maximum latency. */
     public void links(double newLoss, long newMaxDelayUs) {
         loss = newLoss;
         maxDelayUs = newMaxDelayUs;
     }
 
     /** Cuts or restores one direction of a link. */
-    public void cut(int from, int to, boolean off) {
+    public void cut(int from, int to, boolean disconnected) {
         int link = from * machines.size() + to;
-        if (off) {
+        if (disconnected) {
             cutLinks.add(link);
         } else {
             cutLinks.remove(link);
         }
     }
 
-    /** Restores all links. */
-    public void mend() {
+    /** Restores all cut links. */
+    public void restoreLinks() {
         cutLinks.clear();
     }
 
-    /** Sends a message; one to the machine itself is not lost. */
+    /** Sends a message; a message to the sender itself is not lost. */
     public void send(int from, int to, M message) {
         sent++;
         boolean loopback = from == to;
@@ -208,7 +210,7 @@
         events.add(new Event(Math.max(nowUs, atUs), order++, action));
     }
 
-    /** Runs all that is due until a moment. */
+    /** Runs all events that are due by the given time. */
     public void run(long untilUs) {
         while (!events.isEmpty() && events.peek().atUs <= untilUs) {
             Event event = events.poll();
--- a/src/main/java/clovermill/simulation/emulator/world/package-info.java
+++ b/src/main/java/clovermill/simulation/emulator/world/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A deterministic simulated scheduler for {@link clovermill.runtime.task.Task}s: one thread and one seed, from which
- * time, order of delivery, loss, cut links, crashes and stops are drawn. {@link
- * clovermill.simulation.emulator.world.World} is the entry; fleets of tasks run on it in {@code emulator.eventlog} and
- * {@code emulator.policystore}.
+ * A deterministic, single-threaded simulation of machines that run {@link clovermill.runtime.task.Task}s. One seed
+ * determines time, delivery order, message loss, cut links, crashes and pauses. {@link
+ * clovermill.simulation.emulator.world.World} is the entry point; {@code emulator.eventlog} and {@code
+ * emulator.policystore} run fleets of tasks on it.
  */
 package clovermill.simulation.emulator.world;
--- a/src/test/java/clovermill/controlplane/consensus/RaftGroup.java
+++ b/src/test/java/clovermill/controlplane/consensus/RaftGroup.java
@@ -152,7 +152,7 @@
     void repeatJoinResponses(int to) {
         for (int i = joinResponses.size() - 1; i >= 0; i--) {
             if (joinResponses.get(i).to() == to) {
-                world.machine(to).hand(joinResponses.get(i).response());
+                world.machine(to).deliver(joinResponses.get(i).response());
             }
         }
     }
--- a/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
+++ b/src/test/java/clovermill/controlplane/eventlog/EventLogFleetTest.java
@@ -31,9 +31,9 @@
 
     private static void assertHolds(EventLogFleet fleet) {
         fleet.finish();
-        FleetMetrics figures = fleet.figures();
+        FleetMetrics figures = fleet.metrics();
         assertThat(figures.firstViolation()).isNull();
-        assertThat(figures.holds()).isTrue();
+        assertThat(figures.passes()).isTrue();
         assertThat(figures.events()).isPositive();
     }
 
@@ -45,9 +45,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void whateverFailsNothingIsLostOutOfOrderOrStale(long seed) {
-        FleetMetrics figures = EventLogFleet.play(new Scenario(SMALL, 100, RATE, 2), seed);
+        FleetMetrics figures = EventLogFleet.simulate(new Scenario(SMALL, 100, RATE, 2), seed);
         assertThat(figures.firstViolation()).isNull();
-        assertThat(figures.holds()).isTrue();
+        assertThat(figures.passes()).isTrue();
         assertThat(figures.events()).isGreaterThan(300);
         assertThat(figures.faults()).isGreaterThan(20);
     }
@@ -80,16 +80,16 @@
 
     private static void holdAll(long... seeds) {
         for (long seed : seeds) {
-            FleetMetrics figures = EventLogFleet.play(new Scenario(SMALL, 100, RATE, 2), seed);
+            FleetMetrics figures = EventLogFleet.simulate(new Scenario(SMALL, 100, RATE, 2), seed);
             assertThat(figures.firstViolation()).as("seed %s", seed).isNull();
-            assertThat(figures.holds()).isTrue();
+            assertThat(figures.passes()).isTrue();
         }
     }
 
     @Test
     void oneSeedGivesOneRun() {
         Scenario plan = new Scenario(SMALL, 60, RATE, 2);
-        assertThat(EventLogFleet.play(plan, 9)).isEqualTo(EventLogFleet.play(plan, 9));
+        assertThat(EventLogFleet.simulate(plan, 9)).isEqualTo(EventLogFleet.simulate(plan, 9));
     }
 
     @ParameterizedTest
@@ -98,7 +98,7 @@
         EventLogFleet fleet = fleet(SMALL);
         fleet.appendEvenly(40, 20 * SECOND);
         fleet.run(10 * SECOND);
-        fleet.dieAfterSending(1, sent);
+        fleet.crashAfterSending(1, sent);
         assertAllProvenAt(fleet, 30 * SECOND, 8);
         assertHolds(fleet);
     }
@@ -207,9 +207,9 @@
         EventLogFleet fleet = fleet(SMALL);
         fleet.appendEvenly(40, 30 * SECOND);
         fleet.run(10 * SECOND);
-        fleet.dieAtSnapshotChunk(2, chunk);
+        fleet.crashAtSnapshotChunk(2, chunk);
         fleet.run(15 * SECOND);
-        assertThat(fleet.figures().tornSnapshots()).isEqualTo(1);
+        assertThat(fleet.metrics().tornSnapshots()).isEqualTo(1);
         fleet.start(2);
         assertAllProvenAt(fleet, 35 * SECOND, 8);
         assertThat(fleet.task(2).log()).isEqualTo(fleet.task(1).log());
@@ -226,11 +226,11 @@
         IntStream.range(0, EventLogFleet.REPLICAS).forEach(each -> fleet.cut(each, machine, true));
         fleet.append(0, 1);
         fleet.run(15 * SECOND);
-        assertThat(fleet.figures().events()).isEqualTo(1); // it got no answer
+        assertThat(fleet.metrics().events()).isEqualTo(1); // it got no answer
         assertThat(fleet.task(fleet.leader()).log().head()).isEqualTo(2); // and has asked some twenty times
         IntStream.range(0, EventLogFleet.REPLICAS).forEach(each -> fleet.cut(each, machine, false));
         assertAllProvenAt(fleet, 20 * SECOND, 8);
-        assertThat(fleet.figures().events()).isEqualTo(2);
+        assertThat(fleet.metrics().events()).isEqualTo(2);
         assertThat(fleet.task(fleet.leader()).log().head()).isEqualTo(2);
         assertHolds(fleet);
     }
@@ -314,7 +314,7 @@
             assertAllProvenAt(fleet, at * SECOND, 8);
         }
         assertHolds(fleet);
-        assertThat(fleet.figures().longestMs()).isLessThan(7_100);
+        assertThat(fleet.metrics().maxDeliveryMs()).isLessThan(7_100);
     }
 
     /**
--- a/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
+++ b/src/test/java/clovermill/controlplane/policystore/FailingVoterTest.java
@@ -112,7 +112,7 @@
     /** Requests a change; returns its result, or null if there is none within the given time. */
     private ProposalResult requestChange(int director, PolicyDocument policy, long withinSeconds) {
         ProposalResult[] received = {null};
-        world.machine(director).hand(
+        world.machine(director).deliver(
                 new PolicyTaskMessage.ChangeRequested(views[director].step().version(), policy,
                         (result, version) -> received[0] = result));
         runFor(withinSeconds);
--- a/src/test/java/clovermill/prove/AccordSimProof.java
+++ b/src/test/java/clovermill/prove/AccordSimProof.java
@@ -1,7 +1,7 @@
 package clovermill.prove;
 
-import clovermill.simulation.emulator.policystore.PolicyFleet.Case;
-import clovermill.simulation.emulator.policystore.PolicyFleet.Figures;
+import clovermill.simulation.emulator.policystore.PolicyFleet.PolicyMetrics;
+import clovermill.simulation.emulator.policystore.PolicyFleet.Scenario;
 import clovermill.simulation.emulator.policystore.PolicyFleet;
 import java.util.List;
 import java.util.stream.LongStream;
@@ -15,26 +15,27 @@
     /** Property: seeds. */
     public static void main(String[] args) {
         int seeds = Integer.getInteger("seeds", 1000);
-        Case faults = new Case(10, 5, 150, 3, 2, 0.01);
-        List<Figures> runs = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> PolicyFleet.play(faults,
-                seed))
+        Scenario faults = new Scenario(10, 5, 150, 3, 2, 0.01);
+        List<PolicyMetrics> runs = LongStream.rangeClosed(1, seeds).parallel()
+                .mapToObj(seed -> PolicyFleet.simulate(faults,
+                        seed))
                 .toList();
-        long broken = runs.stream().mapToLong(Figures::violations).sum();
+        long broken = runs.stream().mapToLong(PolicyMetrics::violations).sum();
         long half = runs.stream().filter(run -> !run.agreed()).count();
         List<Long> commits = runs.stream().flatMap(run -> run.commitMs().stream()).sorted().toList();
-        boolean again = PolicyFleet.play(faults, 1).equals(runs.get(0));
+        boolean again = PolicyFleet.simulate(faults, 1).equals(runs.get(0));
         StringBuilder line = new StringBuilder("prove-accord-sim: directors=10 voters=5 seeds=" + seeds + " faults="
-                + runs.stream().mapToLong(Figures::faults).sum() + " changes="
-                + runs.stream().mapToLong(Figures::changes)
+                + runs.stream().mapToLong(PolicyMetrics::faults).sum() + " changes="
+                + runs.stream().mapToLong(PolicyMetrics::changes)
                         .sum()
                 + " settled=" + commits.size() + " mixed=" + broken + " half=" + half + " commit_ms_p50="
                 + commits.get(commits.size() / 2) + " blind_ms_max="
-                + runs.stream().mapToLong(Figures::maxLeaselessMs).max()
+                + runs.stream().mapToLong(PolicyMetrics::maxLeaselessMs).max()
                         .orElse(0)
                 + " same_again=" + again);
         boolean holds = broken == 0 && half == 0 && again;
         for (int directors : new int[] {10, 100, 1000}) {
-            Figures calm = PolicyFleet.play(new Case(directors, 5, 60, 4, 0, 0.01), 1);
+            PolicyMetrics calm = PolicyFleet.simulate(new Scenario(directors, 5, 60, 4, 0, 0.01), 1);
             long most = calm.commitMs().stream().mapToLong(each -> each).max().orElse(-1);
             line.append(" calm_commit_ms_max_").append(directors).append('=').append(most).append(" datagrams_s_")
                     .append(directors).append('=').append(calm.sent() / 60);
--- a/src/test/java/clovermill/prove/CacheFleet.java
+++ b/src/test/java/clovermill/prove/CacheFleet.java
@@ -148,7 +148,7 @@
     }
 
     void slow(String id, double factor) throws Exception {
-        ask(() -> boxes.get(id).model.pace = factor);
+        ask(() -> boxes.get(id).model.speedFactor = factor);
     }
 
     /** Reports stay as they are, and all that were made meanwhile are seen at once later. */
--- a/src/test/java/clovermill/prove/EventLogSimProof.java
+++ b/src/test/java/clovermill/prove/EventLogSimProof.java
@@ -27,21 +27,21 @@
         int seeds = Integer.getInteger("seeds", 1000);
         Scenario faults = new Scenario(new FleetSize(8, 2500, 150, 0.01, 40_000), 100, 9.1, 2);
         List<FleetMetrics> runs =
-                LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> EventLogFleet.play(faults,
+                LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> EventLogFleet.simulate(faults,
                         seed)).toList();
         for (int i = 0; i < runs.size(); i++) {
-            if (!runs.get(i).holds()) {
+            if (!runs.get(i).passes()) {
                 System.out.println("seed " + (i + 1) + ": " + runs.get(i));
             }
         }
-        boolean again = EventLogFleet.play(faults, 1).equals(runs.get(0));
-        long broken = runs.stream().filter(run -> !run.holds()).count();
+        boolean again = EventLogFleet.simulate(faults, 1).equals(runs.get(0));
+        long broken = runs.stream().filter(run -> !run.passes()).count();
         StringBuilder line = new StringBuilder("prove-event-log-sim: replicas=4 directors=8 seeds=" + seeds + " faults="
                 + sum(runs, FleetMetrics::faults) + " events=" + sum(runs, FleetMetrics::events) + " lost="
                 + sum(runs, FleetMetrics::lost) + " misordered=" + sum(runs, FleetMetrics::misordered) + " twice="
                 + sum(runs, FleetMetrics::duplicated) + " stale=" + sum(runs, FleetMetrics::stale) + " late="
                 + sum(runs, FleetMetrics::late) + " seeds_broken=" + broken + " in_force_most_ms="
-                + runs.stream().mapToLong(FleetMetrics::longestMs).max().orElse(0) + " torn_snapshots="
+                + runs.stream().mapToLong(FleetMetrics::maxDeliveryMs).max().orElse(0) + " torn_snapshots="
                 + sum(runs, FleetMetrics::tornSnapshots) + " clears=" + sum(runs, FleetMetrics::truncations)
                 + " same_again="
                 + again);
@@ -76,8 +76,8 @@
                 + each.datagramsIn()).max().orElse(0) / MEASURED_S;
         line.append(" n").append(directors).append("_bytes_in_s=").append(mostIn).append(" bytes_out_s=")
                 .append(mostOut).append(" replica_bytes_out_s=").append(replicaOut).append(" replica_datagrams_s=")
-                .append(datagrams).append(" in_force_most_ms=").append(fleet.figures().longestMs());
+                .append(datagrams).append(" in_force_most_ms=").append(fleet.metrics().maxDeliveryMs());
         fleet.finish();
-        return fleet.figures().holds() && mostIn <= MOST_BYTES_A_SECOND && mostOut <= MOST_BYTES_A_SECOND;
+        return fleet.metrics().passes() && mostIn <= MOST_BYTES_A_SECOND && mostOut <= MOST_BYTES_A_SECOND;
     }
 }
--- a/src/test/java/clovermill/prove/LimitsProof.java
+++ b/src/test/java/clovermill/prove/LimitsProof.java
@@ -85,14 +85,14 @@
             cases.put("kills", new Scenario(n, 1000, hot, 2, 0.1, 80, 60, List.of(),
                     List.of(new Kill(10, 0.3, 0), new Kill(12, 0.1, n / 2), new Kill(20, 3, n - 1))));
             for (Map.Entry<String, Scenario> each : cases.entrySet()) {
-                GossipMetrics seen = GossipFleet.play(each.getValue(), seed);
+                GossipMetrics seen = GossipFleet.simulate(each.getValue(), seed);
                 String name = each.getKey() + "_" + n;
                 System.out.println(name + " " + seen);
                 hold(name + " admitted " + seen.maxAdmittedPerSecond(), seen.maxAdmittedPerSecond() <= seen.bound());
                 hold(name + " lost entries", seen.lostEntries() == 0);
                 hold(name + " stale " + seen.staleMs(), seen.staleMs() <= seen.staleBoundMs());
                 hold(name + " alone", seen.excessWhileIsolated() <= 1e-9);
-                hold(name + " another run", seen.equals(GossipFleet.play(each.getValue(), seed)));
+                hold(name + " another run", seen.equals(GossipFleet.simulate(each.getValue(), seed)));
                 overshoot = Math.max(overshoot, seen.maxAdmittedPerSecond() - each.getValue().limit());
                 lost += seen.lostEntries();
                 stale = Math.max(stale, seen.staleMs());
--- a/src/test/java/clovermill/prove/SpreadProof.java
+++ b/src/test/java/clovermill/prove/SpreadProof.java
@@ -68,7 +68,7 @@
         cases.put("join", plain.with(new Fault("join", at, 0, 0, 0)));
         cases.put("slow", plain.with(new Fault("slow", at, seconds / 4.0, 3, 0.3)));
         cases.put("mute", plain.with(new Fault("mute", at, seconds / 4.0, 3, 0)));
-        cases.put("skew", plain.skewed(10));
+        cases.put("skew", plain.withSkew(10));
         cases.put("kill", plain.with(new Fault("kill", at, 2, 0, 0)).with(new Fault("leave", at + 1, 0, 5, 0)));
         return cases;
     }
@@ -79,9 +79,9 @@
         boolean same = true;
         for (int directors : sizes) {
             for (Map.Entry<String, Plan> each : cases(directors, seconds).entrySet()) {
-                FleetMetrics module = Emulation.play(each.getValue(), seed);
-                FleetMetrics guess = Emulation.play(each.getValue().choosing("guess"), seed);
-                same &= module.figures().equals(Emulation.play(each.getValue(), seed).figures());
+                FleetMetrics module = Emulation.simulate(each.getValue(), seed);
+                FleetMetrics guess = Emulation.simulate(each.getValue().withChoice("guess"), seed);
+                same &= module.figures().equals(Emulation.simulate(each.getValue(), seed).figures());
                 overruns += module.overruns();
                 idle += module.idleSeconds();
                 String name = each.getKey() + "_" + directors;
--- a/src/test/java/clovermill/prove/capacity/LimitsAtSize.java
+++ b/src/test/java/clovermill/prove/capacity/LimitsAtSize.java
@@ -32,7 +32,7 @@
         for (int directors : List.of(60, 180, 540, 1080)) {
             for (int limit : LIMITS) {
                 for (Map.Entry<String, Scenario> each : cases(directors, limit).entrySet()) {
-                    GossipMetrics seen = GossipFleet.play(each.getValue(), SEED);
+                    GossipMetrics seen = GossipFleet.simulate(each.getValue(), SEED);
                     System.out.println(directors + " " + limit + " " + each.getKey() + " " + seen);
                     add(file, each.getKey(), directors, limit, seen);
                     holds &= seen.maxAdmittedPerSecond() <= seen.bound();
--- a/src/test/java/clovermill/simulation/emulator/EmulationTest.java
+++ b/src/test/java/clovermill/simulation/emulator/EmulationTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What many directors do together, and that the emulator shows it: the same run from one seed, and herds as herds. */
+/** Checks the combined behaviour of many directors in the emulator, and that the seed determines the run. */
 class EmulationTest {
 
     @TempDir
@@ -21,54 +21,54 @@
                 new Plan.Reports(500, 150, 0.1, 0.05), List.of());
     }
 
-    private static void overrunsNone(Plan plan) throws Plan.InvalidPlanException {
-        assertThat(Emulation.play(plan, 5).overruns()).isZero();
+    private static void assertNoOverruns(Plan plan) throws Plan.InvalidPlanException {
+        assertThat(Emulation.simulate(plan, 5).overruns()).isZero();
     }
 
     @Test
-    void oneSeedGivesOneRunAndAnotherAnother() throws Plan.InvalidPlanException {
+    void seedDeterminesRun() throws Plan.InvalidPlanException {
         Plan plan = loaded(20).with(new Fault("kill", 12, 2, 3, 0));
-        FleetMetrics first = Emulation.play(plan, 5);
-        assertThat(Emulation.play(plan, 5).seconds()).isEqualTo(first.seconds());
-        assertThat(Emulation.play(plan, 6).seconds()).isNotEqualTo(first.seconds());
+        FleetMetrics first = Emulation.simulate(plan, 5);
+        assertThat(Emulation.simulate(plan, 5).seconds()).isEqualTo(first.seconds());
+        assertThat(Emulation.simulate(plan, 6).seconds()).isNotEqualTo(first.seconds());
     }
 
     @Test
-    void aReportedOverloadIsSpreadMoreEvenlyThanAGuessedOne() throws Plan.InvalidPlanException {
-        FleetMetrics reported = Emulation.play(loaded(60), 5);
-        FleetMetrics guessed = Emulation.play(loaded(60).choosing("guess"), 5);
+    void loadReportsBalanceBetterThanEstimatesAlone() throws Plan.InvalidPlanException {
+        FleetMetrics reported = Emulation.simulate(loaded(60), 5);
+        FleetMetrics guessed = Emulation.simulate(loaded(60).withChoice("guess"), 5);
         assertThat(reported.maxOverMean()).isLessThan(0.95 * guessed.maxOverMean());
         assertThat(reported.inTimeShare()).isGreaterThan(guessed.inTimeShare());
         assertThat(reported.idleSeconds()).isZero();
     }
 
     @Test
-    void directorsThatFollowEveryReportRunTogetherAndOursDoNot() throws Plan.InvalidPlanException {
+    void avoidsHerdingOnFrozenReports() throws Plan.InvalidPlanException {
         Plan frozen = loaded(60).with(new Fault("freeze", 10, 5, 0, 0));
-        FleetMetrics herd = Emulation.play(frozen.choosing("least"), 5);
-        FleetMetrics ours = Emulation.play(frozen, 5);
-        assertThat(ours.inTimeShare()).isGreaterThan(0.99).isGreaterThan(herd.inTimeShare());
-        assertThat(ours.p99Load()).isLessThan(herd.p99Load());
+        FleetMetrics leastLoaded = Emulation.simulate(frozen.withChoice("least"), 5);
+        FleetMetrics production = Emulation.simulate(frozen, 5);
+        assertThat(production.inTimeShare()).isGreaterThan(0.99).isGreaterThan(leastLoaded.inTimeShare());
+        assertThat(production.p99Load()).isLessThan(leastLoaded.p99Load());
     }
 
     @Test
-    void aColdCacheHoldsUnderTheSumOfAllDirectors() throws Plan.InvalidPlanException {
+    void doesNotOverloadColdCacheWithManyDirectors() throws Plan.InvalidPlanException {
         Plan join = loaded(100).with(new Fault("join", 10, 0, 0, 0));
-        assertThat(Emulation.play(join.choosing("least"), 5).overruns()).as("the test can fail").isPositive();
-        overrunsNone(join);
-        overrunsNone(join.skewed(10));
-        overrunsNone(join.with(new Fault("freeze", 9, 5, 0, 0)));
+        assertThat(Emulation.simulate(join.withChoice("least"), 5).overruns()).as("the test can fail").isPositive();
+        assertNoOverruns(join);
+        assertNoOverruns(join.withSkew(10));
+        assertNoOverruns(join.with(new Fault("freeze", 9, 5, 0, 0)));
     }
 
     @Test
-    void aSlowCacheWhoseReportsLookFineIsFoundOutByItsAnswers() throws Plan.InvalidPlanException {
+    void detectsSlowCacheFromResponsesDespiteNormalReports() throws Plan.InvalidPlanException {
         Plan slow = loaded(40).with(new Fault("slow", 10, 12, 3, 0.3));
-        assertThat(Emulation.play(slow, 5).inTimeShare())
-                .isGreaterThan(Emulation.play(slow.choosing("two"), 5).inTimeShare());
+        assertThat(Emulation.simulate(slow, 5).inTimeShare())
+                .isGreaterThan(Emulation.simulate(slow.withChoice("two"), 5).inTimeShare());
     }
 
     @Test
-    void aPlanThatCannotBePlayedSaysWhichFieldAndWhy() throws Exception {
+    void rejectsInvalidPlanWithFieldAndReason() throws Exception {
         Path file = folder.resolve("plan.json");
         Files.writeString(file, "{\"directors\":10,\"faults\":[{\"kind\":\"flood\",\"at\":1}]}");
         assertThatThrownBy(() -> Plan.read(file)).hasMessage(
--- a/src/test/java/clovermill/simulation/emulator/GossipFleetTest.java
+++ b/src/test/java/clovermill/simulation/emulator/GossipFleetTest.java
@@ -9,52 +9,54 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Limits and the replicated map of a whole fleet while links fail and directors die; all clocks are seconds apart. */
+/** Checks rate limits and the replicated map while links fail and directors crash; clocks differ by seconds. */
 class GossipFleetTest {
 
-    private static Scenario of(int directors, double loss, List<Cut> cuts, List<Kill> kills) {
+    private static Scenario scenario(int directors, double loss, List<Cut> cuts, List<Kill> kills) {
         return new Scenario(directors, 1000, Math.max(1, directors / 10), 2, loss, 80, 45, cuts, kills);
     }
 
-    private static GossipMetrics holds(Scenario plan) {
-        GossipMetrics seen = GossipFleet.play(plan, 11);
-        assertThat(seen.maxAdmittedPerSecond()).as("admitted in one second, %s", seen)
-                .isLessThanOrEqualTo(seen.bound());
-        assertThat(seen.lostEntries()).as("entries that are missing somewhere, %s", seen).isZero();
-        assertThat(seen.staleMs()).as("the longest until an entry was everywhere, %s", seen)
-                .isLessThanOrEqualTo(seen.staleBoundMs());
-        assertThat(seen.excessWhileIsolated()).as("beyond its share while alone, %s", seen).isLessThanOrEqualTo(1e-9);
-        return seen;
+    private static GossipMetrics runAndCheck(Scenario scenario) {
+        GossipMetrics metrics = GossipFleet.simulate(scenario, 11);
+        assertThat(metrics.maxAdmittedPerSecond()).as("admitted in one second, %s", metrics)
+                .isLessThanOrEqualTo(metrics.bound());
+        assertThat(metrics.lostEntries()).as("entries that are missing somewhere, %s", metrics).isZero();
+        assertThat(metrics.staleMs()).as("the longest time until an entry was replicated everywhere, %s", metrics)
+                .isLessThanOrEqualTo(metrics.staleBoundMs());
+        assertThat(metrics.excessWhileIsolated()).as("beyond its share while isolated, %s", metrics)
+                .isLessThanOrEqualTo(1e-9);
+        return metrics;
     }
 
     @Test
-    void unusedSharesAreLentToWhoeverIsAskedForMore() {
-        GossipMetrics seen = holds(of(20, 0, List.of(), List.of()));
-        assertThat(seen.usedShare()).as("of the limit by two of 20, who own a tenth").isGreaterThan(0.5);
+    void lendsUnusedSharesToBusyDirectors() {
+        GossipMetrics metrics = runAndCheck(scenario(20, 0, List.of(), List.of()));
+        assertThat(metrics.usedShare()).as("of the limit by two of 20, who own a tenth").isGreaterThan(0.5);
     }
 
     @Test
-    void theLimitHoldsThroughAPartitionOf30SecondsAndEntriesOfBothSidesSurviveIt() {
-        holds(of(20, 0, List.of(new Cut(5, 30, 0, 9)), List.of()));
+    void keepsLimitAndEntriesDuring30SecondPartition() {
+        runAndCheck(scenario(20, 0, List.of(new Cut(5, 30, 0, 9)), List.of()));
     }
 
     @Test
-    void oneThatIsCutOffAloneAdmitsItsShare() {
-        holds(of(20, 0.05, List.of(new Cut(8, 20, 0, 1)), List.of()));
+    void isolatedDirectorAdmitsOnlyItsShare() {
+        runAndCheck(scenario(20, 0.05, List.of(new Cut(8, 20, 0, 1)), List.of()));
     }
 
     @Test
-    void threeInTenMessagesLost() {
-        holds(of(20, 0.3, List.of(), List.of()));
+    void keepsLimitAndEntriesWith30PercentMessageLoss() {
+        runAndCheck(scenario(20, 0.3, List.of(), List.of()));
     }
 
     @Test
-    void oneThatIsKilledMidLeaseAndStartsAnewKnowsWhatItMayHaveLent() {
-        holds(of(10, 0.1, List.of(), List.of(new Kill(10, 0.5, 0), new Kill(12, 0.1, 5), new Kill(20, 3, 7))));
+    void restartedDirectorAccountsForSharesItMayHaveLent() {
+        runAndCheck(
+                scenario(10, 0.1, List.of(), List.of(new Kill(10, 0.5, 0), new Kill(12, 0.1, 5), new Kill(20, 3, 7))));
     }
 
     @Test
-    void aHundredDirectorsThroughAllOfIt() {
-        holds(of(100, 0.3, List.of(new Cut(5, 20, 0, 50)), List.of(new Kill(8, 1, 3))));
+    void keepsLimitAndEntriesWith100DirectorsLossPartitionAndCrash() {
+        runAndCheck(scenario(100, 0.3, List.of(new Cut(5, 20, 0, 50)), List.of(new Kill(8, 1, 3))));
     }
 }
--- a/src/test/java/clovermill/simulation/emulator/eventlog/InvariantCheckerTest.java
+++ b/src/test/java/clovermill/simulation/emulator/eventlog/InvariantCheckerTest.java
@@ -27,30 +27,30 @@
         checker.delivered(0, new Delivery.Applied(new Entry(sequence, event)), 0);
     }
 
-    /** The log had dropped the first one when the second came, so it did not lift the time of that. */
+    /** The log had dropped the first event when the second was appended, so it did not raise the time of the second. */
     @Test
-    void aDirectorThatAppliedBothHoldsBoth() {
+    void countsNoLossIfDirectorAppliedBothEvents() {
         acknowledged();
         delivered(1, NEWER);
         delivered(9, OLDER);
-        checker.end(0);
+        checker.checkAllDelivered(0);
         assertThat(checker.lost()).isZero();
     }
 
     @Test
-    void aDirectorThatNeverAppliedTheNewerOneHasLostIt() {
+    void countsLossIfDirectorNeverAppliedNewerEvent() {
         acknowledged();
         delivered(9, OLDER);
-        checker.end(0);
+        checker.checkAllDelivered(0);
         assertThat(checker.lost()).isEqualTo(1);
     }
 
     @Test
-    void aDirectorThatClearedWhatIsAsOldHoldsIt() {
+    void countsNoLossIfTruncatedPrefixCoversEvent() {
         acknowledged();
         checker.delivered(0, new Delivery.Truncated(new TruncatedPrefix(1, 200)), 0);
         delivered(9, OLDER);
-        checker.end(0);
+        checker.checkAllDelivered(0);
         assertThat(checker.lost()).isZero();
     }
 }
--- a/src/test/java/clovermill/simulation/emulator/eventlog/ReachableQuorumTest.java
+++ b/src/test/java/clovermill/simulation/emulator/eventlog/ReachableQuorumTest.java
@@ -11,7 +11,7 @@
 
     private static final int DIRECTOR = 9;
 
-    /** Links as pairs, both ways; voters that are up as digits. */
+    /** Links are pairs of machines, in both directions; voters that are up are digits. */
     @ParameterizedTest
     @CsvSource({
         // director, voters, links, reachable
@@ -25,7 +25,7 @@
         "0123, 93 30 01 02 12, false",
         "01, 90 01 02 12, false",
         "0123, 01 02 12, false"})
-    void itIsOneOfThreeVotersThatReachEachOther(String voters, String links, boolean reachable) {
+    void requiresThreePairwiseConnectedVoters(String voters, String links, boolean reachable) {
         List<String> pairs = Arrays.asList(links.split(" "));
         assertThat(
                 ReachableQuorum.isReachable(DIRECTOR, voters.chars().map(Character::getNumericValue).boxed().toList(),
