--- a/src/main/java/clovermill/simulation/emulator/EmulatedDirector.java
+++ b/src/main/java/clovermill/simulation/emulator/EmulatedDirector.java
@@ -181,8 +181,7 @@
         if (cache.full() || cache.failed) {
             endInNextStep(
                     () -> attemptEnded(pending, index, cache, cache.failed ? Result.CONNECT_FAILED : Result.REJECTED,
-                            sentUs,
-                            false));
+                            sentUs, false));
             return;
         }
         boolean hit = cache.lookUp(pending.request.object(), cacheAfterFill && canFill);
@@ -194,8 +193,7 @@
     }
 
     private void startTransfer(PendingRequest pending, int index, EmulatedCache cache, double workUs, long sentUs,
-            long timeoutUs,
-            boolean hit) {
+            long timeoutUs, boolean hit) {
         Transfer transfer =
                 new Transfer(() -> attemptEnded(pending, index, cache, Result.OK, sentUs, hit), !hit, workUs,
                         hit ? 0 : FILL_LATENCY_US);
--- a/src/main/java/clovermill/simulation/emulator/eventlog/FleetMetrics.java
+++ b/src/main/java/clovermill/simulation/emulator/eventlog/FleetMetrics.java
@@ -11,8 +11,7 @@
  */
 public record FleetMetrics(int events, int faults, long lost, long misordered, long duplicated, long stale, long late,
         long maxDeliveryMs, long provenShare, int tornSnapshots, long failovers, long truncations,
-        String firstViolation,
-        long digest) {
+        String firstViolation, long digest) {
 
     /** Returns whether no invariant was violated. */
     public boolean passes() {
--- a/src/test/java/clovermill/simulation/emulator/EmulationTest.java
+++ b/src/test/java/clovermill/simulation/emulator/EmulationTest.java
@@ -54,7 +54,8 @@
     @Test
     void doesNotOverloadColdCacheWithManyDirectors() throws Plan.InvalidPlanException {
         Plan join = loaded(100).with(new Fault("join", 10, 0, 0, 0));
-        assertThat(Emulation.simulate(join.withChoice("least"), 5).overruns()).as("the test can fail").isPositive();
+        assertThat(Emulation.simulate(join.withChoice("least"), 5).overruns()).as("overruns without slow start")
+                .isPositive();
         assertNoOverruns(join);
         assertNoOverruns(join.withSkew(10));
         assertNoOverruns(join.with(new Fault("freeze", 9, 5, 0, 0)));
--- a/src/test/java/clovermill/simulation/emulator/GossipFleetTest.java
+++ b/src/test/java/clovermill/simulation/emulator/GossipFleetTest.java
@@ -31,7 +31,8 @@
     @Test
     void lendsUnusedSharesToBusyDirectors() {
         GossipMetrics metrics = runAndCheck(scenario(20, 0, List.of(), List.of()));
-        assertThat(metrics.usedShare()).as("of the limit by two of 20, who own a tenth").isGreaterThan(0.5);
+        assertThat(metrics.usedShare()).as("share of the limit used by two of 20 directors, which own a tenth")
+                .isGreaterThan(0.5);
     }
 
     @Test
