--- a/src/main/java/clovermill/cli/Cli.java
+++ b/src/main/java/clovermill/cli/Cli.java
@@ -12,18 +12,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine;
 
-/** All commands but for the platform's two words. */
+/** The command line with all commands; {@link Main} itself handles the platform's two invocations. */
 @Command(name = "clovermill", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-        description = "A traffic director before a two-tier cache.",
+        description = "A traffic director in front of a two-tier cache.",
         subcommands = {Cli.Serve.class, Cli.AdapterCommand.class, Cli.Rehearse.class, Cli.Check.class,
             LedgerCommand.class, FleetSimCommand.class},
-        footer = {"", "Exit status: 0 done, 1 a fault or a check that does not hold, 2 wrong usage."})
+        footer = {"", "Exit status: 0 success, 1 failure or failed check, 2 invalid usage."})
 public final class Cli implements Callable<Integer> {
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    /** Runs one command; returns the exit status. */
+    /** Runs one command and returns its exit status. */
     public static int run(String... args) {
         return line().execute(args);
     }
@@ -36,7 +36,7 @@
                 });
     }
 
-    /** One line for a person. */
+    /** Returns a one-line message for the user. */
     private static String message(Exception failure) {
         return failure.getMessage() == null ? failure.toString()
                 : failure instanceof NoSuchFileException missing
@@ -50,7 +50,7 @@
         return CommandLine.ExitCode.USAGE;
     }
 
-    /** The version that stands in the jar. */
+    /** Provides the version in the jar's manifest. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -62,7 +62,7 @@
     @Command(name = "serve", mixinStandardHelpOptions = true, versionProvider = Version.class,
             description = "Run one director; BALANCER_CONFIG names its configuration.")
     static final class Serve implements Callable<Integer> {
-        @Option(names = "--settings", paramLabel = "FILE", description = "Settings of our own: logs, ledger.")
+        @Option(names = "--settings", paramLabel = "FILE", description = "Settings of logging and optional subsystems.")
         private String settings;
 
         @Override
@@ -72,7 +72,7 @@
     }
 
     @Command(name = "adapter", mixinStandardHelpOptions = true, versionProvider = Version.class,
-            description = "Host routers on the simulator's wire, on standard input and output.")
+            description = "Run routers for the simulator, over standard input and output.")
     static final class AdapterCommand implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -81,7 +81,7 @@
     }
 
     @Command(name = "rehearse", mixinStandardHelpOptions = true, versionProvider = Version.class,
-            description = "Part of the build: serve made-up requests, so that classes can be archived.")
+            description = "Part of the build: serve generated requests to archive the loaded classes.")
     static final class Rehearse implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "A director's configuration.")
         private String file;
@@ -94,20 +94,20 @@
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true, versionProvider = Version.class,
-            description = "Check a settings file, or a director's configuration, and change nothing.")
+            description = "Validate a settings file or a director's configuration.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The file.")
         private String file;
 
         @Option(names = "--config", paramLabel = "CONFIG",
-                description = "A director's configuration with the classes that the settings name.")
+                description = "A director's configuration with the request classes that the settings name.")
         private String config;
 
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
         @Override
-        public Integer call() throws SettingsFile.Fault, StartupException {
+        public Integer call() throws SettingsFile.InvalidSettingsException, StartupException {
             Service.check(file, config);
             spec.commandLine().getOut().println(file + ": good");
             return 0;
--- a/src/main/java/clovermill/cli/FleetSimCommand.java
+++ b/src/main/java/clovermill/cli/FleetSimCommand.java
@@ -19,32 +19,35 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine;
 
-/** Plays a fleet of directors against emulated caches. */
+/** Simulates a fleet of directors with emulated caches. */
 @Command(name = "fleet-sim", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-        description = "Play many directors, each with the real decisions, before emulated caches.",
-        footer = {"", "One seed gives one run. Columns of --table: the load of each cache over its room, by second,",
-            "  . nothing to do   1 to 9 tenths of its room   # full, and more"})
+        description = "Simulate many directors, each with the real routing code, and emulated caches.",
+        footer = {"", "Runs with the same seed are identical. Columns of --table: utilization of each cache by second,",
+            "  . idle   1 to 9: tenths of its capacity   #: at or over capacity"})
 final class FleetSimCommand implements Callable<Integer> {
 
     private static final int COLUMNS = 100;
 
-    @Parameters(paramLabel = "PLAN", arity = "0..1", description = "What to play, as JSON (example/fleet-sim.json).")
+    @Parameters(paramLabel = "PLAN", arity = "0..1",
+            description = "The plan to simulate, as JSON (example/fleet-sim.json).")
     private Path file;
 
-    @Option(names = "--directors", paramLabel = "N", description = "The standard plan for so many (default 100).")
+    @Option(names = "--directors", paramLabel = "N",
+            description = "Use the standard plan for N directors (default 100).")
     private Integer directors;
 
-    @Option(names = "--choice", paramLabel = "NAME", description = "Who chooses, may be given several times: module, "
-            + "guess (the module without reports), least, two.")
+    @Option(names = "--choice", paramLabel = "NAME",
+            description = "The routing algorithm, may be given several times: module, "
+                    + "guess (module without load reports), least (least loaded), two (less loaded of two).")
     private List<String> choices;
 
-    @Option(names = "--seed", paramLabel = "S", description = "Source of all random numbers (default 1).")
+    @Option(names = "--seed", paramLabel = "S", description = "Seed of all random numbers (default 1).")
     private long seed = 1;
 
-    @Option(names = "--json", description = "JSON lines: one a second, then the figures of the run.")
+    @Option(names = "--json", description = "Print JSON lines: one per second, then the figures of the run.")
     private boolean json;
 
-    @Option(names = "--table", description = "The load of each cache over time.")
+    @Option(names = "--table", description = "Print the load of each cache over time.")
     private boolean table;
 
     @CommandLine.Spec
@@ -59,26 +62,26 @@
         PrintWriter out = spec.commandLine().getOut();
         for (String choice : choices == null ? List.of(plan.choice()) : choices) {
             Plan chosen = plan.choosing(choice);
-            FleetMetrics tally = Emulation.play(chosen, seed);
+            FleetMetrics metrics = Emulation.play(chosen, seed);
             Map<String, Object> line = new LinkedHashMap<>();
             line.put("choice", choice);
             line.put("directors", chosen.directors());
             line.put("caches", chosen.caches());
             line.put("seed", seed);
-            line.putAll(tally.figures());
+            line.putAll(metrics.figures());
             if (json) {
-                for (FleetMetrics.Second second : tally.seconds()) {
+                for (FleetMetrics.Second second : metrics.seconds()) {
                     out.println(text(second(choice, second)));
                 }
                 out.println(text(line));
             } else {
-                StringBuilder words = new StringBuilder();
-                line.forEach((name, value) -> words.append(words.isEmpty() ? "" : " ").append(name).append('=')
+                StringBuilder text = new StringBuilder();
+                line.forEach((name, value) -> text.append(text.isEmpty() ? "" : " ").append(name).append('=')
                         .append(value));
-                out.println(words);
+                out.println(text);
             }
             if (table) {
-                print(tally, out);
+                print(metrics, out);
             }
             out.flush();
         }
@@ -109,9 +112,9 @@
         return new ObjectMapper().writeValueAsString(line);
     }
 
-    /** A line for each cache, a column for each second. */
-    private static void print(FleetMetrics tally, PrintWriter out) {
-        List<FleetMetrics.Second> seconds = tally.seconds().subList(0, Math.min(COLUMNS, tally.seconds().size()));
+    /** Prints a line for each cache with a column for each second. */
+    private static void print(FleetMetrics metrics, PrintWriter out) {
+        List<FleetMetrics.Second> seconds = metrics.seconds().subList(0, Math.min(COLUMNS, metrics.seconds().size()));
         TreeSet<String> ids = new TreeSet<>();
         seconds.forEach(second -> ids.addAll(second.loads().keySet()));
         for (String id : ids) {
--- a/src/main/java/clovermill/cli/LedgerExportCommand.java
+++ b/src/main/java/clovermill/cli/LedgerExportCommand.java
@@ -37,7 +37,7 @@
     }
 
     /** The settings' terms of the export, where an option does not override them. */
-    private LedgerSettings.Export terms() throws SettingsFile.Fault {
+    private LedgerSettings.Export terms() throws SettingsFile.InvalidSettingsException {
         LedgerSettings.Export set = settings().export();
         LedgerSettings.Export terms = new LedgerSettings.Export(to != null ? to : set == null ? null : set.folder(),
                 format != null ? format : set == null ? null : set.format(),
--- a/src/main/java/clovermill/cli/LedgerFolderCommand.java
+++ b/src/main/java/clovermill/cli/LedgerFolderCommand.java
@@ -27,17 +27,18 @@
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    final LedgerFolder folder() throws SettingsFile.Fault {
+    final LedgerFolder folder() throws SettingsFile.InvalidSettingsException {
         return new LedgerFolder(folderOptions.folder != null ? folderOptions.folder : Path.of(settings().folder()));
     }
 
     /** The ledger's part of the settings file, or defaults where only the folder was named. */
-    final LedgerSettings settings() throws SettingsFile.Fault {
+    final LedgerSettings settings() throws SettingsFile.InvalidSettingsException {
         if (folderOptions.settings == null) {
             return LedgerSettings.in(folderOptions.folder.toString());
         }
         return SettingsFile.read(folderOptions.settings).part("ledger", LedgerSettings.class)
-                .orElseThrow(() -> new SettingsFile.Fault(folderOptions.settings, "/ledger", "is missing"));
+                .orElseThrow(() -> new SettingsFile.InvalidSettingsException(folderOptions.settings, "/ledger",
+                        "is missing"));
     }
 
     final PrintWriter out() {
--- a/src/main/java/clovermill/cli/Main.java
+++ b/src/main/java/clovermill/cli/Main.java
@@ -10,14 +10,15 @@
 import java.io.IOException;
 
 /**
- * Where the process starts. The platform's {@code serve} and {@code adapter} alone are told apart here: what the
- * command line's library costs at a start is more than a tenth of all they cost, see docs/design/ledger.md.
+ * The entry point of the process. The platform's invocations, {@code serve} and {@code adapter} without options, are
+ * handled here without the command-line library: loading it takes more than a tenth of their startup, see
+ * docs/design/ledger.md.
  */
 public final class Main {
 
     private Main() {}
 
-    /** Exits with 0 at the end, 1 on a fault, 2 on wrong usage. */
+    /** Exits with 0 on success, 1 on failure, 2 on invalid usage. */
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("serve")) {
             exitUnlessZero(serve(null));
@@ -28,7 +29,7 @@
         }
     }
 
-    /** A director returns after its departure has ended; halting before would cut that short. */
+    /** Exits for a nonzero status only: an explicit exit with 0 could cut the shutdown of a director short. */
     private static void exitUnlessZero(int status) {
         if (status != 0) {
             System.exit(status);
@@ -36,13 +37,13 @@
     }
 
     static int serve(String settings) {
-        // Not a constant of that class: initializing it would set the JVM's own manager up before.
-        System.setProperty("java.util.logging.manager", "clovermill.config.settings.LastingLog");
+        // A literal, since a reference to the class would initialize the JVM's default log manager first.
+        System.setProperty("java.util.logging.manager", "clovermill.config.settings.NonResettingLogManager");
         try {
             Service.serve(settings);
             return 0;
         } catch (StartupException | IOException failure) {
-            return fault(failure.getMessage());
+            return fail(failure.getMessage());
         }
     }
 
@@ -51,12 +52,12 @@
             new Adapter(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out)).run();
             return 0;
         } catch (MalformedInput | IOException failure) {
-            return fault(failure.getMessage());
+            return fail(failure.getMessage());
         }
     }
 
-    private static int fault(String line) {
-        System.err.println("clovermill: " + line);
+    private static int fail(String message) {
+        System.err.println("clovermill: " + message);
         return 1;
     }
 }
--- a/src/main/java/clovermill/cli/Output.java
+++ b/src/main/java/clovermill/cli/Output.java
@@ -12,7 +12,7 @@
 import me.tongfei.progressbar.ProgressBarBuilder;
 import me.tongfei.progressbar.ProgressBarStyle;
 
-/** What commands print: tables for people, JSON for programs, and progress on standard error. */
+/** The output of commands: tables, JSON, and progress on standard error. */
 final class Output {
 
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Prints rows in columns, numbers to the right. */
+    /** Prints rows in columns, with numbers aligned to the right. */
     static void table(PrintWriter out, List<String> names, List<List<String>> rows) {
         List<List<String>> all = new ArrayList<>(List.of(names));
         all.addAll(rows);
@@ -48,12 +48,12 @@
         }
     }
 
-    /** Work that may take long: shows how many entries were read, where somebody sits before it. */
+    /** Returns a progress display for a long task; it shows the number of entries read if a console is attached. */
     static Progress progress(String task) {
         return new Progress(task);
     }
 
-    /** A bar on standard error; nothing where that is no terminal. */
+    /** A progress bar on standard error; does nothing if no console is attached. */
     static final class Progress implements LongConsumer, AutoCloseable {
         private final ProgressBar bar;
 
--- a/src/main/java/clovermill/cli/package-info.java
+++ b/src/main/java/clovermill/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line, on picocli: the only place that prints for people and picks exit codes. 0: done; 1: a fault
- * in what was read, or a check that did not hold; 2: wrong usage. {@link clovermill.cli.Main} tells the platform's
- * two words apart before any of this is loaded.
+ * The command line, based on picocli: the only package that prints for users and chooses exit codes. 0: success; 1: a
+ * failure, invalid input or a failed check; 2: invalid usage. {@link clovermill.cli.Main} handles the platform's two
+ * invocations before any of this is loaded.
  */
 package clovermill.cli;
--- a/src/main/java/clovermill/config/Config.java
+++ b/src/main/java/clovermill/config/Config.java
@@ -13,30 +13,39 @@
 import java.util.stream.Collectors;
 
 /**
- * What a director is given at its start. {@code known} holds the command channel's events so far in its own
- * form, {@code admin} is null where operators call nowhere, {@code settings} what the module sees, and the lists the
- * names of classes, zones and kinds.
+ * The configuration of a director.
+ *
+ * @param listen the address for clients
+ * @param admin the address of the admin server, or null for none
+ * @param channel the address of the discovery service
+ * @param sockets the number of file descriptors that the director may use
+ * @param initialEvents the discovery events up to the start, in the form of a discovery answer
+ * @param settings the settings of the router
+ * @param classes the names of the request classes
+ * @param zones the names of the zones
+ * @param kinds the names of the endpoint kinds
+ * @param memberTypes the members that a reloaded configuration must have
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress channel,
-        long seed, int sockets, Object known, Settings settings, List<String> classes, List<String> zones,
-        List<String> kinds, int streamsPerConnection, long connectionIdleUs, Shape shape) {
+        long seed, int sockets, Object initialEvents, Settings settings, List<String> classes, List<String> zones,
+        List<String> kinds, int streamsPerConnection, long connectionIdleUs, MemberTypes memberTypes) {
 
     private static final long DEFAULT_IDLE_US = 30_000_000;
 
-    /** Where the text of a configuration comes from. */
+    /** The source of a configuration's text. */
     @FunctionalInterface
     public interface Source {
 
-        /** The complete text. */
+        /** Returns the complete text. */
         String read() throws IOException;
     }
 
-    /** Reads a file; whatever is wrong with it is reported in one line. */
+    /** Reads a file; any fault in it is reported in one line. */
     public static Config load(String file, String listen) throws Json.Malformed {
         return load(() -> Files.readString(Path.of(file)), listen);
     }
 
-    /** As {@link #load(String, String)}, from a source that may try again. */
+    /** As {@link #load(String, String)}, from a source that may retry. */
     public static Config load(Source source, String listen) throws Json.Malformed {
         try {
             return read(source.read(), listen);
@@ -45,7 +54,7 @@
         }
     }
 
-    /** Reads a text; {@code listen} stands above its own address, where it is not null. */
+    /** Parses a text; {@code listen}, if not null, overrides its listening address. */
     public static Config read(String text, String listen) throws Json.Malformed {
         Map<?, ?> root = Json.object(Json.parse(text));
         Map<?, ?> settings = Json.object(root, "settings");
@@ -76,7 +85,7 @@
                 names(settings, "zones"), names(settings, "kinds"),
                 (int) integer(pairs.getOrDefault("policy-limits.streams-per-conn", "1")),
                 integer(pairs.getOrDefault("policy-limits.conn-idle-us", "" + DEFAULT_IDLE_US)),
-                Shape.of(root));
+                MemberTypes.of(root));
     }
 
     private static void positive(Map<?, ?> object, String member, String path) throws Json.Malformed {
@@ -86,20 +95,20 @@
     }
 
     /**
-     * Checks that a configuration can take the place of this one while the director serves.
+     * Checks that a configuration can replace this one in a running director.
      *
-     * @throws Json.Malformed naming what it lacks of what this one has
+     * @throws Json.Malformed naming the first member of this configuration that {@code next} lacks
      */
     public void checkNext(Config next) throws Json.Malformed {
-        shape.check(next.shape);
+        memberTypes.check(next.memberTypes);
     }
 
-    /** An address of the form host:port, the host a literal one: nothing is looked up. */
+    /** Parses an address of the form host:port; the host must be an IP literal, so that no name is resolved. */
     public static InetSocketAddress address(String text) throws Json.Malformed {
-        int cut = text.lastIndexOf(':');
-        if (cut > 0 && text.substring(0, cut).matches("[0-9.]+|\\[?[0-9a-fA-F:.]+]?")) {
+        int colon = text.lastIndexOf(':');
+        if (colon > 0 && text.substring(0, colon).matches("[0-9.]+|\\[?[0-9a-fA-F:.]+]?")) {
             try {
-                return new InetSocketAddress(text.substring(0, cut), Integer.parseInt(text.substring(cut + 1)));
+                return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
             } catch (IllegalArgumentException e) {
                 // reported below
             }
@@ -127,7 +136,7 @@
         return Json.list(settings, member).stream().map(String::valueOf).toList();
     }
 
-    /** Turns nested values into the pairs of the simulator's first message. */
+    /** Flattens nested values into pairs of path and value, as in the simulator's first message. */
     private static void flatten(String path, Object value, Map<String, String> pairs) throws Json.Malformed {
         if (value instanceof Map<?, ?> object) {
             for (Map.Entry<?, ?> member : object.entrySet()) {
--- a/src/main/java/clovermill/config/Json.java
+++ b/src/main/java/clovermill/config/Json.java
@@ -15,24 +15,24 @@
 /** JSON as maps, lists, strings, doubles, booleans and null, read by Jackson's streaming parser. */
 public final class Json {
 
-    /** Text that is no JSON, or not of the form that was expected. */
+    /** Thrown for text that is not JSON or lacks an expected member. */
     public static final class Malformed extends Exception {
 
         private static final long serialVersionUID = 1L;
 
-        /** {@code message} is one line that names the field and the reason. */
+        /** Creates the exception; {@code message} is one line that names the field and the reason. */
         public Malformed(String message) {
             super(message, null, false, false);
         }
     }
 
-    private static final int DEEPEST = 64;
+    private static final int MAX_NESTING_DEPTH = 64;
     private static final JsonFactory FACTORY = JsonFactory.builder().streamReadConstraints(
-            StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build()).build();
+            StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build()).build();
 
     private Json() {}
 
-    /** Reads a whole text as one value. */
+    /** Parses a complete text as one value. */
     public static Object parse(String text) throws Malformed {
         try (JsonParser parser = FACTORY.createParser(text)) {
             Object value = value(parser, parser.nextToken());
@@ -45,11 +45,11 @@
             throw new Malformed("JSON, at " + (bad.getLocation() == null ? 0 : bad.getLocation().getCharOffset())
                     + ": " + bad.getOriginalMessage().lines().findFirst().orElse("not readable"));
         } catch (IOException impossible) {
-            throw new UncheckedIOException(impossible); // a text in memory is read
+            throw new UncheckedIOException(impossible); // the parser reads from memory
         }
     }
 
-    /** The value that begins with a token; null, where the text has ended, begins none. */
+    /** Returns the value that begins with {@code token}; a null token means that the text is empty. */
     private static Object value(JsonParser parser, JsonToken token) throws IOException, Malformed {
         if (token == null) {
             throw new Malformed("JSON, at 0: the text is empty");
@@ -78,17 +78,17 @@
         }
     }
 
-    /** A member that must be an object. */
+    /** Returns a member that must be an object. */
     public static Map<?, ?> object(Map<?, ?> object, String name) throws Malformed {
         return member(object, name, Map.class, "an object");
     }
 
-    /** A member that must be a list. */
+    /** Returns a member that must be a list. */
     public static List<?> list(Map<?, ?> object, String name) throws Malformed {
         return member(object, name, List.class, "a list");
     }
 
-    /** A value that must be an object. */
+    /** Returns a value that must be an object. */
     public static Map<?, ?> object(Object value) throws Malformed {
         if (value instanceof Map<?, ?> map) {
             return map;
@@ -96,21 +96,21 @@
         throw new Malformed("an object was expected");
     }
 
-    /** A member that must be a string. */
+    /** Returns a member that must be a string. */
     public static String string(Map<?, ?> object, String name) throws Malformed {
         return member(object, name, String.class, "a string");
     }
 
-    /** A member that must be a number. */
+    /** Returns a member that must be a number. */
     public static double number(Map<?, ?> object, String name) throws Malformed {
         return member(object, name, Double.class, "a number");
     }
 
-    private static <T> T member(Map<?, ?> object, String name, Class<T> type, String what) throws Malformed {
+    private static <T> T member(Map<?, ?> object, String name, Class<T> type, String expected) throws Malformed {
         Object value = object.get(name);
         if (type.isInstance(value)) {
             return type.cast(value);
         }
-        throw new Malformed(what + " was expected: " + name);
+        throw new Malformed(expected + " was expected: " + name);
     }
 }
--- a/src/main/java/clovermill/config/Shape.java
+++ b/src/main/java/clovermill/config/MemberTypes.java
@@ -6,21 +6,26 @@
 import java.util.TreeMap;
 
 /**
- * Which members a configuration has, and of what type: those of its objects by path, those that all of its classes of
- * requests have, and those of each class by name and effect. A later one that lacks any of them is incomplete, even
- * where the value would have a default at a start, and one that has another type in its place cannot be meant. A class
- * of another effect may have other members: a window, say, is told only where repeats are recognised.
+ * The members of a configuration and their types. A reloaded configuration that lacks any of them is taken for
+ * incomplete, even if the value would have a default at startup, and one with a member of another type is invalid. A
+ * class whose effect changes may have other members: a window, for example, is given only if repeated requests are
+ * deduplicated.
+ *
+ * @param byPath the types of the members of objects, by path
+ * @param commonToClasses the types of the members that all request classes have
+ * @param byClass the types of the members of each request class, by the class's name and effect
  */
-record Shape(Map<String, String> paths, Map<String, String> ofEachClass, Map<String, Map<String, String>> ofClass) {
+record MemberTypes(Map<String, String> byPath, Map<String, String> commonToClasses,
+        Map<String, Map<String, String>> byClass) {
 
     private static final String CLASSES = "settings.request-classes";
 
-    /** The shape of a whole configuration; members that are null count as missing. */
-    static Shape of(Map<?, ?> root) {
-        Map<String, String> paths = new TreeMap<>();
-        collect("", root, paths);
+    /** Returns the member types of a whole configuration; members that are null count as missing. */
+    static MemberTypes of(Map<?, ?> root) {
+        Map<String, String> byPath = new TreeMap<>();
+        collect("", root, byPath);
         List<Map<?, ?>> classes = classes(root);
-        return new Shape(paths, common(classes), byNameAndEffect(classes));
+        return new MemberTypes(byPath, common(classes), byNameAndEffect(classes));
     }
 
     private static Map<String, Map<String, String>> byNameAndEffect(List<Map<?, ?>> classes) {
@@ -33,14 +38,14 @@
         return result;
     }
 
-    private static void collect(String path, Map<?, ?> object, Map<String, String> paths) {
+    private static void collect(String path, Map<?, ?> object, Map<String, String> byPath) {
         object.forEach((name, value) -> {
             String at = path.isEmpty() ? "" + name : path + "." + name;
             if (value != null) {
-                paths.put(at, type(value));
+                byPath.put(at, type(value));
             }
             if (value instanceof Map<?, ?> inner) {
-                collect(at, inner, paths);
+                collect(at, inner, byPath);
             }
         });
     }
@@ -63,7 +68,7 @@
         return result;
     }
 
-    /** What all classes have of the same type. */
+    /** Returns the members that all classes have with the same type. */
     private static Map<String, String> common(List<Map<?, ?>> classes) {
         Map<String, String> result = new TreeMap<>();
         for (int i = 0; i < classes.size(); i++) {
@@ -78,14 +83,18 @@
         return result;
     }
 
-    /** @throws Json.Malformed naming the first member that {@code next} lacks, or has with another type */
-    void check(Shape next) throws Json.Malformed {
-        check("", paths, next.paths);
-        check(CLASSES + ".", ofEachClass, next.ofEachClass);
-        for (Map.Entry<String, Map<String, String>> known : ofClass.entrySet()) {
-            Map<String, String> later = next.ofClass.get(known.getKey());
-            if (later != null) {
-                check(CLASSES + ": " + known.getKey() + ": ", known.getValue(), later);
+    /**
+     * Checks that a later configuration has all of these members.
+     *
+     * @throws Json.Malformed naming the first member that {@code next} lacks or has with another type
+     */
+    void check(MemberTypes next) throws Json.Malformed {
+        check("", byPath, next.byPath);
+        check(CLASSES + ".", commonToClasses, next.commonToClasses);
+        for (Map.Entry<String, Map<String, String>> known : byClass.entrySet()) {
+            Map<String, String> present = next.byClass.get(known.getKey());
+            if (present != null) {
+                check(CLASSES + ": " + known.getKey() + ": ", known.getValue(), present);
             }
         }
     }
--- a/src/main/java/clovermill/config/SettingsReader.java
+++ b/src/main/java/clovermill/config/SettingsReader.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * Makes the module's settings of pairs of path and value, as the simulator's wire and the configuration give
- * them; keys that are not known are passed over, those absent read as zero or false.
+ * Builds the router's settings from pairs of path and value, the form in which the simulator's protocol and the
+ * configuration supply them. Unknown keys are ignored; missing ones default to zero or false unless stated otherwise.
  */
 public final class SettingsReader {
 
@@ -24,7 +24,11 @@
         this.values = values;
     }
 
-    /** Reads the settings; a value that should be a number and is none is reported as malformed. */
+    /**
+     * Reads the settings.
+     *
+     * @throws Json.Malformed if a value that must be a number is not one
+     */
     public static Settings read(Map<String, String> values) throws Json.Malformed {
         try {
             return new SettingsReader(values).settings();
@@ -34,35 +38,35 @@
     }
 
     private Settings settings() {
-        String family = "family-info.";
+        String prefix = "family-info.";
         SlowStartRule slowStart = new SlowStartRule(decimal("rules.cold-from", 1), micros("rules.cold-us"),
                 decimal("rules.tip-multiple", 1), micros("rules.tip-after-us"));
         SlowStartRule parentSlowStart = new SlowStartRule(
-                decimal(family + "parent-cold-from", slowStart.initialShare()),
-                micros(family + "upper-cold-us"), decimal(family + "parent-limit-factor", slowStart.overloadMultiple()),
+                decimal(prefix + "parent-cold-from", slowStart.initialShare()),
+                micros(prefix + "upper-cold-us"), decimal(prefix + "parent-limit-factor", slowStart.overloadMultiple()),
                 slowStart.overloadWindowUs());
         return new Settings(integer("position", 0), integer("fleet-size", 1), integer("zone", 0), classes(),
-                wholes(family + "crew-by-zone"), wholes(family + "attached-to"),
-                integer(family + "upper-kind", -1),
-                integer(family + "root-kind", -1), decimal(family + "pace-kb-per-s", 0),
+                integers(prefix + "crew-by-zone"), integers(prefix + "attached-to"),
+                integer(prefix + "upper-kind", -1),
+                integer(prefix + "root-kind", -1), decimal(prefix + "pace-kb-per-s", 0),
                 !"none".equals(values.getOrDefault("weight-source", "none")),
-                word(family + "peers-fill", SiblingScope.NONE, Map.of("none", SiblingScope.NONE, "location",
+                enumValue(prefix + "peers-fill", SiblingScope.NONE, Map.of("none", SiblingScope.NONE, "location",
                         SiblingScope.LOCATION,
                         "any", SiblingScope.ANY)),
-                word(family + "says", CacheStatusDetail.NONE,
+                enumValue(prefix + "says", CacheStatusDetail.NONE,
                         Map.of("none", CacheStatusDetail.NONE, "hit", CacheStatusDetail.HITS,
                                 "all", CacheStatusDetail.ALL)),
                 slowStart, parentSlowStart, micros("rules.drain-grace-us"), micros("rules.answer-slack-us"),
-                micros(family + "notice-time-us"), micros(family + "purge-done-us"),
+                micros(prefix + "notice-time-us"), micros(prefix + "purge-done-us"),
                 micros("policy-limits.dial-timeout-us"), "on_request".equals(values.get("registry-mode")),
-                micros("rules.must-ask-in-us"), decimal(family + "root-fall-multiple", 0),
-                micros(family + "origin-fall-us"),
-                number(item(list(family + "zone-link-kb-per-s"), integer("zone", 0)), 0), capabilities(family));
+                micros("rules.must-ask-in-us"), decimal(prefix + "root-fall-multiple", 0),
+                micros(prefix + "origin-fall-us"),
+                number(item(list(prefix + "zone-link-kb-per-s"), integer("zone", 0)), 0), capabilities(prefix));
     }
 
-    private HostCapabilities capabilities(String family) {
+    private HostCapabilities capabilities(String prefix) {
         String limits = "policy-limits.";
-        return new HostCapabilities(bool(family + "straight"), bool(family + "shares-fills"),
+        return new HostCapabilities(bool(prefix + "straight"), bool(prefix + "shares-fills"),
                 bool(limits + "cancelling"),
                 bool(limits + "second-copies"), bool(limits + "probes"), bool(limits + "peers"),
                 integer(limits + "max-attempts", Integer.MAX_VALUE), integer(limits + "max-open",
@@ -71,24 +75,24 @@
     }
 
     private List<RequestClass> classes() {
-        String[] fresh = list("family-info.class-fresh-us");
-        String[] after = list("family-info.usable-after-us");
-        String[] through = list("family-info.goes-through");
-        String[] parts = list("family-info.in-parts");
-        String[] stale = list("family-info.stale-earns");
+        String[] freshUs = list("family-info.class-fresh-us");
+        String[] staleUsableUs = list("family-info.usable-after-us");
+        String[] passThrough = list("family-info.goes-through");
+        String[] inParts = list("family-info.in-parts");
+        String[] staleValue = list("family-info.stale-earns");
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < integer("request-classes.count", 0); i++) {
-            String at = "request-classes." + i + ".";
-            classes.add(new RequestClass(micros(at + "aim-us"), decimal(at + "aim-stretch", 0),
-                    micros(at + "deadline-us"), decimal(at + "value", 1), decimal(at + "late-worth", 0),
-                    word(at + "effect", Effect.AT_MOST_ONCE, Map.of("idempotent", Effect.IDEMPOTENT,
+            String prefix = "request-classes." + i + ".";
+            classes.add(new RequestClass(micros(prefix + "aim-us"), decimal(prefix + "aim-stretch", 0),
+                    micros(prefix + "deadline-us"), decimal(prefix + "value", 1), decimal(prefix + "late-worth", 0),
+                    enumValue(prefix + "effect", Effect.AT_MOST_ONCE, Map.of("idempotent", Effect.IDEMPOTENT,
                             "deduplicated", Effect.DEDUPLICATED, "at_most_once", Effect.AT_MOST_ONCE)),
-                    word(at + "key-scope", KeyScope.CELL, Map.of("all", KeyScope.ALL, "zone", KeyScope.ZONE,
+                    enumValue(prefix + "key-scope", KeyScope.CELL, Map.of("all", KeyScope.ALL, "zone", KeyScope.ZONE,
                             "cell", KeyScope.CELL)),
-                    micros(at + "window-us"), bool(at + "stream"), item(through, i).equals("true"),
-                    item(parts, i).equals("true"), (long) number(item(fresh, i), 0),
-                    (long) number(item(after, i), 0),
-                    number(item(stale, i), 1)));
+                    micros(prefix + "window-us"), bool(prefix + "stream"), item(passThrough, i).equals("true"),
+                    item(inParts, i).equals("true"), (long) number(item(freshUs, i), 0),
+                    (long) number(item(staleUsableUs, i), 0),
+                    number(item(staleValue, i), 1)));
         }
         return classes;
     }
@@ -98,12 +102,12 @@
         return value.isEmpty() || value.equals("-") ? new String[0] : value.split(",", -1);
     }
 
-    /** An item of a list by class; one value may stand for all classes. */
+    /** Returns an item of a list by class; a list of one value applies to all classes. */
     private static String item(String[] list, int i) {
         return list.length == 0 ? "" : list[list.length == 1 ? 0 : Math.min(i, list.length - 1)];
     }
 
-    private List<Integer> wholes(String key) {
+    private List<Integer> integers(String key) {
         List<Integer> result = new ArrayList<>();
         for (String value : list(key)) {
             result.add((int) number(value, 0));
@@ -111,8 +115,8 @@
         return List.copyOf(result);
     }
 
-    private <T> T word(String key, T absent, Map<String, T> words) {
-        return words.getOrDefault(values.getOrDefault(key, ""), absent);
+    private <T> T enumValue(String key, T defaultValue, Map<String, T> constants) {
+        return constants.getOrDefault(values.getOrDefault(key, ""), defaultValue);
     }
 
     private boolean bool(String key) {
@@ -120,19 +124,19 @@
         return value.equals("true") || value.equals("1");
     }
 
-    private int integer(String key, int absent) {
-        return (int) number(values.getOrDefault(key, ""), absent);
+    private int integer(String key, int defaultValue) {
+        return (int) number(values.getOrDefault(key, ""), defaultValue);
     }
 
     private long micros(String key) {
         return (long) number(values.getOrDefault(key, ""), 0);
     }
 
-    private double decimal(String key, double absent) {
-        return number(values.getOrDefault(key, ""), absent);
+    private double decimal(String key, double defaultValue) {
+        return number(values.getOrDefault(key, ""), defaultValue);
     }
 
-    private static double number(String value, double absent) {
-        return value.isEmpty() || value.equals("-") ? absent : Double.parseDouble(value);
+    private static double number(String value, double defaultValue) {
+        return value.isEmpty() || value.equals("-") ? defaultValue : Double.parseDouble(value);
     }
 }
--- a/src/main/java/clovermill/config/settings/LogSettings.java
+++ b/src/main/java/clovermill/config/settings/LogSettings.java
@@ -1,9 +1,15 @@
 package clovermill.config.settings;
 
-/** The part under {@code /log}: {@code format} is text or json, {@code level} the least that is written. */
+/**
+ * The settings under {@code /log}.
+ *
+ * @param format text or json
+ * @param level the lowest level that is written
+ * @param file the log file; null for standard error
+ */
 public record LogSettings(String format, String level, String file) {
 
-    /** Fills in what the file leaves out. */
+    /** Replaces missing values by their defaults. */
     public LogSettings {
         format = format == null ? "text" : format;
         level = level == null ? "info" : level;
--- a/src/main/java/clovermill/config/settings/SettingsFile.java
+++ b/src/main/java/clovermill/config/settings/SettingsFile.java
@@ -20,16 +20,20 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A settings file that has passed its schema; subsystems take their part of it by name. */
+/** A settings file that conforms to its schema; subsystems read their part of it by name. */
 public final class SettingsFile {
 
-    /** A fault in one line: the file, the JSON pointer (RFC 6901) of the place, and the reason. */
-    public static final class Fault extends Exception {
+    /**
+     * Thrown for invalid settings; the message is one line with the file, the JSON pointer (RFC 6901) and the reason.
+     */
+    public static final class InvalidSettingsException extends Exception {
 
         private static final long serialVersionUID = 1L;
 
-        /** {@code pointer} is the JSON pointer of the value at fault, empty for the whole file. */
-        public Fault(String file, String pointer, String reason) {
+        /**
+         * Creates the exception; {@code pointer} is the JSON pointer of the invalid value, empty for the whole file.
+         */
+        public InvalidSettingsException(String file, String pointer, String reason) {
             super(file + ": " + (pointer.isEmpty() ? "" : pointer + ": ") + reason, null, false, false);
         }
     }
@@ -46,7 +50,7 @@
         this.root = root;
     }
 
-    /** Whether a file looks like what the platform tells a director, rather than settings of our own. */
+    /** Returns true if a file has the members of a director's configuration rather than those of a settings file. */
     public static boolean isConfiguration(String file) {
         try {
             JsonNode root = JSON.readTree(Files.readString(Path.of(file)));
@@ -56,32 +60,32 @@
         }
     }
 
-    /** Reads and checks a file. */
-    public static SettingsFile read(String file) throws Fault {
+    /** Reads and validates a file. */
+    public static SettingsFile read(String file) throws InvalidSettingsException {
         String text;
         try {
             text = Files.readString(Path.of(file));
         } catch (NoSuchFileException missing) {
-            throw new Fault(file, "", "there is no such file");
+            throw new InvalidSettingsException(file, "", "there is no such file");
         } catch (IOException | InvalidPathException failure) {
-            throw new Fault(file, "", "cannot be read: " + failure.getMessage());
+            throw new InvalidSettingsException(file, "", "cannot be read: " + failure.getMessage());
         }
         return read(file, text);
     }
 
-    /** Checks a text that came from {@code file}. */
-    public static SettingsFile read(String file, String text) throws Fault {
+    /** Validates a text that was read from {@code file}. */
+    public static SettingsFile read(String file, String text) throws InvalidSettingsException {
         JsonNode root;
         try {
             root = JSON.readTree(text);
         } catch (JsonProcessingException bad) {
-            throw new Fault(file, "", "no JSON, line " + bad.getLocation().getLineNr() + ", column "
+            throw new InvalidSettingsException(file, "", "no JSON, line " + bad.getLocation().getLineNr() + ", column "
                     + bad.getLocation().getColumnNr() + ": " + bad.getOriginalMessage().lines().findFirst().orElse(""));
         }
         List<Error> errors = schema().validate(text, InputFormat.JSON);
         if (!errors.isEmpty()) {
             Error first = errors.get(0);
-            throw new Fault(file, first.getInstanceLocation().toString(), first.getMessage());
+            throw new InvalidSettingsException(file, first.getInstanceLocation().toString(), first.getMessage());
         }
         return new SettingsFile(file, root);
     }
@@ -95,8 +99,8 @@
         }
     }
 
-    /** A subsystem's part of the file, as the record that it reads its settings into; empty if absent. */
-    public <T> Optional<T> part(String name, Class<T> type) throws Fault {
+    /** Returns a subsystem's part of the file, mapped to its settings record; empty if absent. */
+    public <T> Optional<T> part(String name, Class<T> type) throws InvalidSettingsException {
         JsonNode node = root.get(name);
         if (node == null || node.isNull()) {
             return Optional.empty();
@@ -104,11 +108,11 @@
         try {
             return Optional.of(JSON.treeToValue(node, type));
         } catch (JsonProcessingException bad) {
-            throw new Fault(file, "/" + name, bad.getOriginalMessage());
+            throw new InvalidSettingsException(file, "/" + name, bad.getOriginalMessage());
         }
     }
 
-    /** The name under which faults are told. */
+    /** Returns the file name that error messages contain. */
     public String file() {
         return file;
     }
--- a/src/main/java/clovermill/config/settings/StructuredLog.java
+++ b/src/main/java/clovermill/config/settings/StructuredLog.java
@@ -13,9 +13,9 @@
 import org.slf4j.bridge.SLF4JBridgeHandler;
 
 /**
- * Sends what the code says through System.Logger to Logback, as text or JSON lines, on standard error or to a
- * file. The bridge sits behind java.util.logging rather than in the place of the system's logger finder: that one
- * is chosen for a whole JVM by what lies on the class path, and would cost the platform's run too.
+ * Routes the messages of System.Logger to Logback, which writes text or JSON lines to standard error or to a file. The
+ * bridge is installed behind java.util.logging instead of as the system's logger finder, because a logger finder is
+ * selected for the whole JVM by the class path and would slow down a start without structured logging too.
  */
 public final class StructuredLog {
 
@@ -23,7 +23,7 @@
 
     private StructuredLog() {}
 
-    /** Takes over from here on. */
+    /** Replaces the log handlers of the JVM. */
     public static void start(LogSettings settings) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
--- a/src/main/java/clovermill/config/settings/package-info.java
+++ b/src/main/java/clovermill/config/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The settings file of our own: JSON, checked against a schema before anything listens. What the platform tells a
- * director (BALANCER_CONFIG) is read by {@code config} and stays apart from it.
+ * The settings file of the optional subsystems and of logging: JSON, validated against a schema before any socket is
+ * opened. The configuration that the platform supplies (BALANCER_CONFIG) is separate and read by {@code config}.
  */
 package clovermill.config.settings;
--- a/src/main/java/clovermill/config/tenants/TenantRules.java
+++ b/src/main/java/clovermill/config/tenants/TenantRules.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * Maps a request to its tenant by its class and its object's group. The most specific rule applies: one that names a
- * class before one that does not, then the shortest range of groups, then the first in the list. Immutable.
+ * Maps a request to its tenant by its class and its object's group. The most specific rule applies: a rule that names a
+ * class precedes one that does not, then the shortest range of groups applies, then the first in the list. Immutable.
  */
 public final class TenantRules {
 
-    /** The number of groups of the protocol. */
+    /** The number of object groups in the protocol. */
     public static final int GROUPS = 256;
 
     /**
-     * The requests of one tenant.
+     * A rule that assigns requests to a tenant.
      *
      * @param requestClass a class by number, or -1 for every class
-     * @param firstGroup of the range
-     * @param lastGroup of the range, included
+     * @param firstGroup the first group of the range
+     * @param lastGroup the last group of the range, inclusive
      */
     public record Rule(String tenant, int requestClass, int firstGroup, int lastGroup) {
 
-        /** Throws {@link IllegalArgumentException}, naming the range and the tenant, if it is no range of groups. */
+        /** Throws {@link IllegalArgumentException}, naming the range and the tenant, if the range is invalid. */
         public Rule {
             if (firstGroup < 0 || lastGroup >= GROUPS || firstGroup > lastGroup) {
                 throw new IllegalArgumentException("groups " + firstGroup + " to " + lastGroup + " of tenant " + tenant
@@ -29,7 +29,7 @@
             }
         }
 
-        /** The lower, the more specific. */
+        /** Returns how broad this rule is; a lower value is more specific. */
         private int breadth() {
             return (requestClass < 0 ? GROUPS : 0) + lastGroup - firstGroup;
         }
@@ -42,7 +42,12 @@
     private final String[][] byClassAndGroup;
     private final String defaultTenant;
 
-    /** {@code defaultTenant} has all requests that no rule names; {@code classes} is how many classes there are. */
+    /**
+     * Creates the mapping.
+     *
+     * @param defaultTenant the tenant of all requests that no rule matches
+     * @param classes the number of request classes
+     */
     public TenantRules(List<Rule> rules, String defaultTenant, int classes) {
         this.defaultTenant = defaultTenant;
         byClassAndGroup = new String[classes][];
@@ -67,7 +72,7 @@
         return tenants;
     }
 
-    /** The tenant of a request, never null; the default one for a class or group that does not exist. */
+    /** Returns the tenant of a request, never null; the default tenant for a class or group that does not exist. */
     public String tenant(int requestClass, int group) {
         boolean exists = requestClass >= 0 && requestClass < byClassAndGroup.length && group >= 0 && group < GROUPS;
         return exists ? byClassAndGroup[requestClass][group] : defaultTenant;
--- a/src/main/java/clovermill/config/tenants/package-info.java
+++ b/src/main/java/clovermill/config/tenants/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which tenant a request belongs to; used by the ledger, by limits and by placement alike. Entry type:
+ * The mapping of requests to tenants; used by the ledger, the limits and placement. Entry type:
  * {@link clovermill.config.tenants.TenantRules}. Pure: no I/O, no clock, no thread.
  */
 package clovermill.config.tenants;
--- a/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
+++ b/src/main/java/clovermill/dataplane/upstream/UpstreamConnection.java
@@ -1,6 +1,6 @@
 package clovermill.dataplane.upstream;
 
-import clovermill.config.LoadReports;
+import clovermill.config.LoadReportParser;
 import clovermill.dataplane.proxy.UpstreamResponse;
 import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Result;
@@ -263,7 +263,7 @@
             return;
         }
         try {
-            exchange.listener.loadReported(LoadReports.read(gauges, ";"));
+            exchange.listener.loadReported(LoadReportParser.parse(gauges, ";"));
         } catch (NumberFormatException unreadable) {
             LOG.log(System.Logger.Level.DEBUG, "unreadable load report: {0}", gauges);
         }
--- a/src/main/java/clovermill/director/ArchiveRunPeers.java
+++ b/src/main/java/clovermill/director/ArchiveRunPeers.java
@@ -14,8 +14,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Stand-ins for all endpoints and for discovery at one loopback address, used by {@link ClassDataArchiveRun} only: a
- * poll gets an empty list of events, a request its object.
+ * A fake of all endpoints and of the discovery service at one loopback address, used only by
+ * {@link ClassDataArchiveRun}: answers each poll with an empty list of events and each request with an object.
  */
 final class ArchiveRunPeers implements AutoCloseable {
 
@@ -33,12 +33,12 @@
                 Peer::new);
     }
 
-    /** The address as configurations have it. */
+    /** Returns the address in the form host:port, as in a configuration. */
     String address() {
         return "127.0.0.1:" + listener.port();
     }
 
-    /** Handles what has arrived; waits for up to {@code maxMs} if there is nothing. */
+    /** Handles received data; waits for up to {@code maxMs} if there is none. */
     void turn(long maxMs) throws IOException {
         loop.turn(maxMs);
     }
--- a/src/main/java/clovermill/director/Assembly.java
+++ b/src/main/java/clovermill/director/Assembly.java
@@ -14,12 +14,15 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** One director: its planes, wired together. All but {@link #listening} belongs to the thread that runs the loop. */
+/**
+ * A complete director: builds its planes and wires them together. All but {@link #listening} belongs to the thread that
+ * runs the loop.
+ */
 final class Assembly {
 
     /**
-     * How long a process settles before it reports ready, in microseconds. A start uses up processor time in advance;
-     * without the pause the first answers came up to 0.4 s late and the router took endpoints for overloaded.
+     * Settling time of a process before it reports ready. Startup exhausts the processor quota; without the pause the
+     * first answers were up to 0.4 s late and the router treated endpoints as overloaded.
      */
     static final long SETTLE_US = 1_000_000;
 
@@ -32,15 +35,15 @@
     private final FrameServer server;
     private final GracefulShutdown shutdown;
     private final ConfigReloader reloader;
-    /** Whether a client may have been accepted; read by the thread of the signals. */
+    /** True once a client may have been accepted; read by the signal handler's thread. */
     private volatile boolean listening;
 
     /**
      * Wires a director that reports ready {@code settleUs} from now, once {@link #open} was called and its loop
      * runs.
      *
-     * @param configFile where later configurations are read from
-     * @param startup tries again what the machine refuses for a moment
+     * @param configFile the file from which the configuration is reloaded
+     * @param startup retries resources that are temporarily unavailable
      * @throws IOException if a socket, the selector or a folder cannot be opened
      * @throws Json.Malformed if the endpoint list of the configuration cannot be used
      * @throws IllegalArgumentException naming the subsystem's setting that cannot be used
@@ -49,14 +52,15 @@
             Platform platform, StartupRetry startup) throws IOException, Json.Malformed {
         this.startup = startup;
         this.platform = platform;
-        DiscoveryEvents startList = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
+        DiscoveryEvents initialEvents = DiscoveryEventParser.parse(config.initialEvents(),
+                config.zones(), config.kinds());
         runtime = DirectorRuntime.open(clock, startup);
-        Warmup.run(config.settings(), startList);
+        Warmup.run(config.settings(), initialEvents);
         usage = new UsageAccounting(config, subsystems, runtime);
         policy = subsystems.policyStore().isEmpty() ? Optional.empty()
                 : Optional.of(new PolicyPlane(subsystems.policyStore().get(), config, runtime, usage.listener()));
         DataPlane dataPlane = new DataPlane(config, runtime, usage, policy);
-        controlPlane = new ControlPlane(config, runtime, dataPlane, startList);
+        controlPlane = new ControlPlane(config, runtime, dataPlane, initialEvents);
         server = dataPlane.server(platform, controlPlane.readiness(platform, settleUs));
         controlPlane.startHandover(platform, dataPlane, server);
         if (usage.gossip().isPresent()) {
@@ -69,15 +73,15 @@
         reloader = new ConfigReloader(configFile, clock, runtime.deadlines(), config, reload::apply);
     }
 
-    /** The loop, to be run by the caller after {@link #open}. */
+    /** Returns the event loop, which the caller runs after {@link #open}. */
     EventLoop loop() {
         return runtime.loop();
     }
 
     /**
-     * Listens and starts discovery.
+     * Opens the listening sockets and starts discovery.
      *
-     * @throws IOException if an address cannot be bound until the bound of the start is over
+     * @throws IOException if an address cannot be bound within the time limit for startup
      */
     void open() throws IOException {
         policy.ifPresent(PolicyPlane::start);
@@ -99,28 +103,28 @@
         }
     }
 
-    /** Whether a client may have been accepted; may be called on any thread. */
+    /** Returns true once a client may have been accepted; may be called on any thread. */
     boolean listening() {
         return listening;
     }
 
-    /** The port on which clients are accepted. */
+    /** Returns the port on which clients are accepted. */
     int port() {
         return server.port();
     }
 
-    /** The port on which operators call. */
+    /** Returns the port of the admin server. */
     int adminPort() {
         return controlPlane.adminPort();
     }
 
-    /** Applies new configurations. */
+    /** Returns the reloader that applies new configurations. */
     ConfigReloader reloader() {
         return reloader;
     }
 
     /**
-     * Closes what outlives the loop, after the loop has stopped.
+     * Closes the resources that are still open after the loop has stopped.
      *
      * @throws IOException if the ledger cannot be closed
      */
@@ -131,7 +135,7 @@
         usage.closeLedger();
     }
 
-    /** Begins the graceful shutdown, at the end of which the loop stops. */
+    /** Begins the graceful shutdown; the loop stops when it is complete. */
     void shutDown() {
         shutdown.begin();
     }
--- a/src/main/java/clovermill/director/ClassDataArchiveRun.java
+++ b/src/main/java/clovermill/director/ClassDataArchiveRun.java
@@ -16,8 +16,9 @@
 
 /**
  * Part of the build, never of the service: sends a few requests through a complete director whose endpoints and
- * discovery are stand-ins in this process, so that the classes and lambdas that serving loads are in the archive that
- * the JVM writes at exit. Without it, loading them slows down the first seconds of a director on a shared core.
+ * discovery service are fakes in this process. The archive that the JVM writes at exit (class data sharing) then
+ * contains the classes and lambdas that serving needs. Without it, loading them slows down the first seconds of a
+ * director on a shared core.
  */
 final class ClassDataArchiveRun {
 
@@ -30,9 +31,9 @@
     private ClassDataArchiveRun() {}
 
     /**
-     * Runs the director of a configuration file, with all addresses replaced by those of the stand-ins.
+     * Runs the director of a configuration file, with all addresses replaced by that of the fakes.
      *
-     * @return how many requests were answered
+     * @return the number of answered requests
      * @throws IOException if the file cannot be read or a loopback socket cannot be opened
      * @throws Json.Malformed if the configuration cannot be used
      */
@@ -64,7 +65,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** Makes one admin call. */
+    /** Sends one admin request and ignores the response. */
     private record Operator(Connection connection) implements Connection.Handler {
 
         @Override
@@ -86,7 +87,7 @@
         public void closed(IOException cause) {}
     }
 
-    /** Requests one object after another; each fourth request is a write. */
+    /** Sends one request after another; each fourth request is a write. */
     private final class Client implements Connection.Handler {
         private static final int FRAME_CAPACITY = 1024;
         private static final int LENGTH_BYTES = 4;
@@ -94,8 +95,8 @@
 
         private Connection connection;
 
-        Client attach(Connection dialled) {
-            connection = dialled;
+        Client attach(Connection dialed) {
+            connection = dialed;
             return this;
         }
 
--- a/src/main/java/clovermill/director/ControlPlane.java
+++ b/src/main/java/clovermill/director/ControlPlane.java
@@ -30,27 +30,29 @@
     private OutageMarks outageMarks = OutageMarks.NONE;
     private Optional<AdminServer> adminServer = Optional.empty();
 
-    /** Puts the list of the configuration in force; the discovery client is built, not started. */
-    ControlPlane(Config config, DirectorRuntime runtime, DataPlane dataPlane, DiscoveryEvents startList) {
+    /** Applies the configuration's endpoint list; the discovery client is created but not started. */
+    ControlPlane(Config config, DirectorRuntime runtime, DataPlane dataPlane, DiscoveryEvents initialEvents) {
         this.runtime = runtime;
         Settings settings = config.settings();
         registry = new EndpointRegistry(runtime.clock(), dataPlane.pool(), dataPlane.core(), new OutageRegistry(),
                 settings.originKind());
-        registry.applyInitial(startList);
+        registry.applyInitial(initialEvents);
         DiscoverySettings discoverySettings = new DiscoverySettings(config.zones(), config.kinds(),
                 settings.dialTimeoutUs(), Math.min(settings.drainGraceUs(), settings.purgeNoticeUs()));
         discovery = new DiscoveryClient(runtime.loop(), runtime.clock(), runtime.deadlines(), config.channel(),
                 discoverySettings,
-                startList.cursor(), registry::apply);
+                initialEvents.cursor(), registry::apply);
     }
 
-    /** A readiness check that begins to settle now. */
+    /** Returns a readiness check whose settling time begins now. */
     Readiness readiness(Platform platform, long settleUs) {
         return new Readiness(runtime.clock(), registry, discovery, platform.inheritedSocket().isPresent(),
                 settleUs);
     }
 
-    /** Watches for another process of this director, where the platform gives both a folder. */
+    /**
+     * Starts the handover coordination with another process of this director if the platform provides a shared folder.
+     */
     void startHandover(Platform platform, DataPlane dataPlane, FrameServer server) {
         if (platform.sharedFolder().isEmpty()) {
             return;
@@ -70,9 +72,9 @@
     }
 
     /**
-     * Listens for operators' calls.
+     * Opens the admin server.
      *
-     * @throws IOException if the address cannot be bound until the bound of {@code startup} is over
+     * @throws IOException if the address cannot be bound within the time limit of {@code startup}
      */
     void openAdminServer(InetSocketAddress address, FrameServer server, Optional<PolicyPlane> policy,
             StartupRetry startup) throws IOException {
@@ -81,19 +83,19 @@
         Optional<AdminService.Policies> policies = policy.map(PolicyPlane::endpoint);
         AdminServer opened = new AdminServer(runtime.loop(), runtime.clock(), runtime.deadlines(),
                 new AdminService(actions, policies));
-        startup.get("the operators' listening socket", () -> {
+        startup.get("the admin server's listening socket", () -> {
             opened.open(address);
             return opened;
         });
         adminServer = Optional.of(opened);
     }
 
-    /** The long poll for the endpoint list. */
+    /** Returns the client that long-polls the endpoint list. */
     DiscoveryClient discovery() {
         return discovery;
     }
 
-    /** The port of the admin server, which must be open. */
+    /** Returns the port of the admin server, which must be open. */
     int adminPort() {
         return adminServer.orElseThrow().port();
     }
--- a/src/main/java/clovermill/director/DataPlane.java
+++ b/src/main/java/clovermill/director/DataPlane.java
@@ -12,10 +12,16 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 
-/** The way of a request: server, proxy core with the router, upstream connection pool, and their descriptors. */
+/**
+ * The request path: server, proxy core with the router, upstream connection pool, and the division of file descriptors
+ * between them.
+ */
 final class DataPlane {
 
-    /** Our idle connections are closed before the endpoint closes them, so that no request crosses its close. */
+    /**
+     * Share of the endpoint's idle timeout after which the pool closes an idle connection: before the endpoint does,
+     * since a request that crosses its close is lost.
+     */
     private static final double IDLE_TIMEOUT_FACTOR = 0.8;
 
     private final Config config;
@@ -24,7 +30,7 @@
     private final UpstreamPool pool;
     private final ProxyCore core;
 
-    /** Builds the router, the pool and the proxy core; {@code policy} and {@code usage} join the core if present. */
+    /** Creates the router, the pool and the proxy core, which reports to {@code policy} or {@code usage} if present. */
     DataPlane(Config config, DirectorRuntime runtime, UsageAccounting usage, Optional<PolicyPlane> policy) {
         this.config = config;
         this.runtime = runtime;
@@ -34,13 +40,13 @@
                 new UpstreamPool.Limits(config.streamsPerConnection(), descriptors.endpointConnections(false),
                         settings.dialTimeoutUs(), (long) (IDLE_TIMEOUT_FACTOR * config.connectionIdleUs())));
         RequestRouter router = new RequestRouter(settings, config.seed());
-        // The core's hot path tests for null: most directors have neither a listener nor bounds.
+        // The core's hot path tests for null: most directors have neither a listener nor attempt bounds.
         UsageListener listener = policy.isPresent() ? policy.get().placement() : usage.listener().orElse(null);
         core = new ProxyCore(router, settings, runtime.clock(), runtime.deadlines(), pool, listener,
                 policy.isPresent() ? policy.get().placement() : null);
     }
 
-    /** A server for the clients' connections, not yet open; it reports ready once {@code readiness} does. */
+    /** Returns a server for the clients' connections, not yet open; it reports ready once {@code readiness} does. */
     FrameServer server(Platform platform, BooleanSupplier readiness) {
         InetSocketAddress address = config.listen();
         return new FrameServer(runtime.loop(), runtime.clock(), runtime.deadlines(), runtime.bodyBudget(), core,
@@ -48,17 +54,17 @@
                         platform.inheritedSocket().orElse(null), descriptors.clientConnections(false), readiness));
     }
 
-    /** How the process's descriptors are divided between clients and endpoints. */
+    /** Returns the division of the process's file descriptors between clients and endpoints. */
     DescriptorShares descriptors() {
         return descriptors;
     }
 
-    /** The connections to endpoints. */
+    /** Returns the pool of connections to endpoints. */
     UpstreamPool pool() {
         return pool;
     }
 
-    /** The open requests and their router. */
+    /** Returns the proxy core, which owns the open requests and their router. */
     ProxyCore core() {
         return core;
     }
--- a/src/main/java/clovermill/director/DirectorRuntime.java
+++ b/src/main/java/clovermill/director/DirectorRuntime.java
@@ -7,22 +7,22 @@
 import java.io.IOException;
 
 /**
- * What all planes of one director share.
+ * The resources that all planes of one director share.
  *
  * @param clock monotonic and wall clock
- * @param deadlines the timers, swept by the loop
+ * @param deadlines the timers, run by the loop
  * @param loop the event loop; its thread owns all state of the planes
- * @param bodyBudget the memory that bodies of requests and answers may take
+ * @param bodyBudget the memory budget for bodies of requests and answers
  */
 record DirectorRuntime(Clock clock, Deadlines deadlines, EventLoop loop, Budget bodyBudget) {
 
-    /** The part of the heap for bodies; the contents index, open requests and read buffers share the rest. */
+    /** Divides the heap for {@code bodyBudget}; the contents index, open requests and read buffers share the rest. */
     private static final int BODY_HEAP_DIVISOR = 4;
 
     /**
      * Opens the selector.
      *
-     * @throws IOException if the machine refuses it until the bound of {@code startup} is over
+     * @throws IOException if it cannot be opened within the time limit of {@code startup}
      */
     static DirectorRuntime open(Clock clock, StartupRetry startup) throws IOException {
         Deadlines deadlines = new Deadlines();
--- a/src/main/java/clovermill/director/Platform.java
+++ b/src/main/java/clovermill/director/Platform.java
@@ -11,11 +11,11 @@
 import java.util.Optional;
 
 /**
- * What the platform gives a director besides its configuration.
+ * The resources that the platform provides to a director besides its configuration.
  *
  * @param inheritedSocket the clients' listening socket; the director opens its own if empty
- * @param adminAddress where operators call; there is no admin server if empty
- * @param sharedFolder a folder that all processes of this director see; empty where there is only one process
+ * @param adminAddress the address of the admin server; none is opened if empty
+ * @param sharedFolder a folder shared by all processes of this director; empty if there is only one process
  */
 record Platform(Optional<ServerSocketChannel> inheritedSocket, Optional<InetSocketAddress> adminAddress,
         Optional<Path> sharedFolder) {
@@ -25,10 +25,10 @@
     private static final String FOLDER_NAME = "clovermill";
 
     /**
-     * Reads the environment's variables; source: the operators' page on upgrades.
+     * Reads the environment variables. Source: the operators' page on upgrades.
      *
-     * @throws IOException if the inherited socket that the environment names is not there
-     * @throws Json.Malformed if the admin address cannot be read
+     * @throws IOException if the environment names an inherited socket that does not exist
+     * @throws Json.Malformed if the admin address cannot be parsed
      */
     static Platform read(Map<String, String> environment, Config config, StartupRetry startup)
             throws IOException, Json.Malformed {
--- a/src/main/java/clovermill/director/PolicyPlane.java
+++ b/src/main/java/clovermill/director/PolicyPlane.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The replicated policy of the fleet at this director: the store, the placement it enforces, the admin endpoint. */
+/** The fleet's replicated policy at this director: the store, the placement rules in force, and the admin endpoint. */
 final class PolicyPlane {
 
     private final Placement placement;
@@ -20,7 +20,7 @@
     private final PolicyEndpoint endpoint;
 
     /**
-     * Opens the replica's socket and, for a voter, its storage. {@code next} follows the placement in the chain of
+     * Opens the replica's socket and, for a voter, its storage. {@code next} comes after the placement in the chain of
      * usage listeners.
      *
      * @throws IOException if the socket or the storage cannot be opened
@@ -37,7 +37,7 @@
         endpoint = new PolicyEndpoint(store, runtime.clock(), runtime.loop()::post);
     }
 
-    /** Called on the loop's thread, first after {@link #start}. */
+    /** Enforces a policy view; called on the loop's thread, not before {@link #start}. */
     private void apply(PolicyView view) {
         if (view.step() != null) {
             List<String> policies = view.step().inTransition() ? List.of(view.policy().text(), view.next().text())
@@ -47,12 +47,12 @@
         endpoint.update(view);
     }
 
-    /** Bounds each request's attempts and listens to usage. */
+    /** Returns the placement, which bounds each request's attempts and is a usage listener. */
     Placement placement() {
         return placement;
     }
 
-    /** Answers the admin calls about the policy. */
+    /** Returns the handler of the admin calls about the policy. */
     PolicyEndpoint endpoint() {
         return endpoint;
     }
--- a/src/main/java/clovermill/director/ProcessSignals.java
+++ b/src/main/java/clovermill/director/ProcessSignals.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * The POSIX signals of this process: SIGHUP reloads the configuration, SIGTERM begins the graceful shutdown. Handlers
- * are installed first of all, since the default of SIGHUP ends the JVM; a SIGHUP that comes before the director is
- * built is applied once it is. Thread-safe.
+ * The POSIX signals of this process: SIGHUP reloads the configuration, SIGTERM begins the graceful shutdown. The
+ * handlers are installed before anything else, since SIGHUP ends the JVM by default; a SIGHUP that arrives before the
+ * director is built is applied afterwards. Thread-safe.
  */
 final class ProcessSignals {
 
@@ -38,14 +38,14 @@
         }
     }
 
-    /** The JVM's shutdown hook: runs at SIGTERM, and when the process ends by itself. */
+    /** The JVM's shutdown hook: runs at SIGTERM and at any other exit of the process. */
     private void onTermination() {
         synchronized (this) {
             if (ended) {
                 return;
             }
             if (director == null || !director.listening()) {
-                Runtime.getRuntime().halt(0); // no client was accepted, and the loop may not run for seconds
+                Runtime.getRuntime().halt(0); // no client was accepted, and the loop may not start for seconds
             }
             director.loop().post(director::shutDown);
         }
@@ -54,7 +54,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        // Without this the status would be that of the signal; a completed shutdown gives 0.
+        // Otherwise the exit status would be that of the signal; a completed shutdown exits with 0.
         Runtime.getRuntime().halt(exitStatus());
     }
 
@@ -62,7 +62,7 @@
         return exitStatus;
     }
 
-    /** Passes signals to {@code started} from now on; its loop must run, or {@link #markEnded} be called. */
+    /** Passes signals to {@code started} from now on; its loop must be run, or {@link #markEnded} called. */
     synchronized void passTo(Assembly started) {
         director = started;
         if (hangUpPending) {
@@ -80,7 +80,11 @@
         }
     }
 
-    /** The director has shut down ({@code completed}) or could not start; the shutdown hook stops waiting. */
+    /**
+     * Releases the shutdown hook.
+     *
+     * @param completed true if the director has shut down, false if it failed or could not start
+     */
     synchronized void markEnded(boolean completed) {
         ended = true;
         exitStatus = completed ? 0 : 1;
--- a/src/main/java/clovermill/director/Readiness.java
+++ b/src/main/java/clovermill/director/Readiness.java
@@ -5,10 +5,10 @@
 import clovermill.runtime.net.Clock;
 import java.util.function.BooleanSupplier;
 
-/** Decides from when on a started process reports itself ready. */
+/** Decides when a started process reports itself ready. */
 final class Readiness implements BooleanSupplier {
 
-    /** How much longer than it settles a successor process waits for discovery, which may be cut off. */
+    /** Maximum wait of a successor process for discovery after it has settled; discovery may be unreachable. */
     private static final long DISCOVERY_WAIT_US = 1_000_000;
 
     private final Clock clock;
@@ -18,8 +18,8 @@
     private final long settledAtUs;
 
     /**
-     * Settles {@code settleUs} from now. A {@code successor} takes over from a running process: the list in its
-     * configuration may be as old as that process, so it waits for discovery as well, up to a bound.
+     * Begins the settling time of {@code settleUs}. A {@code successor} replaces a running process: the endpoint list
+     * in its configuration may be as old as that process, so it also waits for discovery, for a limited time.
      */
     Readiness(Clock clock, EndpointRegistry registry, DiscoveryClient discovery, boolean successor,
             long settleUs) {
--- a/src/main/java/clovermill/director/Service.java
+++ b/src/main/java/clovermill/director/Service.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** One director as a process: its start from files and the environment, its run and its end. */
+/** Runs a director as a process: starts it from files and the environment, and serves until it has shut down. */
 public final class Service {
 
     private static final System.Logger LOG = System.getLogger(Service.class.getName());
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Reads the settings and starts the structured log, if they configure one. */
+    /** Reads the settings and starts structured logging if they configure it. */
     private static SubsystemSettings readSettings(String settingsFile) throws StartupException {
         try {
             SettingsFile file = SettingsFile.read(settingsFile);
@@ -68,7 +68,7 @@
             SubsystemSettings subsystems = SubsystemSettings.read(file);
             log.ifPresent(StructuredLog::start);
             return subsystems;
-        } catch (SettingsFile.Fault fault) {
+        } catch (SettingsFile.InvalidSettingsException fault) {
             throw new StartupException(fault.getMessage());
         }
     }
@@ -89,7 +89,7 @@
         LOG.log(Level.INFO, "{0} has shut down", config.name());
     }
 
-    /** Loads the configuration; an I/O error that may pass (EMFILE, EIO) is retried. */
+    /** Loads the configuration; transient I/O errors (EMFILE, EIO) are retried. */
     private static Config load(String configFile, StartupRetry startup) throws Json.Malformed {
         return Config.load(() -> startup.get("the configuration", () -> Files.readString(Path.of(configFile))),
                 System.getenv(LISTEN_VARIABLE));
@@ -99,14 +99,14 @@
         return new StartupException("the configuration: " + cause.getMessage());
     }
 
-    /** The JSON pointer and the reason; a message without a pointer comes from the ledger. */
+    /** Returns the JSON pointer and the reason; a message without a pointer comes from the ledger. */
     private static String withPointer(IllegalArgumentException invalid) {
         return invalid.getMessage().startsWith("/") ? invalid.getMessage() : "/ledger: " + invalid.getMessage();
     }
 
     /**
-     * Part of the build: serves a few generated requests with a director's configuration, so that the JVM can archive
-     * the classes that serving loads.
+     * Part of the build: serves a few generated requests with a director's configuration; the JVM then archives the
+     * classes that serving loads.
      *
      * @throws StartupException if the configuration cannot be used
      * @throws IOException if it cannot be read, or a loopback socket cannot be opened
@@ -120,14 +120,15 @@
     }
 
     /**
-     * Checks a settings file, or a director's configuration, as a start would.
+     * Checks a settings file or a director's configuration with the checks of a start.
      *
      * @param file the file to check
      * @param configFile a configuration with the request classes that the settings name, or null
      * @throws StartupException if the configuration cannot be used
-     * @throws SettingsFile.Fault if the settings cannot be used
+     * @throws SettingsFile.InvalidSettingsException if the settings cannot be used
      */
-    public static void check(String file, String configFile) throws StartupException, SettingsFile.Fault {
+    public static void check(String file, String configFile)
+            throws StartupException, SettingsFile.InvalidSettingsException {
         try {
             if (configFile == null && SettingsFile.isConfiguration(file)) {
                 Config.load(file, null);
@@ -137,11 +138,12 @@
         } catch (Json.Malformed malformed) {
             throw unusableConfiguration(malformed);
         } catch (IllegalArgumentException invalid) {
-            throw new SettingsFile.Fault(file, "", withPointer(invalid));
+            throw new SettingsFile.InvalidSettingsException(file, "", withPointer(invalid));
         }
     }
 
-    private static void checkSettings(String file, String configFile) throws Json.Malformed, SettingsFile.Fault {
+    private static void checkSettings(String file, String configFile)
+            throws Json.Malformed, SettingsFile.InvalidSettingsException {
         SettingsFile settings = SettingsFile.read(file);
         settings.part("log", LogSettings.class);
         Optional<LedgerSettings> ledger = settings.part("ledger", LedgerSettings.class);
--- a/src/main/java/clovermill/director/StartupException.java
+++ b/src/main/java/clovermill/director/StartupException.java
@@ -1,6 +1,6 @@
 package clovermill.director;
 
-/** A director cannot be started; the message is one line naming the file or variable and the reason. */
+/** Thrown if a director cannot be started; the message is one line that names the file or variable and the reason. */
 public final class StartupException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/clovermill/director/StartupRetry.java
+++ b/src/main/java/clovermill/director/StartupRetry.java
@@ -11,24 +11,23 @@
 import java.util.function.LongConsumer;
 
 /**
- * Retries what the machine may refuse for a moment while the process starts: a descriptor (EMFILE, ENFILE), kernel
- * memory (ENOBUFS, ENOMEM) or an address (EADDRINUSE, EADDRNOTAVAIL). Java tells these apart only by the text of the
- * message, so every I/O error is retried except those types that are known to be permanent. One bound holds for all
- * resources of a start. Used by the thread that starts the process, before its event loop runs.
+ * Retries system resources that may be temporarily unavailable while the process starts: a descriptor (EMFILE, ENFILE),
+ * kernel memory (ENOBUFS, ENOMEM) or an address (EADDRINUSE, EADDRNOTAVAIL). Java distinguishes these only by the text
+ * of the message, so every I/O error is retried except the types that are known to be permanent. One time limit applies
+ * to all resources of a start together. Used by the thread that starts the process, before its event loop runs.
  */
 final class StartupRetry {
 
-    /** How long a start retries: a director must be ready within 6 s on short days. */
-    static final long BOUND_US = 5_000_000;
-    /** Between two attempts. */
-    static final long PAUSE_US = 50_000;
+    /** Time limit for all retries of a start: a director must be ready within 6 s on short days. */
+    static final long TIMEOUT_US = 5_000_000;
+    static final long RETRY_INTERVAL_US = 50_000;
 
     private static final System.Logger LOG = System.getLogger(StartupRetry.class.getName());
 
     /** One attempt to get a resource. */
     interface Attempt<T> {
 
-        /** Returns the resource, or throws why it is not available. */
+        /** Returns the resource, or throws if it is not available. */
         T run() throws IOException;
     }
 
@@ -36,23 +35,23 @@
     private final LongConsumer pause;
     private final long retryUntilUs;
 
-    /** A bound that begins now. */
+    /** Starts the time limit now. */
     StartupRetry(Clock clock) {
         this(clock, micros -> LockSupport.parkNanos(micros * 1000));
     }
 
-    /** As above; {@code pause} waits for the microseconds it is given. */
+    /** Starts the time limit now; {@code pause} waits for the given number of microseconds. */
     StartupRetry(Clock clock, LongConsumer pause) {
         this.clock = clock;
         this.pause = pause;
-        this.retryUntilUs = clock.micros() + BOUND_US;
+        this.retryUntilUs = clock.micros() + TIMEOUT_US;
     }
 
     /**
      * Returns the result of the first attempt that succeeds.
      *
      * @param resource the name of the resource in the log
-     * @throws IOException the failure of the last attempt, once the bound is over or if it is permanent
+     * @throws IOException the failure of the last attempt, after the time limit or if it is permanent
      */
     <T> T get(String resource, Attempt<T> attempt) throws IOException {
         boolean logged = false;
@@ -69,7 +68,7 @@
                             failure.getMessage(), Long.toString(remainingUs / 1000));
                     logged = true;
                 }
-                pause.accept(Math.min(PAUSE_US, remainingUs));
+                pause.accept(Math.min(RETRY_INTERVAL_US, remainingUs));
                 if (Thread.currentThread().isInterrupted()) {
                     throw new InterruptedIOException(resource + ": interrupted");
                 }
@@ -77,7 +76,7 @@
         }
     }
 
-    /** A missing file, one without read permission or one that is not text stays so. */
+    /** Returns true for a missing or unreadable file and for one that is not text: retrying cannot help. */
     private static boolean permanent(IOException failure) {
         return failure instanceof NoSuchFileException || failure instanceof AccessDeniedException
                 || failure instanceof CharacterCodingException;
--- a/src/main/java/clovermill/director/SubsystemSettings.java
+++ b/src/main/java/clovermill/director/SubsystemSettings.java
@@ -22,9 +22,9 @@
     /**
      * Reads the members of a settings file.
      *
-     * @throws SettingsFile.Fault naming the file, the member and the reason if one cannot be used
+     * @throws SettingsFile.InvalidSettingsException naming the file, the member and the reason if one cannot be used
      */
-    static SubsystemSettings read(SettingsFile file) throws SettingsFile.Fault {
+    static SubsystemSettings read(SettingsFile file) throws SettingsFile.InvalidSettingsException {
         return new SubsystemSettings(file.part("ledger", LedgerSettings.class),
                 file.part("fleet", GossipSettings.class), file.part("accord", PolicyStoreSettings.class));
     }
--- a/src/main/java/clovermill/director/UsageAccounting.java
+++ b/src/main/java/clovermill/director/UsageAccounting.java
@@ -9,14 +9,14 @@
 import java.io.IOException;
 import java.util.Optional;
 
-/** The parts that admit and account requests by tenant: the usage ledger and the fleet-wide limits, if configured. */
+/** Admission and accounting of requests by tenant: the usage ledger and the fleet-wide limits, if configured. */
 final class UsageAccounting {
 
     private final Optional<Ledger> ledger;
     private final Optional<GossipService> gossip;
 
     /**
-     * Opens what {@code subsystems} configures.
+     * Opens the ledger and the gossip service that {@code subsystems} configures.
      *
      * @throws IOException if the ledger's folder cannot be used
      * @throws IllegalArgumentException naming the setting that cannot be used
@@ -36,24 +36,24 @@
                 settings.capabilities().maxOpenRequests());
     }
 
-    /** The first listener of the chain; the gossip service passes each event on to the ledger. */
+    /** Returns the first listener of the chain; the gossip service forwards each event to the ledger. */
     Optional<UsageListener> listener() {
         return gossip.isPresent() ? Optional.of(gossip.get()) : ledger.isPresent() ? Optional.of(ledger.get())
                 : Optional.empty();
     }
 
-    /** The gossip between peer directors. */
+    /** Returns the gossip between peer directors. */
     Optional<GossipService> gossip() {
         return gossip;
     }
 
-    /** Closes the gossip socket; {@link #closeLedger} comes after the policy store has been closed. */
+    /** Closes the gossip socket; {@link #closeLedger} must follow the closing of the policy store. */
     void closeGossip() {
         gossip.ifPresent(GossipService::close);
     }
 
     /**
-     * Writes out and closes the ledger.
+     * Flushes and closes the ledger.
      *
      * @throws IOException if the last segment cannot be closed
      */
--- a/src/main/java/clovermill/director/Warmup.java
+++ b/src/main/java/clovermill/director/Warmup.java
@@ -20,20 +20,18 @@
 import java.util.Optional;
 
 /**
- * Has the JVM compile the routing decisions before the first client connects: a router of its own decides on generated
- * requests. No action is carried out, and the router is discarded.
+ * Warms up the JIT compiler before the first client connects: a temporary router handles generated requests. Its
+ * actions are not executed, and the router is discarded.
  */
 final class Warmup {
 
-    /** The JVM's first compiler compiles a method after some 200 calls. */
+    /** The JVM's C1 compiler compiles a method after about 200 calls. */
     private static final int REQUESTS = 300;
-    /** Between two requests. */
-    private static final long INTERVAL_US = 10_000;
-    private static final long ANSWER_US = INTERVAL_US / 2;
-    private static final long DEADLINE_US = INTERVAL_US * 100;
-    /** Of the generated requests' object keys. */
-    private static final int GROUPS = 50;
-    private static final int BYTES = 100;
+    private static final long REQUEST_INTERVAL_US = 10_000;
+    private static final long RESPONSE_TIME_US = REQUEST_INTERVAL_US / 2;
+    private static final long DEADLINE_US = REQUEST_INTERVAL_US * 100;
+    private static final int OBJECT_GROUPS = 50;
+    private static final int REQUEST_BYTES = 100;
 
     private final Settings settings;
     private final RequestRouter router;
@@ -45,19 +43,19 @@
         this.router = new RequestRouter(settings, 0);
     }
 
-    /** Routes the requests among the endpoints of {@code startList}; returns how many were sent to one. */
-    static int run(Settings settings, DiscoveryEvents startList) {
+    /** Routes the requests among the endpoints of {@code initialEvents}; returns the number that were sent to one. */
+    static int run(Settings settings, DiscoveryEvents initialEvents) {
         Warmup warmup = new Warmup(settings);
-        warmup.router.handle(1, new MembersChanged(ListScope.FULL, endpoints(startList)), warmup.actions::add);
+        warmup.router.handle(1, new MembersChanged(ListScope.FULL, endpoints(initialEvents)), warmup.actions::add);
         for (int i = 1; i <= REQUESTS; i++) {
             warmup.route(i);
         }
         return warmup.sent;
     }
 
-    private static List<Member> endpoints(DiscoveryEvents startList) {
+    private static List<Member> endpoints(DiscoveryEvents initialEvents) {
         List<Member> endpoints = new ArrayList<>();
-        for (DiscoveryEvent event : startList.events()) {
+        for (DiscoveryEvent event : initialEvents.events()) {
             if (event instanceof EndpointListChanged list) {
                 list.endpoints().forEach(endpoint -> endpoints.add(endpoint.member()));
             }
@@ -65,19 +63,23 @@
         return endpoints;
     }
 
-    /** One request, and a successful outcome for each attempt at it. */
+    /** Routes one request and reports a successful outcome for each of its attempts. */
     private void route(int number) {
-        long nowUs = number * INTERVAL_US;
+        long nowUs = number * REQUEST_INTERVAL_US;
         String id = Integer.toHexString(number);
-        router.handle(nowUs, new Request(id, number % settings.classes().size(), 0, number % GROUPS, 0, 0, BYTES,
-                DEADLINE_US, false), actions::add);
+        router.handle(nowUs,
+                new Request(id, number % settings.classes().size(), 0, number % OBJECT_GROUPS, 0, 0, REQUEST_BYTES,
+                        DEADLINE_US, false),
+                actions::add);
         for (Action action : List.copyOf(actions)) {
             Optional<String> endpoint = target(action);
             if (endpoint.isPresent()) {
                 sent++;
                 CacheStatus cacheStatus = number % 2 == 0 ? CacheStatus.HIT : CacheStatus.FILLED;
-                router.handle(nowUs + ANSWER_US, new AttemptEnded(id, 0, endpoint.get(), Result.OK, ANSWER_US,
-                        true, cacheStatus, 0, null), actions::add);
+                router.handle(nowUs + RESPONSE_TIME_US,
+                        new AttemptEnded(id, 0, endpoint.get(), Result.OK, RESPONSE_TIME_US,
+                                true, cacheStatus, 0, null),
+                        actions::add);
             }
         }
         actions.clear();
--- a/src/main/java/clovermill/director/operations/HandoverCoordinator.java
+++ b/src/main/java/clovermill/director/operations/HandoverCoordinator.java
@@ -17,13 +17,13 @@
 import java.util.Optional;
 
 /**
- * Coordinates two processes of one director while one takes over from the other: both apply the outages that operators
- * set at either, and divide the descriptors. Each checks a folder that both see, several times a second.
+ * Coordinates two processes of one director during a handover: both apply the outages that operators set at either, and
+ * they divide the file descriptors. Each polls a shared folder several times a second.
  */
 public final class HandoverCoordinator {
 
     private static final System.Logger LOG = System.getLogger(HandoverCoordinator.class.getName());
-    /** A fifth of the time within which requests to a cache that was disabled at the other process must end. */
+    /** A fifth of the time within which requests to a cache that was disabled at the other process must be stopped. */
     private static final long CHECK_INTERVAL_US = 100_000;
 
     private final OutageFolder outages;
@@ -39,7 +39,7 @@
     /**
      * Joins the processes that share {@code folder}.
      *
-     * @return empty, with a line in the log, if the folder cannot be used
+     * @return the coordinator, or empty (with a log message) if the folder cannot be used
      */
     public static Optional<HandoverCoordinator> open(Path folder, DescriptorShares descriptors, Clock clock,
             Deadlines deadlines, EndpointRegistry registry, FrameServer server, UpstreamPool pool) {
@@ -64,18 +64,18 @@
         this.pool = pool;
     }
 
-    /** Records outages in the shared folder. */
+    /** Returns the outage marks in the shared folder. */
     public OutageMarks marks() {
         return outages;
     }
 
-    /** Writes this process's marks that could not be written before, then applies those of the other process. */
+    /** Retries this process's marks that could not be written, then applies those of the other process. */
     public void syncOutages() {
         outages.retryPending();
         outages.readIfChanged().ifPresent(snapshot -> registry.mergeOutages(snapshot.out(), snapshot.back()));
     }
 
-    /** Starts the checks; the first applies what an earlier process has marked. */
+    /** Starts the periodic checks; the first applies the marks of an earlier process. */
     public void start() {
         RecurringTask.start(deadlines, clock, CHECK_INTERVAL_US, this::check);
     }
@@ -83,18 +83,18 @@
     private void check() {
         syncOutages();
         processes.markReady(server.isReady(), clock.micros());
-        OtherProcess found = processes.findOther();
-        if (found != otherProcess) {
-            otherProcess = found;
+        OtherProcess observed = processes.findOther();
+        if (observed != otherProcess) {
+            otherProcess = observed;
             applyOtherProcess();
         }
     }
 
     private void applyOtherProcess() {
-        boolean besideAnother = otherProcess != OtherProcess.NONE;
-        server.setMaxConnections(descriptors.clientConnections(besideAnother));
-        pool.limit(descriptors.endpointConnections(besideAnother));
-        // If a successor ends before this process is asked to shut down, new connections are accepted here again.
+        boolean otherProcessRunning = otherProcess != OtherProcess.NONE;
+        server.setMaxConnections(descriptors.clientConnections(otherProcessRunning));
+        pool.limit(descriptors.endpointConnections(otherProcessRunning));
+        // If the successor exits before this process is told to shut down, this process accepts new connections again.
         server.setAccepting(otherProcess != OtherProcess.SUCCESSOR);
         LOG.log(Level.INFO, switch (otherProcess) {
             case NONE -> "this process is alone again";
@@ -103,7 +103,7 @@
         });
     }
 
-    /** Removes this process from the folder: it ends. */
+    /** Removes this process from the shared folder, when it exits. */
     public void close() {
         processes.deregister();
     }
--- a/src/main/java/clovermill/director/operations/OperatorActions.java
+++ b/src/main/java/clovermill/director/operations/OperatorActions.java
@@ -8,15 +8,15 @@
 import clovermill.runtime.net.Clock;
 
 /**
- * Carries out operators' calls. A call to one process counts for its whole director: outages marked by the other
- * process are applied first, and a change is marked before the response. Success is reported only for what is recorded,
- * since it must outlive this process. A disabled cache whose mark cannot be recorded is out at this process all the
- * same; an enabled one stays out.
+ * Executes operators' calls. A call to one process applies to its whole director: outages marked by the other process
+ * are applied first, and a change is marked before the response is sent. Success is reported only for a recorded
+ * change, since the change must survive this process. If the mark cannot be recorded, a cache to be disabled is still
+ * disabled at this process, while a cache to be enabled stays disabled.
  *
  * @param registry the endpoints of this process
- * @param server tells whether clients can be served
+ * @param server the server, for its readiness
  * @param marks records outages for other processes and, if configured, for peers
- * @param syncOutages applies what the other process has marked
+ * @param syncOutages applies the outages that the other process has marked
  */
 public record OperatorActions(EndpointRegistry registry, ClientServer server, Clock clock, OutageMarks marks,
         Runnable syncOutages) implements AdminService.Director {
--- a/src/main/java/clovermill/director/operations/PolicyEndpoint.java
+++ b/src/main/java/clovermill/director/operations/PolicyEndpoint.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 
 /**
- * Answers operators' calls about the replicated policy: the policy in force, a change, the withdrawal of a change. On
- * the loop's thread.
+ * Handles operators' calls about the replicated policy: showing the policy in force, proposing a change and withdrawing
+ * it. Confined to the loop's thread.
  */
 public final class PolicyEndpoint implements AdminService.Policies {
 
@@ -29,14 +29,14 @@
     private final Executor loop;
     private PolicyView view = PolicyView.NONE;
 
-    /** Responses are passed on by {@code loop}. */
+    /** Creates the endpoint; responses are delivered on {@code loop}. */
     public PolicyEndpoint(PolicyStore store, Clock clock, Executor loop) {
         this.store = store;
         this.clock = clock;
         this.loop = loop;
     }
 
-    /** The policy in force has changed, or its lease was renewed. */
+    /** Sets the current view, after the policy in force has changed or its lease was renewed. */
     public void update(PolicyView current) {
         view = current;
     }
@@ -49,7 +49,7 @@
         try {
             return new AdminResponse(200, JSON.writeValueAsString(json(view, clock.micros())));
         } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException(impossible); // the store holds only policies that were parsed
+            throw new IllegalStateException(impossible); // the store contains only parsed policies
         }
     }
 
@@ -94,13 +94,13 @@
         change(view.step().next(), null, reply);
     }
 
-    /** A null {@code policy} withdraws the change to version {@code follows}. */
+    /** Requests a change from version {@code follows}; a null {@code policy} withdraws the change to that version. */
     private void change(long follows, PolicyDocument policy, Consumer<AdminResponse> reply) {
         store.requestChange(follows, policy,
                 (result, version) -> loop.execute(() -> reply.accept(response(result, version))));
     }
 
-    /** The text as it is; with characters beyond ASCII escaped if there are any. */
+    /** Returns the policy's text, with non-ASCII characters escaped. */
     private static String asciiText(JsonNode policy) {
         String text = policy.toString();
         if (text.chars().allMatch(character -> character < FIRST_NON_ASCII)) {
@@ -113,7 +113,7 @@
         }
     }
 
-    /** A null {@code result} stands for a full queue. */
+    /** Returns the response to a proposal; a null {@code result} means that the queue was full. */
     private static AdminResponse response(ProposalResult result, long version) {
         if (result == null) {
             return new AdminResponse(503, "too many calls wait for the voters");
--- a/src/main/java/clovermill/director/operations/ReplicatedOutageMarks.java
+++ b/src/main/java/clovermill/director/operations/ReplicatedOutageMarks.java
@@ -4,9 +4,9 @@
 import clovermill.controlplane.outage.OutageMarks;
 
 /**
- * Outage marks for the other process of this director that are also replicated to its peers.
+ * Outage marks that are shared with the other process of this director and also replicated to its peers.
  *
- * @param marks those of this director
+ * @param marks the marks of this director
  * @param gossip replicates each mark
  */
 public record ReplicatedOutageMarks(OutageMarks marks, GossipService gossip) implements OutageMarks {
--- a/src/main/java/clovermill/director/operations/package-info.java
+++ b/src/main/java/clovermill/director/operations/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Carries out what operators ask of a director, at this process, at its other process and at peer directors.
+ * Executes operators' calls at this process, at the director's other process and at peer directors.
  *
  * <p>{@link clovermill.director.operations.OperatorActions} and
  * {@link clovermill.director.operations.PolicyEndpoint} are called by the admin service;
--- a/src/main/java/clovermill/director/package-info.java
+++ b/src/main/java/clovermill/director/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One director process: its start, the wiring of its parts and its end. It holds no routing or protocol logic.
+ * One director process: startup, wiring of its parts, and shutdown. It contains no routing or protocol logic.
  *
  * <p>Entry type: {@link clovermill.director.Service}. It reads the settings and builds an {@code Assembly}, which wires
  * the planes in this order: {@code DirectorRuntime} (loop, deadlines, memory budget), {@code UsageAccounting} (ledger,
--- a/src/main/java/clovermill/director/reload/SettingsReload.java
+++ b/src/main/java/clovermill/director/reload/SettingsReload.java
@@ -13,8 +13,8 @@
 import java.util.Objects;
 
 /**
- * Applies a new configuration to the parts that it concerns, while requests are open. Changed request classes overlap
- * with the old ones for {@link RequestClassRegistry#OVERLAP_US}. On the loop's thread.
+ * Applies a new configuration to the affected parts of a running director while requests are open. Changed request
+ * classes overlap with the old ones for {@link RequestClassRegistry#OVERLAP_US}. Confined to the loop's thread.
  */
 public final class SettingsReload {
 
@@ -26,29 +26,29 @@
     private final FrameServer server;
     private final DiscoveryClient discovery;
     private final RequestClassRegistry classes;
-    private Config inForce;
-    /** The settings in force, but for the request classes and attempts, which {@link #classes} has. */
+    private Config current;
+    /** The settings in force except the request classes and the attempt limit, which {@link #classes} holds. */
     private Settings baseSettings;
     private Deadlines.Deadline overlapEnd;
 
-    /** {@code start} is the configuration that all parts were started with. */
-    public SettingsReload(Config start, Clock clock, Deadlines deadlines, ProxyCore core, FrameServer server,
+    /** Creates a reload whose {@code initial} configuration is the one that all parts were started with. */
+    public SettingsReload(Config initial, Clock clock, Deadlines deadlines, ProxyCore core, FrameServer server,
             DiscoveryClient discovery) {
-        this.inForce = start;
-        this.baseSettings = start.settings();
+        this.current = initial;
+        this.baseSettings = initial.settings();
         this.clock = clock;
         this.deadlines = deadlines;
         this.core = core;
         this.server = server;
         this.discovery = discovery;
-        this.classes = new RequestClassRegistry(start.classes(), baseSettings.classes(),
+        this.classes = new RequestClassRegistry(initial.classes(), baseSettings.classes(),
                 baseSettings.capabilities().maxAttempts());
     }
 
     /**
-     * Applies a configuration that was checked against the one in force.
+     * Applies a configuration that was checked against the current one.
      *
-     * @throws Json.Malformed if it has more new classes than there are numbers; nothing of it is applied then
+     * @throws Json.Malformed if it has more new classes than there are free class numbers; nothing is applied then
      */
     public void apply(Config next) throws Json.Malformed {
         if (!classes.hasNumbersFor(next.classes())) {
@@ -56,11 +56,11 @@
         }
         discovery.reconnectTo(next.channel());
         warnOfStartOnlyChanges(next);
-        if (next.settings().equals(inForce.settings()) && next.classes().equals(inForce.classes())) {
+        if (next.settings().equals(current.settings()) && next.classes().equals(current.classes())) {
             return;
         }
         baseSettings = nextBaseSettings(next);
-        inForce = next;
+        current = next;
         classes.beginChange(next.classes(), next.settings().classes(), next.settings().capabilities().maxAttempts());
         applySettings();
         deadlines.cancel(overlapEnd);
@@ -69,21 +69,23 @@
     }
 
     private void warnOfStartOnlyChanges(Config next) {
-        if (!next.listen().equals(inForce.listen()) || next.sockets() != inForce.sockets()
-                || !Objects.equals(next.admin(), inForce.admin())) {
-            LOG.log(Level.WARNING, "listen, admin and limits change at this director's next start only");
+        if (!next.listen().equals(current.listen()) || next.sockets() != current.sockets()
+                || !Objects.equals(next.admin(), current.admin())) {
+            LOG.log(Level.WARNING, "changes of listen, admin and limits take effect at this director's next start");
         }
     }
 
-    /** All of the next settings, or only what they allow if zones, kinds or this director's place differ. */
+    /**
+     * Returns the next settings, or only their host capabilities if zones, kinds or this director's position differ.
+     */
     private Settings nextBaseSettings(Config next) {
-        boolean samePlace = next.zones().equals(inForce.zones()) && next.kinds().equals(inForce.kinds())
+        boolean samePosition = next.zones().equals(current.zones()) && next.kinds().equals(current.kinds())
                 && next.settings().zone() == baseSettings.zone()
                 && next.settings().directorIndex() == baseSettings.directorIndex();
-        if (samePlace) {
+        if (samePosition) {
             return next.settings();
         }
-        LOG.log(Level.WARNING, "zones, kinds and this director's place change at its next start only");
+        LOG.log(Level.WARNING, "changes of zones, kinds and this director's position take effect at its next start");
         return baseSettings.with(baseSettings.classes(), next.settings().capabilities());
     }
 
@@ -99,7 +101,7 @@
         server.reload(classes.acceptedNames(), settings);
     }
 
-    /** The longest deadline of a request under the configuration in force, in microseconds. */
+    /** Returns the longest deadline of a request under the current configuration, in microseconds. */
     public long longestDeadlineUs() {
         return classes.longestDeadlineUs();
     }
--- a/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
+++ b/src/main/java/clovermill/director/shutdown/GracefulShutdown.java
@@ -12,8 +12,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Carries out a graceful shutdown: clients are notified and served meanwhile, each connection is closed once it is
- * idle, and the loop stops when no connection is open, so that no client connects to a process that is about to end. On
+ * Executes a graceful shutdown: clients are notified and still served, each connection is closed once it is idle, and
+ * the loop stops when no connection is open, so that no client connects to a process that is about to exit. Confined to
  * the loop's thread.
  */
 public final class GracefulShutdown {
@@ -30,13 +30,13 @@
     private final RecurringTask checks;
     private ShutdownSequence sequence;
     private boolean acceptingStopped;
-    private boolean cutOff;
+    private boolean forceClosing;
 
     /**
-     * A shutdown that has not begun.
+     * Creates a shutdown, which {@link #begin} starts.
      *
      * @param longestDeadlineUs the longest deadline of a request under the settings in force
-     * @param handover whether another process takes over the listening socket
+     * @param handover true if another process accepts connections on the same listening socket
      */
     public GracefulShutdown(EventLoop loop, Clock clock, Deadlines deadlines, ClientServer server, ProxyCore core,
             LongSupplier longestDeadlineUs, boolean handover) {
@@ -49,14 +49,16 @@
         this.checks = new RecurringTask(deadlines, clock, CHECK_INTERVAL_US, this::check);
     }
 
-    /** Begins the shutdown; to be called once. */
+    /** Begins the shutdown; must be called once. */
     public void begin() {
         sequence = new ShutdownSequence(clock.micros(), longestDeadlineUs.getAsLong(), handover);
         server.announceShutdown();
         checks.start();
     }
 
-    /** The flags are set before the calls: a call that fails must not be repeated at each check. */
+    /**
+     * Applies the current phase. The flags are set before the calls: a failed call must not be repeated at each check.
+     */
     private void check() {
         Phase phase = sequence.phase(clock.micros());
         if (!acceptingStopped && phase.compareTo(Phase.CLOSING_IDLE) >= 0) {
@@ -66,13 +68,13 @@
         if (phase.compareTo(Phase.ANSWERING_ALL) >= 0) {
             core.answerOpenRequests();
         }
-        if (!cutOff && phase == Phase.CUTTING_OFF) {
-            cutOff = true;
+        if (!forceClosing && phase == Phase.FORCE_CLOSING) {
+            forceClosing = true;
             LOG.log(Level.WARNING, "closing the connections of clients that do not read, {0} ms after SIGTERM",
-                    Long.toString(sequence.cutOffDelayUs() / 1000));
+                    Long.toString(sequence.forceCloseDelayUs() / 1000));
         }
         if (acceptingStopped) {
-            server.closeConnections(phase.compareTo(Phase.REJECTING) >= 0, cutOff);
+            server.closeConnections(phase.compareTo(Phase.REJECTING) >= 0, forceClosing);
         }
         if (server.isEmpty() && (acceptingStopped || handover)) {
             checks.stop();
--- a/src/main/java/clovermill/simulation/adapter/EventReader.java
+++ b/src/main/java/clovermill/simulation/adapter/EventReader.java
@@ -1,6 +1,6 @@
 package clovermill.simulation.adapter;
 
-import clovermill.config.LoadReports;
+import clovermill.config.LoadReportParser;
 import clovermill.routing.api.AttemptEnded;
 import clovermill.routing.api.CacheStatus;
 import clovermill.routing.api.Event;
@@ -113,7 +113,7 @@
             return null;
         }
         try {
-            return LoadReports.read(pairs, ",");
+            return LoadReportParser.parse(pairs, ",");
         } catch (NumberFormatException invalid) {
             throw fields.malformed("not a load report: " + pairs);
         }
--- a/src/test/java/clovermill/MainTest.java
+++ b/src/test/java/clovermill/MainTest.java
@@ -21,16 +21,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The process as its platform sees it: what it prints and how it exits. */
+/** Runs a director as a process: its log lines, signals and exit status. */
 class MainTest {
 
     @TempDir
     private Path folder;
 
-    private static final String NOT_YET = "WARNING the clients' listening socket is not available yet";
+    private static final String SOCKET_UNAVAILABLE = "WARNING the clients' listening socket is not available yet";
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
-    /** Starts a director by way of a shell, which may have signals ignored before. */
+    /** Starts a director, optionally from a shell that first runs a command, such as one that ignores signals. */
     private Process start(String config, String... shell) throws IOException {
         Files.writeString(file(), config);
         return startOnFile(shell);
@@ -54,29 +54,29 @@
         return folder.resolve("config.json");
     }
 
-    /** A configuration with the command channel at such a port and members that nobody plays. */
+    /** A configuration with the discovery service at {@code channelPort} and endpoints that do not listen. */
     private static String config(int channelPort) throws IOException {
         return Files.readString(Path.of("src/test/resources/director.json"))
                 .replace("${channel}", "127.0.0.1:" + channelPort).replaceAll("\\$\\{[^}]*}", "127.0.0.1:1");
     }
 
-    private static ServerSocket channel() throws IOException {
-        ServerSocket channel = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        channel.setSoTimeout(20_000);
-        return channel;
+    private static ServerSocket discoveryServer() throws IOException {
+        ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        server.setSoTimeout(20_000);
+        return server;
     }
 
-    /** The new file comes by rename, so that it is never seen in part. */
+    /** Replaces the configuration by a rename, so that it is never read in part. */
     private void replace(String config) throws IOException {
-        Path fresh = folder.resolve("fresh.json");
-        Files.writeString(fresh, config);
-        Files.move(fresh, file(), StandardCopyOption.ATOMIC_MOVE);
+        Path replacement = folder.resolve("fresh.json");
+        Files.writeString(replacement, config);
+        Files.move(replacement, file(), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** What nohup does: the channel must move all the same, in far less than the 4 s that the rules give. */
+    /** SIGHUP is ignored under nohup: the file is polled instead, and discovery moves well within the 4 s allowed. */
     @Test
-    void aDirectorThatCannotHearHangUpTakesTheNewFileAllTheSame() throws Exception {
-        try (ServerSocket before = channel(); ServerSocket after = channel()) {
+    void pollsTheConfigurationIfHangUpIsIgnored() throws Exception {
+        try (ServerSocket before = discoveryServer(); ServerSocket after = discoveryServer()) {
             Process process = start(config(before.getLocalPort()), "trap '' HUP");
             try (BufferedReader lines = process.inputReader(); Socket first = before.accept()) {
                 assertThat(first.isConnected()).isTrue();
@@ -95,8 +95,8 @@
     }
 
     @Test
-    void aDirectorThatHearsHangUpMovesAtTheSignalOnly() throws Exception {
-        try (ServerSocket before = channel(); ServerSocket after = channel()) {
+    void reloadsTheConfigurationAtHangUp() throws Exception {
+        try (ServerSocket before = discoveryServer(); ServerSocket after = discoveryServer()) {
             Process process = start(config(before.getLocalPort()), ":");
             try (BufferedReader lines = process.inputReader(); Socket first = before.accept()) {
                 assertThat(first.isConnected()).isTrue();
@@ -115,7 +115,7 @@
         void run() throws Exception;
     }
 
-    /** Does something while the process waits for the pipe that is its configuration, and lets it go on then. */
+    /** Runs {@code meanwhile} while the process is blocked on its configuration, a pipe, then writes the pipe. */
     private void writeToPipe(Step meanwhile, String config) throws Exception {
         OutputStream pipe = new FileOutputStream(file().toFile());
         meanwhile.run();
@@ -124,12 +124,12 @@
     }
 
     /**
-     * It would end the JVM; restarts and new configurations come together. The configuration is a pipe, so that the
-     * process waits for it in the middle of its start.
+     * SIGHUP ends the JVM by default, and a new configuration may arrive during a restart. The configuration is a pipe,
+     * so that the process blocks in the middle of its start.
      */
     @Test
-    void aHangUpBeforeTheDirectorIsThereIsActedOnWhenItIs() throws Exception {
-        try (ServerSocket before = channel(); ServerSocket after = channel()) {
+    void appliesAHangUpDuringStartupOnceTheDirectorRuns() throws Exception {
+        try (ServerSocket before = discoveryServer(); ServerSocket after = discoveryServer()) {
             assertThat(new ProcessBuilder("mkfifo", file().toString()).start().waitFor()).isZero();
             Process process = startOnFile();
             try (BufferedReader lines = process.inputReader()) {
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void aDirectorThatIsAskedToStopBeforeItIsThereEndsAtOnceAndExitsWithZero() throws Exception {
+    void exitsWithZeroAtOnceIfTerminatedDuringStartup() throws Exception {
         assertThat(new ProcessBuilder("mkfifo", file().toString()).start().waitFor()).isZero();
         Process process = startOnFile();
         try {
@@ -161,23 +161,23 @@
         }
     }
 
-    private Process startAt(ServerSocket taken) throws IOException {
+    private Process startWithListenAddressOf(ServerSocket occupied) throws IOException {
         return start(config(1).replace("\"listen\":\"127.0.0.1:0\"",
-                "\"listen\":\"127.0.0.1:" + taken.getLocalPort() + "\""));
+                "\"listen\":\"127.0.0.1:" + occupied.getLocalPort() + "\""));
     }
 
-    /** Between the moment in which signals are the director's and its loop nothing may wait for that loop. */
+    /** From the installation of the signal handlers until the loop runs, nothing may wait for the loop. */
     @Test
-    void aDirectorWhoseAddressIsTakenTriesForAWhileAndEndsWithOneLine() throws Exception {
-        try (ServerSocket taken = channel()) {
-            Process process = startAt(taken);
+    void retriesAnAddressInUseAndFailsWithOneLine() throws Exception {
+        try (ServerSocket occupied = discoveryServer()) {
+            Process process = startWithListenAddressOf(occupied);
             try {
                 assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
                 assertThat(process.exitValue()).isEqualTo(1);
                 List<String> lines = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                         .lines().toList();
                 assertThat(lines).hasSize(2);
-                assertThat(lines.get(0)).startsWith(NOT_YET).contains("(Address already in use)");
+                assertThat(lines.get(0)).startsWith(SOCKET_UNAVAILABLE).contains("(Address already in use)");
                 assertThat(lines.get(1)).isEqualTo("clovermill: Address already in use");
             } finally {
                 process.destroyForcibly();
@@ -185,31 +185,31 @@
         }
     }
 
-    /** Of 24 starts with one in ten socket calls failing 8 ended at once. */
+    /** Without retries, 8 of 24 starts failed when one in ten socket calls failed. */
     @Test
-    void aDirectorServesOnceTheAddressThatWasTakenForAMomentIsFree() throws Exception {
-        ServerSocket taken = channel();
-        Process process = startAt(taken);
+    void servesOnceAnAddressInUseIsFree() throws Exception {
+        ServerSocket occupied = discoveryServer();
+        Process process = startWithListenAddressOf(occupied);
         try (BufferedReader lines = process.inputReader()) {
-            assertThat(lines.readLine()).startsWith(NOT_YET);
-            taken.close();
-            assertThat(lines.readLine()).startsWith("INFO n1 serves clients on /127.0.0.1:" + taken.getLocalPort());
+            assertThat(lines.readLine()).startsWith(SOCKET_UNAVAILABLE);
+            occupied.close();
+            assertThat(lines.readLine()).startsWith("INFO n1 serves clients on /127.0.0.1:" + occupied.getLocalPort());
             process.destroy();
             assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
             assertThat(process.exitValue()).isZero();
         } finally {
-            taken.close();
+            occupied.close();
             process.destroyForcibly();
         }
     }
 
-    /** The loop does not run meanwhile; the platform may kill 0.7 s and the longest deadline after the signal. */
+    /** The loop does not run yet; the platform may kill the longest deadline plus 0.7 s after the signal. */
     @Test
-    void aDirectorThatIsAskedToStopWhileItTriesForItsSocketEndsAtOnce() throws Exception {
-        try (ServerSocket taken = channel()) {
-            Process process = startAt(taken);
+    void exitsAtOnceIfTerminatedWhileRetryingItsSocket() throws Exception {
+        try (ServerSocket occupied = discoveryServer()) {
+            Process process = startWithListenAddressOf(occupied);
             try (BufferedReader lines = process.inputReader()) {
-                assertThat(lines.readLine()).startsWith(NOT_YET);
+                assertThat(lines.readLine()).startsWith(SOCKET_UNAVAILABLE);
                 process.destroy();
                 assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
                 assertThat(process.exitValue()).isZero();
@@ -220,7 +220,7 @@
     }
 
     @Test
-    void aDirectorThatCannotBeAskedToLeaveOrHearsNoNewsSaysSo() throws Exception {
+    void warnsOfIgnoredTerminationAndStaleDiscovery() throws Exception {
         Process process = start(config(1), "trap '' TERM");
         try (BufferedReader lines = process.inputReader()) {
             assertThat(lines.readLine()).startsWith("WARNING SIGTERM is ignored in this process");
@@ -232,9 +232,9 @@
         }
     }
 
-    /** The deployment's bounds on memory, with the largest things that a ledger asks for at a start. */
+    /** The deployment's memory limits, with the largest allocations of a ledger at startup. */
     @Test
-    void aDirectorWithLittleMemoryKeepsALedger() throws Exception {
+    void opensALedgerWithinTheDeploymentsMemoryLimits() throws Exception {
         Path settings = folder.resolve("settings.json");
         Files.writeString(settings, "{\"log\":{\"format\":\"json\"},\"ledger\":{\"folder\":\""
                 + folder.resolve("l") + "\",\"stage_folder\":\"" + folder + "\"}}");
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void aBadConfigurationIsOnePlainLineAndAnExitStatus() throws Exception {
+    void reportsAnInvalidConfigurationInOneLineAndExitsWith1() throws Exception {
         Process process = start("{\"name\":\"n1\"}");
         String printed = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertThat(process.waitFor()).isEqualTo(1);
@@ -263,11 +263,11 @@
     }
 
     /**
-     * The listening socket comes as descriptor 0, as from the platform. Two processes are one director: the second
-     * takes over while clients keep coming, and the log of the first lasts to its end.
+     * The platform passes the listening socket as descriptor 0. A second process of the same director takes part in the
+     * handover while clients keep connecting, and the first one logs until it exits.
      */
     @Test
-    void theNextProcessTakesOverTheSocketOfDescriptorZero() throws Exception {
+    void handsOverTheInheritedSocketToTheNextProcess() throws Exception {
         assumeTrue(Files.isExecutable(Path.of("/usr/bin/perl")), "perl hands down the socket");
         Files.writeString(file(), config(1));
         Path ports = folder.resolve("ports");
@@ -293,11 +293,11 @@
             assertThat(isReady(port)).isTrue();
             steps.write('\n');
             steps.flush();
-            assertThat(until(lines, "INFO n1 serves")).anyMatch(line -> line.endsWith("of this director is here"));
+            assertThat(readUntil(lines, "INFO n1 serves")).anyMatch(line -> line.endsWith("of this director is here"));
             assertThat(isReady(port)).isTrue();
             steps.write('\n');
             steps.flush();
-            assertThat(until(lines, "first 0")).anyMatch(line -> line.endsWith("n1 has shut down"));
+            assertThat(readUntil(lines, "first 0")).anyMatch(line -> line.endsWith("n1 has shut down"));
             assertThat(isReady(port)).isTrue();
             steps.write('\n');
             steps.flush();
@@ -310,11 +310,11 @@
     }
 
     /**
-     * Clients that ask nothing fill the descriptors while the command channel is down. The listening socket comes as
-     * descriptor 0; the process is ready before and after, and serves who comes when there are descriptors again.
+     * Idle clients exhaust the descriptors while discovery is unavailable. The listening socket is passed as descriptor
+     * 0; the process is ready before and after, and serves new clients once descriptors are available again.
      */
     @Test
-    void aDirectorThatRanOutOfDescriptorsServesWhoComesLater() throws Exception {
+    void servesNewClientsAfterRunningOutOfDescriptors() throws Exception {
         assumeTrue(Files.isExecutable(Path.of("/usr/bin/perl")), "perl hands down the socket");
         Files.writeString(file(), config(1).replace("\"sockets\":64", "\"sockets\":4096"));
         Path ports = folder.resolve("ports");
@@ -329,16 +329,16 @@
                 "TMPDIR", folder.toString()));
         builder.environment().remove("BALANCER_LISTEN");
         Process process = builder.redirectErrorStream(true).start();
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> idleClients = new ArrayList<>();
         try (BufferedReader lines = process.inputReader()) {
             assertThat(lines.readLine()).startsWith("INFO n1 serves clients on ");
             int port = Integer.parseInt(Files.readString(ports));
             assertThat(isReady(port)).isTrue();
             for (int i = 0; i < 400; i++) {
-                crowd.add(new Socket(InetAddress.getLoopbackAddress(), port));
+                idleClients.add(new Socket(InetAddress.getLoopbackAddress(), port));
             }
-            assertThat(until(lines, "WARNING accepting failed")).noneMatch(line -> line.startsWith("ERROR"));
-            for (Socket each : crowd) {
+            assertThat(readUntil(lines, "WARNING accepting failed")).noneMatch(line -> line.startsWith("ERROR"));
+            for (Socket each : idleClients) {
                 each.close();
             }
             assertThat(isReady(port)).isTrue();
@@ -347,18 +347,18 @@
             assertThat(process.exitValue()).isZero();
         } finally {
             process.destroyForcibly();
-            for (Socket each : crowd) {
+            for (Socket each : idleClients) {
                 each.close();
             }
         }
     }
 
-    private static List<String> until(BufferedReader lines, String start) throws IOException {
-        List<String> said = new ArrayList<>();
+    private static List<String> readUntil(BufferedReader lines, String start) throws IOException {
+        List<String> read = new ArrayList<>();
         for (String line = ""; line != null && !line.startsWith(start); line = lines.readLine()) {
-            said.add(line);
+            read.add(line);
         }
-        return said;
+        return read;
     }
 
     private Path fifo() throws Exception {
@@ -367,7 +367,7 @@
         return steps;
     }
 
-    /** Asks by frame; what is there before the director can serve waits for it. */
+    /** Sends a readiness frame; waits for the answer even if the director does not serve yet. */
     private static boolean isReady(int port) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(20_000);
@@ -378,11 +378,11 @@
     }
 
     @Test
-    void aDirectorThatIsAskedToStopExitsWithZero() throws Exception {
+    void exitsWithZeroOnTermination() throws Exception {
         Process process = start(config(1));
         try (BufferedReader lines = process.inputReader()) {
             assertThat(lines.readLine()).startsWith("INFO n1 serves clients on /127.0.0.1:");
-            // SIGHUP must not end it; a configuration that cannot be read any more is one line in the log.
+            // SIGHUP must not end the process; an unreadable new configuration is logged in one line.
             Files.writeString(folder.resolve("config.json"), "{");
             assertThat(new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor()).isZero();
             assertThat(lines.readLine()).startsWith("WARNING the new configuration is not used: ");
--- a/src/test/java/clovermill/cli/CliTest.java
+++ b/src/test/java/clovermill/cli/CliTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The command line: exit status, one clear line for each fault, and the help of every command. */
+/** Exit status, one-line error messages, and the help of every command. */
 class CliTest {
 
     @TempDir
@@ -30,21 +30,21 @@
 
     @Test
     void everyCommandHasHelpAndAVersion() {
-        walk(Cli.line());
+        assertHelpAndVersion(Cli.line());
     }
 
-    private void walk(CommandLine line) {
+    private void assertHelpAndVersion(CommandLine line) {
         String[] path = line.getCommandSpec().qualifiedName(" ").split(" ");
         String[] args = Arrays.copyOfRange(path, 1, path.length + 1);
         for (String option : new String[] {"--help", "--version"}) {
             args[args.length - 1] = option;
             assertThat(run(args)).as(String.join(" ", args)).isZero();
         }
-        line.getSubcommands().values().forEach(this::walk);
+        line.getSubcommands().values().forEach(this::assertHelpAndVersion);
     }
 
     @Test
-    void wrongUsageIsTwo() {
+    void exitsWith2OnInvalidUsage() {
         assertThat(run()).isEqualTo(2);
         assertThat(run("nonsense")).isEqualTo(2);
         assertThat(run("ledger", "show")).isEqualTo(2);
@@ -52,8 +52,8 @@
     }
 
     @Test
-    void aFaultInSettingsIsOneLineWithFilePointerAndReason() throws IOException {
-        String[][] faults = {
+    void reportsInvalidSettingsInOneLineWithFilePointerAndReason() throws IOException {
+        String[][] invalid = {
             {"{\"ledger\":{\"folder\":\"x\",\"period_s\":0}}", "/ledger/period_s: "},
             {"{\"ledger\":{\"folder\":\"x\",\"tenants\":[{\"tenant\":\"a\",\"groups\":[3,256]}]}}",
                 "/ledger/tenants/0/groups/1: "},
@@ -62,18 +62,18 @@
             {"{\"log\":", "no JSON, line 1"},
             {"{\"log\":{},\"log\":{}}", "no JSON, line 1"},
         };
-        for (String[] fault : faults) {
+        for (String[] each : invalid) {
             err.getBuffer().setLength(0);
-            String file = settings(fault[0]);
+            String file = settings(each[0]);
             assertThat(run("check", file)).isEqualTo(1);
             assertThat(err.toString().lines()).hasSize(1).first().asString().startsWith("clovermill: " + file + ": ")
-                    .contains(fault[1]);
+                    .contains(each[1]);
         }
         assertThat(run("check", folder.resolve("none").toString())).isEqualTo(1);
     }
 
     @Test
-    void settingsAreCheckedAgainstTheClassesOfADirector() throws IOException {
+    void checksSettingsAgainstTheRequestClassesOfADirector() throws IOException {
         String file = settings("{\"ledger\":{\"folder\":\"x\",\"tenants\":[{\"tenant\":\"a\",\"class\":\"pgae\"}]}}");
         assertThat(run("check", file)).isZero();
         assertThat(run("check", file, "--config", "example/config.json")).isEqualTo(1);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aFolderWithoutALedgerIsOneLine() {
+    void reportsAFolderWithoutALedgerInOneLine() {
         for (String command : new String[] {"show", "verify", "rebuild", "tail"}) {
             err.getBuffer().setLength(0);
             assertThat(run("ledger", command, "--folder", folder.toString())).isEqualTo(1);
--- a/src/test/java/clovermill/config/ConfigMutationTest.java
+++ b/src/test/java/clovermill/config/ConfigMutationTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A configuration with any one value replaced or removed is read, or refused as malformed. Another exception would end
- * the watch on the file while the director serves.
+ * A configuration in which any one value is replaced or removed must be either accepted or rejected as malformed. Any
+ * other exception would stop the reloading of configurations in a running director.
  */
 class ConfigMutationTest {
 
@@ -23,7 +23,7 @@
             "\"words\"", "\"1,2,x\"", "[]", "[null]", "[[]]", "[{}]", "[1,\"a\",null]", "{}", "{\"\":{}}",
             "\"9.9.9.9:99999\"");
 
-    /** Runs {@code check} with the tree's text once for each value in it and each replacement. */
+    /** Adds the tree's text to {@code texts}, once for each value below {@code node} and each replacement. */
     private static void mutate(JsonNode root, JsonNode node, List<String> texts) throws Exception {
         if (node instanceof ObjectNode object) {
             for (String name : names(object)) {
@@ -57,10 +57,10 @@
     }
 
     @Test
-    void anyOneValueThatIsWrongIsReadOrRefusedAsMalformed() throws Exception {
+    void acceptsOrRejectsAsMalformedAnySingleChangedValue() throws Exception {
         String text = Files.readString(Path.of("src/test/resources/director.json")).replaceAll("\\$\\{[^}]*}",
                 "127.0.0.1:9");
-        Config inForce = Config.read(text, null);
+        Config current = Config.read(text, null);
         JsonNode root = MAPPER.readTree(text);
         List<String> texts = new ArrayList<>();
         mutate(root, root, texts);
@@ -68,8 +68,8 @@
         List<String> faults = new ArrayList<>();
         for (String mutated : texts) {
             try {
-                inForce.checkNext(Config.read(mutated, null));
-            } catch (Json.Malformed refused) {
+                current.checkNext(Config.read(mutated, null));
+            } catch (Json.Malformed rejected) {
                 continue;
             } catch (RuntimeException fault) {
                 faults.add(fault + " for " + mutated);
@@ -78,16 +78,15 @@
         assertThat(faults).isEmpty();
     }
 
-    /** A file that is cut anywhere is refused. */
     @Test
-    void aTextThatIsCutAnywhereIsRefused() throws Exception {
+    void rejectsATextTruncatedAnywhere() throws Exception {
         String text = Files.readString(Path.of("src/test/resources/director.json")).replaceAll("\\$\\{[^}]*}",
                 "127.0.0.1:9").strip();
         for (int length = 0; length < text.length(); length++) {
             try {
                 Config.read(text.substring(0, length), null);
-                assertThat(length).as("taken though cut").isEqualTo(text.length());
-            } catch (Json.Malformed refused) {
+                assertThat(length).as("accepted although truncated").isEqualTo(text.length());
+            } catch (Json.Malformed rejected) {
                 continue;
             }
         }
--- a/src/test/java/clovermill/config/ConfigTest.java
+++ b/src/test/java/clovermill/config/ConfigTest.java
@@ -31,9 +31,9 @@
         assertThat(config.settings().directorsByZone()).containsExactly(0, 1);
     }
 
-    /** The start must end with one plain line, not with a stack trace. */
+    /** A start with an invalid configuration must fail with one line instead of a stack trace. */
     @Test
-    void everyMissingMemberIsToldPlainly() throws Exception {
+    void reportsEachMissingOrInvalidMemberAsMalformed() throws Exception {
         for (String member : List.of("name", "listen", "channel", "seed", "limits", "known", "settings", "zones",
                 "kinds", "request-classes", "sockets")) {
             String without = example().replace("\"" + member + "\":", "\"x-" + member + "\":");
--- a/src/test/java/clovermill/config/JsonTest.java
+++ b/src/test/java/clovermill/config/JsonTest.java
@@ -26,16 +26,16 @@
     }
 
     @Test
-    void refusesWhatIsNoJson() {
-        for (String bad : List.of("", "{", "[1,]", "{\"a\"}", "{a:1}", "01", "1 2", "\"\\x\"", "\"\\u12g4\"",
+    void rejectsInvalidJson() {
+        for (String invalid : List.of("", "{", "[1,]", "{\"a\"}", "{a:1}", "01", "1 2", "\"\\x\"", "\"\\u12g4\"",
                 "\"a", "tru", "+1", "[" + "[".repeat(10_000), "\"\n\"", "--1")) {
-            assertThatThrownBy(() -> Json.parse(bad)).as(bad).isInstanceOf(Json.Malformed.class);
+            assertThatThrownBy(() -> Json.parse(invalid)).as(invalid).isInstanceOf(Json.Malformed.class);
         }
     }
 
     @Test
-    void refusesJunkWithoutAnotherFault() {
+    void failsOnlyWithMalformedForMutatedText() {
         ParserAssertions.assertFailsOnlyWith(TEXT.getBytes(StandardCharsets.UTF_8), Json.Malformed.class,
-                told -> data -> Json.parse(StandardCharsets.ISO_8859_1.decode(data).toString()));
+                sink -> data -> Json.parse(StandardCharsets.ISO_8859_1.decode(data).toString()));
     }
 }
--- a/src/test/java/clovermill/director/ClassDataArchiveRunTest.java
+++ b/src/test/java/clovermill/director/ClassDataArchiveRunTest.java
@@ -6,9 +6,9 @@
 
 class ClassDataArchiveRunTest {
 
-    /** An archive from a run without answers would lack the classes that serving needs. */
+    /** Without answers the archive would lack the classes that serving needs. */
     @Test
-    void everyRequestIsAnswered() throws Exception {
+    void answersEveryRequest() throws Exception {
         assertThat(ClassDataArchiveRun.run("example/config.json")).isEqualTo(20);
     }
 }
--- a/src/test/java/clovermill/director/LedgerScenarioTest.java
+++ b/src/test/java/clovermill/director/LedgerScenarioTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A complete director writes its ledger: one record for each request, however it ends. */
+/** Runs a complete director with a ledger: each request yields one record, whatever its outcome. */
 class LedgerScenarioTest {
 
     @TempDir
@@ -32,7 +32,7 @@
                 null, limits, null, null, null);
     }
 
-    private List<Entry> play(LedgerSettings settings, String... lines) throws Exception {
+    private List<Entry> runScenario(LedgerSettings settings, String... lines) throws Exception {
         try (Scenario scenario = new Scenario(0, settings)) {
             scenario.play(List.of(lines));
         }
@@ -47,29 +47,29 @@
     }
 
     @Test
-    void everyEndLeavesOneRecord() throws Exception {
-        Map<Long, Entry.Used> used = byRequest(play(settings(null),
+    void writesOneRecordForEachOutcome() throws Exception {
+        Map<Long, Entry.Used> used = byRequest(runScenario(settings(null),
                 // Served, filled from the parent.
                 "send c1 request 1 class=page id=00000000000000a1 wait=1000 key=7f3a9c21e0b4d655 bucket=17 kb=40",
                 "expect s-1 want 00000000000000a1",
                 "send s-1 00000000000000a1 DONE etag=t1,made=5,res=MISS,ttfb=3 | hello there",
                 "expect c1 served 1",
-                // The client's copy holds.
+                // The client's copy is still current.
                 "send c1 request 2 class=page id=00000000000000a2 wait=1000 key=7f3a9c21e0b4d655 bucket=200 etag=t1",
                 "expect s-1 want 00000000000000a2",
                 "send s-1 00000000000000a2 KEEP etag=t1,made=5,res=HIT",
                 "expect c1 served 2 notmod=1",
-                // The client stops waiting.
+                // The client cancels the request.
                 "send c1 request 3 class=page id=00000000000000a3 wait=1000 key=7f3a9c21e0b4d655 bucket=17",
                 "expect s-1 want 00000000000000a3",
                 "send c1 give-up 3",
                 "expect s-1 never_mind 00000000000000a3",
-                // An order, which runs at the origin, retried by the client.
+                // A write, which passes through to the origin, retried by the client.
                 "send c1 request 4 class=order id=00000000000000a4 wait=1000 key=7f3a9c21e0b4d655 once=abc retry=1 | x",
                 "expect o-1 want 00000000000000a4",
                 "send o-1 00000000000000a4 DONE etag=t,made=5 | done",
                 "expect c1 served 4",
-                // The id of an open request: it fails, and the first continues.
+                // A hit at the cache, without a copy at the client.
                 "send c1 request 5 class=page id=00000000000000a5 wait=1000 key=7f3a9c21e0b4d655 bucket=17",
                 "expect s-1 want 00000000000000a5",
                 "send s-1 00000000000000a5 DONE etag=t1,made=5,res=HIT | *7",
@@ -93,10 +93,10 @@
         assertThat(used.get(0xa5L).how()).isEqualTo(How.HIT);
     }
 
-    /** Guards the bill against bytes that never went out: a client that disconnects while a large answer is written. */
+    /** Bytes that were not sent must not be billed: clients disconnect while large answers are written. */
     @Test
-    void anAnswerThatBreaksOffCountsWhatWasWritten() throws Exception {
-        Collection<Entry.Used> used = byRequest(play(settings(null),
+    void countsOnlyWrittenBytesOfAnAbortedAnswer() throws Exception {
+        Collection<Entry.Used> used = byRequest(runScenario(settings(null),
                 "times 30 send c1 request # class=video id=00000000000000# wait=6000 key=7f3a9c21e0b4d6# bucket=17",
                 "times 30 expect s-1 want 00000000000000#",
                 "close c1 deaf", "times 30 send s-1 00000000000000# DONE etag=t1,made=5,res=HIT | *239000",
@@ -108,11 +108,11 @@
         assertThat(used).anyMatch(each -> each.written() > 0);
     }
 
-    /** Over its allowance a tenant is refused at once, others are served; after a restart it still is. */
+    /** A tenant over its limit is rejected at once, also after a restart, while other tenants are served. */
     @Test
-    void aTenantOverItsAllowanceIsRefusedAlsoAfterARestart() throws Exception {
+    void rejectsATenantOverItsLimitAlsoAfterARestart() throws Exception {
         LedgerSettings limited = settings(List.of(new LedgerSettings.Limit("north", 10L, null, null, null)));
-        play(limited,
+        runScenario(limited,
                 "send c1 request 1 class=page id=00000000000000a1 wait=1000 key=7f3a9c21e0b4d655 bucket=17",
                 "expect s-1 want 00000000000000a1",
                 "send s-1 00000000000000a1 DONE etag=t1,made=5,res=HIT | hello there",
@@ -120,7 +120,7 @@
                 "send c1 request 2 class=page id=00000000000000a2 wait=1000 key=7f3a9c21e0b4d655 bucket=17",
                 "expect c1 refused 2 after=500",
                 "expect s-1 nothing");
-        Map<Long, Entry.Used> used = byRequest(play(limited,
+        Map<Long, Entry.Used> used = byRequest(runScenario(limited,
                 "send c1 request 1 class=page id=00000000000000b1 wait=1000 key=7f3a9c21e0b4d655 bucket=17",
                 "expect c1 refused 1 after=500",
                 "send c1 request 2 class=page id=00000000000000b2 wait=1000 key=7f3a9c21e0b4d655 bucket=117",
--- a/src/test/java/clovermill/director/PlatformTest.java
+++ b/src/test/java/clovermill/director/PlatformTest.java
@@ -23,13 +23,13 @@
 
     private static Platform read(Map<String, String> environment, Config config) throws Exception {
         return Platform.read(environment, config, new StartupRetry(Clock.system(), micros -> {
-            throw new AssertionError("nothing here is worth another try");
+            throw new AssertionError("unexpected retry");
         }));
     }
 
-    /** The next process has another address of its own, with the configuration unchanged. */
+    /** During a handover the next process has its own admin address but the same configuration. */
     @Test
-    void theAddressForOperatorsInTheEnvironmentStandsAboveTheConfiguration() throws Exception {
+    void adminAddressInTheEnvironmentOverridesTheConfiguration() throws Exception {
         assertThat(read(Map.of(), config("127.0.0.1:4001")).adminAddress())
                 .contains(new InetSocketAddress("127.0.0.1", 4001));
         assertThat(read(Map.of("BALANCER_ADMIN", "127.0.0.1:4002"), config("127.0.0.1:4001")).adminAddress())
@@ -41,13 +41,13 @@
     }
 
     @Test
-    void aPlatformWithoutAnAddressForOperatorsHasNone() throws Exception {
+    void hasNoAdminAddressIfNoneIsConfigured() throws Exception {
         assertThat(read(Map.of(), config(null)).adminAddress()).isEmpty();
     }
 
-    /** Only where a socket is passed does another process of the same director ever run. */
+    /** Another process of the same director runs only if a socket is passed. */
     @Test
-    void nothingIsSharedWithoutAPassedSocket() throws Exception {
+    void hasNoSharedFolderWithoutAPassedSocket() throws Exception {
         Platform platform = read(Map.of("TMPDIR", "/nowhere"), config(null));
         assertThat(platform.inheritedSocket()).isEmpty();
         assertThat(platform.sharedFolder()).isEmpty();
--- a/src/test/java/clovermill/director/ScenarioTest.java
+++ b/src/test/java/clovermill/director/ScenarioTest.java
@@ -10,33 +10,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays every file of the scenarios folder; what each guards against stands in its first lines. */
+/** Runs every file of the scenarios folder; the first lines of a file state the failure that it guards against. */
 class ScenarioTest {
 
-    /** Guards the first requests against a start that has used up the processor time ahead. */
+    /** Startup exhausts the processor quota, which would delay the first requests. */
     @Test
-    void aDirectorSettlesBeforeItSaysThatItIsReady() throws Exception {
+    void reportsReadyOnlyAfterTheSettlingTime() throws Exception {
         try (Scenario scenario = new Scenario(1_000_000)) {
             scenario.play(List.of("wait 990", "send c1 ready 1", "expect c1 unready 1", "wait 10", "send c1 ready 2",
                     "expect c1 ready 2"));
         }
     }
 
-    /** Clients may go on sending while their connection is open: members answer after 40 ms, so one is never idle. */
+    /**
+     * Clients may send requests while their connection is open; with answers after 40 ms it is never idle by itself.
+     */
     @Test
-    void aClientThatNeverPausesIsBroughtToAMomentWithNothingOpen() throws Exception {
+    void shutdownClosesTheConnectionOfAClientThatKeepsSending() throws Exception {
         List<String> lines = new ArrayList<>();
-        int signalled = 10;
-        int turnedAway = signalled + 120;
-        for (int i = 1; i <= turnedAway + 4; i++) {
+        int signalAt = 10;
+        int firstRejected = signalAt + 120;
+        for (int i = 1; i <= firstRejected + 4; i++) {
             lines.add("send c1 request " + i + " class=page id=" + id(i) + " wait=3000 key=7f3a9c21e0b4d655");
-            lines.add(i <= turnedAway ? "expect s-1 want " + id(i) : "expect c1 refused " + i + " after=1");
+            lines.add(i <= firstRejected ? "expect s-1 want " + id(i) : "expect c1 refused " + i + " after=1");
             lines.add("wait 10");
-            if (i > 4 && i <= turnedAway + 4) {
+            if (i > 4 && i <= firstRejected + 4) {
                 lines.add("send s-1 " + id(i - 4) + " DONE etag=t1,made=5 | hello");
                 lines.add("expect c1 served " + (i - 4) + " | hello");
             }
-            if (i == signalled) {
+            if (i == signalAt) {
                 lines.addAll(List.of("send director TERM", "expect c1 leaving 0"));
             }
         }
--- a/src/test/java/clovermill/director/StartupRetryTest.java
+++ b/src/test/java/clovermill/director/StartupRetryTest.java
@@ -34,37 +34,37 @@
             if (attempts <= times) {
                 throw failure;
             }
-            return "had";
+            return "resource";
         };
     }
 
     @Test
-    void whatIsRefusedForAMomentIsHadAfterPauses() throws Exception {
-        assertThat(startup.get("a socket", failing(3, new IOException("Too many open files")))).isEqualTo("had");
+    void retriesATemporaryFailureAtIntervals() throws Exception {
+        assertThat(startup.get("a socket", failing(3, new IOException("Too many open files")))).isEqualTo("resource");
         assertThat(attempts).isEqualTo(4);
-        assertThat(nowUs).isEqualTo(START_US + 3 * StartupRetry.PAUSE_US);
+        assertThat(nowUs).isEqualTo(START_US + 3 * StartupRetry.RETRY_INTERVAL_US);
     }
 
     @Test
-    void whatIsRefusedForGoodEndsTheStartWithItsReasonAtTheBound() {
+    void throwsThePersistentFailureAtTheTimeLimit() {
         assertThatThrownBy(() -> startup.get("a socket", failing(Integer.MAX_VALUE, new BindException("in use"))))
                 .isInstanceOf(BindException.class).hasMessage("in use");
-        assertThat(nowUs).isEqualTo(START_US + StartupRetry.BOUND_US);
+        assertThat(nowUs).isEqualTo(START_US + StartupRetry.TIMEOUT_US);
     }
 
-    /** Else a start with several sockets could take several times as long. */
+    /** Otherwise a start with several sockets could take several times as long. */
     @Test
-    void oneBoundHoldsForAllThatIsToBeHad() throws Exception {
-        int most = (int) (StartupRetry.BOUND_US / StartupRetry.PAUSE_US);
-        startup.get("a socket", failing(most, new IOException("No buffer space available")));
+    void oneTimeLimitAppliesToAllResources() throws Exception {
+        int maxAttempts = (int) (StartupRetry.TIMEOUT_US / StartupRetry.RETRY_INTERVAL_US);
+        startup.get("a socket", failing(maxAttempts, new IOException("No buffer space available")));
         attempts = 0;
         assertThatThrownBy(() -> startup.get("another", failing(1, new IOException("No buffer space available"))));
-        assertThat(nowUs).isEqualTo(START_US + StartupRetry.BOUND_US);
+        assertThat(nowUs).isEqualTo(START_US + StartupRetry.TIMEOUT_US);
     }
 
     @Test
-    void whatWillNotBeHadAMomentLaterEndsTheStartAtOnce() {
-        assertThatThrownBy(() -> startup.get("a file", failing(1, new NoSuchFileException("gone"))));
+    void throwsAPermanentFailureAtOnce() {
+        assertThatThrownBy(() -> startup.get("a file", failing(1, new NoSuchFileException("missing"))));
         attempts = 0;
         assertThatThrownBy(() -> startup.get("a file", failing(1, new MalformedInputException(1))));
         assertThat(nowUs).isEqualTo(START_US);
--- a/src/test/java/clovermill/director/WarmupTest.java
+++ b/src/test/java/clovermill/director/WarmupTest.java
@@ -13,12 +13,13 @@
 
 class WarmupTest {
 
-    /** The first requests must not meet code that was never run; an empty list must not stop the start. */
+    /** The routing code must have run before the first request; an empty endpoint list must not prevent the start. */
     @Test
-    void theRouterDecidesOnEveryRequestWhateverTheList() throws Exception {
+    void routesEveryRequestAndAcceptsAnEmptyEndpointList() throws Exception {
         Config config = Config.read(Files.readString(Path.of("example/config.json")), null);
-        DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
-        assertThat(Warmup.run(config.settings(), known)).isEqualTo(300);
+        DiscoveryEvents initialEvents = DiscoveryEventParser.parse(config.initialEvents(),
+                config.zones(), config.kinds());
+        assertThat(Warmup.run(config.settings(), initialEvents)).isEqualTo(300);
         DiscoveryEvents empty =
                 DiscoveryEventParser.parse(Json.parse("{\"cursor\":0,\"cmds\":[]}"), List.of(), List.of());
         assertThat(Warmup.run(config.settings(), empty)).isZero();
--- a/src/test/java/clovermill/director/operations/OperatorActionsTest.java
+++ b/src/test/java/clovermill/director/operations/OperatorActionsTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Calls of operators while the folder that the processes share cannot be written. */
+/** Operators' calls while the folder that the processes share is not writable. */
 class OperatorActionsTest {
 
     private final ManualClock clock = new ManualClock();
@@ -39,14 +39,14 @@
     private AdminService service;
 
     @BeforeEach
-    void aDirectorThatKnowsOneCache() throws Exception {
+    void createDirectorWithOneCache() throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
         Deadlines deadlines = new Deadlines();
         UpstreamPool pool = new UpstreamPool(new EventLoop(clock, deadlines), clock, deadlines, new Budget(1000),
                 new UpstreamPool.Limits(1, 1, 1, 1));
-        ProxyCore host = new ProxyCore((atUs, event, out) -> {}, config.settings(), clock, deadlines, pool);
-        registry = new EndpointRegistry(clock, pool, host, new OutageRegistry(), config.settings().originKind());
+        ProxyCore core = new ProxyCore((atUs, event, out) -> {}, config.settings(), clock, deadlines, pool);
+        registry = new EndpointRegistry(clock, pool, core, new OutageRegistry(), config.settings().originKind());
         String list = "{\"cursor\":9,\"cmds\":[{\"cursor\":9,\"nodes\":{\"full\":true,\"servers\":["
                 + "{\"id\":\"s-1\",\"addr\":\"127.0.0.1:9\",\"zone\":\"edge\",\"kind\":\"std\",\"cell\":1,"
                 + "\"state\":\"ready\",\"weight\":6,\"started_ms\":0}]}}]}";
@@ -63,43 +63,43 @@
         return answers.get(0).status();
     }
 
-    private Path folderFails() throws Exception {
+    private Path blockWrites() throws Exception {
         return Files.createDirectory(folder.resolve("new-" + ProcessHandle.current().pid()));
     }
 
-    private List<String> outForLaterStarts() throws Exception {
+    private List<String> disabledAfterRestart() throws Exception {
         return List.copyOf(new OutageFolder(folder, clock::micros).readIfChanged().orElseThrow().out());
     }
 
-    /** A kill would undo what is not in the folder, so that a yes would be broken. */
+    /** A change that is not in the folder is lost if the process is killed, so success must not be reported. */
     @Test
-    void anOutageThatCannotBeRecordedIsInForceButAnsweredNo() throws Exception {
-        Path inTheWay = folderFails();
+    void disablesACacheButReportsFailureIfTheOutageCannotBeRecorded() throws Exception {
+        Path blockingFolder = blockWrites();
         assertThat(call("/caches/disable", "s-1")).isEqualTo(503);
         assertThat(registry.isOut("s-1")).isTrue();
         assertThat(call("/caches/disable", "s-1")).as("the call is repeated").isEqualTo(503);
-        Files.delete(inTheWay);
+        Files.delete(blockingFolder);
         clock.passMs(500);
         assertThat(call("/caches/disable", "s-1")).isEqualTo(200);
-        assertThat(outForLaterStarts()).containsExactly("s-1");
+        assertThat(disabledAfterRestart()).containsExactly("s-1");
     }
 
     @Test
-    void aReturnThatCannotBeRecordedIsAnsweredNoAndChangesNothing() throws Exception {
+    void keepsACacheDisabledIfEnablingCannotBeRecorded() throws Exception {
         assertThat(call("/caches/disable", "s-1")).isEqualTo(200);
-        Path inTheWay = folderFails();
+        Path blockingFolder = blockWrites();
         assertThat(call("/caches/enable", "s-1")).isEqualTo(503);
         assertThat(registry.isOut("s-1")).isTrue();
-        assertThat(outForLaterStarts()).containsExactly("s-1");
-        Files.delete(inTheWay);
+        assertThat(disabledAfterRestart()).containsExactly("s-1");
+        Files.delete(blockingFolder);
         assertThat(call("/caches/enable", "s-1")).isEqualTo(200);
         assertThat(registry.isOut("s-1")).isFalse();
-        assertThat(outForLaterStarts()).isEmpty();
+        assertThat(disabledAfterRestart()).isEmpty();
     }
 
     @Test
-    void anUnknownCacheIsAnsweredNoWhateverTheFolderDoes() throws Exception {
-        folderFails();
+    void reportsAnUnknownCacheEvenIfTheFolderIsNotWritable() throws Exception {
+        blockWrites();
         assertThat(call("/caches/disable", "s-7")).isEqualTo(404);
         assertThat(call("/caches/enable", "s-7")).isEqualTo(404);
     }
--- a/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
+++ b/src/test/java/clovermill/director/shutdown/GracefulShutdownTest.java
@@ -26,7 +26,7 @@
     private final ManualClock clock = new ManualClock(1_700_000_000_000_000L);
     private final Deadlines deadlines = new Deadlines();
 
-    /** A server whose first closing of idle connections fails; it has one connection until that is cut off. */
+    /** A server whose first closing of idle connections fails; it has one connection until that is forcibly closed. */
     private static final class FailingServer implements ClientServer {
         private int calls;
         private boolean empty;
@@ -46,11 +46,11 @@
         public void stopAccepting() {}
 
         @Override
-        public void closeConnections(boolean turnAway, boolean cuttingOff) {
+        public void closeConnections(boolean rejectNew, boolean force) {
             calls++;
-            empty = cuttingOff;
+            empty = force;
             if (calls == 1) {
-                throw new IllegalStateException("the first connection cannot be ended");
+                throw new IllegalStateException("the first connection cannot be closed");
             }
         }
 
@@ -63,7 +63,7 @@
     private static ProxyCore core(Clock clock, Deadlines deadlines) throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:9"), null);
-        Upstream nobody = new Upstream() {
+        Upstream unused = new Upstream() {
             @Override
             public Exchange send(AttemptOrder order, AttemptListener listener) {
                 throw new AssertionError("nothing is sent");
@@ -75,29 +75,29 @@
             @Override
             public void closeIdle(String member) {}
         };
-        return new ProxyCore((atUs, event, out) -> {}, config.settings(), clock, deadlines, nobody);
+        return new ProxyCore((atUs, event, out) -> {}, config.settings(), clock, deadlines, unused);
     }
 
-    /** Otherwise the process would stay until the platform kills it, with open requests unanswered. */
+    /** Otherwise the process would run until the platform kills it, with open requests unanswered. */
     @Test
-    void aFailingCheckDoesNotKeepTheProcessFromEnding() throws Exception {
+    void shutdownCompletesAfterAFailedCheck() throws Exception {
         FailingServer server = new FailingServer();
         GracefulShutdown shutdown = new GracefulShutdown(new EventLoop(clock, deadlines), clock, deadlines, server,
                 core(clock, deadlines), () -> LONGEST_DEADLINE_US, false);
         shutdown.begin();
         assertThatThrownBy(() -> {
             while (server.calls == 0) {
-                pass();
+                advance();
             }
-        }).hasMessage("the first connection cannot be ended");
+        }).hasMessage("the first connection cannot be closed");
         for (long remainingUs = LONGEST_DEADLINE_US; remainingUs > 0; remainingUs -= STEP_US) {
-            pass();
+            advance();
         }
-        assertThat(server.empty).as("cut off before the platform kills").isTrue();
-        assertThat(deadlines.size()).as("no more checks are due").isZero();
+        assertThat(server.empty).as("closed before the platform kills the process").isTrue();
+        assertThat(deadlines.size()).as("remaining deadlines").isZero();
     }
 
-    private void pass() {
+    private void advance() {
         clock.passUs(STEP_US);
         deadlines.sweep(clock.micros());
     }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -79,7 +79,7 @@
         PolicyRules rules = new PolicyRules(document -> placement.rejection(document.text()).orElse(null),
                 (one, other) -> placement.guardsAllDifferences(one.text(), other.text()));
         accord = new PolicyStore(agreed, rules, clock, loop::post, view -> observer.policy(number, view));
-        DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
+        DiscoveryEvents known = DiscoveryEventParser.parse(config.initialEvents(), config.zones(), config.kinds());
         DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
                 new DiscoverySettings(config.zones(), config.kinds(), config.settings().dialTimeoutUs(),
                         Math.min(config.settings().drainGraceUs(), config.settings().purgeNoticeUs())),
