--- a/src/main/java/clovermill/dataplane/server/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -67,7 +67,7 @@
         }
         int bodyBytes = payload.remaining();
         boolean rejectingNew = context.rejectingNew().getAsBoolean();
-        if (rejectingNew || open.size() >= MAX_OPEN || !context.budget().take(bodyBytes)) {
+        if (rejectingNew || open.size() >= MAX_OPEN || !context.budget().tryReserve(bodyBytes)) {
             long retryAfterMs = context.retryAfterMs().getAsLong();
             connection.refuse(stream,
                     rejectingNew ? Math.min(RETRY_ELSEWHERE_MS, retryAfterMs) : retryAfterMs);
@@ -80,7 +80,7 @@
             submit(stream, context.reader().read(fields, body)
                     .afterDelay(context.clock().micros() - arrivedUs));
         } catch (BadRequestException invalid) {
-            context.budget().give(bodyBytes);
+            context.budget().release(bodyBytes);
             connection.fail(stream);
         }
     }
@@ -88,7 +88,7 @@
     private void submit(long stream, ClientRequest request) {
         int bodyBytes = request.body().length;
         if (request.remainingUs() <= 0) {
-            context.budget().give(bodyBytes);
+            context.budget().release(bodyBytes);
             connection.refuse(stream, context.retryAfterMs().getAsLong());
             context.proxy().recordRejected(request, UsageRecord.End.REFUSED);
             return;
@@ -129,7 +129,7 @@
     /** The one place where a stream ends and the memory of its request is returned. */
     void end(ClientStream stream) {
         if (open.remove(stream.number, stream)) {
-            context.budget().give(stream.bodyBytes);
+            context.budget().release(stream.bodyBytes);
         }
     }
 
--- a/src/main/java/clovermill/dataplane/server/FrameParser.java
+++ b/src/main/java/clovermill/dataplane/server/FrameParser.java
@@ -77,7 +77,7 @@
             return true;
         }
         int capacity = Math.min(frameBytes, Math.max(2 * buffer.length, needed));
-        if (!budget.take(capacity - buffer.length)) {
+        if (!budget.tryReserve(capacity - buffer.length)) {
             return false;
         }
         buffer = Arrays.copyOf(buffer, capacity);
@@ -136,7 +136,7 @@
         int charged = buffer.length - INITIAL_BUFFER_BYTES;
         if (charged > 0) {
             buffer = Arrays.copyOf(buffer, INITIAL_BUFFER_BYTES);
-            budget.give(charged);
+            budget.release(charged);
         }
     }
 
--- a/src/main/java/clovermill/dataplane/server/HeldFrames.java
+++ b/src/main/java/clovermill/dataplane/server/HeldFrames.java
@@ -68,7 +68,7 @@
     /** Adds a copy of a frame; false if the budget has no memory for it. Times as in {@link Frame}. */
     boolean add(int type, long stream, ByteBuffer payload, long arrivedUs, long answerByUs) {
         int size = payload.remaining() + FRAME_OVERHEAD_BYTES;
-        if (!budget.take(size)) {
+        if (!budget.tryReserve(size)) {
             return false;
         }
         byte[] copy = new byte[payload.remaining()];
@@ -123,7 +123,7 @@
     private void release(Frame frame) {
         int size = frame.payload().length + FRAME_OVERHEAD_BYTES;
         bytes -= size;
-        budget.give(size);
+        budget.release(size);
     }
 
     /** Removes all frames. */
--- a/src/main/java/clovermill/dataplane/upstream/ResponseParser.java
+++ b/src/main/java/clovermill/dataplane/upstream/ResponseParser.java
@@ -46,7 +46,7 @@
                     line.reset();
                 }
             } else if (body == null) {
-                if (!budget.take(length)) {
+                if (!budget.tryReserve(length)) {
                     return;
                 }
                 body = new Body(new byte[length], budget);
--- a/src/main/java/clovermill/runtime/net/Body.java
+++ b/src/main/java/clovermill/runtime/net/Body.java
@@ -13,7 +13,7 @@
         this.budget = budget;
     }
 
-    /** The bytes, not copied. */
+    /** Returns the bytes without copying them. */
     public byte[] bytes() {
         return bytes;
     }
@@ -22,7 +22,7 @@
     public void close() {
         if (!closed) {
             closed = true;
-            budget.give(bytes.length);
+            budget.release(bytes.length);
         }
     }
 }
--- a/src/main/java/clovermill/runtime/net/Budget.java
+++ b/src/main/java/clovermill/runtime/net/Budget.java
@@ -3,8 +3,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Bounds the total size of all bodies in memory. A connection whose reservation fails stops reading and is called when
- * bytes are released. A body is reserved in full before it is read, so that no two connections wait for each other.
+ * A limit on the total size of all bodies in memory. A connection whose reservation fails stops reading until its
+ * callback is called after a release. A body is reserved in full before it is read, so that no two connections wait for
+ * each other.
  */
 public final class Budget {
 
@@ -12,13 +13,13 @@
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
     private long usedBytes;
 
-    /** A budget of {@code limitBytes}. */
+    /** Creates a budget of {@code limitBytes}. */
     public Budget(long limitBytes) {
         this.limitBytes = limitBytes;
     }
 
     /** Reserves bytes and returns true, or returns false if they exceed the limit; an empty budget grants any size. */
-    public boolean take(int bytes) {
+    public boolean tryReserve(int bytes) {
         if (usedBytes > 0 && usedBytes + bytes > limitBytes) {
             return false;
         }
@@ -27,19 +28,19 @@
     }
 
     /** Releases bytes and calls the waiting callbacks in the order of their registration. */
-    public void give(int bytes) {
+    public void release(int bytes) {
         usedBytes -= bytes;
         for (int i = waiting.size(); i > 0 && usedBytes < limitBytes; i--) {
             waiting.poll().run();
         }
     }
 
-    /** Has {@code released} called once after bytes have been released. */
-    public void await(Runnable released) {
-        waiting.add(released);
+    /** Registers {@code callback} to be called once after bytes have been released. */
+    public void await(Runnable callback) {
+        waiting.add(callback);
     }
 
-    /** Bytes reserved now. */
+    /** Returns the number of reserved bytes. */
     public long used() {
         return usedBytes;
     }
--- a/src/main/java/clovermill/runtime/net/Callbacks.java
+++ b/src/main/java/clovermill/runtime/net/Callbacks.java
@@ -2,14 +2,14 @@
 
 import java.lang.System.Logger.Level;
 
-/** Runs callbacks so that a fault in one ends neither the event loop nor the callbacks after it. */
+/** Runs callbacks so that an exception in one stops neither the event loop nor the callbacks after it. */
 final class Callbacks {
 
     private static final System.Logger LOG = System.getLogger(Callbacks.class.getName());
 
     private Callbacks() {}
 
-    /** Runs a callback; a fault is logged. */
+    /** Runs a callback; an exception is logged. */
     static void runGuarded(Runnable callback) {
         try {
             callback.run();
@@ -18,7 +18,7 @@
         }
     }
 
-    /** Runs a callback of {@code connection}; a fault is logged and closes the connection. */
+    /** Runs a callback of {@code connection}; an exception is logged and closes the connection. */
     static void runGuarded(Connection connection, Runnable callback) {
         try {
             callback.run();
--- a/src/main/java/clovermill/runtime/net/Clock.java
+++ b/src/main/java/clovermill/runtime/net/Clock.java
@@ -21,7 +21,7 @@
      */
     long unixMillis();
 
-    /** The clocks of the system: {@link System#nanoTime} and {@link System#currentTimeMillis}. */
+    /** Returns the clocks of the system: {@link System#nanoTime} and {@link System#currentTimeMillis}. */
     static Clock system() {
         long epochUs = System.currentTimeMillis() * 1000;
         long startNanos = System.nanoTime();
--- a/src/main/java/clovermill/runtime/net/Connection.java
+++ b/src/main/java/clovermill/runtime/net/Connection.java
@@ -7,11 +7,11 @@
 
 /**
  * One TCP connection of the event loop. It owns its channel and the bytes queued for writing, and releases both in
- * {@link #close}, whoever ends it. All calls are made on the loop's thread.
+ * {@link #close}, whichever side closes the connection. All calls are made on the loop's thread.
  */
 public final class Connection {
 
-    /** Follows a connection for its owner. No call is made after {@link #closed}. */
+    /** Receives the events of a connection for its owner. No call is made after {@link #closed}. */
     public interface Handler {
 
         /** An outgoing connection has been established. */
@@ -19,32 +19,32 @@
 
         /**
          * Bytes have arrived. If the handler leaves bytes in the buffer, reading stops until {@link Connection#resume},
-         * and they are handed over again then.
+         * and they are delivered again then.
          */
         void received(ByteBuffer data) throws IOException;
 
-        /** The peer has ended its output; it may still read. */
+        /** The peer has closed its output; it may still read. */
         void ended();
 
-        /** Queued bytes are about to be written: the last moment to withdraw a request in this turn. */
+        /** Queued bytes are about to be written: the last chance to withdraw a request in this turn. */
         default void flushing() {}
 
         /** All queued bytes have been written to the socket. */
         default void flushed() {}
 
-        /** Queued bytes are left after a write; {@link Connection#retractFrom} may take untouched ones back. */
+        /** Queued bytes are left after a write; {@link Connection#retractFrom} may remove those not yet written. */
         default void writeBlocked() {}
 
-        /** The connection is closed, for {@code cause}, which is null if this side closed it. */
+        /** The connection is closed because of {@code cause}, which is null if this side closed it. */
         void closed(IOException cause);
     }
 
     private static final Runnable NO_CALLBACK = () -> {};
     /** Bytes that one connection may write in one turn: a large answer must not delay the other connections. */
     private static final int MAX_WRITE_BYTES_PER_TURN = 1 << 18;
-    /** The second read sees an end that follows a request before anything is sent for that request. */
+    /** The second read detects a close that follows a request before anything is sent for that request. */
     private static final int ACCEPTED_READS_PER_TURN = 2;
-    private static final int DIALLED_READS_PER_TURN = 1;
+    private static final int DIALED_READS_PER_TURN = 1;
 
     private final EventLoop loop;
     private final SocketChannel channel;
@@ -56,11 +56,11 @@
     private boolean connecting;
     private boolean open = true;
     private boolean flushScheduled;
-    /** The socket took nothing, and everything was retracted: flushed again when it is writable. */
+    /** True if the socket accepted no bytes and everything was retracted: flushed again when it is writable. */
     private boolean flushWhenWritable;
     private boolean closeWhenFlushed;
 
-    /** {@code acceptedBy} is the listener that accepted it, null for a dialled connection. */
+    /** Creates a connection; {@code acceptedBy} is the listener that accepted it, null for a dialed connection. */
     Connection(EventLoop loop, SocketChannel channel, SelectionKey key, boolean connecting, Listener acceptedBy) {
         this.loop = loop;
         this.channel = channel;
@@ -68,32 +68,32 @@
         this.connecting = connecting;
         this.acceptedBy = acceptedBy;
         this.input = new ConnectionInput(channel,
-                acceptedBy != null ? ACCEPTED_READS_PER_TURN : DIALLED_READS_PER_TURN);
+                acceptedBy != null ? ACCEPTED_READS_PER_TURN : DIALED_READS_PER_TURN);
     }
 
-    /** Sets the handler and begins to wait for events. */
+    /** Sets the handler and starts waiting for events. */
     void start(Handler newHandler) {
         handler = newHandler;
         input.setHandler(newHandler);
         updateInterest();
     }
 
-    /** Whether it is served ahead of other connections in each turn. */
+    /** Returns true if it is served ahead of other connections in each turn. */
     boolean hasPriority() {
         return acceptedBy != null && acceptedBy.hasPriority();
     }
 
-    /** Whether it has not been closed. */
+    /** Returns true until it is closed. */
     public boolean isOpen() {
         return open;
     }
 
-    /** Bytes that were sent here and are not yet written to the socket. */
+    /** Returns the number of bytes queued but not yet written to the socket. */
     public long queuedBytes() {
         return output.queuedBytes();
     }
 
-    /** Bytes written to the socket since the connection was established. */
+    /** Returns the number of bytes written to the socket since the connection was established. */
     public long writtenBytes() {
         return output.writtenBytes();
     }
@@ -103,7 +103,9 @@
         send(bytes, NO_CALLBACK);
     }
 
-    /** As {@link #send(ByteBuffer)}; {@code done} is run once, when all bytes are written or never will be. */
+    /**
+     * As {@link #send(ByteBuffer)}; {@code done} is run once, when all bytes are written or the connection is closed.
+     */
     public void send(ByteBuffer bytes, Runnable done) {
         if (!open) {
             done.run();
@@ -114,8 +116,10 @@
     }
 
     /**
-     * Takes back {@code first} and everything sent behind it, unless a byte of {@code first} has been written; returns
-     * whether it did. {@link Handler#flushing} is called once the socket is writable.
+     * Removes {@code first} and everything sent after it, unless a byte of {@code first} has been written.
+     * {@link Handler#flushing} is called once the socket is writable.
+     *
+     * @return true if the bytes were removed
      */
     public boolean retractFrom(ByteBuffer first) {
         boolean retracted = output.retractFrom(first);
@@ -123,7 +127,7 @@
         return retracted;
     }
 
-    /** Whether everything sent has been written, and the socket is not known to be full. */
+    /** Returns true if everything sent has been written and the socket is not known to be full. */
     public boolean isWriteIdle() {
         return output.isEmpty() && !flushWhenWritable;
     }
@@ -134,7 +138,7 @@
         updateInterest();
     }
 
-    /** Resumes reading; bytes that were left unread are handed over first, at the end of this turn. */
+    /** Resumes reading; bytes that were left unread are delivered first, at the end of this turn. */
     public void resume() {
         if (open && input.isPaused()) {
             input.resume();
@@ -145,12 +149,12 @@
         }
     }
 
-    /** Whether reading has stopped until {@link #resume}. */
+    /** Returns true if reading has stopped until {@link #resume}. */
     public boolean isPaused() {
         return input.isPaused();
     }
 
-    /** Has {@link Handler#flushing} called at the end of this turn. */
+    /** Schedules a call of {@link Handler#flushing} at the end of this turn. */
     public void requestFlush() {
         if (open && !flushScheduled) {
             flushScheduled = true;
@@ -159,8 +163,8 @@
     }
 
     /**
-     * Hands over everything that has arrived so far, bytes that were left unread first, unless reading is paused. Not
-     * to be called from {@link Handler#received}.
+     * Delivers everything that has arrived so far, bytes that were left unread first, unless reading is paused. Must
+     * not be called from {@link Handler#received}.
      */
     public void readNow() {
         deliverUnread();
@@ -174,7 +178,7 @@
         }
     }
 
-    /** Ends this side's output; the peer may still send, until {@link #close}. */
+    /** Closes this side's output; the peer may still send, until {@link #close}. */
     public void endOutput() {
         if (open) {
             try {
@@ -207,7 +211,7 @@
         handler.closed(cause);
     }
 
-    /** Reports a dial that was finished at once. */
+    /** Reports a dial that completed at once. */
     void reportConnected() {
         if (open) {
             handler.connected();
@@ -243,7 +247,7 @@
         }
     }
 
-    /** Hands over bytes that were left unread, unless reading is paused. */
+    /** Delivers bytes that were left unread, unless reading is paused. */
     void deliverUnread() {
         if (!open) {
             return;
@@ -256,7 +260,7 @@
         }
     }
 
-    /** Writes what the socket accepts, up to the bound of one turn. */
+    /** Writes as much as the socket accepts, up to the limit of one turn. */
     void flush() {
         if (!open || connecting) {
             flushScheduled = false;
--- a/src/main/java/clovermill/runtime/net/ConnectionInput.java
+++ b/src/main/java/clovermill/runtime/net/ConnectionInput.java
@@ -5,7 +5,7 @@
 import java.nio.channels.ReadableByteChannel;
 
 /**
- * The reading side of a connection. Bytes that the handler leaves unread are copied and handed over again, before any
+ * The reading side of a connection. Bytes that the handler leaves unread are copied and delivered again, before any
  * newer ones, after reading has been resumed.
  */
 final class ConnectionInput {
@@ -44,12 +44,12 @@
         return unread != null;
     }
 
-    /** Whether the socket may be read now. */
+    /** Returns true if the socket may be read now. */
     boolean isReadable() {
         return !closed && !paused && !ended && unread == null;
     }
 
-    /** Hands over what the socket has, a bounded number of reads, unless older bytes wait to be handed over. */
+    /** Reads and delivers received bytes, with a bounded number of reads, unless older bytes are still unread. */
     void read(ByteBuffer buffer) throws IOException {
         for (int i = 0; i < maxReadsPerTurn && isReadable(); i++) {
             int count = TransferCount.read(channel, buffer.clear());
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Hands over the bytes that were left unread, unless reading is paused. */
+    /** Delivers the bytes that were left unread, unless reading is paused. */
     void deliverUnread() throws IOException {
         ByteBuffer data = unread;
         if (data != null && !paused) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Drops the unread bytes; nothing is handed over any more. */
+    /** Discards the unread bytes; nothing is delivered any more. */
     void close() {
         closed = true;
         unread = null;
--- a/src/main/java/clovermill/runtime/net/Datagrams.java
+++ b/src/main/java/clovermill/runtime/net/Datagrams.java
@@ -11,7 +11,7 @@
 /** A UDP socket of the event loop. It owns its channel, which {@link #close} closes. */
 public final class Datagrams implements AutoCloseable {
 
-    /** Bound of one turn: a flood of datagrams must not delay the connections. */
+    /** Limit of one turn: a flood of datagrams must not delay the connections. */
     private static final int MAX_READS_PER_TURN = 64;
 
     private final DatagramChannel channel;
@@ -28,12 +28,12 @@
         this.key = channel.register(selector, SelectionKey.OP_READ, this);
     }
 
-    /** The local port. */
+    /** Returns the local port. */
     public int port() {
         return channel.socket().getLocalPort();
     }
 
-    /** Sends one datagram; one that the socket does not take now is counted as unsent and lost. */
+    /** Sends one datagram; if the socket does not accept it now, it is counted as unsent and lost. */
     public void send(ByteBuffer datagram, InetSocketAddress to) {
         try {
             unsent += channel.send(datagram, to) > 0 ? 0 : 1;
@@ -42,12 +42,12 @@
         }
     }
 
-    /** Datagrams lost on this side since the start. */
+    /** Returns the number of datagrams lost on this side since the start. */
     public long unsent() {
         return unsent;
     }
 
-    /** Hands over received datagrams, up to the bound of one turn; the buffer is reused after each call. */
+    /** Delivers received datagrams, up to the limit of one turn; the buffer is reused after each call. */
     void read() {
         try {
             for (int i = 0; i < MAX_READS_PER_TURN && key.isValid(); i++) {
@@ -57,7 +57,7 @@
                 }
                 receiver.accept(buffer.flip());
             }
-        } catch (IOException refused) {
+        } catch (IOException icmpError) {
             // An ICMP error for an earlier datagram; nothing was received.
             unsent++;
         }
--- a/src/main/java/clovermill/runtime/net/Deadlines.java
+++ b/src/main/java/clovermill/runtime/net/Deadlines.java
@@ -27,7 +27,7 @@
     private final TreeSet<Deadline> sorted = new TreeSet<>();
     private long addedCount;
 
-    /** Has {@code expired} called by the first sweep at or after {@code atUs} of the monotonic clock. */
+    /** Schedules {@code expired} for the first sweep at or after {@code atUs} of the monotonic clock. */
     public Deadline add(long atUs, Runnable expired) {
         Deadline deadline = new Deadline(atUs, addedCount++, expired);
         sorted.add(deadline);
@@ -41,12 +41,12 @@
         }
     }
 
-    /** The time of the next deadline in microseconds, {@link Long#MAX_VALUE} if there is none. */
+    /** Returns the time of the next deadline in microseconds, {@link Long#MAX_VALUE} if there is none. */
     public long nextUs() {
         return sorted.isEmpty() ? Long.MAX_VALUE : sorted.first().atUs;
     }
 
-    /** Runs the deadlines that are due, in order; one added meanwhile waits for the next sweep. */
+    /** Runs the deadlines that are due, in order; one added meanwhile runs in the next sweep at the earliest. */
     public void sweep(long nowUs) {
         long firstAddedMeanwhile = addedCount;
         while (!sorted.isEmpty() && sorted.first().atUs <= nowUs
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The number of deadlines set. */
+    /** Returns the number of deadlines set. */
     public int size() {
         return sorted.size();
     }
--- a/src/main/java/clovermill/runtime/net/EventLoop.java
+++ b/src/main/java/clovermill/runtime/net/EventLoop.java
@@ -15,10 +15,10 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The thread that serves all connections: a selector, the connections on it and the sweep of all deadlines. */
+/** The loop that serves all connections on one thread: a selector, its connections and the sweep of all deadlines. */
 public final class EventLoop {
 
-    /** Bytes of one read, and so the most that a paused connection holds unread. */
+    /** Size of the read buffer, and so the maximum that a paused connection keeps unread. */
     private static final int READ_BYTES = 1 << 15;
     private static final int WRITE_BYTES = 1 << 16;
     private static final long MICROS_PER_MILLI = 1000;
@@ -34,7 +34,7 @@
     private List<Connection> connectionsToDeliver = new ArrayList<>();
     private boolean running = true;
 
-    /** A loop that is driven by {@link #run} or {@link #turn}. */
+    /** Creates a loop, which {@link #run} or {@link #turn} runs. */
     public EventLoop(Clock clock, Deadlines deadlines) throws IOException {
         this.clock = clock;
         this.deadlines = deadlines;
@@ -94,7 +94,7 @@
     }
 
     /**
-     * Dials; the handler is called with the result.
+     * Dials an address; the handler is called with the result.
      *
      * @throws IOException if the dial fails at once
      */
@@ -126,7 +126,7 @@
             connection.start(handlers.apply(connection));
             return connection;
         } catch (IOException | RuntimeException failure) {
-            Sockets.release(channel, acceptedBy); // otherwise it would count against the limit for ever
+            Sockets.release(channel, acceptedBy); // otherwise it would count against the limit forever
             throw failure;
         }
     }
@@ -137,7 +137,7 @@
         selector.wakeup();
     }
 
-    /** Ends {@link #run} after this turn. */
+    /** Stops {@link #run} after this turn. */
     public void stop() {
         running = false;
     }
@@ -161,7 +161,7 @@
         flushConnections();
     }
 
-    /** How long a turn may wait: until the next deadline, and not at all if work is scheduled already. */
+    /** Returns the time that a turn may wait: until the next deadline, or 0 if work is scheduled already. */
     private long waitMs(long maxMs) {
         if (!connectionsToDeliver.isEmpty() || !connectionsToFlush.isEmpty()) {
             return 0;
@@ -234,12 +234,12 @@
         return writeBuffer;
     }
 
-    /** Has {@link Connection#flush} called at the end of this turn. */
+    /** Schedules {@link Connection#flush} at the end of this turn. */
     void scheduleFlush(Connection connection) {
         connectionsToFlush.add(connection);
     }
 
-    /** Has {@link Connection#deliverUnread} called in this turn, or in the next one if it was done in this one. */
+    /** Schedules {@link Connection#deliverUnread} in this turn, or in the next one after this turn's deliveries. */
     void scheduleDelivery(Connection connection) {
         connectionsToDeliver.add(connection);
     }
--- a/src/main/java/clovermill/runtime/net/Listener.java
+++ b/src/main/java/clovermill/runtime/net/Listener.java
@@ -8,7 +8,7 @@
 import java.nio.channels.SocketChannel;
 import java.util.function.Function;
 
-/** A listening socket of the event loop; it counts and bounds the open connections accepted from it. */
+/** A listening socket of the event loop; it counts and limits the open connections accepted from it. */
 public final class Listener implements AutoCloseable {
 
     /** The accept call; it returns null if no connection is pending. */
@@ -17,11 +17,11 @@
     }
 
     private static final System.Logger LOG = System.getLogger(Listener.class.getName());
-    /** Bound of one turn: a burst of new connections must not delay the established ones. */
+    /** Limit of one turn: a burst of new connections must not delay the established ones. */
     private static final int MAX_ACCEPTS_PER_TURN = 16;
-    /** Empty accepts in a row after which none is pending: an interrupted call (EINTR) returns none as well. */
+    /** Empty accepts in a row that mean none is pending: an interrupted call (EINTR) also returns no connection. */
     private static final int MAX_EMPTY_ACCEPTS = 16;
-    /** Accepting pauses this long after this machine had no descriptor or memory for a connection. */
+    /** Pause of accepting after this machine had no descriptor or memory for a connection. */
     private static final long ACCEPT_PAUSE_US = 50_000;
 
     private final EventLoop loop;
@@ -37,7 +37,8 @@
     private boolean accepting = true;
 
     /**
-     * An {@code owned} channel is closed with this listener; with {@code priority} its connections are served first.
+     * Creates a listener. An {@code owned} channel is closed with it; with {@code priority} its connections are served
+     * first.
      */
     Listener(EventLoop loop, ServerSocketChannel channel, Selector selector, boolean owned, boolean priority,
             int maxConnections, Runnable closeAnother, Function<Connection, Connection.Handler> handlers)
@@ -59,20 +60,20 @@
         this.key = channel.register(selector, SelectionKey.OP_ACCEPT, this);
     }
 
-    /** The local port. */
+    /** Returns the local port. */
     public int port() {
         return channel.socket().getLocalPort();
     }
 
-    /** Whether this listener and its connections are served ahead of others in each turn. */
+    /** Returns true if this listener and its connections are served ahead of others in each turn. */
     boolean hasPriority() {
         return priority;
     }
 
-    /** Accepts pending connections, up to the bound of one turn. */
+    /** Accepts pending connections, up to the limit of one turn. */
     void accept() {
         if (!accepting) {
-            return; // switched off after the selection found it ready
+            return; // disabled after the selection reported it ready
         }
         for (int i = 0; i < MAX_ACCEPTS_PER_TURN && mayAccept(); i++) {
             try {
@@ -157,13 +158,13 @@
         awaitConnections();
     }
 
-    /** A connection that was accepted here has been closed. */
+    /** Called when a connection that was accepted here has been closed. */
     void connectionClosed() {
         openConnections--;
         awaitConnections();
     }
 
-    /** Switches accepting on or off; while off, pending connections stay for other processes on the same socket. */
+    /** Enables or disables accepting; while disabled, pending connections are left to other processes on the socket. */
     public void accepting(boolean enabled) {
         accepting = enabled;
         if (enabled) {
@@ -179,7 +180,7 @@
         }
     }
 
-    /** Accepts no more; an inherited socket stays open for other processes that accept from it. */
+    /** Stops accepting; an inherited socket stays open for other processes that accept from it. */
     @Override
     public void close() {
         if (owned) {
--- a/src/main/java/clovermill/runtime/net/Peers.java
+++ b/src/main/java/clovermill/runtime/net/Peers.java
@@ -14,8 +14,8 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Settings shared by the parts that exchange datagrams with other directors: their addresses and the key that signs the
- * datagrams. An invalid value is an {@link IllegalArgumentException} that names the field.
+ * Parses the settings of subsystems that exchange datagrams with other directors: the addresses and the key that signs
+ * the datagrams. An invalid value causes an {@link IllegalArgumentException} that names the field.
  */
 public final class Peers {
 
@@ -40,7 +40,7 @@
         return addresses;
     }
 
-    /** Reads a key from a file of hex digits; it has at least 16 bytes. */
+    /** Reads a key of at least 16 bytes from a file of hex digits. */
     public static byte[] key(String at, String file) {
         byte[] key;
         try {
@@ -56,7 +56,7 @@
         return key;
     }
 
-    /** An HMAC-SHA-256 (RFC 2104) with this key. */
+    /** Returns an HMAC-SHA-256 (RFC 2104) with this key. */
     public static Mac mac(byte[] key) {
         try {
             Mac mac = Mac.getInstance("HmacSHA256");
--- a/src/main/java/clovermill/runtime/net/RecurringTask.java
+++ b/src/main/java/clovermill/runtime/net/RecurringTask.java
@@ -2,7 +2,7 @@
 
 /**
  * Runs work on the event loop at a fixed interval until it is stopped. The next run is scheduled before the work runs,
- * so that an exception does not end the recurrence.
+ * so that an exception does not stop the recurrence.
  */
 public final class RecurringTask {
 
@@ -12,7 +12,7 @@
     private final Runnable work;
     private Deadlines.Deadline next;
 
-    /** A task that runs first at {@link #start()}. */
+    /** Creates a task that runs first at {@link #start()}. */
     public RecurringTask(Deadlines deadlines, Clock clock, long intervalUs, Runnable work) {
         this.deadlines = deadlines;
         this.clock = clock;
--- a/src/main/java/clovermill/runtime/net/SocketErrors.java
+++ b/src/main/java/clovermill/runtime/net/SocketErrors.java
@@ -37,14 +37,14 @@
     private SocketErrors() {}
 
     /**
-     * Loads this class while descriptors are left: it is needed first when there are none, and where classes lie in a
-     * folder the JVM could not open its file then.
+     * Loads this class while descriptors are available: it is first used when there are none, and if classes are in a
+     * folder, the JVM could not open its file then.
      */
     static void load() {}
 
     /**
-     * Whether a failed dial is the peer's fault; otherwise it is a transient fault of this machine. An address that
-     * cannot be dialled at all (the cause is a RuntimeException) counts as the peer's fault.
+     * Returns true if a failed dial is the peer's fault; otherwise it is a transient fault of this machine. An address
+     * that cannot be dialed at all (the cause is a RuntimeException) counts as the peer's fault.
      */
     public static boolean isOfPeer(IOException dialFailure) {
         return dialFailure instanceof ConnectException || dialFailure instanceof NoRouteToHostException
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Whether a failed accept concerns only the first pending connection, so that the next may be accepted at once.
+     * Returns true if a failed accept concerns only the first pending connection; the next may be accepted at once.
      */
     static boolean isOfOneConnection(IOException acceptFailure) {
         return acceptFailure.getMessage() != null && OF_ONE_CONNECTION.contains(acceptFailure.getMessage());
--- a/src/main/java/clovermill/runtime/net/Sockets.java
+++ b/src/main/java/clovermill/runtime/net/Sockets.java
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Opens a non-blocking socket and dials; the dial may be finished on return.
+     * Opens a non-blocking socket and dials; the dial may be complete on return.
      *
-     * @throws IOException if the dial fails at once; its cause is a RuntimeException where no such address can be
-     * dialled
+     * @throws IOException if the dial fails at once; its cause is a RuntimeException if the address cannot be
+     * dialed at all
      */
     static SocketChannel openDialling(InetSocketAddress address) throws IOException {
         SocketChannel channel = SocketChannel.open();
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Sends small writes at once; a socket that refuses the option (reset already) is served without it. */
+    /** Sends small writes at once; a socket that rejects the option (already reset) is served without it. */
     static void setNoDelay(SocketChannel channel) {
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Closes a connection's socket and reports it to the listener that accepted it, null for one that was dialled. */
+    /** Closes a connection's socket and reports it to the listener that accepted it, null for one that was dialed. */
     static void release(SocketChannel channel, Listener acceptedBy) {
         closeQuietly(channel);
         if (acceptedBy != null) {
--- a/src/main/java/clovermill/runtime/net/Timeout.java
+++ b/src/main/java/clovermill/runtime/net/Timeout.java
@@ -9,7 +9,7 @@
     private Deadlines.Deadline deadline;
     private boolean closed;
 
-    /** {@code expired} is run by the sweep of {@code deadlines}; the timeout is unset by then. */
+    /** Creates a timeout; the sweep of {@code deadlines} runs {@code expired}, after the timeout is unset. */
     public Timeout(Clock clock, Deadlines deadlines, Runnable expired) {
         this.clock = clock;
         this.deadlines = deadlines;
@@ -34,7 +34,7 @@
         expired.run();
     }
 
-    /** Whether it is set and has not expired. */
+    /** Returns true if it is set and has not expired. */
     public boolean isSet() {
         return deadline != null;
     }
@@ -45,7 +45,7 @@
         deadline = null;
     }
 
-    /** Cancels it and ignores later settings: its owner has ended. */
+    /** Cancels it and ignores later settings, once its owner is closed. */
     public void close() {
         cancel();
         closed = true;
--- a/src/main/java/clovermill/runtime/net/TransferCount.java
+++ b/src/main/java/clovermill/runtime/net/TransferCount.java
@@ -13,9 +13,9 @@
  */
 final class TransferCount {
 
-    /** The peer has ended its output. */
+    /** The peer has closed its output. */
     static final int END_OF_STREAM = -1;
-    /** Calls in a row at most; after that the next selection reports the socket as ready again. */
+    /** Maximum calls in a row; after that the next selection reports the socket as ready again. */
     private static final int MAX_ATTEMPTS = 16;
 
     private TransferCount() {}
--- a/src/main/java/clovermill/runtime/net/WriteQueue.java
+++ b/src/main/java/clovermill/runtime/net/WriteQueue.java
@@ -29,12 +29,12 @@
         return pieces.isEmpty();
     }
 
-    /** Bytes queued and not written. */
+    /** Returns the number of bytes queued and not written. */
     long queuedBytes() {
         return queuedBytes;
     }
 
-    /** Bytes written since the queue was made. */
+    /** Returns the number of bytes written since the queue was created. */
     long writtenBytes() {
         return writtenBytes;
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Removes {@code count} bytes, which the socket has taken, and runs the callbacks of completed pieces. */
+    /** Removes {@code count} bytes that were written to the socket, and runs the callbacks of completed pieces. */
     void written(int count) {
         queuedBytes -= count;
         writtenBytes += count;
@@ -83,10 +83,10 @@
     }
 
     /**
-     * Removes {@code first} and everything queued behind it, unless a byte of {@code first} has been written. The
+     * Removes {@code first} and everything queued after it, unless a byte of {@code first} has been written. The
      * callbacks of removed pieces are not run.
      *
-     * @return whether {@code first} was removed
+     * @return true if {@code first} was removed
      */
     boolean retractFrom(ByteBuffer first) {
         boolean found = false;
@@ -103,7 +103,7 @@
         return false;
     }
 
-    /** Drops everything queued and runs its callbacks. */
+    /** Discards everything queued and runs its callbacks. */
     void clear() {
         queuedBytes = 0;
         while (!pieces.isEmpty()) {
--- a/src/main/java/clovermill/runtime/task/TaskThread.java
+++ b/src/main/java/clovermill/runtime/task/TaskThread.java
@@ -15,13 +15,13 @@
 
 /**
  * Runs one task on a thread of its own, with a bounded mailbox and optionally a datagram socket, which it owns and
- * closes. A failure of the task ends the thread; it is logged and reported to the task's owner on this thread.
+ * closes. A failure of the task stops the thread; it is logged and reported to the task's owner on this thread.
  */
 public final class TaskThread<M> implements Mailbox<M> {
 
     private static final System.Logger LOG = System.getLogger(TaskThread.class.getName());
     private static final int MAX_DATAGRAM_BYTES = 1 << 16;
-    /** Bound of the datagrams, and of the messages, of one turn: a flood of either must not delay the ticks. */
+    /** Limit of the datagrams, and of the messages, of one turn: a flood of either must not delay the ticks. */
     private static final int MAX_PER_TURN = 64;
     private static final long MICROS_PER_MILLI = 1000;
 
@@ -37,12 +37,12 @@
     private volatile boolean ending;
 
     /**
-     * A thread that is not started yet.
+     * Creates a thread that is not started yet.
      *
      * @param name name of the thread, and of the task in the log
-     * @param clock gives the time that the task is called with
+     * @param clock supplies the time that is passed to the task
      * @param task the task
-     * @param mailboxCapacity messages that may be queued
+     * @param mailboxCapacity the maximum number of queued messages
      * @param socket datagram socket of the task, null if it has none
      * @param datagramHandler handles received datagrams on the task's thread
      * @param failureHandler called on the task's thread if the task throws
@@ -79,7 +79,7 @@
         return accepted;
     }
 
-    /** Ends the task after the messages in its mailbox; returns when it has ended, or after {@code maxWaitMs}. */
+    /** Stops the task after the messages in its mailbox; returns when it has stopped, or after {@code maxWaitMs}. */
     public void stop(long maxWaitMs) throws InterruptedException {
         ending = true;
         selector.wakeup();
--- a/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
+++ b/src/test/java/clovermill/dataplane/proxy/ProxyCoreTest.java
@@ -121,7 +121,7 @@
     }
 
     private UpstreamResponse answer() {
-        assertThat(budget.take(10)).isTrue();
+        assertThat(budget.tryReserve(10)).isTrue();
         return new UpstreamResponse(new Body(new byte[10], budget), false, "t");
     }
 
@@ -161,7 +161,7 @@
     @Test
     void givenAClientWithoutACopyWhenNotModifiedIsReturnedThenTheAttemptFails() {
         submit(new Send(ID, "a", 0));
-        assertThat(budget.take(10)).isTrue();
+        assertThat(budget.tryReserve(10)).isTrue();
         listeners.get(0).ended(Result.OK, CacheStatus.HIT, 0,
                 new UpstreamResponse(new Body(new byte[10], budget), true, "t"));
         assertThat(answers).isEmpty();
--- a/src/test/java/clovermill/dataplane/server/FrameServerTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameServerTest.java
@@ -168,7 +168,7 @@
     void givenAFrameThatWaits50MillisForMemoryThenNoNewAttemptBegins() throws Exception {
         try (SingleClient client = new SingleClient()) {
             client.sendRequest(1, 0);
-            budget.take(1 << 20);
+            budget.tryReserve(1 << 20);
             client.sendRequest(2, 20_000);
             client.pass(40);
             assertThat(client.readFrame()).isEqualTo("nothing");
@@ -183,7 +183,7 @@
     @Test
     void givenNoMemoryFor400MillisThenTheRequestIsRejectedAndItsConnectionContinues() throws Exception {
         try (SingleClient client = new SingleClient()) {
-            budget.take(1 << 20);
+            budget.tryReserve(1 << 20);
             client.sendRequest(1, 20_000);
             client.pass(390);
             assertThat(client.readFrame()).isEqualTo("nothing");
@@ -192,7 +192,7 @@
             client.sendFrame(Frames.READINESS_REQUEST, 7, Map.of(), 0);
             assertThat(client.readFrame()).isEqualTo("7 7 O");
             assertThat(budget.used()).isEqualTo(1 << 20);
-            budget.give(1 << 20);
+            budget.release(1 << 20);
             client.sendRequest(2, 20_000);
             assertThat(events).hasSize(1);
         }
@@ -202,7 +202,7 @@
     @Test
     void givenAFirstRequestThatWaitsForMemoryThenItsConnectionIsNotEvicted() throws Exception {
         try (SingleClient client = new SingleClient()) {
-            budget.take(1 << 20);
+            budget.tryReserve(1 << 20);
             client.sendRequest(1, 20_000);
             client.pass(110);
             client.server.setMaxConnections(0);
@@ -217,10 +217,10 @@
     @Test
     void givenARequestThatWaitedForMemoryThenItsDeadlineIsShorterByTheWait() throws Exception {
         try (SingleClient client = new SingleClient()) {
-            budget.take(1 << 20);
+            budget.tryReserve(1 << 20);
             client.sendRequest(1, 20_000);
             client.pass(300);
-            budget.give(1 << 20);
+            budget.release(1 << 20);
             client.runLoop();
             assertThat(events).hasSize(1);
             assertThat(((Request) events.get(0)).timeoutUs()).isEqualTo(2_980_000 - 300_000);
--- a/src/test/java/clovermill/dataplane/upstream/ResponseParserTest.java
+++ b/src/test/java/clovermill/dataplane/upstream/ResponseParserTest.java
@@ -63,13 +63,13 @@
     @Test
     void stopsBeforeABodyThatFindsNoRoom() throws Exception {
         List<String> responses = new ArrayList<>();
-        assertThat(budget.take(999)).isTrue();
+        assertThat(budget.tryReserve(999)).isTrue();
         ResponseParser parser = new ResponseParser(budget, (id, word, fields, body) -> responses.add(id));
         ByteBuffer data = ByteBuffer.wrap(INPUT);
         parser.parse(data);
         assertThat(parser.awaitsBudget()).isTrue();
         assertThat(responses).isEmpty();
-        budget.give(999);
+        budget.release(999);
         parser.parse(data);
         assertThat(responses).containsExactly("a1", "a2");
     }
--- a/src/test/java/clovermill/runtime/net/BudgetTest.java
+++ b/src/test/java/clovermill/runtime/net/BudgetTest.java
@@ -11,10 +11,10 @@
     private final Budget budget = new Budget(100);
 
     @Test
-    void givenAFullBudgetThenItRefusesAndCallsTheWaitingOnesAfterARelease() {
+    void givenAFullBudgetThenItRejectsReservationsAndCallsWaitersAfterARelease() {
         List<String> called = new ArrayList<>();
-        assertThat(budget.take(80)).isTrue();
-        assertThat(budget.take(30)).isFalse();
+        assertThat(budget.tryReserve(80)).isTrue();
+        assertThat(budget.tryReserve(30)).isFalse();
         budget.await(() -> called.add("first"));
         budget.await(() -> called.add("second"));
         Body body = new Body(new byte[80], budget);
@@ -27,7 +27,7 @@
     /** A body larger than the budget is still served, alone. */
     @Test
     void givenAnEmptyBudgetThenABodyOfAnySizeIsGranted() {
-        assertThat(budget.take(500)).isTrue();
-        assertThat(budget.take(1)).isFalse();
+        assertThat(budget.tryReserve(500)).isTrue();
+        assertThat(budget.tryReserve(1)).isFalse();
     }
 }
--- a/src/test/java/clovermill/runtime/net/ConnectionFaultsTest.java
+++ b/src/test/java/clovermill/runtime/net/ConnectionFaultsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How a connection handles the results that system calls have on Linux. */
+/** Tests how a connection handles the results of system calls on Linux. */
 class ConnectionFaultsTest {
 
     private final List<String> events = new ArrayList<>();
@@ -67,7 +67,7 @@
 
     /** The next selection reports the socket as ready again. */
     @Test
-    void givenCallsThatAreAlwaysInterruptedThenTheTurnGoesOn() {
+    void givenCallsThatAreAlwaysInterruptedThenTheTurnContinues() {
         Connection connection = connection(false);
         socket.reads.addAll(Collections.nCopies(16, ScriptedSocket.INTERRUPTED));
         socket.writes.addAll(Collections.nCopies(16, ScriptedSocket.INTERRUPTED));
@@ -111,8 +111,8 @@
     }
 
     /**
-     * ETIMEDOUT and EHOSTUNREACH come as a plain IOException, a reset as a SocketException: each is a broken
-     * connection.
+     * ETIMEDOUT and EHOSTUNREACH are thrown as a plain IOException, a reset as a SocketException: each means that the
+     * connection is lost.
      */
     @Test
     void givenAnErrorOfAReadOrWriteThenTheConnectionIsClosedOnce() {
@@ -132,7 +132,7 @@
         assertThat(written.queuedBytes()).isZero();
     }
 
-    /** Leaves all bytes of its first call unread; takes all of each later one. */
+    /** Leaves all bytes of its first call unread; reads all bytes of each later one. */
     private static final class LateReader implements Connection.Handler {
         final List<Integer> receivedCounts = new ArrayList<>();
 
@@ -153,9 +153,9 @@
         public void closed(IOException cause) {}
     }
 
-    /** The server reads a last time before it ends an idle connection whose reading has just been resumed. */
+    /** The server reads a last time before it closes an idle connection whose reading has just been resumed. */
     @Test
-    void givenUnreadBytesWhenReadAtOnceAfterResumeThenTheOlderBytesComeFirst() throws IOException {
+    void givenUnreadBytesWhenReadAtOnceAfterResumeThenTheOlderBytesAreDeliveredFirst() throws IOException {
         LateReader reader = new LateReader();
         Connection connection = new Connection(loop, socket, socket.key(), false, null);
         connection.start(reader);
@@ -163,14 +163,14 @@
         connection.serveReady();
         connection.resume();
         connection.readNow();
-        assertThat(reader.receivedCounts).as("bytes handed over, in order").containsExactly(5, 5, 3);
+        assertThat(reader.receivedCounts).as("delivered bytes, in order").containsExactly(5, 5, 3);
         loop.turn(0);
-        assertThat(reader.receivedCounts).as("the older bytes come once").containsExactly(5, 5, 3);
+        assertThat(reader.receivedCounts).as("the older bytes are delivered once").containsExactly(5, 5, 3);
         connection.readNow();
         assertThat(reader.receivedCounts).containsExactly(5, 5, 3, -1);
     }
 
-    /** The selection found it readable before another callback read from it and resumed it. */
+    /** The selection reported it readable before another callback read from it and resumed it. */
     @Test
     void givenUnreadBytesWhenFoundReadableThenNothingNewerIsReadAheadOfThem() throws IOException {
         LateReader reader = new LateReader();
--- a/src/test/java/clovermill/runtime/net/FirstServedTest.java
+++ b/src/test/java/clovermill/runtime/net/ConnectionPriorityTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A connection with priority is served before all others of a turn, though its bytes arrived last. */
-class FirstServedTest {
+class ConnectionPriorityTest {
 
     private static final int CLIENTS = 30;
     private final List<String> receivers = new ArrayList<>();
--- a/src/test/java/clovermill/runtime/net/DeadlinesTest.java
+++ b/src/test/java/clovermill/runtime/net/DeadlinesTest.java
@@ -34,7 +34,7 @@
         assertThat(deadlines.size()).isZero();
     }
 
-    /** Otherwise one that adds itself again for a past time would block the loop for ever. */
+    /** Otherwise one that adds itself again for a past time would block the loop forever. */
     @Test
     void givenADeadlineAddedDuringASweepThenItWaitsForTheNext() {
         deadlines.add(1, () -> deadlines.add(0, () -> expired.add("next")));
--- a/src/test/java/clovermill/runtime/net/EventLoopTest.java
+++ b/src/test/java/clovermill/runtime/net/EventLoopTest.java
@@ -68,9 +68,9 @@
         }
     }
 
-    /** Output is written at the end of the turn; by then the end of the client that caused it has been read. */
+    /** Output is written at the end of the turn, after the close by the client that caused it has been read. */
     @Test
-    void givenAnEndBehindARequestThenItIsReportedBeforeAnythingIsWritten() throws Exception {
+    void givenACloseAfterARequestThenItIsReportedBeforeAnythingIsWritten() throws Exception {
         events.add("no fault");
         EventLoop loop = new EventLoop(Clock.system(), new Deadlines());
         try (Listener listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1,
@@ -86,9 +86,9 @@
         }
     }
 
-    /** The new connection is closed and does not count against the limit; the listener goes on. */
+    /** The new connection is closed and does not count against the limit; the listener continues. */
     @Test
-    void givenAFaultWhileAnotherIsClosedThenTheListenerGoesOn() throws Exception {
+    void givenAFaultWhileAnotherIsClosedThenTheListenerContinues() throws Exception {
         events.add("no fault");
         EventLoop loop = new EventLoop(Clock.system(), new Deadlines());
         try (Listener listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1,
@@ -140,9 +140,9 @@
         };
     }
 
-    /** Otherwise the owner would count a closed connection against its limit for ever. */
+    /** Otherwise the owner would count a closed connection against its limit forever. */
     @Test
-    void givenAWriteCallbackThatThrowsWhenClosedThenTheHandlerIsCalledStill() throws Exception {
+    void givenAWriteCallbackThatThrowsWhenClosedThenTheHandlerIsStillCalled() throws Exception {
         events.add("no fault");
         EventLoop loop = new EventLoop(Clock.system(), new Deadlines());
         try (Listener listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1,
--- a/src/test/java/clovermill/runtime/net/ListenerFaultsTest.java
+++ b/src/test/java/clovermill/runtime/net/ListenerFaultsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A listener accepts on after an error of one connection, and pauses when the machine is out of resources.
+ * A listener continues accepting after an error of one connection, and pauses when the machine is out of resources.
  */
 class ListenerFaultsTest {
 
--- a/src/test/java/clovermill/runtime/net/ManualClock.java
+++ b/src/test/java/clovermill/runtime/net/ManualClock.java
@@ -1,25 +1,25 @@
 package clovermill.runtime.net;
 
 /**
- * A clock that tests set by hand. Time that passes moves both of its parts; a step moves the wall clock alone, as an
- * administrator or a time daemon does to a running system.
+ * A clock that tests set manually. Passing time advances both the monotonic and the wall clock; a step changes only the
+ * wall clock, as an administrator or a time daemon may do on a running system.
  */
 public final class ManualClock implements Clock {
 
     /**
-     * What both parts read at first unless a test says otherwise: some moment of late 2023, with broken milliseconds.
+     * The initial time of both clocks unless a test sets another: a time in late 2023 that is not a whole millisecond.
      */
     public static final long START_US = 1_700_000_000_000_900L;
 
     private long monotonicUs;
     private long wallAheadMs;
 
-    /** Both parts read {@link #START_US}. */
+    /** Creates clocks that start at {@link #START_US}. */
     public ManualClock() {
         this(START_US);
     }
 
-    /** Both parts read {@code startUs} microseconds. */
+    /** Creates clocks that start at {@code startUs} microseconds. */
     public ManualClock(long startUs) {
         this.monotonicUs = startUs;
     }
@@ -35,23 +35,24 @@
     }
 
     /**
-     * What the wall clock would read had it never been stepped, in milliseconds: the clock of whoever writes stamps.
+     * Returns the time in milliseconds that the wall clock would have without steps: the clock of the party that writes
+     * time stamps.
      */
     public long trueMs() {
         return monotonicUs / 1000;
     }
 
-    /** Lets real time pass, in microseconds. */
+    /** Advances both clocks by {@code us} microseconds. */
     public void passUs(long us) {
         monotonicUs += us;
     }
 
-    /** Lets real time pass, in milliseconds. */
+    /** Advances both clocks by {@code ms} milliseconds. */
     public void passMs(long ms) {
         monotonicUs += ms * 1000;
     }
 
-    /** Steps the wall clock by so many milliseconds, back where negative. */
+    /** Steps the wall clock by {@code ms} milliseconds, backward if negative. */
     public void stepMs(long ms) {
         wallAheadMs += ms;
     }
--- a/src/test/java/clovermill/runtime/net/RecurringTaskTest.java
+++ b/src/test/java/clovermill/runtime/net/RecurringTaskTest.java
@@ -27,12 +27,12 @@
         passUs(1);
         assertThat(runs).isEqualTo(2);
         passUs(3 * INTERVAL_US);
-        assertThat(runs).as("runs that were missed are not made up for").isEqualTo(3);
+        assertThat(runs).as("missed runs are not repeated").isEqualTo(3);
         assertThat(deadlines.size()).isEqualTo(1);
     }
 
     @Test
-    void givenARunThatThrowsThenTheRecurrenceGoesOn() {
+    void givenARunThatThrowsThenTheRecurrenceContinues() {
         RecurringTask.start(deadlines, clock, INTERVAL_US, () -> {
             runs++;
             if (runs == 2) {
--- a/src/test/java/clovermill/runtime/net/ScriptedSocket.java
+++ b/src/test/java/clovermill/runtime/net/ScriptedSocket.java
@@ -15,42 +15,42 @@
 import java.util.function.Function;
 
 /**
- * A socket channel whose calls return or throw what a test has set down, as the JDK's does for the errors of the
- * system.
+ * A socket channel whose calls return or throw the results that a test has set, as the JDK's channel does for system
+ * errors.
  */
 public final class ScriptedSocket extends SocketChannel {
 
-    /** What {@code read} and {@code write} return on Java 17 where the system call ends with EINTR. */
+    /** The result of {@code read} and {@code write} on Java 17 if the system call fails with EINTR. */
     static final int INTERRUPTED = -3;
 
     /** The results of the next calls, an {@link IOException} for a failure; every further read finds nothing. */
     public final Deque<Object> reads = new ArrayDeque<>();
     public final Deque<Object> writes = new ArrayDeque<>();
     public final Deque<Object> connects = new ArrayDeque<>();
-    /** The bytes that writes have taken. */
+    /** The bytes written so far. */
     public final StringBuilder written = new StringBuilder();
 
     private final SelectionKey key = key();
     private Connection connection;
 
-    /** A socket on which each call succeeds until a test says otherwise. */
+    /** Creates a socket on which each call succeeds unless a test sets another result. */
     public ScriptedSocket() {
         super(SelectorProvider.provider());
     }
 
-    /** A connection of {@code loop} that is being dialled on this socket. */
+    /** Returns a connection of {@code loop} that is being dialed on this socket. */
     public Connection connect(EventLoop loop, Function<Connection, Connection.Handler> handlers) {
         connection = new Connection(loop, this, key, true, null);
         connection.start(handlers.apply(connection));
         return connection;
     }
 
-    /** Reports the connection as ready for whatever it is interested in, as a selection does. */
+    /** Reports the connection as ready for all operations in its interest set, as a selection does. */
     public void reportReady() {
         connection.serveReady();
     }
 
-    /** Whether the connection waits for this socket to take bytes. */
+    /** Returns true if the connection waits until this socket is writable. */
     public boolean isAwaitedWritable() {
         return (key.interestOps() & SelectionKey.OP_WRITE) != 0;
     }
@@ -86,12 +86,12 @@
         return (Boolean) next(connects, true);
     }
 
-    /** A key of no selector, always ready for whatever is asked. */
+    /** A key without a selector, always ready for all operations in its interest set. */
     SelectionKey key() {
         return key(false);
     }
 
-    /** A key of no selector that was found readable before its interest was last changed. */
+    /** A key without a selector that was found readable before its interest set was last changed. */
     SelectionKey alwaysReadableKey() {
         return key(true);
     }
--- a/src/test/java/clovermill/runtime/net/WriteQueueTest.java
+++ b/src/test/java/clovermill/runtime/net/WriteQueueTest.java
@@ -11,8 +11,8 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Whatever parts a socket accepts, each byte leaves once and in order, and the callback of each piece runs once, after
- * its last byte.
+ * However many bytes the socket accepts per call, each byte is written once and in order, and the callback of each
+ * piece runs once, after its last byte.
  */
 class WriteQueueTest {
 
