--- a/src/main/java/clovermill/cli/LedgerExportCommand.java
+++ b/src/main/java/clovermill/cli/LedgerExportCommand.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns the export settings, with the options of the command line in place of theirs. */
-    private LedgerSettings.Export exportOptions() throws SettingsFile.Fault {
+    private LedgerSettings.Export exportOptions() throws SettingsFile.InvalidSettingsException {
         LedgerSettings.Export configured = settings().export();
         LedgerSettings.Export exportOptions = new LedgerSettings.Export(
                 to != null ? to : configured == null ? null : configured.folder(),
--- a/src/main/java/clovermill/dataplane/server/ClientStreams.java
+++ b/src/main/java/clovermill/dataplane/server/ClientStreams.java
@@ -72,7 +72,7 @@
         }
         int bodyBytes = payload.remaining();
         boolean rejectingNew = context.rejectingNew().getAsBoolean();
-        if (rejectingNew || openStreams.size() >= MAX_OPEN || !context.budget().take(bodyBytes)) {
+        if (rejectingNew || openStreams.size() >= MAX_OPEN || !context.budget().tryReserve(bodyBytes)) {
             long retryAfterMs = context.retryAfterMs().getAsLong();
             connection.reject(stream,
                     rejectingNew ? Math.min(RETRY_ELSEWHERE_MS, retryAfterMs) : retryAfterMs);
@@ -85,7 +85,7 @@
             submit(stream, context.reader().read(fields, body)
                     .afterDelay(context.clock().micros() - arrivedUs));
         } catch (BadRequestException invalid) {
-            context.budget().give(bodyBytes);
+            context.budget().release(bodyBytes);
             connection.fail(stream);
         }
     }
@@ -93,7 +93,7 @@
     private void submit(long stream, ClientRequest request) {
         int bodyBytes = request.body().length;
         if (request.remainingUs() <= 0) {
-            context.budget().give(bodyBytes);
+            context.budget().release(bodyBytes);
             connection.reject(stream, context.retryAfterMs().getAsLong());
             context.proxy().recordRejected(request, UsageRecord.End.REFUSED);
             return;
@@ -134,7 +134,7 @@
     /** Closes a stream and returns its request's memory to the budget. Every stream is closed here. */
     void close(ClientStream stream) {
         if (openStreams.remove(stream.number, stream)) {
-            context.budget().give(stream.bodyBytes);
+            context.budget().release(stream.bodyBytes);
         }
     }
 
--- a/src/test/java/clovermill/dataplane/server/FrameServerTest.java
+++ b/src/test/java/clovermill/dataplane/server/FrameServerTest.java
@@ -169,7 +169,7 @@
     void startsNoAttemptWhenFrameWaitsMoreThan50MsForMemory() throws Exception {
         try (SingleClient client = new SingleClient()) {
             client.sendRequest(1, 0);
-            budget.take(1 << 20);
+            budget.tryReserve(1 << 20);
             client.sendRequest(2, 20_000);
             client.advance(40);
             assertThat(client.readFrame()).isEqualTo("nothing");
@@ -184,7 +184,7 @@
     @Test
     void rejectsRequestAfter400MsWithoutMemoryAndKeepsConnectionOpen() throws Exception {
         try (SingleClient client = new SingleClient()) {
-            budget.take(1 << 20);
+            budget.tryReserve(1 << 20);
             client.sendRequest(1, 20_000);
             client.advance(390);
             assertThat(client.readFrame()).isEqualTo("nothing");
@@ -193,7 +193,7 @@
             client.sendFrame(Frames.READINESS_REQUEST, 7, Map.of(), 0);
             assertThat(client.readFrame()).isEqualTo("7 7 O");
             assertThat(budget.used()).isEqualTo(1 << 20);
-            budget.give(1 << 20);
+            budget.release(1 << 20);
             client.sendRequest(2, 20_000);
             assertThat(events).hasSize(1);
         }
@@ -203,7 +203,7 @@
     @Test
     void doesNotEvictConnectionWhoseFirstRequestWaitsForMemory() throws Exception {
         try (SingleClient client = new SingleClient()) {
-            budget.take(1 << 20);
+            budget.tryReserve(1 << 20);
             client.sendRequest(1, 20_000);
             client.advance(110);
             client.server.setMaxConnections(0);
@@ -218,10 +218,10 @@
     @Test
     void subtractsWaitForMemoryFromRequestDeadline() throws Exception {
         try (SingleClient client = new SingleClient()) {
-            budget.take(1 << 20);
+            budget.tryReserve(1 << 20);
             client.sendRequest(1, 20_000);
             client.advance(300);
-            budget.give(1 << 20);
+            budget.release(1 << 20);
             client.runLoop();
             assertThat(events).hasSize(1);
             assertThat(((Request) events.get(0)).timeoutUs()).isEqualTo(2_980_000 - 300_000);
