--- a/src/test/java/clovermill/prove/capacity/AllowedGrowth.java
+++ b/src/test/java/clovermill/prove/capacity/AllowedGrowth.java
@@ -3,15 +3,15 @@
 import java.util.Locale;
 
 /**
- * How far a figure may move over the same day when a director knows more caches: {@code factor} times the usual value,
- * plus a fixed part and a part for each thousand caches that were added.
+ * The bound on a metric of one director when the list of caches grows and the load stays the same: {@code factor}
+ * times the baseline, plus a constant and an amount for each thousand caches added.
  *
- * @param factor of the usual value
- * @param fixed in the figure's unit
- * @param perThousandCaches in the figure's unit
- * @param least whether the result is a least value, not a most one
+ * @param factor multiple of the baseline
+ * @param fixed constant, in the metric's unit
+ * @param perThousandCaches amount per thousand added caches, in the metric's unit
+ * @param lowerBound true if the result is a lower bound, false if it is an upper bound
  */
-record AllowedGrowth(double factor, double fixed, double perThousandCaches, boolean least) {
+record AllowedGrowth(double factor, double fixed, double perThousandCaches, boolean lowerBound) {
 
     private static final double THOUSAND = 1000;
 
@@ -25,20 +25,20 @@
     static final AllowedGrowth LIST = new AllowedGrowth(2, 64, 500, false);
     static final AllowedGrowth SERVED = new AllowedGrowth(0.85, 0, 0, true);
 
-    /** The bound on the value with so many caches more, in the unit of the usual value. */
-    double bound(double usual, int addedCaches) {
-        return factor * usual + fixed + perThousandCaches * addedCaches / THOUSAND;
+    /** Returns the bound on the value after adding caches, in the unit of the baseline. */
+    double bound(double baseline, int addedCaches) {
+        return factor * baseline + fixed + perThousandCaches * addedCaches / THOUSAND;
     }
 
-    /** Whether a value with so many caches more is within the bound. */
-    boolean allows(double usual, double many, int addedCaches) {
-        double bound = bound(usual, addedCaches);
-        return least ? many >= bound : many <= bound;
+    /** Returns whether a value measured after adding caches is within the bound. */
+    boolean allows(double baseline, double enlarged, int addedCaches) {
+        double bound = bound(baseline, addedCaches);
+        return lowerBound ? enlarged >= bound : enlarged <= bound;
     }
 
-    /** The bound in words. */
-    String text(double usual, int addedCaches, int decimals) {
-        return String.format(Locale.ROOT, "%s %." + decimals + "f", least ? "at least" : "at most",
-                bound(usual, addedCaches));
+    /** Returns the bound as text for the report. */
+    String text(double baseline, int addedCaches, int decimals) {
+        return String.format(Locale.ROOT, "%s %." + decimals + "f", lowerBound ? "at least" : "at most",
+                bound(baseline, addedCaches));
     }
 }
--- a/src/test/java/clovermill/prove/capacity/CacheCountPageTest.java
+++ b/src/test/java/clovermill/prove/capacity/CacheCountPageTest.java
@@ -5,11 +5,11 @@
 import java.nio.file.Files;
 import org.junit.jupiter.api.Test;
 
-/** The page on the number of caches shows the figures of the last run. */
+/** Checks that the page on the number of caches shows the figures of its CSV file. */
 class CacheCountPageTest {
 
     @Test
-    void thePageShowsWhatItsFileHolds() throws Exception {
+    void pageMatchesCsvFile() throws Exception {
         String page = Files.readString(CacheCountProof.PAGE);
         assertThat(page).contains("cache-count -->");
         assertThat(new CapacityTables(CapacityTables.readAll()).render(page))
--- a/src/test/java/clovermill/prove/capacity/CacheCountProof.java
+++ b/src/test/java/clovermill/prove/capacity/CacheCountProof.java
@@ -14,42 +14,43 @@
 import java.util.stream.Stream;
 
 /**
- * What the number of caches costs a director ({@code make prove-cache-count}): a real process by the deploy file's
- * {@code run} line plays the same day with the usual number of caches and with sixteen times as many, in turn. Its
- * traffic, its limits and the capacity of all caches together are the same, and the same share of the caches is
- * replaced. Writes {@code docs/capacity/cache-count.csv} and the table of its page.
+ * Measures how the number of caches affects the cost of a director ({@code make prove-cache-count}): a real process,
+ * started with the {@code run} line of the deploy file, serves the same simulated day with the baseline number of
+ * caches and with sixteen times as many, in turn. Its traffic, its limits and the total capacity of all caches are the
+ * same, and the same share of the caches is replaced. Writes {@code docs/capacity/cache-count.csv} and the table of
+ * its page.
  */
 public final class CacheCountProof {
 
     /** The page that shows the figures. */
     static final Path PAGE = Path.of("docs", "design", "cache-count.md");
 
-    private static final int USUAL = Integer.getInteger("caches", 20);
-    private static final int TIMES = 16;
+    private static final int BASELINE_CACHES = Integer.getInteger("caches", 20);
+    private static final int CACHE_FACTOR = 16;
     private static final int PAIRS = Integer.getInteger("pairs", 2);
     private static final long DAY_MS = 1000 * Long.getLong("day", 27);
-    private static final long WARM_MS = 3_000;
+    private static final long WARMUP_MS = 3_000;
     private static final boolean TRIAL = Boolean.getBoolean("trial");
-    /** Requests at once that a cache of the larger fleet has room for; one of the smaller fleet takes 16 times that. */
-    private static final int ROOM = 6;
+    /** Concurrent requests that a cache of the larger fleet accepts; one of the smaller fleet accepts 16 times that. */
+    private static final int CACHE_CAPACITY = 6;
     private static final int DIRECTORS = 10;
     private static final int REQUESTS_PER_SECOND = 60;
-    private static final int KB = 4;
-    /** Some objects are asked for much more often than others. */
+    private static final int BODY_KB = 4;
+    /** Skew of object popularity: some objects are requested much more often than others. */
     private static final int POPULARITY = 4;
     private static final long SEED = 7;
-    /** So often in a day a twentieth of the caches is replaced. */
+    /** Number of times in a day that a twentieth of the caches is replaced. */
     private static final int REPLACEMENTS = 5;
-    private static final int REPLACED_PART = 20;
+    private static final int REPLACED_DIVISOR = 20;
     private static final long SAMPLE_MS = 50;
     private static final long DRAIN_MS = 4_000;
-    /** Places of two counts in the kernel's line on a process, from behind its name on. */
+    /** Indexes of the two CPU times in {@code /proc/PID/stat}, counted after the process name. */
     private static final int USER_TICKS = 11;
     private static final int SYSTEM_TICKS = 12;
     private static final double TICKS_PER_SECOND = 100;
-    private static final double KIB = 1024;
+    private static final double KB_PER_MB = 1024;
 
-    /** What is compared: its name, unit, decimals and bound; null where there is none. */
+    /** A compared metric with its unit, decimals and allowed growth, which is null where there is no bound. */
     private enum Metric {
         CPU("s", 2, AllowedGrowth.CPU),
         MEMORY("MB", 1, AllowedGrowth.MEMORY),
@@ -79,12 +80,12 @@
 
     private CacheCountProof() {}
 
-    /** Properties: caches, pairs (of days), day (seconds), trial (writes nothing). */
+    /** Properties: caches, pairs (of days), day (seconds), trial (if true, writes no files). */
     public static void main(String[] arguments) throws Exception {
         CacheCountProof proof = new CacheCountProof();
         for (int pair = 0; pair < PAIRS; pair++) {
-            for (int caches : List.of(USUAL, USUAL * TIMES)) {
-                Map<Metric, Double> day = proof.play(caches, SEED + pair);
+            for (int caches : List.of(BASELINE_CACHES, BASELINE_CACHES * CACHE_FACTOR)) {
+                Map<Metric, Double> day = proof.runDay(caches, SEED + pair);
                 proof.days.computeIfAbsent(caches, key -> new ArrayList<>()).add(day);
                 System.out.println(caches + " " + day);
             }
@@ -94,39 +95,40 @@
 
     // ---- One day ----------------------------------------------------------------------------------
 
-    private Map<Metric, Double> play(int caches, long seed) throws Exception {
+    private Map<Metric, Double> runDay(int caches, long seed) throws Exception {
         Path root = Files.createTempDirectory("prove-cache-count");
         List<DirectorProcess> started = new ArrayList<>();
-        try (CountedCaches fleet = new CountedCaches(caches, ROOM * USUAL * TIMES / caches)) {
+        try (CountingCacheFleet fleet =
+                new CountingCacheFleet(caches, CACHE_CAPACITY * BASELINE_CACHES * CACHE_FACTOR / caches)) {
             Path file = DirectorProcess.configuration(root, fleet.channel(), 0, DIRECTORS);
             DirectorProcess director = DirectorProcess.deployed(root, 0, file);
             started.add(director);
             director.ready();
-            return day(fleet, director, caches, seed);
+            return measureDay(fleet, director, caches, seed);
         } finally {
             DirectorProcess.end(started, root);
         }
     }
 
-    private Map<Metric, Double> day(CountedCaches fleet, DirectorProcess director, int caches, long seed)
+    private Map<Metric, Double> measureDay(CountingCacheFleet fleet, DirectorProcess director, int caches, long seed)
             throws Exception {
         long pid = director.process.pid();
-        Load load = new Load(director.port, REQUESTS_PER_SECOND, seed, KB, POPULARITY);
-        int descriptors = mostDescriptors(pid, WARM_MS);
+        Load load = new Load(director.port, REQUESTS_PER_SECOND, seed, BODY_KB, POPULARITY);
+        int descriptors = maxDescriptors(pid, WARMUP_MS);
         double cpuBefore = cpuSeconds(pid);
         long listBefore = fleet.listBytes();
         for (int i = 0; i <= REPLACEMENTS; i++) {
-            descriptors = Math.max(descriptors, mostDescriptors(pid, DAY_MS / (REPLACEMENTS + 1)));
+            descriptors = Math.max(descriptors, maxDescriptors(pid, DAY_MS / (REPLACEMENTS + 1)));
             if (i < REPLACEMENTS) {
-                fleet.replace(caches / REPLACED_PART);
+                fleet.replace(caches / REPLACED_DIVISOR);
             }
         }
         Map<Metric, Double> day = new LinkedHashMap<>();
         day.put(Metric.CPU, cpuSeconds(pid) - cpuBefore);
-        day.put(Metric.MEMORY, ProcessUsage.kilobytes(pid, "VmHWM") / KIB);
+        day.put(Metric.MEMORY, ProcessUsage.kilobytes(pid, "VmHWM") / KB_PER_MB);
         day.put(Metric.DESCRIPTORS, (double) descriptors);
         day.put(Metric.CONNECTIONS, (double) fleet.connections());
-        day.put(Metric.LIST, (fleet.listBytes() - listBefore) / KIB);
+        day.put(Metric.LIST, (fleet.listBytes() - listBefore) / KB_PER_MB);
         load.drain(DRAIN_MS);
         load.close();
         lost += load.asked - load.answered;
@@ -135,65 +137,68 @@
         return day;
     }
 
-    /** Processor time of a process so far, in user and system mode, threads that have ended among them. */
+    /** Returns the user and system CPU time of a process so far, including threads that have ended. */
     private static double cpuSeconds(long pid) throws IOException {
         String line = Files.readString(Path.of("/proc", "" + pid, "stat"));
         String[] cells = line.substring(line.lastIndexOf(')') + 2).split(" ");
         return (Long.parseLong(cells[USER_TICKS]) + Long.parseLong(cells[SYSTEM_TICKS])) / TICKS_PER_SECOND;
     }
 
-    /** The most descriptors that a process is seen with in so long a time. */
-    private static int mostDescriptors(long pid, long forMs) throws Exception {
-        int most = 0;
-        long untilNs = System.nanoTime() + forMs * 1_000_000;
+    /** Samples the open descriptors of a process for {@code durationMs} and returns the largest number. */
+    private static int maxDescriptors(long pid, long durationMs) throws Exception {
+        int max = 0;
+        long untilNs = System.nanoTime() + durationMs * 1_000_000;
         while (System.nanoTime() < untilNs) {
             try (Stream<Path> open = Files.list(Path.of("/proc", "" + pid, "fd"))) {
-                most = Math.max(most, (int) open.count());
+                max = Math.max(max, (int) open.count());
             }
             Thread.sleep(SAMPLE_MS);
         }
-        return most;
+        return max;
     }
 
     // ---- Report -----------------------------------------------------------------------------------
 
     private boolean report() throws IOException, InterruptedException {
-        int added = USUAL * (TIMES - 1);
-        FigureFile facts = new FigureFile("cache-count.csv");
-        RunFacts.describe(facts, "make prove-cache-count: " + PAIRS + " days of " + DAY_MS / 1000 + " s with "
-                + USUAL + " and " + USUAL * TIMES + " caches in turn after " + WARM_MS / 1000 + " s of warm-up; "
+        int added = BASELINE_CACHES * (CACHE_FACTOR - 1);
+        FigureFile file = new FigureFile("cache-count.csv");
+        RunEnvironment.describe(file, "make prove-cache-count: " + PAIRS + " days of " + DAY_MS / 1000 + " s with "
+                + BASELINE_CACHES + " and " + BASELINE_CACHES * CACHE_FACTOR + " caches in turn after "
+                + WARMUP_MS / 1000 + " s of warm-up; "
                 + REQUESTS_PER_SECOND + " requests a second; means");
         List<String> lines = new ArrayList<>();
-        facts.comments().forEach(comment -> lines.add("# " + comment));
-        lines.add("kind,unit," + USUAL + " caches," + USUAL * TIMES + " caches,allowed,holds,single days");
-        boolean holds = lost == 0;
+        file.comments().forEach(comment -> lines.add("# " + comment));
+        lines.add("kind,unit," + BASELINE_CACHES + " caches," + BASELINE_CACHES * CACHE_FACTOR
+                + " caches,allowed,holds,single days");
+        boolean passed = lost == 0;
         for (Metric metric : Metric.values()) {
-            double usual = mean(USUAL, metric);
-            double many = mean(USUAL * TIMES, metric);
+            double baseline = mean(BASELINE_CACHES, metric);
+            double enlarged = mean(BASELINE_CACHES * CACHE_FACTOR, metric);
             AllowedGrowth growth = metric.growth;
-            boolean allowed = growth == null || growth.allows(usual, many, added);
-            holds &= allowed;
-            lines.add(String.join(",", metric.name().toLowerCase(Locale.ROOT), metric.unit, metric.text(usual),
-                    metric.text(many), growth == null ? "-" : growth.text(usual, added, metric.decimals),
-                    growth == null ? "-" : allowed ? "yes" : "no", single(USUAL, metric) + "; "
-                            + single(USUAL * TIMES, metric)));
+            boolean allowed = growth == null || growth.allows(baseline, enlarged, added);
+            passed &= allowed;
+            lines.add(String.join(",", metric.name().toLowerCase(Locale.ROOT), metric.unit, metric.text(baseline),
+                    metric.text(enlarged), growth == null ? "-" : growth.text(baseline, added, metric.decimals),
+                    growth == null ? "-" : allowed ? "yes" : "no", singleDays(BASELINE_CACHES, metric) + "; "
+                            + singleDays(BASELINE_CACHES * CACHE_FACTOR, metric)));
         }
         lines.add("lost,requests,-,-,at most 0," + (lost == 0 ? "yes" : "no") + "," + lost + " in all");
         lines.forEach(System.out::println);
-        System.out.println("prove-cache-count: caches=" + USUAL + "," + USUAL * TIMES + " lost=" + lost + " holds="
-                + holds);
+        System.out.println("prove-cache-count: caches=" + BASELINE_CACHES + "," + BASELINE_CACHES * CACHE_FACTOR
+                + " lost=" + lost + " holds="
+                + passed);
         if (!TRIAL) {
             Files.write(CapacityTables.FIGURES.resolve("cache-count.csv"), lines);
             Files.writeString(PAGE, new CapacityTables(CapacityTables.readAll()).render(Files.readString(PAGE)));
         }
-        return holds;
+        return passed;
     }
 
     private double mean(int caches, Metric metric) {
         return days.get(caches).stream().mapToDouble(day -> day.get(metric)).average().orElseThrow();
     }
 
-    private String single(int caches, Metric metric) {
+    private String singleDays(int caches, Metric metric) {
         return days.get(caches).stream().map(day -> metric.text(day.get(metric))).collect(Collectors.joining(" "));
     }
 }
--- a/src/test/java/clovermill/prove/capacity/CapacityModel.java
+++ b/src/test/java/clovermill/prove/capacity/CapacityModel.java
@@ -3,44 +3,44 @@
 import java.util.Map;
 
 /**
- * Sets what was measured against the size that is wanted: every row of {@code derived.csv} is computed here from rows
- * of the other files and from bounds that the code has, and its note says how. Nothing in it is a measurement of its
- * own, and nothing is left out but what no run has given.
+ * Compares measurements with the target size: every row of {@code derived.csv} is computed here from rows of the other
+ * files and from bounds in the code, and its note says how. It contains no measurements of its own, and omits only
+ * values for which no run has produced input.
  */
 final class CapacityModel {
 
-    /** The model's file, without ending. */
+    /** The name of the model's file, without extension. */
     static final String NAME = "derived";
 
     private static final double KB = 1000;
     private static final double MIB = 1 << 20;
-    /** {@code -Xmx88m} of the run line, of which bodies may take a quarter ({@code Assembly.BODIES_PART}). */
-    private static final double BODIES = 88 * MIB / 4;
-    /** {@code AnswerParser.LARGEST_BODY}. */
-    private static final double LARGEST_ANSWER = 240_000;
-    /** {@code limits.sockets} of the example; {@code upgrade.Shares} gives members a quarter. */
+    /** A quarter of {@code -Xmx88m} of the run line, by {@code DirectorRuntime.BODY_HEAP_DIVISOR}. */
+    private static final double BODY_HEAP_BYTES = 88 * MIB / 4;
+    /** {@code ResponseParser.MAX_BODY_BYTES}. */
+    private static final double MAX_ANSWER_BYTES = 240_000;
+    /** {@code limits.sockets} of the example, a quarter of which is for connections to members. */
     private static final int SOCKETS = 1024;
-    private static final int MEMBERS_PART = 4;
-    /** {@code CachePool.MEMBER_PART}. */
-    private static final int MEMBER_PART = 8;
-    /** {@code HttpResponses.LARGEST_BODY}. */
-    private static final double CHANNEL_ANSWER = 4 * MIB;
-    /** As {@code CacheContentsIndex} has it (MAX_PARTS, ENTRY_LIFETIME_US), and {@code ReplicatedMap.MAX_ENTRIES}. */
-    private static final int PARTS_KEPT = 30_000;
-    private static final int BELIEF_S = 30;
+    private static final int MEMBERS_DIVISOR = 4;
+    /** {@code UpstreamPool.MEMBER_SHARE_DIVISOR}. */
+    private static final int MEMBER_DIVISOR = 8;
+    /** {@code HttpResponseParser.MAX_BODY_BYTES}. */
+    private static final double MAX_CHANNEL_ANSWER_BYTES = 4 * MIB;
+    /** As in {@code CacheContentsIndex}; {@code MAX_ENTRIES} as in {@code ReplicatedMap}. */
+    private static final int MAX_PARTS = 30_000;
+    private static final int ENTRY_LIFETIME_S = 30;
     private static final int MAX_ENTRIES = 10_000;
-    /** Defaults of the fleet's and the accord's settings. */
+    /** Defaults of the settings {@code fleet} and {@code accord}. */
     private static final double INTERVAL_S = 0.2;
     private static final int FANOUT = 4;
     private static final double LEASE_S = 10;
-    private static final double ASK_S = 1;
+    private static final double RENEWAL_INTERVAL_S = 1;
     private static final double DRIFT = 0.01;
-    /** A lease is three times the interval of asking at least ({@code AccordSettings.check}). */
-    private static final double ASKS_A_LEASE = 3;
-    /** Load of a core that leaves room for uneven clients and for the loss of others. */
-    private static final double HALF = 0.5;
-    private static final int HOUR = 3600;
-    private static final int DAY = 86_400;
+    /** A lease lasts at least three renewal intervals ({@code PolicyStoreSettings} checks that). */
+    private static final double RENEWALS_PER_LEASE = 3;
+    /** Share of a core that leaves reserves for uneven clients and for failed directors. */
+    private static final double TARGET_CORE_SHARE = 0.5;
+    private static final int HOUR_S = 3600;
+    private static final int DAY_S = 86_400;
 
     private final Map<String, FigureFile> files;
     private final FigureFile derived = new FigureFile(NAME + ".csv");
@@ -49,7 +49,7 @@
         this.files = files;
     }
 
-    /** All rows that can be computed from these files; what a file that is not there would give is left out. */
+    /** Returns all rows that can be computed from these files; rows that need a missing file are omitted. */
     static FigureFile derive(Map<String, FigureFile> files) {
         CapacityModel model = new CapacityModel(files);
         model.derived.comment("computed by make capacity-page from the other files and from bounds in the code; "
@@ -83,7 +83,7 @@
 
     // ---- Requests ---------------------------------------------------------------------------------
 
-    /** What one of all directors carries when all carry alike. */
+    /** Adds the load of one director when load is spread evenly. */
     private void average() {
         double directors = target("directors");
         double requests = target("requests") / directors;
@@ -92,15 +92,18 @@
         add("average", "requests", requests, 0, "requests/s", "requests / directors");
         add("average", "bits", gigabits, 2, "Gbit/s", "bits / directors");
         add("average", "answer", bytes / KB / requests, 0, "kB", "bits / 8 / requests");
-        add("average", "largest_answer", LARGEST_ANSWER / KB, 0, "kB", "the most that a cache may answer in one body");
-        add("average", "answers", bytes / LARGEST_ANSWER, 0, "answers/s", "bits / 8 / largest_answer");
-        add("average", "bodies", BODIES / 1e6, 1, "MB", "a quarter of the heap of 88 MiB");
-        add("average", "bodies_at_once", Math.floor(BODIES / LARGEST_ANSWER), 0, "", "bodies / largest_answer");
-        add("average", "hold", 1000 * BODIES / bytes, 0, "ms", "bodies / bytes a second: the longest that a body may "
-                + "be held on average");
+        add("average", "largest_answer", MAX_ANSWER_BYTES / KB, 0, "kB",
+                "the most that a cache may answer in one body");
+        add("average", "answers", bytes / MAX_ANSWER_BYTES, 0, "answers/s", "bits / 8 / largest_answer");
+        add("average", "bodies", BODY_HEAP_BYTES / 1e6, 1, "MB", "a quarter of the heap of 88 MiB");
+        add("average", "bodies_at_once", Math.floor(BODY_HEAP_BYTES / MAX_ANSWER_BYTES), 0, "",
+                "bodies / largest_answer");
+        add("average", "hold", 1000 * BODY_HEAP_BYTES / bytes, 0, "ms",
+                "bodies / bytes a second: the longest that a body may "
+                        + "be held on average");
     }
 
-    /** Shares of a core by what was measured at the same rates; bytes by the slope over sizes. */
+    /** Adds shares of a core: requests as measured at the same rates, bytes by the slope over body sizes. */
     private void requestPath() {
         if (!has("request-path", "slope///kilobyte")) {
             return;
@@ -129,23 +132,24 @@
             double cores = target("requests") * each / 1e6 + kbPerS * perKb / 1e6;
             add("request-path", "cores_at_peak", cores, 0, "cores", "all requests at the cost of 574 requests/s and "
                     + "all bytes by the slope");
-            add("request-path", "directors_at_half", Math.ceil(cores / HALF), 0, "directors", "cores_at_peak / 0.5");
-            add("request-path", "directors_at_half_twice", Math.ceil(2 * cores / HALF), 0, "directors",
+            add("request-path", "directors_at_half", Math.ceil(cores / TARGET_CORE_SHARE), 0, "directors",
+                    "cores_at_peak / 0.5");
+            add("request-path", "directors_at_half_twice", Math.ceil(2 * cores / TARGET_CORE_SHARE), 0, "directors",
                     "at twice the peak");
         }
     }
 
-    /** Connections by the pool's bounds. */
+    /** Adds connection counts that follow from the bounds of the connection pool. */
     private void connections() {
         double directors = target("directors");
         double caches = target("caches");
         double sites = target("sites");
-        double members = SOCKETS / MEMBERS_PART;
-        double most = Math.max(2, members / MEMBER_PART);
+        double members = SOCKETS / MEMBERS_DIVISOR;
+        double most = Math.max(2, members / MEMBER_DIVISOR);
         add("connections", "pairs", directors * caches, 0, "", "directors x caches");
         add("connections", "members", members, 0, "", "a director's connections to members: sockets 1024 / 4");
         add("connections", "member", most, 0, "", "to one member: max(2; members / 8)");
-        add("connections", "sockets_for_all", MEMBERS_PART * caches * 2, 0, "", "limits.sockets that leaves two "
+        add("connections", "sockets_for_all", MEMBERS_DIVISOR * caches * 2, 0, "", "limits.sockets that leaves two "
                 + "connections for each cache");
         add("connections", "cache_all", directors * 2, 0, "", "at a cache if all directors use all caches: two each");
         add("connections", "cache_all_average", directors * members / caches, 0, "", "at a cache on average if all "
@@ -164,11 +168,11 @@
 
     private void purges() {
         double rate = target("purges");
-        double kept = BELIEF_S + target("purge_within");
-        add("purges", "hour", rate * HOUR, 0, "purges", "in a cut of an hour");
+        double kept = ENTRY_LIFETIME_S + target("purge_within");
+        add("purges", "hour", rate * HOUR_S, 0, "purges", "in a cut of an hour");
         add("purges", "log_entries", rate * kept, 0, "", "rate x (30 s + purge_within)");
         add("purges", "log_entries_twice", 2 * rate * kept, 0, "", "at twice the rate");
-        add("purges", "remembered", 100 * PARTS_KEPT / target("objects"), 5, "%", "30000 parts of all objects");
+        add("purges", "remembered", 100 * MAX_PARTS / target("objects"), 5, "%", "30000 parts of all objects");
         add("purges", "entries_last", MAX_ENTRIES / rate / 60, 1, "min", "10000 entries / rate");
         add("purges", "entries_last_twice", MAX_ENTRIES / rate / 120, 1, "min", "at twice the rate");
         add("purges", "gossip_bound", gossipBoundS(target("directors")), 0, "s", "max(3 (n + 2) / 4; 20) x 0.2 s");
@@ -183,24 +187,27 @@
         add("purges", "endpoint", target("directors") * each * rate / KB, 0, "KB/s", "to all directors");
         add("purges", "endpoint_twice", 4 * target("directors") * each * rate / KB, 0, "KB/s",
                 "twice the directors and twice the rate");
-        add("purges", "catch_up", each * rate * HOUR / (target("control_bytes") * KB - each * rate) / 60, 1, "min",
+        add("purges", "catch_up", each * rate * HOUR_S / (target("control_bytes") * KB - each * rate) / 60, 1, "min",
                 "an hour's purges at 9 KB/s beside the new ones");
-        add("purges", "catch_up_twice", 2 * each * rate * HOUR / (target("control_bytes") * KB - 2 * each * rate) / 60,
+        add("purges", "catch_up_twice",
+                2 * each * rate * HOUR_S / (target("control_bytes") * KB - 2 * each * rate) / 60,
                 1, "min", "at twice the rate");
-        add("purges", "storm", target("directors") * each * rate * HOUR / 1e9, 2, "GB", "an hour's purges to all "
+        add("purges", "storm", target("directors") * each * rate * HOUR_S / 1e9, 2, "GB", "an hour's purges to all "
                 + "directors at once");
-        add("purges", "answer_holds", Math.floor(CHANNEL_ANSWER / each), 0, "purges", "4 MiB / bytes of a purge");
-        add("purges", "answer_lasts", CHANNEL_ANSWER / each / rate / 60, 0, "min",
+        add("purges", "answer_holds", Math.floor(MAX_CHANNEL_ANSWER_BYTES / each), 0, "purges",
+                "4 MiB / bytes of a purge");
+        add("purges", "answer_lasts", MAX_CHANNEL_ANSWER_BYTES / each / rate / 60, 0, "min",
                 "of a cut that one answer can make up");
-        add("purges", "answer_lasts_twice", CHANNEL_ANSWER / each / rate / 120, 0, "min", "at twice the rate");
+        add("purges", "answer_lasts_twice", MAX_CHANNEL_ANSWER_BYTES / each / rate / 120, 0, "min",
+                "at twice the rate");
     }
 
-    /** What the module remembers against the heap that bodies leave it. */
+    /** Adds the share of the heap, less bodies, that the cache contents index takes. */
     private void memory() {
         if (!has("state", "slope///part_by_cache")) {
             return;
         }
-        double left = 88 * MIB - BODIES;
+        double left = 88 * MIB - BODY_HEAP_BYTES;
         double perCache = number("state", "slope///part_by_cache");
         double perPart = KB * number("state", "slope///part_by_cache_intercept");
         add("memory", "left", left / 1e6, 1, "MB", "heap of 88 MiB less what bodies may take");
@@ -208,13 +215,13 @@
                 "of that with 4 caches in the location; measured");
         add("memory", "parts_all", 100 * number("state", "parts/170/30000/held") * 1e6 / left, 0, "%",
                 "of that with 170 caches in the location; measured");
-        add("memory", "parts_twice", 100 * PARTS_KEPT * (perPart + 2 * target("caches") * perCache) / left, 0, "%",
+        add("memory", "parts_twice", 100 * MAX_PARTS * (perPart + 2 * target("caches") * perCache) / left, 0, "%",
                 "of that with 340 caches in the location; by the slope");
-        add("memory", "caches_that_fit", (left / PARTS_KEPT - perPart) / perCache, 0, "caches",
+        add("memory", "caches_that_fit", (left / MAX_PARTS - perPart) / perCache, 0, "caches",
                 "in one location; by the slope; one copy a part; nothing else in the heap");
     }
 
-    /** The limit by what was measured in the scale run: below 1 it does not fit. */
+    /** Adds the ratio of limit to value measured in the scale run; below 1 the limit is exceeded. */
     private void margins() {
         for (String size : new String[] {"540", "1080"}) {
             for (String kind : new String[] {"hollow", "real"}) {
@@ -247,18 +254,21 @@
         double within = target("change_within");
         double directors = target("directors");
         double stretch = (1 + DRIFT) / (1 - DRIFT);
-        double lease = within / (stretch + 1 / ASKS_A_LEASE);
-        add("configuration", "between_changes", DAY / target("changes"), 0, "s", "a day / changes");
-        add("configuration", "bound", LEASE_S * stretch + ASK_S, 1, "s", "lease (1 + drift) / (1 - drift) + ask; by "
-                + "default 10 s and 1 s");
+        double lease = within / (stretch + 1 / RENEWALS_PER_LEASE);
+        add("configuration", "between_changes", DAY_S / target("changes"), 0, "s", "a day / changes");
+        add("configuration", "bound", LEASE_S * stretch + RENEWAL_INTERVAL_S, 1, "s",
+                "lease (1 + drift) / (1 - drift) + ask; by "
+                        + "default 10 s and 1 s");
         add("configuration", "lease", lease, 2, "s", "the longest whose bound is 3 s with ask = lease / 3");
-        add("configuration", "ask", lease / ASKS_A_LEASE, 2, "s", "lease / 3");
-        add("configuration", "asks", directors / ASK_S, 0, "1/s", "at the leader with an ask of 1 s");
-        add("configuration", "asks_short", directors / (lease / ASKS_A_LEASE), 0, "1/s",
+        add("configuration", "ask", lease / RENEWALS_PER_LEASE, 2, "s", "lease / 3");
+        add("configuration", "asks", directors / RENEWAL_INTERVAL_S, 0, "1/s", "at the leader with an ask of 1 s");
+        add("configuration", "asks_short", directors / (lease / RENEWALS_PER_LEASE), 0, "1/s",
                 "at the leader with that lease");
-        add("configuration", "asks_short_twice", 2 * directors / (lease / ASKS_A_LEASE), 0, "1/s", "at 1080 directors");
-        add("configuration", "calls", directors / (ASK_S / 5), 0, "1/s", "from the leader while a change goes on: "
-                + "directors / (ask / 5)");
+        add("configuration", "asks_short_twice", 2 * directors / (lease / RENEWALS_PER_LEASE), 0, "1/s",
+                "at 1080 directors");
+        add("configuration", "calls", directors / (RENEWAL_INTERVAL_S / 5), 0, "1/s",
+                "from the leader while a change goes on: "
+                        + "directors / (ask / 5)");
         add("limits", "over", directors, 0, "requests", "beside limit x (w + burst): one for each director");
         add("limits", "slice_of_1000", 1000 / directors, 2, "requests/s", "own slice of a limit of 1000");
         add("limits", "alone", 1000 / directors, 2, "requests/s", "what a director admits of it that hears nobody");
--- a/src/test/java/clovermill/prove/capacity/CapacityTables.java
+++ b/src/test/java/clovermill/prove/capacity/CapacityTables.java
@@ -21,31 +21,31 @@
  * Writes figures from the files of {@code docs/capacity} into {@code docs/CAPACITY.md} ({@code make capacity-page}).
  *
  * <p>A block {@code <!-- table: FILE/KIND -->} to {@code <!-- end -->} becomes the table of that kind: one line for
- * each size and rate with a column for each metric, or the other way round where there are more metrics. {@code FILE}
- * alone stands for a file with other columns, as it is. A span {@code <!--= FILE/KIND/SIZE/RATE/METRIC -->} to {@code
- * <!--/-->} becomes that one value with its unit. What begins with {@code table?} or {@code <!--?} shows {@link #OPEN}
- * until a run has given it.
+ * each size and rate with a column for each metric, or transposed where there are more metrics. {@code FILE} alone
+ * denotes a file with other columns, which is shown unchanged. A span {@code <!--= FILE/KIND/SIZE/RATE/METRIC -->} to
+ * {@code <!--/-->} becomes that one value with its unit. Tables and spans that begin with {@code table?} or
+ * {@code <!--?} show {@link #OPEN} until a run has produced their figures.
  */
 public final class CapacityTables {
 
     static final Path PAGE = Path.of("docs", "CAPACITY.md");
     static final Path FIGURES = Path.of("docs", "capacity");
 
-    /** Stands for a figure that no run has given yet. */
+    /** Placeholder in the page for a figure that no run has produced yet. */
     static final String OPEN = "OPEN";
-    /** Stands in a file for a figure that was taken on an overloaded machine. */
+    /** Value in a file of a figure that was measured on an overloaded machine. */
     static final String VOID = "void";
 
     private static final Pattern TABLE = Pattern.compile("<!-- table([:?]) ([^ ]+) -->\n(.*?)<!-- end -->",
             Pattern.DOTALL);
     private static final Pattern SPAN = Pattern.compile("<!--([=?]) ([^ ]+) -->(.*?)<!--/-->");
     private static final Pattern CODE = Pattern.compile("`[^`\n]*`");
-    /** A number with a unit that only a measurement, a model or the target can give. */
+    /** Matches a number with a unit, which only a measurement, the model or the target may supply. */
     private static final Pattern FIGURE = Pattern.compile(
             "[0-9][0-9.,]*\\s?(%|[A-Za-z]+/s|µs|us|ms|s|min|h|B|kB|KB|MB|GB|bytes)(?![A-Za-z0-9/])");
 
-    /** Columns of metrics that a line of the page holds. */
-    private static final int MOST_COLUMNS = 11;
+    /** The largest number of metric columns in a table of the page. */
+    private static final int MAX_COLUMNS = 11;
 
     private final Map<String, FigureFile> files;
 
@@ -53,13 +53,13 @@
         this.files = files;
     }
 
-    /** Renews the model's rows, then the page. */
+    /** Recomputes the model's rows, then renders the page. */
     public static void main(String[] arguments) throws IOException {
         CapacityModel.derive(measured()).write(FIGURES.resolve(CapacityModel.NAME + ".csv"));
         Files.writeString(PAGE, new CapacityTables(readAll()).render(Files.readString(PAGE)));
     }
 
-    /** All files of measurements by their names without ending. */
+    /** Returns all files of measurements, by name without extension. */
     static Map<String, FigureFile> readAll() throws IOException {
         Map<String, FigureFile> files = new TreeMap<>();
         try (Stream<Path> all = Files.list(FIGURES)) {
@@ -71,14 +71,14 @@
         return files;
     }
 
-    /** All files but the model's own. */
+    /** Returns all files except the model's own. */
     static Map<String, FigureFile> measured() throws IOException {
         Map<String, FigureFile> files = readAll();
         files.remove(CapacityModel.NAME);
         return files;
     }
 
-    /** The page with every generated part written anew. */
+    /** Returns the page with every generated part rendered again. */
     String render(String page) {
         String tables = replace(page, TABLE, found -> "<!-- table" + found.group(1) + " " + found.group(2) + " -->\n"
                 + (found.group(1).equals("?") && !hasTable(found.group(2)) ? OPEN + "\n" : table(found.group(2)))
@@ -89,19 +89,19 @@
     }
 
     private boolean hasValue(String reference) {
-        int cut = reference.indexOf('/');
-        FigureFile file = files.get(reference.substring(0, cut));
-        String key = reference.substring(cut + 1);
+        int slash = reference.indexOf('/');
+        FigureFile file = files.get(reference.substring(0, slash));
+        String key = reference.substring(slash + 1);
         return file != null && file.has(key) && !file.figure(key).value().equals(VOID);
     }
 
     private boolean hasTable(String reference) {
-        int cut = reference.indexOf('/');
-        FigureFile file = files.get(cut < 0 ? reference : reference.substring(0, cut));
-        return file != null && (cut < 0 || !file.ofKind(reference.substring(cut + 1)).isEmpty());
+        int slash = reference.indexOf('/');
+        FigureFile file = files.get(slash < 0 ? reference : reference.substring(0, slash));
+        return file != null && (slash < 0 || !file.ofKind(reference.substring(slash + 1)).isEmpty());
     }
 
-    /** Numbers with units that stand in the page's own words, where nothing keeps them true. */
+    /** Returns numbers with units in hand-written text, which is not updated from the files. */
     static List<String> figuresInProse(String page) {
         String prose = CODE.matcher(SPAN.matcher(TABLE.matcher(page).replaceAll("")).replaceAll("")).replaceAll("");
         return FIGURE.matcher(prose).results().map(MatchResult::group).toList();
@@ -120,65 +120,65 @@
     }
 
     private String value(String reference) {
-        int cut = reference.indexOf('/');
-        Figure figure = file(reference.substring(0, cut)).figure(reference.substring(cut + 1));
+        int slash = reference.indexOf('/');
+        Figure figure = file(reference.substring(0, slash)).figure(reference.substring(slash + 1));
         return figure.value() + (figure.unit().isEmpty() ? "" : figure.unit().equals("%") ? "%" : " " + figure.unit());
     }
 
     private String table(String reference) {
-        int cut = reference.indexOf('/');
-        FigureFile file = file(cut < 0 ? reference : reference.substring(0, cut));
-        if (cut < 0) {
+        int slash = reference.indexOf('/');
+        FigureFile file = file(slash < 0 ? reference : reference.substring(0, slash));
+        if (slash < 0) {
             return markdown(file.header(), file.cells()) + source(file, "");
         }
-        List<Figure> rows = file.ofKind(reference.substring(cut + 1));
+        List<Figure> rows = file.ofKind(reference.substring(slash + 1));
         if (rows.isEmpty()) {
-            throw new IllegalArgumentException(file.name() + " has no rows of kind " + reference.substring(cut + 1));
+            throw new IllegalArgumentException(file.name() + " has no rows of kind " + reference.substring(slash + 1));
         }
         boolean single = rows.stream().allMatch(row -> row.size().isEmpty() && row.rate().isEmpty());
-        return (single ? list(rows) : pivot(rows)) + source(file, ", kind `" + reference.substring(cut + 1) + "`");
+        return (single ? list(rows) : pivot(rows)) + source(file, ", kind `" + reference.substring(slash + 1) + "`");
     }
 
     private static String source(FigureFile file, String kind) {
         return "\nFrom `docs/capacity/" + file.name() + "`" + kind + "; " + String.join("; ", file.comments()) + ".\n";
     }
 
-    /** One line for each metric. */
+    /** Renders one line for each metric. */
     private static String list(List<Figure> rows) {
         List<List<String>> lines = new ArrayList<>();
         rows.forEach(row -> lines.add(List.of(row.metric(), row.value(), row.unit(), row.note())));
         return markdown(List.of("metric", "value", "unit", "note"), lines);
     }
 
-    /** One line for each size and rate and one column for each metric, or turned round where that is narrower. */
+    /** Renders a line for each size and rate and a column for each metric, or transposed if that is narrower. */
     private static String pivot(List<Figure> rows) {
         boolean sizes = rows.stream().anyMatch(row -> !row.size().isEmpty());
         boolean rates = rows.stream().anyMatch(row -> !row.rate().isEmpty());
         Set<String> metrics = new LinkedHashSet<>();
-        Map<List<String>, Map<String, Figure>> places = new LinkedHashMap<>();
+        Map<List<String>, Map<String, Figure>> cellsByKey = new LinkedHashMap<>();
         for (Figure row : rows) {
             metrics.add(column(row));
-            List<String> place = Stream.of(sizes ? row.size() : null, rates ? row.rate() : null)
+            List<String> rowKey = Stream.of(sizes ? row.size() : null, rates ? row.rate() : null)
                     .filter(each -> each != null).toList();
-            places.computeIfAbsent(place, any -> new LinkedHashMap<>()).put(column(row), row);
+            cellsByKey.computeIfAbsent(rowKey, any -> new LinkedHashMap<>()).put(column(row), row);
         }
         List<String> head = Stream.of(sizes ? "size" : null, rates ? "rate" : null)
                 .filter(each -> each != null).toList();
-        return metrics.size() > Math.max(MOST_COLUMNS, places.size()) ? byMetric(head, metrics, places)
-                : byPlace(head, metrics, places);
+        return metrics.size() > Math.max(MAX_COLUMNS, cellsByKey.size()) ? byMetric(head, metrics, cellsByKey)
+                : byRowKey(head, metrics, cellsByKey);
     }
 
-    private static String byPlace(List<String> head, Set<String> metrics,
-            Map<List<String>, Map<String, Figure>> places) {
+    private static String byRowKey(List<String> head, Set<String> metrics,
+            Map<List<String>, Map<String, Figure>> cellsByKey) {
         List<String> header = new ArrayList<>(head);
         header.addAll(metrics);
-        boolean notes = places.values().stream().anyMatch(found -> !notes(found).isEmpty());
+        boolean notes = cellsByKey.values().stream().anyMatch(found -> !notes(found).isEmpty());
         if (notes) {
             header.add("note");
         }
         List<List<String>> lines = new ArrayList<>();
-        places.forEach((place, found) -> {
-            List<String> line = new ArrayList<>(place);
+        cellsByKey.forEach((rowKey, found) -> {
+            List<String> line = new ArrayList<>(rowKey);
             metrics.forEach(metric -> line.add(cell(found, metric)));
             if (notes) {
                 line.add(notes(found));
@@ -189,13 +189,13 @@
     }
 
     private static String byMetric(List<String> head, Set<String> metrics,
-            Map<List<String>, Map<String, Figure>> places) {
+            Map<List<String>, Map<String, Figure>> cellsByKey) {
         List<String> header = new ArrayList<>(List.of(String.join(", ", head)));
-        places.keySet().forEach(place -> header.add(String.join(", ", place)));
+        cellsByKey.keySet().forEach(rowKey -> header.add(String.join(", ", rowKey)));
         List<List<String>> lines = new ArrayList<>();
         metrics.forEach(metric -> {
             List<String> line = new ArrayList<>(List.of(metric));
-            places.values().forEach(found -> line.add(cell(found, metric)));
+            cellsByKey.values().forEach(found -> line.add(cell(found, metric)));
             lines.add(line);
         });
         return markdown(header, lines);
--- a/src/test/java/clovermill/prove/capacity/CapacityTablesTest.java
+++ b/src/test/java/clovermill/prove/capacity/CapacityTablesTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The capacity page shows the figures of its files, all of them and nothing else. */
+/** Checks that the capacity page matches its CSV files and has no other figures. */
 class CapacityTablesTest {
 
     private static final List<String> FILE = List.of("# make it", Figure.HEADER,
@@ -22,26 +22,26 @@
     }
 
     @Test
-    void thePageShowsWhatItsFilesHold() throws IOException {
+    void pageMatchesCsvFiles() throws IOException {
         String page = Files.readString(CapacityTables.PAGE);
         assertThat(new CapacityTables(CapacityTables.readAll()).render(page))
                 .as("docs/CAPACITY.md is out of date: make capacity-page").isEqualTo(page);
     }
 
     @Test
-    void theModelsFileIsWhatTheMeasurementsGive() throws IOException {
+    void derivedFileMatchesMeasurements() throws IOException {
         assertThat(CapacityModel.derive(CapacityTables.measured()).figures())
                 .as("docs/capacity/derived.csv is out of date: make capacity-page")
                 .containsExactlyElementsOf(CapacityTables.readAll().get(CapacityModel.NAME).figures());
     }
 
     @Test
-    void thePagesOwnWordsHoldNoFigures() throws IOException {
+    void proseOfPageHasNoFigures() throws IOException {
         assertThat(CapacityTables.figuresInProse(Files.readString(CapacityTables.PAGE))).isEmpty();
     }
 
     @Test
-    void aTableHasALineForEachSizeAndRate() {
+    void tableHasLineForEachSizeAndRate() {
         assertThat(tables(FILE).render("a\n<!-- table: run/speed -->\nold\n<!-- end -->\nb\n")).isEqualTo("""
                 a
                 <!-- table: run/speed -->
@@ -58,20 +58,20 @@
     }
 
     @Test
-    void aTableWithoutSizesHasALineForEachMetric() {
+    void tableWithoutSizesHasLineForEachMetric() {
         assertThat(tables(FILE).render("<!-- table: run/fit -->\n<!-- end -->"))
                 .contains("| slope | 0.25 | us | per director |");
     }
 
     @Test
-    void aSpanShowsOneValue() {
+    void spanShowsOneValue() {
         String page = "It is <!--= run/speed/60/9.1/cpu -->9%<!--/-->, <!--= run/fit///slope --><!--/--> each.";
         assertThat(tables(FILE).render(page)).isEqualTo(
                 "It is <!--= run/speed/60/9.1/cpu -->2.5%<!--/-->, <!--= run/fit///slope -->0.25 us<!--/--> each.");
     }
 
     @Test
-    void aFigureThatIsInNoFileIsAnError() {
+    void failsOnReferenceToMissingFigure() {
         assertThatThrownBy(() -> tables(FILE).render("<!--= run/speed/540/0/cpu -->9%<!--/-->"))
                 .hasMessageContaining("run.csv has no figure speed/540/0/cpu");
         assertThatThrownBy(() -> tables(FILE).render("<!--= scale/speed/540/0/cpu -->9%<!--/-->"))
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void whatNoRunHasGivenYetIsCalledOpenOnlyWhereThePageSaysSo() {
+    void showsOpenForMissingFiguresOnlyInOptionalReferences() {
         String rendered = tables(FILE).render(
                 "<!--? run/speed/540/0/cpu --><!--/--> <!--? scale/fit///slope --><!--/--> "
                         + "<!--? run/fit///slope -->OPEN<!--/-->\n<!-- table? run/no -->\n<!-- end -->");
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void aFileOfOtherColumnsIsShownAsItIs() {
+    void showsFileWithOtherColumnsUnchanged() {
         assertThat(tables(List.of("# make it", "kind,over,slope", "hollow,size,0.5"))
                 .render("<!-- table: run -->\n<!-- end -->")).isEqualTo("""
                         <!-- table: run -->
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void manyMetricsStandBelowOneAnother() {
+    void transposesTableWithManyMetrics() {
         List<String> wide = new ArrayList<>(List.of(Figure.HEADER));
         for (int i = 0; i < 12; i++) {
             wide.add("speed,60,0,m" + i + "," + i + ",s,");
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aFigureThatChangesMakesThePageDiffer() {
+    void changedFigureChangesPage() {
         String page = tables(FILE).render("<!-- table: run/fit -->\n<!-- end -->\n<!--= run/fit///slope --><!--/-->");
         List<String> changed = FILE.stream().map(line -> line.replace("0.25", "0.26")).toList();
         assertThat(tables(changed).render(page)).isNotEqualTo(page).doesNotContain("0.25");
@@ -122,15 +122,15 @@
     }
 
     @Test
-    void aRowOrAHeaderOfAnotherFormIsRefused() {
+    void rejectsMalformedRowsAndHeadersAndDuplicates() {
         assertThatThrownBy(() -> tables(List.of(Figure.HEADER, "speed,60,cpu,1.5"))).hasMessageContaining("4 cells");
         assertThatThrownBy(() -> tables(List.of("name,value", "speed,1"))).hasMessageContaining("header");
         assertThatThrownBy(() -> tables(List.of(Figure.HEADER, "a,,,m,1,,", "a,,,m,2,,")))
-                .hasMessageContaining("there twice");
+                .hasMessageContaining("duplicate figure");
     }
 
     @Test
-    void figuresAreFoundInProseButNotInCodeTablesOrSpans() {
+    void findsFiguresInProseButNotInCodeTablesOrSpans() {
         assertThat(CapacityTables.figuresInProse("takes 7.1 s, 12% or 3 KB/s; `lease = 10 s`; 540 directors;"
                 + " <!--= run/fit///slope -->0.25 us<!--/-->\n<!-- table: run/fit -->\n| 9 MB |\n<!-- end -->"))
                 .containsExactly("7.1 s", "12%", "3 KB/s");
--- a/src/test/java/clovermill/prove/capacity/CountedCaches.java
+++ b/src/test/java/clovermill/prove/capacity/CountingCacheFleet.java
@@ -22,41 +22,41 @@
 import java.util.concurrent.ExecutionException;
 
 /**
- * So many stand-in caches, each at a port of its own, a parent and an origin, and the discovery endpoint of one
- * director. Caches hold copies and take only so many requests at once; connections and bytes of lists are counted. One
- * thread plays all of them.
+ * Stand-in caches, each at its own port, a parent and an origin, and the discovery endpoint of one director. Caches
+ * store copies and accept a limited number of concurrent requests; connections and bytes of member lists are counted.
+ * One thread runs all of them.
  */
-final class CountedCaches implements AutoCloseable {
+final class CountingCacheFleet implements AutoCloseable {
 
     private static final int BODY_BYTES = 4_000;
     private static final long HIT_US = 5_000;
     private static final long FILL_US = 20_000;
-    private static final int PARENT_ROOM = 1_000;
-    private static final int MOST_CONNECTIONS = 1_000;
+    private static final int PARENT_CAPACITY = 1_000;
+    private static final int MAX_CONNECTIONS = 1_000;
 
-    /** A member of the list. */
+    /** A listed member with its listening socket. */
     private final class Member {
         private final String id;
         private final String kind;
-        private final int room;
+        private final int capacity;
         private final long startedMs;
         private final Listener listener;
         private final Set<String> copies = new HashSet<>();
         private int open;
 
-        Member(String id, String kind, int room, long startedMs) throws IOException {
+        Member(String id, String kind, int capacity, long startedMs) throws IOException {
             this.id = id;
             this.kind = kind;
-            this.room = room;
+            this.capacity = capacity;
             this.startedMs = startedMs;
-            this.listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST_CONNECTIONS,
+            this.listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CONNECTIONS,
                     () -> {}, connection -> new CachePeer(connection, this));
         }
 
         String entry(String state) {
             return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + listener.port() + "\",\"zone\":\""
                     + (kind.equals("std") ? "edge" : "north") + "\",\"kind\":\"" + kind + "\",\"cell\":1,\"state\":\""
-                    + state + "\",\"weight\":" + room + ",\"started_ms\":" + startedMs + "}";
+                    + state + "\",\"weight\":" + capacity + ",\"started_ms\":" + startedMs + "}";
         }
     }
 
@@ -64,28 +64,28 @@
     private final Deadlines deadlines = new Deadlines();
     private final EventLoop loop = new EventLoop(clock, deadlines);
     private final ByteBuffer body = ByteBuffer.wrap(new byte[BODY_BYTES]).asReadOnlyBuffer();
-    private final Member parent = new Member("p-1", "parent", PARENT_ROOM, 0);
-    private final Member origin = new Member("o-1", "origin", PARENT_ROOM, 0);
+    private final Member parent = new Member("p-1", "parent", PARENT_CAPACITY, 0);
+    private final Member origin = new Member("o-1", "origin", PARENT_CAPACITY, 0);
     private final Listener discovery;
-    private final int room;
-    /** Caches that are ready, eldest first, and those that drain. */
+    private final int capacity;
+    /** Caches that are ready, oldest first, and draining ones. */
     private final Deque<Member> ready = new ArrayDeque<>();
     private final List<Member> draining = new ArrayList<>();
     private final List<String> events = new ArrayList<>();
-    private Runnable waiting;
-    private int named;
+    private Runnable pendingPoll;
+    private int lastNumber;
     private volatile long connections;
     private volatile long listBytes;
 
-    /** So many warm caches that have room for so many requests at once each. */
-    CountedCaches(int caches, int room) throws IOException {
-        this.room = room;
+    /** Starts warm caches that each accept {@code capacity} concurrent requests. */
+    CountingCacheFleet(int caches, int capacity) throws IOException {
+        this.capacity = capacity;
         for (int i = 0; i < caches; i++) {
-            ready.add(new Member("s-" + ++named, "std", room, 0));
+            ready.add(new Member("s-" + ++lastNumber, "std", capacity, 0));
         }
-        discovery = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST_CONNECTIONS, () -> {},
-                Watch::new);
-        Thread thread = new Thread(this::run, "counted-caches");
+        discovery = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CONNECTIONS, () -> {},
+                DiscoveryPeer::new);
+        Thread thread = new Thread(this::run, "counting-caches");
         thread.setDaemon(true);
         thread.start();
     }
@@ -98,11 +98,11 @@
         }
     }
 
-    private <T> T ask(Callable<T> what) throws InterruptedException, ExecutionException {
+    private <T> T callOnLoop(Callable<T> call) throws InterruptedException, ExecutionException {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.post(() -> {
             try {
-                result.complete(what.call());
+                result.complete(call.call());
             } catch (Exception failure) {
                 result.completeExceptionally(failure);
             }
@@ -110,9 +110,9 @@
         return result.get();
     }
 
-    /** The address of the discovery endpoint, and the list that a director knows at its start. */
+    /** Returns the address of the discovery endpoint and the member list that a director starts with. */
     Map.Entry<String, String> channel() throws Exception {
-        return ask(() -> {
+        return callOnLoop(() -> {
             StringBuilder all = new StringBuilder();
             ready.forEach(member -> all.append(member.entry("ready")).append(','));
             all.append(parent.entry("ready")).append(',').append(origin.entry("ready"));
@@ -121,43 +121,43 @@
         });
     }
 
-    /** Caches that drain are gone, so many of the eldest begin to drain, and as many new ones start. */
+    /** Removes draining caches, drains the oldest {@code caches} ready ones, and starts as many new ones. */
     void replace(int caches) throws Exception {
-        ask(() -> {
-            draining.forEach(member -> tell(member.entry("gone")));
+        callOnLoop(() -> {
+            draining.forEach(member -> publish(member.entry("gone")));
             draining.clear();
             for (int i = 0; i < caches; i++) {
                 Member old = ready.remove();
                 draining.add(old);
-                tell(old.entry("draining"));
-                Member next = new Member("s-" + ++named, "std", room, clock.unixMillis());
+                publish(old.entry("draining"));
+                Member next = new Member("s-" + ++lastNumber, "std", capacity, clock.unixMillis());
                 ready.add(next);
-                tell(next.entry("ready"));
+                publish(next.entry("ready"));
             }
             return null;
         });
     }
 
-    /** Connections that caches, parent and origin have accepted so far. */
+    /** Returns the connections that caches, parent and origin have accepted so far. */
     long connections() {
         return connections;
     }
 
-    /** Bytes that the discovery endpoint has sent so far. */
+    /** Returns the bytes that the discovery endpoint has sent so far. */
     long listBytes() {
         return listBytes;
     }
 
-    private void tell(String server) {
+    private void publish(String server) {
         int cursor = events.size() + 2;
         events.add("{\"cursor\":" + cursor + ",\"nodes\":{\"version\":" + cursor + ",\"full\":false,\"servers\":["
                 + server + "]}}");
-        if (waiting != null) {
-            waiting.run();
+        if (pendingPoll != null) {
+            pendingPoll.run();
         }
     }
 
-    /** One connection of the director to a cache, the parent or the origin. */
+    /** A connection of the director to a cache, the parent or the origin. */
     private final class CachePeer extends LinePeer {
         private final Member member;
         private final Set<String> open = new HashSet<>();
@@ -170,30 +170,30 @@
 
         @Override
         protected void want(String id, String fields) {
-            if (member.open >= member.room) {
+            if (member.open >= member.capacity) {
                 say(id + " WAIT - 0\r\n\r\n");
                 return;
             }
             String object = field(fields, "obj");
-            boolean order = field(fields, "token") != null;
-            boolean hit = !order && !member.copies.add(object);
-            if (!hit && !order && field(fields, "src") == null && member.kind.equals("std")) {
+            boolean fillOrder = field(fields, "token") != null;
+            boolean hit = !fillOrder && !member.copies.add(object);
+            if (!hit && !fillOrder && field(fields, "src") == null && member.kind.equals("std")) {
                 member.copies.remove(object);
                 say(id + " LACK res=NO_FILL 0\r\n\r\n");
                 return;
             }
             open.add(id);
             member.open++;
-            deadlines.add(clock.micros() + (hit ? HIT_US : FILL_US), () -> done(id, order, hit));
+            deadlines.add(clock.micros() + (hit ? HIT_US : FILL_US), () -> done(id, fillOrder, hit));
         }
 
-        private void done(String id, boolean order, boolean hit) {
+        private void done(String id, boolean fillOrder, boolean hit) {
             if (!open.remove(id)) {
                 return;
             }
             member.open--;
             say(id + " DONE etag=t,made=" + clock.unixMillis() + ",res="
-                    + (order ? "MISS_ORIGIN" : hit ? "HIT" : "MISS")
+                    + (fillOrder ? "MISS_ORIGIN" : hit ? "HIT" : "MISS")
                     + ",ttfb=0 " + body.remaining() + "\r\n");
             connection.send(body.duplicate());
             say("\r\n");
@@ -214,10 +214,10 @@
         }
     }
 
-    /** The director's watch: long polls for numbered events. */
-    private final class Watch extends LinePeer {
+    /** The director's connection to discovery: long polls for numbered events. */
+    private final class DiscoveryPeer extends LinePeer {
 
-        Watch(Connection connection) {
+        DiscoveryPeer(Connection connection) {
             super(connection);
         }
 
@@ -233,19 +233,19 @@
                 answer.run();
                 return;
             }
-            waiting = answer;
+            pendingPoll = answer;
             deadlines.add(clock.micros() + blockMs * 1000, () -> {
-                if (waiting == answer) {
+                if (pendingPoll == answer) {
                     answer.run();
                 }
             });
         }
 
         private void answer(int resume) {
-            waiting = null;
-            int told = events.size();
-            String later = String.join(",", events.subList(Math.min(told, resume - 1), told));
-            String text = "{\"cursor\":" + (told + 1) + ",\"cmds\":[" + later + "]}";
+            pendingPoll = null;
+            int published = events.size();
+            String later = String.join(",", events.subList(Math.min(published, resume - 1), published));
+            String text = "{\"cursor\":" + (published + 1) + ",\"cmds\":[" + later + "]}";
             String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text;
             listBytes += answer.length();
             say(answer);
--- a/src/test/java/clovermill/prove/capacity/Figure.java
+++ b/src/test/java/clovermill/prove/capacity/Figure.java
@@ -1,20 +1,20 @@
 package clovermill.prove.capacity;
 
 /**
- * One row of a file of measurements. Kind, size, rate and metric together name it within its file; what does not apply
- * is empty. The value stays text, so that a page shows exactly what a run has written.
+ * One row of a file of measurements. Kind, size, rate and metric together are its key within the file; a field that
+ * does not apply is empty. The value remains text, so that a page shows exactly what a run wrote.
  */
 record Figure(String kind, String size, String rate, String metric, String value, String unit, String note) {
 
-    /** The names of the columns, in their order. */
+    /** The header line. */
     static final String HEADER = "kind,size,rate,metric,value,unit,note";
     private static final int COLUMNS = 7;
 
-    /** Reads a row; the note, which stands last, may hold commas. */
+    /** Parses a row; the note, the last column, may contain commas. */
     static Figure parse(String row) {
         String[] cells = row.split(",", COLUMNS);
         if (cells.length != COLUMNS) {
-            throw new IllegalArgumentException("a row of " + cells.length + " cells in place of " + COLUMNS + ": "
+            throw new IllegalArgumentException("a row has " + cells.length + " cells, expected " + COLUMNS + ": "
                     + row);
         }
         String note = cells[6].replaceAll("^\"|\"$", "");
@@ -25,7 +25,7 @@
         return String.join(",", kind, size, rate, metric, value, unit, note);
     }
 
-    /** What names the row within its file, as references in the page write it. */
+    /** Returns the key of the row within its file, in the form that references in the page use. */
     String key() {
         return key(kind, size, rate, metric);
     }
--- a/src/test/java/clovermill/prove/capacity/FigureFile.java
+++ b/src/test/java/clovermill/prove/capacity/FigureFile.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * A file of measurements: comment lines that say how they were made, a header, and one {@link Figure} a row. A file
- * with other columns is kept as cells only.
+ * A file of measurements: comment lines that describe the run, a header, and one {@link Figure} a row. A file
+ * with other columns is stored as cells only.
  */
 final class FigureFile {
 
@@ -47,7 +47,7 @@
             }
         }
         if (!result.header.contains("kind")) {
-            throw new IllegalArgumentException(name + ": the header names no kind");
+            throw new IllegalArgumentException(name + ": the header has no column kind");
         }
         return result;
     }
@@ -58,11 +58,11 @@
 
     void add(Figure figure) {
         if (figures.putIfAbsent(figure.key(), figure) != null) {
-            throw new IllegalArgumentException(name + ": " + figure.key() + " is there twice");
+            throw new IllegalArgumentException(name + ": duplicate figure " + figure.key());
         }
     }
 
-    /** Adds a measured number with a fixed count of decimals. */
+    /** Adds a measured number, formatted with a fixed number of decimals. */
     void add(String kind, Object size, Object rate, String metric, double value, int decimals, String unit,
             String note) {
         add(new Figure(kind, size.toString(), rate.toString(), metric,
@@ -86,12 +86,12 @@
         return List.copyOf(comments);
     }
 
-    /** The names of the columns, as the file has them. */
+    /** Returns the column names in file order. */
     List<String> header() {
         return header;
     }
 
-    /** All rows as text. */
+    /** Returns all rows as text cells. */
     List<List<String>> cells() {
         return List.copyOf(cells);
     }
@@ -108,7 +108,11 @@
         return figures.containsKey(key);
     }
 
-    /** The row of that key; one that is not there is an error, as the page would show nothing. */
+    /**
+     * Returns the row with a key.
+     *
+     * @throws IllegalArgumentException if there is none, as the page would show nothing
+     */
     Figure figure(String key) {
         Figure figure = figures.get(key);
         if (figure == null) {
--- a/src/test/java/clovermill/prove/capacity/LineFit.java
+++ b/src/test/java/clovermill/prove/capacity/LineFit.java
@@ -9,13 +9,13 @@
     /** A measured point. */
     record Point(double x, double y) {}
 
-    /** The line through two points or more, not all above one another. */
+    /** Returns the least-squares line through at least two points with different x. */
     static LineFit of(List<Point> points) {
         double meanX = points.stream().mapToDouble(Point::x).average().orElse(0);
         double meanY = points.stream().mapToDouble(Point::y).average().orElse(0);
         double squares = points.stream().mapToDouble(point -> (point.x - meanX) * (point.x - meanX)).sum();
         if (!(squares > 0)) {
-            throw new IllegalArgumentException("no line through " + points.size() + " points at one place");
+            throw new IllegalArgumentException("cannot fit a line through " + points.size() + " points with equal x");
         }
         double products = points.stream().mapToDouble(point -> (point.x - meanX) * (point.y - meanY)).sum();
         double slope = products / squares;
@@ -26,12 +26,12 @@
         return intercept + slope * x;
     }
 
-    /** What was measured, less what the line says. */
+    /** Returns the measured value minus the fitted one. */
     double residual(Point point) {
         return point.y - at(point.x);
     }
 
-    /** By how much the line through all other points misses one, as a share of what was measured there. */
+    /** Returns the error of predicting one point from all others, as a share of its measured value. */
     static double leftOutError(List<Point> points, int leftOut) {
         List<Point> others = new ArrayList<>(points);
         Point point = others.remove(leftOut);
--- a/src/test/java/clovermill/prove/capacity/ProcessUsage.java
+++ b/src/test/java/clovermill/prove/capacity/ProcessUsage.java
@@ -7,15 +7,15 @@
 import java.util.stream.Stream;
 
 /**
- * What a process has used so far, from the kernel's counts of each of its threads.
+ * The CPU use of a process so far, from the kernel's scheduler statistics of its threads.
  *
- * @param cpuNs nanoseconds on a core
- * @param waitedNs nanoseconds in which it could have run and did not yet, a sleeping core's wake-up among them
- * @param runs how often it was put on a core
+ * @param cpuNs time running on a core
+ * @param waitedNs time runnable but not running, including the wake-up of a sleeping core
+ * @param runs number of times it was scheduled on a core
  */
 record ProcessUsage(long cpuNs, long waitedNs, long runs) {
 
-    /** Sums the threads that live now; one that ended meanwhile takes its share with it. */
+    /** Returns the sum over the current threads; the use of threads that have ended is not included. */
     static ProcessUsage of(long pid) throws IOException {
         long cpu = 0;
         long waited = 0;
@@ -35,7 +35,7 @@
         return new ProcessUsage(cpuNs - earlier.cpuNs, waitedNs - earlier.waitedNs, runs - earlier.runs);
     }
 
-    /** A line of {@code /proc/PID/status} that is in kB, {@code VmRSS} for one. */
+    /** Returns a value of {@code /proc/PID/status} in kB, such as {@code VmRSS}. */
     static long kilobytes(long pid, String name) throws IOException {
         List<String> lines = Files.readAllLines(Path.of("/proc", "" + pid, "status"));
         return lines.stream().filter(line -> line.startsWith(name + ":"))
--- a/src/test/java/clovermill/prove/capacity/RequestPathProof.java
+++ b/src/test/java/clovermill/prove/capacity/RequestPathProof.java
@@ -17,88 +17,90 @@
 import java.util.Map;
 
 /**
- * What a request and a kilobyte cost a real director ({@code make prove-request-path}): processes started by the deploy
- * file's {@code run} line between stand-in clients and stand-in caches on loopback. Each load is played in windows that
- * take turns with those of all others; the figure is the median of its windows. A window on a machine that is too busy
- * is void, by signs that do not look at the figure itself.
+ * Measures the cost of a request and of a kilobyte in a real director ({@code make prove-request-path}): processes
+ * started with the {@code run} line of the deploy file, between stand-in clients and stand-in caches on loopback. The
+ * windows of all loads alternate; the figure of a load is the median of its windows. A window on an overloaded machine
+ * is void, decided by criteria that are independent of the figure itself.
  */
 public final class RequestPathProof {
 
-    /** One load: requests a second of bodies of so many bytes, at one of the directors. */
-    private record Setting(String kind, int perSecond, int bytes) {}
+    /** One load on a director: requests a second and the size of their bodies. */
+    private record LoadSetting(String kind, int perSecond, int bytes) {}
 
-    /** What a window has shown; {@code fault} says why it is void, or is null. */
+    /** The measurements of a window; {@code voidReason} is null unless it is void. */
     private record Window(double cpuShare, double perSecond, double kbPerSecond, double p99Us, double waitedShare,
-            double runsPerSecond, double idle, double stolen, double lateMs, long residentKb, String fault) {}
+            double runsPerSecond, double idle, double stolen, double lateMs, long residentKb, String voidReason) {}
 
-    private static final String FEW = "location";
-    private static final String MANY = "all-caches";
+    private static final String FEW_LOCAL = "location";
+    private static final String ALL_LOCAL = "all-caches";
     private static final int LOCAL_CACHES = 4;
     private static final int ALL_CACHES = 170;
     private static final int SOCKETS = 1024;
     private static final int STEP_BYTES = 4;
-    private static final int SMALLEST_BYTES = 200;
-    private static final int LARGEST_BYTES = 240_000;
-    /** Short, as other guests of the host take cores away for a second now and then: what meets that is void. */
+    private static final int MIN_BYTES = 200;
+    private static final int MAX_BYTES = 240_000;
+    /** Short, as other guests of the host occasionally take cores for a second, which makes a window void. */
     private static final long WINDOW_MS = Long.getLong("window", 800);
     private static final long SETTLE_MS = 200;
     private static final long BUDGET_MS = 1000 * Long.getLong("seconds", 150);
-    private static final int LEAST_WINDOWS = 5;
-    private static final long WARM_MS = 6_000;
+    private static final int MIN_WINDOWS = 5;
+    private static final long WARMUP_MS = 6_000;
     private static final double NS = 1e9;
 
     /**
-     * A window is void where less of the machine was idle, more of it taken by its host, or a timer of this process
-     * came later. How long the director's threads waited for a core is told, but voids nothing: on an idle machine that
-     * is the time in which a sleeping core wakes up, a quarter of the time they run at some hundred requests a second.
+     * A window is void if less of the machine was idle, more of it was stolen by its host, or a timer of this process
+     * was later. The time for which the director's threads waited for a core is recorded but voids nothing: on an idle
+     * machine it is the wake-up time of sleeping cores, a quarter of the running time at some hundred requests a
+     * second.
      */
-    private static final double LEAST_IDLE = 0.7;
-    private static final double MOST_STOLEN = 0.02;
-    private static final double MOST_LATE_MS = 10;
-    /** Less than this share of the planned requests answered: clients or director could not keep up. */
-    private static final double LEAST_ANSWERED = 0.98;
+    private static final double MIN_IDLE = 0.7;
+    private static final double MAX_STOLEN = 0.02;
+    private static final double MAX_LATE_MS = 10;
+    /** Minimum share of the planned requests answered; below it, clients or director could not keep up. */
+    private static final double MIN_ANSWERED = 0.98;
 
     private static final List<Integer> RATES = List.of(0, 574, 1148, 2296, 4592, 9184);
-    private static final List<Integer> SIZES = List.of(SMALLEST_BYTES, 16_200, 64_200, 128_200, 240_000);
+    private static final List<Integer> SIZES = List.of(MIN_BYTES, 16_200, 64_200, 128_200, 240_000);
     private static final int SIZE_RATE = 300;
-    /** Points that a line is drawn through, so that three are left where one is left out. */
-    private static final int LEAST_POINTS = 4;
+    /** Minimum number of points for a line, so that three remain when one is left out. */
+    private static final int MIN_POINTS = 4;
 
     private final Path root = Files.createTempDirectory("prove-request-path");
-    private final Map<Setting, List<Window>> windows = new LinkedHashMap<>();
+    private final Map<LoadSetting, List<Window>> windows = new LinkedHashMap<>();
     private final Map<String, DirectorProcess> directors = new LinkedHashMap<>();
     private int seed;
 
     private RequestPathProof() throws IOException {}
 
-    /** Properties: window (milliseconds), seconds (for all windows). */
+    /** Properties: window (milliseconds), seconds (total for all windows). */
     public static void main(String[] arguments) throws Exception {
         RequestPathProof proof = new RequestPathProof();
-        try (StandIns members = new StandIns(RequestPathProof::bytes)) {
-            proof.directors.put(FEW, proof.start(0, members, LOCAL_CACHES));
-            proof.directors.put(MANY, proof.start(1, members, ALL_CACHES));
-            proof.play();
+        try (StandIns members = new StandIns(RequestPathProof::partBytes)) {
+            proof.directors.put(FEW_LOCAL, proof.start(0, members, LOCAL_CACHES));
+            proof.directors.put(ALL_LOCAL, proof.start(1, members, ALL_CACHES));
+            proof.runAllLoads();
         } finally {
             DirectorProcess.end(List.copyOf(proof.directors.values()), proof.root);
         }
-        boolean holds = proof.report();
-        System.exit(holds ? 0 : 1);
+        boolean passed = proof.report();
+        System.exit(passed ? 0 : 1);
     }
 
-    /** The size of an object's parts at the stand-ins, by its first four digits. */
-    private static int bytes(String object) {
-        return Math.min(LARGEST_BYTES, SMALLEST_BYTES + STEP_BYTES * Integer.parseInt(object.substring(0, 4), 16));
+    /** Returns the size of an object's parts at the stand-ins, encoded in its first four hexadecimal digits. */
+    private static int partBytes(String object) {
+        return Math.min(MAX_BYTES, MIN_BYTES + STEP_BYTES * Integer.parseInt(object.substring(0, 4), 16));
     }
 
     private static String prefix(int bytes) {
-        return String.format("%04x", (bytes - SMALLEST_BYTES) / STEP_BYTES);
+        return String.format("%04x", (bytes - MIN_BYTES) / STEP_BYTES);
     }
 
     // ---- Directors --------------------------------------------------------------------------------
 
-    /** Starts a director by the deploy file's line; so many of all caches are in its location. */
+    /** Starts a director with the deploy file's line; {@code local} of all caches are in its location. */
     private DirectorProcess start(int number, StandIns members, int local) throws Exception {
-        Path file = DirectorProcess.configuration(root, Map.entry(members.address(), known(members, local)), number, 1);
+        Path file = DirectorProcess.configuration(root, Map.entry(members.address(), memberList(members, local)),
+                number, 1);
         ObjectMapper mapper = new ObjectMapper();
         ObjectNode config = (ObjectNode) mapper.readTree(Files.readString(file));
         ((ObjectNode) config.get("limits")).put("sockets", SOCKETS);
@@ -106,7 +108,7 @@
         return DirectorProcess.deployed(root, number, file);
     }
 
-    private static String known(StandIns members, int local) {
+    private static String memberList(StandIns members, int local) {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < ALL_CACHES; i++) {
             all.append(entry(members, "s-" + i, i < local ? "edge" : "north", "std", 6)).append(',');
@@ -124,33 +126,33 @@
 
     // ---- Windows ----------------------------------------------------------------------------------
 
-    private void play() throws Exception {
+    private void runAllLoads() throws Exception {
         for (DirectorProcess director : directors.values()) {
             director.ready();
         }
         for (Map.Entry<String, DirectorProcess> each : directors.entrySet()) {
-            Load warm = new Load(each.getValue().port, RATES.get(3), ++seed, 1, 1, prefix(SMALLEST_BYTES));
-            Thread.sleep(WARM_MS);
-            warm.drain(2_000);
-            warm.close();
+            Load warmup = new Load(each.getValue().port, RATES.get(3), ++seed, 1, 1, prefix(MIN_BYTES));
+            Thread.sleep(WARMUP_MS);
+            warmup.drain(2_000);
+            warmup.close();
         }
-        List<Setting> settings = new ArrayList<>();
-        RATES.forEach(rate -> settings.add(new Setting("rate", rate, SMALLEST_BYTES)));
-        SIZES.forEach(size -> settings.add(new Setting("size", SIZE_RATE, size)));
-        settings.add(new Setting("target", 574, LARGEST_BYTES));
-        settings.add(new Setting("target", 1042, LARGEST_BYTES));
-        settings.add(new Setting(MANY, RATES.get(2), SMALLEST_BYTES));
+        List<LoadSetting> settings = new ArrayList<>();
+        RATES.forEach(rate -> settings.add(new LoadSetting("rate", rate, MIN_BYTES)));
+        SIZES.forEach(size -> settings.add(new LoadSetting("size", SIZE_RATE, size)));
+        settings.add(new LoadSetting("target", 574, MAX_BYTES));
+        settings.add(new LoadSetting("target", 1042, MAX_BYTES));
+        settings.add(new LoadSetting(ALL_LOCAL, RATES.get(2), MIN_BYTES));
         settings.forEach(setting -> windows.put(setting, new ArrayList<>()));
         long untilNs = System.nanoTime() + BUDGET_MS * 1_000_000;
         while (System.nanoTime() < untilNs) {
-            for (Setting setting : settings) {
-                windows.get(setting).add(window(setting));
+            for (LoadSetting setting : settings) {
+                windows.get(setting).add(measureWindow(setting));
             }
         }
     }
 
-    private Window window(Setting setting) throws Exception {
-        DirectorProcess director = directors.get(setting.kind.equals(MANY) ? MANY : FEW);
+    private Window measureWindow(LoadSetting setting) throws Exception {
+        DirectorProcess director = directors.get(setting.kind.equals(ALL_LOCAL) ? ALL_LOCAL : FEW_LOCAL);
         long pid = director.process.pid();
         Load load = setting.perSecond == 0 ? null : new Load(director.port, setting.perSecond, ++seed,
                 Math.max(1, setting.bytes / 1000), 1, prefix(setting.bytes));
@@ -160,7 +162,7 @@
         long answered = load == null ? 0 : load.answered;
         long bytes = load == null ? 0 : load.bodyBytes;
         long fromNs = System.nanoTime();
-        double lateMs = TickWatch.latestMs(WINDOW_MS);
+        double lateMs = TimerLateness.maxLatenessMs(WINDOW_MS);
         double spentS = (System.nanoTime() - fromNs) / NS;
         ProcessUsage used = ProcessUsage.of(pid).since(before);
         MachineUsage after = MachineUsage.now();
@@ -177,13 +179,13 @@
         double idle = after.idleShare(machine);
         double stolen = after.stolenShare(machine);
         double perSecond = answered / spentS;
-        String fault = perSecond < LEAST_ANSWERED * setting.perSecond ? "not answered in time"
-                : load != null && load.served < LEAST_ANSWERED * load.answered ? "refused"
-                : idle < LEAST_IDLE ? "machine busy"
-                : stolen > MOST_STOLEN ? "cores taken by the host"
-                : lateMs > MOST_LATE_MS ? "timers came late" : null;
+        String voidReason = perSecond < MIN_ANSWERED * setting.perSecond ? "not answered in time"
+                : load != null && load.served < MIN_ANSWERED * load.answered ? "refused"
+                : idle < MIN_IDLE ? "machine busy"
+                : stolen > MAX_STOLEN ? "cores taken by the host"
+                : lateMs > MAX_LATE_MS ? "timers came late" : null;
         Window window = new Window(used.cpuNs() / NS / spentS, perSecond, bytes / 1000.0 / spentS, p99, waited,
-                used.runs() / spentS, idle, stolen, lateMs, resident, fault);
+                used.runs() / spentS, idle, stolen, lateMs, resident, voidReason);
         System.out.println(setting + " " + window);
         return window;
     }
@@ -192,36 +194,37 @@
 
     private boolean report() throws Exception {
         FigureFile file = new FigureFile("request-path.csv");
-        RunFacts.describe(file, "make prove-request-path: windows of " + WINDOW_MS + " ms in turn for "
+        RunEnvironment.describe(file, "make prove-request-path: windows of " + WINDOW_MS + " ms in turn for "
                 + BUDGET_MS / 1000 + " s and the median of those that are not void");
-        Map<Setting, Window> medians = new LinkedHashMap<>();
-        windows.forEach((setting, all) -> row(file, setting, all, medians));
+        Map<LoadSetting, Window> medians = new LinkedHashMap<>();
+        windows.forEach((setting, all) -> addRows(file, setting, all, medians));
         List<Point> rates = points(medians, "rate", true);
         List<Point> sizes = points(medians, "size", false);
-        boolean holds = rates.size() >= LEAST_POINTS && sizes.size() >= LEAST_POINTS;
-        if (holds) {
+        boolean passed = rates.size() >= MIN_POINTS && sizes.size() >= MIN_POINTS;
+        if (passed) {
             fit(file, "request", rates, "us a request");
             fit(file, "kilobyte", sizes, "us a kB");
         }
         file.write(CapacityTables.FIGURES.resolve("request-path.csv"));
-        System.out.println("prove-request-path: rates=" + rates.size() + " sizes=" + sizes.size() + " holds=" + holds);
-        return holds;
+        System.out.println("prove-request-path: rates=" + rates.size() + " sizes=" + sizes.size() + " holds=" + passed);
+        return passed;
     }
 
-    private void row(FigureFile file, Setting setting, List<Window> all, Map<Setting, Window> medians) {
-        List<Window> good = all.stream().filter(window -> window.fault == null)
+    private void addRows(FigureFile file, LoadSetting setting, List<Window> all, Map<LoadSetting, Window> medians) {
+        List<Window> valid = all.stream().filter(window -> window.voidReason == null)
                 .sorted(Comparator.comparingDouble(Window::cpuShare)).toList();
-        String faults = all.stream().filter(window -> window.fault != null).map(Window::fault).distinct()
+        String voidReasons = all.stream().filter(window -> window.voidReason != null).map(Window::voidReason).distinct()
                 .reduce((one, other) -> one + " or " + other).orElse("");
-        String note = good.size() + " of " + all.size() + " windows" + (faults.isEmpty() ? "" : "; void: " + faults);
-        if (good.size() < LEAST_WINDOWS) {
+        String note = valid.size() + " of " + all.size() + " windows"
+                + (voidReasons.isEmpty() ? "" : "; void: " + voidReasons);
+        if (valid.size() < MIN_WINDOWS) {
             file.add(new Figure(setting.kind, "" + setting.bytes, "" + setting.perSecond, "cpu", "void", "% of a core",
                     note));
             return;
         }
-        Window median = good.get(good.size() / 2);
+        Window median = valid.get(valid.size() / 2);
         medians.put(setting, median);
-        double spread = good.get(good.size() - 1).cpuShare - good.get(0).cpuShare;
+        double spread = valid.get(valid.size() - 1).cpuShare - valid.get(0).cpuShare;
         add(file, setting, "cpu", 100 * median.cpuShare, 2, "% of a core", note);
         if (setting.perSecond > 0) {
             add(file, setting, "each", 1e6 * median.cpuShare / median.perSecond, 1, "us a request", "");
@@ -236,13 +239,14 @@
         add(file, setting, "idle", 100 * median.idle, 0, "% of the machine", "");
     }
 
-    private static void add(FigureFile file, Setting setting, String metric, double value, int decimals, String unit,
+    private static void add(FigureFile file, LoadSetting setting, String metric, double value, int decimals,
+            String unit,
             String note) {
         file.add(setting.kind, setting.bytes, setting.perSecond, metric, value, decimals, unit, note);
     }
 
-    /** Microseconds of processor time a second against requests a second, or a request against its kilobytes. */
-    private static List<Point> points(Map<Setting, Window> medians, String kind, boolean byRate) {
+    /** Returns points of CPU time per second over request rate, or of CPU time per request over kilobytes. */
+    private static List<Point> points(Map<LoadSetting, Window> medians, String kind, boolean byRate) {
         List<Point> points = new ArrayList<>();
         medians.forEach((setting, window) -> {
             if (setting.kind.equals(kind)) {
@@ -254,7 +258,7 @@
         return points;
     }
 
-    /** The line through all points, what each misses by, and each of the last two predicted from the others. */
+    /** Adds the line through all points, its residuals, and predictions of the last two points from the others. */
     private static void fit(FigureFile file, String name, List<Point> points, String unit) {
         LineFit all = LineFit.of(points);
         int last = points.size() - 1;
--- a/src/test/java/clovermill/prove/capacity/ModuleUnderTest.java
+++ b/src/test/java/clovermill/prove/capacity/RouterUnderTest.java
@@ -23,8 +23,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The real module with the settings of the tests' configuration, a clock that only it moves, and caches that hit. */
-final class ModuleUnderTest {
+/** A real router with the settings of the test configuration, a manual clock, and caches that always hit. */
+final class RouterUnderTest {
 
     private static final int LOCAL_ZONE = 1;
     private static final int PART_CLASS = 0;
@@ -33,22 +33,22 @@
     private static final long ANSWER_US = 2_000;
 
     private final Settings settings;
-    private final RequestRouter policy;
+    private final RequestRouter router;
     private final List<Action> actions = new ArrayList<>();
     private long nowUs = 10_000_000_000L;
     private long requests;
 
-    /** Before so many caches of its location, and so many of others, one parent and the origin. */
-    ModuleUnderTest(int local, int elsewhere) throws IOException, Json.Malformed {
+    /** Creates a router for caches of its location, caches of other locations, one parent and the origin. */
+    RouterUnderTest(int local, int elsewhere) throws IOException, Json.Malformed {
         String text = Files.readString(Path.of("src", "test", "resources", "director.json"))
                 .replaceAll("\\$\\{[^}]*}", "127.0.0.1:1");
         settings = Config.read(text, null).settings();
-        policy = new RequestRouter(settings, 7);
-        list(local, elsewhere);
+        router = new RequestRouter(settings, 7);
+        replaceMembers(local, elsewhere);
     }
 
-    /** Tells the whole list of members. */
-    void list(int local, int elsewhere) {
+    /** Sends the router a full list of members. */
+    void replaceMembers(int local, int elsewhere) {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < local + elsewhere; i++) {
             members.add(new Member("cache-" + i, i < local ? LOCAL_ZONE : 0, 0, i, Availability.HEALTHY, 6, 0));
@@ -58,18 +58,18 @@
         handle(new MembersChanged(ListScope.FULL, members));
     }
 
-    /** Asks for a part of an object; the request stays open. */
-    private String ask(long object) {
+    /** Requests a part of an object and returns the request id; the request remains open. */
+    private String request(long object) {
         String id = String.format("%016x", ++requests);
         handle(new Request(id, PART_CLASS, 0, object, 0, (int) (object % GROUPS), 100, GRACE_US, false));
         return id;
     }
 
-    /** Asks for a part and has the cache that is chosen answer with a hit; returns that cache. */
+    /** Requests a part, ends the attempt with a hit at the selected cache, and returns that cache. */
     String serve(long object) {
-        String id = ask(object);
-        String cache = actions.stream().map(ModuleUnderTest::target).filter(target -> target != null).findFirst()
-                .orElseThrow(() -> new IllegalStateException("nothing was sent: " + actions));
+        String id = request(object);
+        String cache = actions.stream().map(RouterUnderTest::target).filter(target -> target != null).findFirst()
+                .orElseThrow(() -> new IllegalStateException("the router sent no attempt: " + actions));
         nowUs += ANSWER_US;
         handle(new AttemptEnded(id, 0, cache, Result.OK, ANSWER_US, true, CacheStatus.HIT, 0, null));
         return cache;
@@ -79,7 +79,7 @@
         return action instanceof SendVia via ? via.member() : action instanceof Send send ? send.member() : null;
     }
 
-    /** A purge of an object that was made just now. */
+    /** Sends the router a purge of an object, issued at the current time. */
     void purge(long object) {
         handle(new Purge(object, 0, 0));
     }
@@ -90,6 +90,6 @@
 
     private void handle(Event event) {
         actions.clear();
-        policy.handle(nowUs, event, actions::add);
+        router.handle(nowUs, event, actions::add);
     }
 }
--- a/src/test/java/clovermill/prove/capacity/RunFacts.java
+++ b/src/test/java/clovermill/prove/capacity/RunEnvironment.java
@@ -8,10 +8,10 @@
 import java.time.ZoneOffset;
 import java.util.List;
 
-/** Where and from what a file of measurements was made, as comment lines at its head. */
-final class RunFacts {
+/** Writes the environment of a run as comment lines at the head of a file of measurements. */
+final class RunEnvironment {
 
-    private RunFacts() {}
+    private RunEnvironment() {}
 
     /** Adds the command, the revision, the machine and the date. */
     static void describe(FigureFile file, String command) throws IOException, InterruptedException {
--- a/src/test/java/clovermill/prove/capacity/package-info.java
+++ b/src/test/java/clovermill/prove/capacity/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The measurements behind {@code docs/CAPACITY.md}, the model that sets them against the size that is wanted, and the
+ * The measurements behind {@code docs/CAPACITY.md}, the model that compares them with the target size, and the
  * generator of the page's tables.
  */
 package clovermill.prove.capacity;
