--- a/src/test/java/clovermill/prove/scale/Cluster.java
+++ b/src/test/java/clovermill/prove/scale/Cluster.java
@@ -22,37 +22,37 @@
 import java.util.stream.Stream;
 
 /**
- * All processes of one run at one size: real directors, of which some have clients, twins of them without control
- * parts, hollow processes, and in this process the stand-ins and the links. Directors are numbered from 0, real ones
- * first; the first three vote.
+ * All processes of one run at one size: real directors, some with clients; twins of them without the control plane;
+ * hollow processes; and in this process the stand-ins and the links. Directors are numbered from 0, real ones first;
+ * the first three are voters.
  */
 final class Cluster implements AutoCloseable {
 
     /**
-     * What a run consists of.
+     * The composition of a cluster.
      *
-     * @param size directors in all
-     * @param real how many are {@code serve} processes
-     * @param loaded how many of those have clients, the ones behind the voters
-     * @param twins directors without control parts with clients, and as many without
-     * @param perProcess hollow directors of a process at the most
-     * @param loss share of datagrams that are lost
-     * @param delayShare what part of the delays between places links have
+     * @param size total number of directors
+     * @param real number of directors that are {@code serve} processes
+     * @param loaded number of real directors with clients, which follow the voters
+     * @param twins number of directors without control plane that have clients, and of those that have none
+     * @param perProcess maximum number of hollow directors in a process
+     * @param loss share of datagrams that are dropped
+     * @param delayShare factor on the link delays between locations
      */
     record Shape(int size, int real, int loaded, int twins, int perProcess, double loss, double delayShare) {}
 
-    /** A real director's log line on an event: when and which. */
-    record Logged(long atMs, int event) {}
+    /** The time and number of an event in a real director's log. */
+    record LoggedEvent(long atMs, int event) {}
 
     static final int VOTERS = 3;
     private static final int LINK_THREADS = 3;
     private static final int CACHES = 5;
-    private static final int CACHE_ROOM = 40;
-    private static final int REQUESTS_A_SECOND = 60;
+    private static final int CACHE_CAPACITY = 40;
+    private static final int REQUESTS_PER_SECOND = 60;
     private static final int REQUEST_KB = 4;
     private static final double FLEET_LIMIT_EACH = 574;
     private static final String KEY = "00112233445566778899aabbccddeeff";
-    private static final Pattern EVENT = Pattern.compile("^(\\S+) .* disabled cache " + HollowProcess.EVENT
+    private static final Pattern EVENT = Pattern.compile("^(\\S+) .* disabled cache " + HollowProcess.EVENT_PREFIX
             + "(\\d+)$");
 
     private final Path root = Files.createTempDirectory("prove-scale");
@@ -65,12 +65,12 @@
     private final List<DirectorProcess> real = new ArrayList<>();
     private final List<DirectorProcess> twinsIdle = new ArrayList<>();
     private final List<DirectorProcess> twinsLoaded = new ArrayList<>();
-    private final List<HollowHandle> hollow = new ArrayList<>();
+    private final List<HollowProcessHandle> hollow = new ArrayList<>();
     private final Map.Entry<String, String> channel;
     private final LinkEmulator links;
     private final DiscoveryEndpoint discovery;
 
-    /** Starts everything; returns once all processes serve. */
+    /** Starts all processes and returns once they serve requests. */
     Cluster(Shape shape, long seed) throws Exception {
         this.shape = shape;
         Runtime.getRuntime().addShutdownHook(
@@ -78,9 +78,9 @@
         try {
             topology = new Topology(shape.size(), freeDatagramPort(), freeDatagramPort());
             rules = new LinkRules(shape.loss(), shape.delayShare());
-            links = kept(new LinkEmulator(topology, rules, LINK_THREADS));
-            discovery = kept(new DiscoveryEndpoint());
-            CacheFleet caches = kept(new CacheFleet(CACHES, CACHE_ROOM, DirectorProcess.WORK_US / 4,
+            links = registered(new LinkEmulator(topology, rules, LINK_THREADS));
+            discovery = registered(new DiscoveryEndpoint());
+            CacheFleet caches = registered(new CacheFleet(CACHES, CACHE_CAPACITY, DirectorProcess.WORK_US / 4,
                     DirectorProcess.COLD));
             channel = Map.entry(discovery.address(), caches.channel().getValue());
             Files.writeString(root.resolve("key"), KEY);
@@ -93,7 +93,7 @@
         }
     }
 
-    private <T extends AutoCloseable> T kept(T part) {
+    private <T extends AutoCloseable> T registered(T part) {
         parts.add(part);
         return part;
     }
@@ -106,11 +106,11 @@
 
     private void startReal() throws Exception {
         int members = shape.real() + 2 * shape.twins();
-        Path bare = root.resolve("bare.json");
-        json.writeValue(bare.toFile(), Map.of("log", Map.of("format", "text")));
+        Path minimalSettings = root.resolve("bare.json");
+        json.writeValue(minimalSettings.toFile(), Map.of("log", Map.of("format", "text")));
         for (int i = 0; i < members; i++) {
             DirectorProcess started = DirectorProcess.start(root, channel, i, members,
-                    i < shape.real() ? settings(i) : bare);
+                    i < shape.real() ? settings(i) : minimalSettings);
             processes.add(started);
             (i < shape.real() ? real : i < shape.real() + shape.twins() ? twinsIdle : twinsLoaded).add(started);
         }
@@ -124,18 +124,18 @@
         int processCount = (hollowCount() + shape.perProcess() - 1) / shape.perProcess();
         int first = shape.real();
         for (int process = 0; process < processCount; process++) {
-            // As many in each: in a process with few the compiler's work would count for much.
+            // Evenly spread: in a process with few directors, JIT compilation would add much per director.
             int count = (shape.size() - first) / (processCount - process);
             for (int i = first; i < first + count; i++) {
                 settings(i);
             }
-            hollow.add(kept(new HollowHandle(new HollowProcess.Plan(first, count,
+            hollow.add(registered(new HollowProcessHandle(new HollowProcess.Plan(first, count,
                     root.resolve("settings-%d.json").toString(), configuration.toString(),
                     root.resolve("hollow-" + first + ".log").toString(), seed + first),
                     root.resolve("hollow-" + first + ".err").toFile())));
             first += count;
         }
-        for (HollowHandle each : hollow) {
+        for (HollowProcessHandle each : hollow) {
             each.open();
         }
     }
@@ -150,7 +150,7 @@
     }
 
     private void load(DirectorProcess director, long seed) throws IOException {
-        parts.add(new Load(director.port, REQUESTS_A_SECOND, seed, REQUEST_KB, 1)::close);
+        parts.add(new Load(director.port, REQUESTS_PER_SECOND, seed, REQUEST_KB, 1)::close);
     }
 
     private Path settings(int self) throws IOException {
@@ -195,16 +195,16 @@
         return twinsLoaded;
     }
 
-    List<HollowHandle> hollow() {
+    List<HollowProcessHandle> hollow() {
         return hollow;
     }
 
-    /** Real directors that neither vote nor have clients. */
+    /** Returns the real directors that are no voters and have no clients. */
     List<DirectorProcess> realIdle() {
         return real.subList(Math.min(real.size(), VOTERS + shape.loaded()), real.size());
     }
 
-    /** Real directors that have clients. */
+    /** Returns the real directors that have clients. */
     List<DirectorProcess> realLoaded() {
         return real.subList(Math.min(real.size(), VOTERS), Math.min(real.size(), VOTERS + shape.loaded()));
     }
@@ -213,23 +213,23 @@
         return shape.size() - shape.real();
     }
 
-    /** The hollow process in which a director is. */
-    HollowHandle at(int director) {
-        return hollow.stream().filter(each -> each.holds(director)).findFirst().orElseThrow();
+    /** Returns the hollow process that runs a director. */
+    HollowProcessHandle processOf(int director) {
+        return hollow.stream().filter(each -> each.contains(director)).findFirst().orElseThrow();
     }
 
-    /** What a real director has logged of events, in its order. */
-    List<Logged> logged(int director) throws IOException {
-        List<Logged> all = new ArrayList<>();
+    /** Returns the events in the log of a real director, in log order. */
+    List<LoggedEvent> loggedEvents(int director) throws IOException {
+        List<LoggedEvent> all = new ArrayList<>();
         try (Stream<String> lines = Files.lines(DirectorProcess.log(root, director))) {
-            lines.map(EVENT::matcher).filter(Matcher::find).forEach(line -> all.add(new Logged(
+            lines.map(EVENT::matcher).filter(Matcher::find).forEach(line -> all.add(new LoggedEvent(
                     OffsetDateTime.parse(line.group(1)).toInstant().toEpochMilli(), Integer.parseInt(line.group(2)))));
         }
         return all;
     }
 
-    /** The version of the policy in force at a real director, or -1 while there is none or a change is under way. */
-    long version(DirectorProcess director) throws IOException {
+    /** Returns the policy version in force at a real director, or -1 if none or while a change is in progress. */
+    long policyVersion(DirectorProcess director) throws IOException {
         String answer = director.say("GET /policy HTTP/1.1\r\n\r\n");
         if (!answer.startsWith("HTTP/1.1 200")) {
             return -1;
@@ -238,7 +238,7 @@
         return shown.containsKey("next") ? -1 : ((Number) shown.get("version")).longValue();
     }
 
-    /** Ends all processes that were started here, by their ids, and removes their files. */
+    /** Terminates all processes started here and deletes their files. */
     @Override
     public void close() throws IOException {
         for (int i = parts.size() - 1; i >= 0; i--) {
--- a/src/test/java/clovermill/prove/scale/DiscoveryEndpoint.java
+++ b/src/test/java/clovermill/prove/scale/DiscoveryEndpoint.java
@@ -13,16 +13,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The one discovery endpoint that every director watches by long poll: it has no news and answers each poll when its
- * time is over. Counts connections, and bytes with {@link #HEADERS} more for each read or write.
+ * The discovery endpoint that every director polls: it has no events and answers each long poll when it times out.
+ * Counts connections, and bytes plus {@link #HEADER_BYTES} for each read or write.
  */
 final class DiscoveryEndpoint implements AutoCloseable {
 
-    /** IPv4 and TCP headers without options, for each segment. */
-    static final int HEADERS = 40;
-    private static final int MOST_CONNECTIONS = 4096;
+    /** Bytes of the IPv4 and TCP headers of a segment, without options. */
+    static final int HEADER_BYTES = 40;
+    private static final int ACCEPT_LIMIT = 4096;
 
-    /** Counts since the start, as the endpoint sees them. */
+    /** Counts since the start, from the point of view of the endpoint. */
     record Counts(long segmentsIn, long bytesIn, long segmentsOut, long bytesOut) {}
 
     private final Clock clock = Clock.system();
@@ -35,11 +35,11 @@
     private final AtomicLong segmentsOut = new AtomicLong();
     private final AtomicLong bytesOut = new AtomicLong();
     private volatile int connections;
-    private volatile int mostConnections;
+    private volatile int maxConnections;
 
     DiscoveryEndpoint() throws IOException {
-        listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST_CONNECTIONS, () -> {},
-                Poll::new);
+        listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), ACCEPT_LIMIT, () -> {},
+                PollPeer::new);
         thread = new Thread(() -> {
             try {
                 loop.run();
@@ -63,8 +63,8 @@
         return connections;
     }
 
-    int mostConnections() {
-        return mostConnections;
+    int maxConnections() {
+        return maxConnections;
     }
 
     long threadId() {
@@ -76,18 +76,18 @@
         loop.post(loop::stop);
     }
 
-    private final class Poll extends LinePeer {
+    private final class PollPeer extends LinePeer {
 
-        Poll(Connection connection) {
+        PollPeer(Connection connection) {
             super(connection);
             connections++;
-            mostConnections = Math.max(mostConnections, connections);
+            maxConnections = Math.max(maxConnections, connections);
         }
 
         @Override
         public void received(ByteBuffer data) {
             segmentsIn.incrementAndGet();
-            bytesIn.addAndGet(data.remaining() + HEADERS);
+            bytesIn.addAndGet(data.remaining() + HEADER_BYTES);
             super.received(data);
         }
 
@@ -101,7 +101,7 @@
             String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
             deadlines.add(clock.micros() + blockMs * 1000, () -> {
                 segmentsOut.incrementAndGet();
-                bytesOut.addAndGet(answer.length() + HEADERS);
+                bytesOut.addAndGet(answer.length() + HEADER_BYTES);
                 say(answer);
             });
         }
--- a/src/test/java/clovermill/prove/scale/Figures.java
+++ b/src/test/java/clovermill/prove/scale/Figures.java
@@ -1,6 +1,6 @@
 package clovermill.prove.scale;
 
-/** Rows of one size and rate, which are void if the machine was overloaded while they were measured. */
+/** Adds rows of one size and rate to a table; they are void if the machine was overloaded during the measurement. */
 record Figures(ResultTable table, int size, String rate, String overload) {
 
     /** Kinds of directors. */
@@ -8,17 +8,17 @@
     static final String REAL = "real";
     static final String VOTER = "voter";
 
-    /** Adds a figure, or that it is void. */
+    /** Adds a figure, or a void row if the machine was overloaded. */
     void add(String kind, String metric, double value, String unit, String note) {
         if (overload == null) {
-            addAlways(kind, metric, value, unit, note);
+            addUnconditionally(kind, metric, value, unit, note);
         } else {
             table.addVoid(kind, size, rate, metric, unit, overload);
         }
     }
 
-    /** Adds a figure about the machine itself, which holds however busy that was. */
-    void addAlways(String kind, String metric, double value, String unit, String note) {
+    /** Adds a figure that is valid even if the machine was overloaded. */
+    void addUnconditionally(String kind, String metric, double value, String unit, String note) {
         table.add(kind, size, rate, metric, value, unit, note);
     }
 }
--- a/src/test/java/clovermill/prove/scale/HollowDirector.java
+++ b/src/test/java/clovermill/prove/scale/HollowDirector.java
@@ -23,17 +23,17 @@
 import java.util.function.BiConsumer;
 
 /**
- * A director without clients: the control parts on an event loop with its own thread, wired as {@code
- * director.Assembly} wires them, with a clock that is off by an amount of its own. What an event or a policy does to
- * the module and to members is left out; the observer is told instead. It ends with its process.
+ * A director without clients: the control plane on an event loop with its own thread, wired as in {@code
+ * director.Assembly}, with an individual clock offset. Events and policies are not applied to a router and its members;
+ * the observer is notified instead. It runs until its process exits.
  */
 final class HollowDirector {
 
     static final String LOOP_THREAD = "hollow-";
-    /** Directors of a process begin at different moments of an interval, as those of different machines do. */
+    /** Directors of a process start at different times within an interval, like those of different machines. */
     private static final long STAGGER_US = 1_000_000;
 
-    /** Hears what is in force at a director, on the director's loop. */
+    /** A listener that is notified, on the director's loop, of events and policies that take effect there. */
     interface Observer {
         void event(int director, String id);
 
@@ -64,30 +64,30 @@
     private final PolicyStore accord;
     private final Thread thread;
 
-    /** Begins at once; {@code stagger}, from 0 to 1, sets when within a second. */
+    /** Starts the director; {@code stagger}, from 0 to 1, is its start time within the first second. */
     HollowDirector(int number, Path settings, Config config, long clockOffsetUs, double stagger, Observer observer)
             throws Exception {
         Clock clock = new OffsetClock(clockOffsetUs);
         Deadlines deadlines = new Deadlines();
         loop = new EventLoop(clock, deadlines);
-        SettingsFile own = SettingsFile.read(settings.toString());
-        fleet = new GossipService(own.part("fleet", GossipSettings.class).orElseThrow(), config.classes(),
+        SettingsFile file = SettingsFile.read(settings.toString());
+        fleet = new GossipService(file.part("fleet", GossipSettings.class).orElseThrow(), config.classes(),
                 config.settings().answerSlackUs(), clock, deadlines, null);
-        PolicyStoreSettings agreed = own.part("accord", PolicyStoreSettings.class).orElseThrow();
+        PolicyStoreSettings policySettings = file.part("accord", PolicyStoreSettings.class).orElseThrow();
         Placement placement = new Placement(clock, config.settings(), config.zones(), config.classes(),
-                agreed.rejectsAllWithoutLease(), null);
+                policySettings.rejectsAllWithoutLease(), null);
         PolicyRules rules = new PolicyRules(document -> placement.rejection(document.text()).orElse(null),
                 (one, other) -> placement.sameWithoutLease(one.text(), other.text()));
-        accord = new PolicyStore(agreed, rules, clock, loop::post, view -> observer.policy(number, view));
+        accord = new PolicyStore(policySettings, rules, clock, loop::post, view -> observer.policy(number, view));
         DiscoveryEvents known = DiscoveryEventParser.parse(config.known(), config.zones(), config.kinds());
         DiscoveryClient channel = new DiscoveryClient(loop, clock, deadlines, config.channel(),
                 new DiscoverySettings(config.zones(), config.kinds(), config.settings().dialTimeoutUs(),
                         Math.min(config.settings().drainGraceUs(), config.settings().purgeNoticeUs())),
-                known.cursor(), news -> {});
+                known.cursor(), events -> {});
         deadlines.add(clock.micros() + (long) (stagger * STAGGER_US), () -> {
             channel.start();
             accord.start();
-            fleet.open(loop, (id, on) -> observer.event(number, id));
+            fleet.open(loop, (id, disabled) -> observer.event(number, id));
         });
         thread = new Thread(this::run, LOOP_THREAD + number);
         thread.setDaemon(true);
@@ -102,12 +102,12 @@
         }
     }
 
-    /** Has an event begin here that is to reach all directors. */
-    void put(String id) {
+    /** Publishes an event at this director for delivery to all others. */
+    void publish(String id) {
         loop.post(() -> fleet.replicateOutage(id, true));
     }
 
-    /** Hands in a policy as an operator at this director would. */
+    /** Proposes a policy at this director, like an operator. */
     void propose(long follows, String policy, BiConsumer<ProposalResult, Long> done) {
         accord.requestChange(follows, PolicyDocument.of(policy), done);
     }
--- a/src/test/java/clovermill/prove/scale/HollowFigures.java
+++ b/src/test/java/clovermill/prove/scale/HollowFigures.java
@@ -3,17 +3,18 @@
 import java.util.Map;
 
 /**
- * What a hollow process has used since its start, and which policies are in force in it.
+ * The resource use of a hollow process since its start, and the policies in force in it.
  *
- * @param processNs processor time of the process, without its own probe and its commands
- * @param threadNs processor time of the directors' own threads
- * @param residentKb resident set now
- * @param heapKb heap in use now
- * @param residentBeforeKb resident set before the directors began
- * @param heapBeforeKb heap in use, collected, before they began
- * @param ticks ticks of the probe, and how many of them came late
- * @param inForce by version of the policy, at how many directors it was or is in force alone
- * @param lastMs by version, when it came into force at the last of them, in Unix milliseconds
+ * @param processNs CPU time of the process, without its probe and its command thread
+ * @param threadNs CPU time of the directors' own threads
+ * @param residentKb current resident set
+ * @param heapKb heap currently in use
+ * @param residentBeforeKb resident set before the directors were started
+ * @param heapBeforeKb heap in use after a collection, before they were started
+ * @param ticks ticks of the probe
+ * @param lateTicks ticks of the probe that were late
+ * @param inForce by policy version, the number of directors at which it is or was the only version in force
+ * @param lastMs by policy version, when it last took effect at a director, in Unix milliseconds
  */
 record HollowFigures(long processNs, long threadNs, long residentKb, long heapKb, long residentBeforeKb,
         long heapBeforeKb, long ticks, long lateTicks, Map<Long, Integer> inForce, Map<Long, Long> lastMs) {}
--- a/src/test/java/clovermill/prove/scale/HollowProcess.java
+++ b/src/test/java/clovermill/prove/scale/HollowProcess.java
@@ -22,38 +22,44 @@
 import java.util.SplittableRandom;
 
 /**
- * A process with many hollow directors. It takes commands from standard input, one a line, and answers those that ask
- * for something with a line of JSON; at the end of its input it ends.
+ * A process with many hollow directors. It reads commands from standard input, one a line, answers queries with a line
+ * of JSON, and exits at the end of its input.
  *
  * <pre>
- * open                      begins all directors
- * put DIRECTOR EVENT        has an event begin at a director; no answer
- * events FROM TO            at how many directors the events are in force, and since when at the last
- * figures [collected]       {@link HollowFigures}, after a collection of the heap if so asked
- * policy DIRECTOR FOLLOWS TEXT   hands in a policy; answered when the leader has answered
+ * open                      starts all directors
+ * put DIRECTOR EVENT        publishes an event at a director; no answer
+ * events FROM TO            {@link Events} for a range of events
+ * figures [collected]       {@link HollowFigures}, optionally after a garbage collection
+ * policy DIRECTOR FOLLOWS TEXT   proposes a policy; answered once the leader has answered
  * </pre>
  */
 final class HollowProcess implements HollowDirector.Observer {
 
-    /** What the driver tells a process at its start: its directors, by number, and the files of each. */
+    /** The start parameters of a process: the range of its directors and their files. */
     record Plan(int first, int count, String settingsPattern, String configuration, String log, long seed) {}
 
-    /** The answer to {@code events}. */
-    record Events(int[] counts, long[] lastMs, long overtaken) {}
+    /**
+     * The answer to {@code events}.
+     *
+     * @param counts by event, the number of directors at which it is in force
+     * @param lastMs by event, when it last took effect at a director, in Unix milliseconds
+     * @param outOfOrder deliveries since the start that followed an event published later
+     */
+    record Events(int[] counts, long[] lastMs, long outOfOrder) {}
 
     /** The answer to {@code policy}. */
-    record Proposed(String taken, long version) {}
+    record ProposalAnswer(String result, long version) {}
 
-    static final String EVENT = "e-";
-    /** Clocks of directors are off by up to so much either way. */
-    private static final long MOST_OFFSET_US = 600_000_000L;
+    static final String EVENT_PREFIX = "e-";
+    /** The maximum clock offset of a director, in either direction. */
+    private static final long MAX_CLOCK_OFFSET_US = 600_000_000L;
 
     private final Plan plan;
     private final ObjectMapper json = new ObjectMapper();
     private final PrintStream out = System.out;
     private final TickProbe probe = new TickProbe();
     private final List<HollowDirector> directors = new ArrayList<>();
-    private final Arrivals arrivals;
+    private final DeliveryLog deliveries;
     private final long[] versions;
     private final Map<Long, Integer> inForce = new HashMap<>();
     private final Map<Long, Long> inForceMs = new HashMap<>();
@@ -62,7 +68,7 @@
 
     private HollowProcess(Plan plan) {
         this.plan = plan;
-        this.arrivals = new Arrivals(plan.count());
+        this.deliveries = new DeliveryLog(plan.count());
         this.versions = new long[plan.count()];
     }
 
@@ -81,12 +87,13 @@
             String[] words = line.split(" ", 4);
             switch (words[0]) {
                 case "open" -> open();
-                case "put" -> at(words[1]).put(EVENT + words[2]);
+                case "put" -> at(words[1]).publish(EVENT_PREFIX + words[2]);
                 case "events" -> answer(events(Integer.parseInt(words[1]), Integer.parseInt(words[2])));
                 case "figures" -> answer(figures(words.length > 1));
                 case "policy" -> at(words[1]).propose(Long.parseLong(words[2]), words[3],
-                        (taken, version) -> answer(new Proposed(taken == null ? "NO_ROOM" : taken.name(), version)));
-                default -> throw new IOException("not a command: " + line);
+                        (result, version) -> answer(
+                                new ProposalAnswer(result == null ? "NO_ROOM" : result.name(), version)));
+                default -> throw new IOException("unknown command: " + line);
             }
         }
     }
@@ -105,13 +112,14 @@
 
     private void open() throws Exception {
         Config config = Config.load(plan.configuration(), null);
-        SettingsFile.read(settings(0)); // loads what the reading of settings needs, which is no part of a director
+        // Loads the classes that reading settings needs, so that they are not counted as memory of the directors.
+        SettingsFile.read(settings(0));
         heapBeforeKb = heapKb(true);
         residentBeforeKb = ProcessTable.residentKb(ProcessHandle.current().pid());
         SplittableRandom random = new SplittableRandom(plan.seed());
         for (int i = 0; i < plan.count(); i++) {
             directors.add(new HollowDirector(plan.first() + i, Path.of(settings(i)), config,
-                    random.nextLong(-MOST_OFFSET_US, MOST_OFFSET_US), random.nextDouble(), this));
+                    random.nextLong(-MAX_CLOCK_OFFSET_US, MAX_CLOCK_OFFSET_US), random.nextDouble(), this));
         }
         answer(figures(false));
     }
@@ -122,8 +130,8 @@
 
     @Override
     public void event(int director, String id) {
-        if (id.startsWith(EVENT)) {
-            arrivals.arrived(director - plan.first(), Integer.parseInt(id.substring(EVENT.length())),
+        if (id.startsWith(EVENT_PREFIX)) {
+            deliveries.delivered(director - plan.first(), Integer.parseInt(id.substring(EVENT_PREFIX.length())),
                     System.currentTimeMillis());
         }
     }
@@ -135,7 +143,7 @@
         }
         synchronized (inForce) {
             int index = director - plan.first();
-            long version = view.step().version() + 1; // the array begins with 0 for a director that knows none
+            long version = view.step().version() + 1; // 0 means that the director has no version yet
             if (versions[index] < version) {
                 versions[index] = version;
                 inForce.merge(view.step().version(), 1, Integer::sum);
@@ -145,7 +153,7 @@
     }
 
     private Events events(int from, int to) {
-        return new Events(arrivals.counts(from, to), arrivals.lastMs(from, to), arrivals.overtaken());
+        return new Events(deliveries.counts(from, to), deliveries.lastMs(from, to), deliveries.outOfOrder());
     }
 
     private HollowFigures figures(boolean collected) {
--- a/src/test/java/clovermill/prove/scale/HollowHandle.java
+++ b/src/test/java/clovermill/prove/scale/HollowProcessHandle.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A {@link HollowProcess} as the driver sees it. Calls that are answered wait for the answer. */
-final class HollowHandle implements AutoCloseable {
+/** The driver's handle of a {@link HollowProcess}. Calls that have an answer block until it arrives. */
+final class HollowProcessHandle implements AutoCloseable {
 
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-    private static final long END_S = 5;
+    private static final long EXIT_TIMEOUT_S = 5;
 
     private final ObjectMapper json = new ObjectMapper();
     private final HollowProcess.Plan plan;
@@ -24,10 +24,10 @@
     private final Writer commands;
     private final BufferedReader answers;
 
-    /** Starts a process; its own faults go to {@code errors}. */
-    HollowHandle(HollowProcess.Plan plan, File errors) throws IOException {
+    /** Starts a process; its standard error is appended to {@code errors}. */
+    HollowProcessHandle(HollowProcess.Plan plan, File errors) throws IOException {
         this.plan = plan;
-        // The collector, compiler and stacks of deploy/balancer.toml.
+        // The same collector, compiler and stack size as in deploy/balancer.toml.
         process = new ProcessBuilder(JAVA, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xss512k", "-Xmx192m",
                 "-Djava.net.preferIPv4Stack=true", "-cp", System.getProperty("java.class.path"),
                 HollowProcess.class.getName(), json.writeValueAsString(plan))
@@ -40,47 +40,47 @@
         return plan;
     }
 
-    boolean holds(int director) {
+    boolean contains(int director) {
         return director >= plan.first() && director < plan.first() + plan.count();
     }
 
-    void tell(String command) throws IOException {
+    void send(String command) throws IOException {
         synchronized (commands) {
             commands.write(command + "\n");
             commands.flush();
         }
     }
 
-    private synchronized <T> T ask(String command, Class<T> type) throws IOException {
-        tell(command);
+    private synchronized <T> T call(String command, Class<T> type) throws IOException {
+        send(command);
         String answer = answers.readLine();
         if (answer == null) {
-            throw new IOException("a hollow process has ended");
+            throw new IOException("the hollow process has exited");
         }
         return json.readValue(answer, type);
     }
 
     void open() throws IOException {
-        ask("open", HollowFigures.class);
+        call("open", HollowFigures.class);
     }
 
     HollowFigures figures(boolean collected) throws IOException {
-        return ask(collected ? "figures collected" : "figures", HollowFigures.class);
+        return call(collected ? "figures collected" : "figures", HollowFigures.class);
     }
 
     HollowProcess.Events events(int from, int to) throws IOException {
-        return ask("events " + from + " " + to, HollowProcess.Events.class);
+        return call("events " + from + " " + to, HollowProcess.Events.class);
     }
 
-    HollowProcess.Proposed propose(int director, long follows, String policy) throws IOException {
-        return ask("policy " + director + " " + follows + " " + policy, HollowProcess.Proposed.class);
+    HollowProcess.ProposalAnswer propose(int director, long follows, String policy) throws IOException {
+        return call("policy " + director + " " + follows + " " + policy, HollowProcess.ProposalAnswer.class);
     }
 
     @Override
     public void close() throws IOException {
         process.getOutputStream().close();
         try {
-            if (!process.waitFor(END_S, TimeUnit.SECONDS)) {
+            if (!process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
                 process.destroyForcibly().waitFor();
             }
         } catch (InterruptedException interrupted) {
@@ -89,7 +89,7 @@
         }
     }
 
-    static List<Integer> directors(List<HollowHandle> all) {
+    static List<Integer> directors(List<HollowProcessHandle> all) {
         return all.stream().flatMap(each -> java.util.stream.IntStream.range(each.plan.first(), each.plan.first()
                 + each.plan.count()).boxed()).toList();
     }
--- a/src/test/java/clovermill/prove/scale/LinearFit.java
+++ b/src/test/java/clovermill/prove/scale/LinearFit.java
@@ -3,11 +3,11 @@
 /**
  * A straight line through points by least squares.
  *
- * @param residuals measured less fitted, by point
+ * @param residuals measured minus fitted value of each point
  */
 record LinearFit(double intercept, double slope, double[] residuals) {
 
-    /** The line through two points or more that do not all lie above one another. */
+    /** Returns the least-squares line through at least two points with different x. */
     static LinearFit of(double[] x, double[] y) {
         double meanX = mean(x);
         double meanY = mean(y);
@@ -18,7 +18,7 @@
             variance += (x[i] - meanX) * (x[i] - meanX);
         }
         if (x.length != y.length || !(variance > 0)) {
-            throw new IllegalArgumentException("no line through " + x.length + " points at one place");
+            throw new IllegalArgumentException("cannot fit a line through " + x.length + " points with equal x");
         }
         double slope = covariance / variance;
         double intercept = meanY - slope * meanX;
@@ -33,16 +33,16 @@
         return intercept + slope * x;
     }
 
-    /** The largest residual, without its sign. */
-    double mostResidual() {
-        double most = 0;
+    /** Returns the largest absolute residual. */
+    double maxResidual() {
+        double max = 0;
         for (double each : residuals) {
-            most = Math.max(most, Math.abs(each));
+            max = Math.max(max, Math.abs(each));
         }
-        return most;
+        return max;
     }
 
-    /** By how much a prediction misses what was measured, as a share of that. */
+    /** Returns the absolute error of a prediction as a share of the measured value. */
     double error(double x, double measured) {
         return measured == 0 ? Math.abs(at(x)) : Math.abs(at(x) - measured) / Math.abs(measured);
     }
--- a/src/test/java/clovermill/prove/scale/LinkEmulator.java
+++ b/src/test/java/clovermill/prove/scale/LinkEmulator.java
@@ -15,19 +15,19 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * The links between directors. It owns the address under which each director is known to the others, takes what comes
- * there, knows the sender by its source address, and passes it on to the director's own socket as {@link LinkRules}
- * tell. Counts datagrams and bytes by director, with the IP and UDP headers. A few threads, each with a part of the
- * directors.
+ * Emulates the links between directors. It owns the address under which each director is known to the others, receives
+ * datagrams there, identifies the sender by its source address, and forwards them to the director's own socket
+ * according to {@link LinkRules}. Counts datagrams and bytes, including IP and UDP headers, by director. Each of a few
+ * threads serves a part of the directors.
  */
 final class LinkEmulator implements AutoCloseable {
 
-    /** IPv4 and UDP headers of a datagram. */
-    static final int HEADERS = 28;
-    private static final int LARGEST_DATAGRAM = 1 << 16;
-    private static final int RECEIVE_BUFFER = 1 << 22;
-    /** Datagrams taken from one socket in one turn. */
-    private static final int TURN = 64;
+    /** Bytes of the IPv4 and UDP headers of a datagram. */
+    static final int HEADER_BYTES = 28;
+    private static final int MAX_DATAGRAM_BYTES = 1 << 16;
+    private static final int RECEIVE_BUFFER_BYTES = 1 << 22;
+    /** Maximum number of datagrams received from a socket before other sockets are served. */
+    private static final int RECEIVE_BATCH = 64;
     private static final long NS_PER_MS = 1_000_000;
 
     /** Datagrams and bytes of one part, by director, since the start. */
@@ -55,13 +55,13 @@
         }
         for (int i = 0; i < topology.directors(); i++) {
             for (Part part : Part.values()) {
-                workers.get(i % threads).take(i, part);
+                workers.get(i % threads).open(i, part);
             }
         }
         workers.forEach(Thread::start);
     }
 
-    /** What has been counted for a part. */
+    /** Returns the counts of a part. */
     Counts counts(Part part) {
         return new Counts(sum(part, 0), sum(part, 1), sum(part, 2), sum(part, 3));
     }
@@ -76,7 +76,7 @@
         return all;
     }
 
-    /** Datagrams that could not be passed on or came from nobody. */
+    /** Returns the number of datagrams that could not be forwarded or had an unknown sender. */
     long faults() {
         return workers.stream().mapToLong(worker -> worker.faults).sum();
     }
@@ -89,13 +89,13 @@
         }
     }
 
-    /** One thread with the sockets of some directors. */
+    /** A thread that serves the sockets of some directors. */
     private final class Worker extends Thread {
         private final Selector selector = Selector.open();
         private final SplittableRandom random;
         private final PriorityQueue<Pending> pending = new PriorityQueue<>();
-        private final ByteBuffer buffer = ByteBuffer.allocateDirect(LARGEST_DATAGRAM);
-        /** By part: datagrams and bytes out, datagrams and bytes in. */
+        private final ByteBuffer buffer = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES);
+        /** Counts by part: datagrams out, bytes out, datagrams in, bytes in. */
         private final AtomicLongArray[][] counts = new AtomicLongArray[Part.values().length][4];
         private long number;
         private volatile long faults;
@@ -111,9 +111,9 @@
             }
         }
 
-        void take(int director, Part part) throws IOException {
+        void open(int director, Part part) throws IOException {
             DatagramChannel channel = DatagramChannel.open();
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER);
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
             channel.bind(topology.link(director, part));
             channel.configureBlocking(false);
             channel.register(selector, SelectionKey.OP_READ,
@@ -130,7 +130,7 @@
                     } else {
                         selector.select(this::receive, Math.max(1, Math.min(100, waitNs / NS_PER_MS)));
                     }
-                    pass();
+                    forwardDue();
                 }
                 for (SelectionKey key : selector.keys()) {
                     key.channel().close();
@@ -144,7 +144,7 @@
         private void receive(SelectionKey key) {
             Target target = (Target) key.attachment();
             try {
-                for (int i = 0; i < TURN; i++) {
+                for (int i = 0; i < RECEIVE_BATCH; i++) {
                     buffer.clear();
                     InetSocketAddress source = (InetSocketAddress) target.channel.receive(buffer);
                     if (source == null) {
@@ -152,8 +152,8 @@
                     }
                     accept(topology.directorAt(source.getAddress()), target);
                 }
-            } catch (IOException refused) {
-                faults++; // what the machine sends back where a director has no socket yet
+            } catch (IOException unreachable) {
+                faults++; // ICMP port unreachable from a director that has no socket yet
             }
         }
 
@@ -164,7 +164,7 @@
             }
             AtomicLongArray[] count = counts[target.part.ordinal()];
             add(count[0], from, 1);
-            add(count[1], from, buffer.position() + HEADERS);
+            add(count[1], from, buffer.position() + HEADER_BYTES);
             long delayUs = rules.delayUs(from, target.director, random);
             if (delayUs != LinkRules.LOST) {
                 byte[] bytes = new byte[buffer.flip().remaining()];
@@ -173,17 +173,17 @@
             }
         }
 
-        private void pass() {
+        private void forwardDue() {
             long nowNs = System.nanoTime();
             while (!pending.isEmpty() && pending.peek().dueNs <= nowNs) {
                 Pending next = pending.poll();
                 AtomicLongArray[] count = counts[next.target.part.ordinal()];
                 add(count[2], next.target.director, 1);
-                add(count[3], next.target.director, next.bytes.length + HEADERS);
+                add(count[3], next.target.director, next.bytes.length + HEADER_BYTES);
                 try {
                     buffer.clear().put(next.bytes).flip();
                     faults += next.target.channel.send(buffer, next.target.real) > 0 ? 0 : 1;
-                } catch (IOException refused) {
+                } catch (IOException unreachable) {
                     faults++;
                 }
             }
--- a/src/test/java/clovermill/prove/scale/LinkRules.java
+++ b/src/test/java/clovermill/prove/scale/LinkRules.java
@@ -5,42 +5,44 @@
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
 
-/** What becomes of a datagram between two directors: how long it takes, or that it is lost. Does no I/O. */
+/** Decides the delay or loss of a datagram between two directors. Does no I/O. */
 final class LinkRules {
 
-    /** A datagram that does not arrive. */
+    /** The delay of a datagram that is lost. */
     static final long LOST = -1;
 
-    /** A cut of one direction: nothing from these directors reaches those. */
-    record Cut(IntPredicate from, IntPredicate to) {}
+    /** A partition in one direction: no datagram from matching senders reaches matching receivers. */
+    record Partition(IntPredicate from, IntPredicate to) {}
 
     private final double loss;
     private final double delayShare;
-    private final List<Cut> cuts = new CopyOnWriteArrayList<>();
+    private final List<Partition> partitions = new CopyOnWriteArrayList<>();
 
     /**
-     * {@code loss} is the share of datagrams that are lost at random, {@code delayShare} what part of the delay that
-     * follows from the places links have.
+     * Creates rules without a partition.
+     *
+     * @param loss share of datagrams that are lost at random
+     * @param delayShare factor on the link delays between locations
      */
     LinkRules(double loss, double delayShare) {
         this.loss = loss;
         this.delayShare = delayShare;
     }
 
-    /** Cuts one direction from now on. */
-    void cut(Cut cut) {
-        cuts.add(cut);
+    /** Adds a partition, effective immediately. */
+    void partition(Partition partition) {
+        partitions.add(partition);
     }
 
-    /** Ends all cuts. */
+    /** Removes all partitions. */
     void heal() {
-        cuts.clear();
+        partitions.clear();
     }
 
-    /** The delay of one datagram in microseconds, or {@link #LOST}. */
+    /** Returns the delay of a datagram in microseconds, or {@link #LOST}. */
     long delayUs(int from, int to, RandomGenerator random) {
-        for (Cut cut : cuts) {
-            if (cut.from.test(from) && cut.to.test(to)) {
+        for (Partition partition : partitions) {
+            if (partition.from.test(from) && partition.to.test(to)) {
                 return LOST;
             }
         }
--- a/src/test/java/clovermill/prove/scale/LinkRulesTest.java
+++ b/src/test/java/clovermill/prove/scale/LinkRulesTest.java
@@ -8,14 +8,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What the link emulator decides: delays by place, loss, cuts of one direction, and whose an address is. */
+/** Tests delays by location, loss, one-way partitions, and the mapping between addresses and directors. */
 class LinkRulesTest {
 
     private static final int SIZE = 1_080;
     private final SplittableRandom random = new SplittableRandom(1);
 
     @Test
-    void theDelayFollowsFromThePlacesOfBoth() {
+    void delayDependsOnLocationsOfBothDirectors() {
         LinkRules rules = new LinkRules(0, 1);
         assertThat(rules.delayUs(0, 72, random)).isEqualTo(2_000); // region 0, zone 0 both
         assertThat(rules.delayUs(0, 6, random)).isEqualTo(10_000); // region 0, zones 0 and 1
@@ -23,12 +23,12 @@
     }
 
     @Test
-    void delaysCanBeAShareOfThoseOfThePlaces() {
+    void delayShareScalesDelay() {
         assertThat(new LinkRules(0, 0.1).delayUs(0, 1, random)).isEqualTo(8_000);
     }
 
     @Test
-    void thereAreSixRegionsOfTwelveZones() {
+    void hasSixRegionsOfTwelveZones() {
         Set<Integer> places = new HashSet<>();
         for (int i = 0; i < SIZE; i++) {
             places.add(Topology.region(i) * Topology.ZONES + Topology.zone(i));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void theGivenShareIsLost() {
+    void losesConfiguredShareOfDatagrams() {
         LinkRules rules = new LinkRules(0.01, 1);
         int lost = 0;
         for (int i = 0; i < 100_000; i++) {
@@ -47,9 +47,9 @@
     }
 
     @Test
-    void aCutHoldsInOneDirectionUntilItIsHealed() {
+    void partitionBlocksOneDirectionUntilHealed() {
         LinkRules rules = new LinkRules(0, 1);
-        rules.cut(new LinkRules.Cut(i -> i < 10, i -> i >= 10));
+        rules.partition(new LinkRules.Partition(i -> i < 10, i -> i >= 10));
         assertThat(rules.delayUs(3, 12, random)).isEqualTo(LinkRules.LOST);
         assertThat(rules.delayUs(12, 3, random)).isPositive();
         assertThat(rules.delayUs(3, 4, random)).isPositive();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aDirectorIsKnownByItsOwnAddressAndByNoOther() {
+    void mapsOnlyOwnAddressToDirector() {
         Topology topology = new Topology(SIZE, 7946, 7960);
         Set<String> all = new HashSet<>();
         for (int i = 0; i < SIZE; i++) {
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void settingsNameADirectorsOwnAddressInItsPlaceAndLinksElsewhere() {
+    void addressesHaveOwnSocketForSelfAndLinksForOthers() {
         Topology topology = new Topology(3, 7946, 7960);
         assertThat(topology.addresses(1, Part.ACCORD)).containsExactly("127.21.0.1:7960", "127.20.0.2:7960",
                 "127.21.0.3:7960");
--- a/src/test/java/clovermill/prove/scale/ProcessTable.java
+++ b/src/test/java/clovermill/prove/scale/ProcessTable.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** What Linux tells of processes and of the machine, under {@code /proc}. */
+/** Reads statistics of processes and of the machine from {@code /proc} on Linux. */
 final class ProcessTable {
 
     private static final Path PROC = Path.of("/proc");
 
-    /** Ticks that all cores have spent idle, and in all. */
+    /** The idle and total ticks of all cores. */
     record Cores(long idle, long all) {
 
-        /** The share of the time since an earlier reading in which cores were idle. */
+        /** Returns the share of idle time since an earlier reading. */
         double idleSince(Cores before) {
             return (double) (idle - before.idle) / Math.max(1, all - before.all);
         }
@@ -22,14 +22,14 @@
 
     private ProcessTable() {}
 
-    /** The resident set of a process in KB. */
+    /** Returns the resident set of a process in KB. */
     static long residentKb(long pid) {
         return lines(PROC.resolve(pid + "/status")).filter(line -> line.startsWith("VmRSS:"))
                 .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", ""))).findFirst().orElse(0);
     }
 
-    /** Processor time of all threads of a process that run now, in nanoseconds. */
-    static long processorNs(long pid) {
+    /** Returns the CPU time of all current threads of a process, in nanoseconds. */
+    static long cpuNs(long pid) {
         try (Stream<Path> threads = Files.list(PROC.resolve(pid + "/task"))) {
             return threads.mapToLong(thread -> lines(thread.resolve("schedstat"))
                     .mapToLong(line -> Long.parseLong(line.split(" ")[0])).findFirst().orElse(0)).sum();
@@ -38,8 +38,8 @@
         }
     }
 
-    /** Processor time of the threads of a process that have a name, in nanoseconds. */
-    static long processorNs(long pid, String threadName) {
+    /** Returns the CPU time of the threads of a process that have the given name, in nanoseconds. */
+    static long cpuNs(long pid, String threadName) {
         try (Stream<Path> threads = Files.list(PROC.resolve(pid + "/task"))) {
             return threads.filter(thread -> lines(thread.resolve("comm")).anyMatch(threadName::equals))
                     .mapToLong(thread -> lines(thread.resolve("schedstat"))
@@ -50,7 +50,7 @@
         }
     }
 
-    /** What all cores have spent since the machine's start. */
+    /** Returns the ticks of all cores since boot. */
     static Cores cores() {
         String[] fields = lines(PROC.resolve("stat")).findFirst().orElseThrow().trim().split("\\s+");
         long all = 0;
@@ -60,7 +60,7 @@
         return new Cores(Long.parseLong(fields[4]) + Long.parseLong(fields[5]), all);
     }
 
-    /** Datagrams that found a socket's receive buffer full, since the machine's start. */
+    /** Returns the datagrams dropped at full receive buffers since boot. */
     static long droppedDatagrams() {
         List<String> udp = lines(PROC.resolve("net/snmp")).filter(line -> line.startsWith("Udp:")).toList();
         List<String> names = List.of(udp.get(0).split(" "));
--- a/src/test/java/clovermill/prove/scale/ResultTable.java
+++ b/src/test/java/clovermill/prove/scale/ResultTable.java
@@ -10,16 +10,16 @@
 import java.util.function.Predicate;
 
 /**
- * Figures in rows, one a figure, and the CSV file that holds them: comment lines that say how they came about, a
- * header, rows. A figure that was taken on an overloaded machine is {@link #VOID}.
+ * A table of figures, one a row, and its CSV file: comment lines that describe the run, a header, rows. A figure that
+ * was measured on an overloaded machine is {@link #VOID}.
  */
 final class ResultTable {
 
     static final String VOID = "void";
     private static final String HEADER = "kind,size,rate,metric,value,unit,note";
     private static final int FIELDS = 7;
-    /** What rounding leaves of nothing. */
-    private static final double NOTHING = 1e-9;
+    /** Smaller absolute values are rounding errors of zero. */
+    private static final double ZERO_TOLERANCE = 1e-9;
 
     /** One figure. */
     record Row(String kind, int size, String rate, String metric, String value, String unit, String note) {
@@ -38,7 +38,7 @@
     private final List<String> comments = new ArrayList<>();
     private final List<Row> rows = new ArrayList<>();
 
-    /** What a file holds, or nothing if there is none. */
+    /** Reads a file; returns an empty table if it does not exist. */
     static ResultTable read(Path file) throws IOException {
         ResultTable table = new ResultTable();
         for (String line : Files.exists(file) ? Files.readAllLines(file) : List.<String>of()) {
@@ -51,7 +51,7 @@
         return table;
     }
 
-    /** Sets a comment line, in the place of the one of that name if there is one. */
+    /** Sets a comment line, replacing an existing one with the same name. */
     void comment(String name, String text) {
         String begin = "# " + name + ":";
         String line = begin + " " + text;
@@ -69,12 +69,12 @@
         rows.add(new Row(kind, size, rate, metric, number(value), unit, note.replace(',', ';')));
     }
 
-    /** Adds the place of a figure that is none. */
+    /** Adds a row for a figure that is void. */
     void addVoid(String kind, int size, String rate, String metric, String unit, String why) {
         rows.add(new Row(kind, size, rate, metric, VOID, unit, why.replace(',', ';')));
     }
 
-    /** Forgets the figures of a size whose kind is so. */
+    /** Removes the figures of a size whose kind matches. */
     void remove(int size, Predicate<String> kind) {
         rows.removeIf(row -> row.size == size && kind.test(row.kind));
     }
@@ -83,7 +83,7 @@
         return List.copyOf(rows);
     }
 
-    /** A figure, if it is there and not void. */
+    /** Returns a figure if it exists and is not void. */
     OptionalDouble value(String kind, int size, String rate, String metric) {
         return rows.stream().filter(row -> row.kind.equals(kind) && row.size == size && row.rate.equals(rate)
                 && row.metric.equals(metric) && !row.value.equals(VOID))
@@ -101,7 +101,7 @@
     }
 
     static String number(double value) {
-        if (Math.abs(value) < NOTHING) {
+        if (Math.abs(value) < ZERO_TOLERANCE) {
             return "0";
         }
         if (value == Math.rint(value) && Math.abs(value) < 1e9) {
--- a/src/test/java/clovermill/prove/scale/ResultTableTest.java
+++ b/src/test/java/clovermill/prove/scale/ResultTableTest.java
@@ -13,7 +13,7 @@
     private Path folder;
 
     @Test
-    void rowsAndCommentsComeBackFromTheFile() throws Exception {
+    void readsBackRowsAndReplacedComments() throws Exception {
         Path file = folder.resolve("capacity/scale.csv");
         ResultTable table = new ResultTable();
         table.comment("command", "first");
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aSizeThatIsMeasuredAgainReplacesItsRowsOnly() {
+    void removesRowsOfOneSizeByKind() {
         ResultTable table = new ResultTable();
         table.add("hollow", 60, "0", "lost", 0, "deliveries", "");
         table.add("hollow", 180, "0", "lost", 0, "deliveries", "");
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void figuresHaveFourDigits() {
+    void formatsFiguresWithFourDigits() {
         assertThat(ResultTable.number(0.0012345)).isEqualTo("0.001235");
         assertThat(ResultTable.number(12.3456)).isEqualTo("12.35");
         assertThat(ResultTable.number(123456.7)).isEqualTo("123457");
--- a/src/test/java/clovermill/prove/scale/ScaleProof.java
+++ b/src/test/java/clovermill/prove/scale/ScaleProof.java
@@ -15,8 +15,8 @@
 
 /**
  * The scale run ({@code make prove-scale}): real and hollow directors at several sizes, events at several rates, and
- * straight lines through what they cost. Rows go to {@code docs/capacity/scale.csv}, lines to {@code scale-fit.csv};
- * the last line of its output judges the figures at 540 directors.
+ * straight lines fitted to their costs. Writes rows to {@code docs/capacity/scale.csv} and fits to {@code
+ * scale-fit.csv}; the last line of the output compares the figures at 540 directors with their limits.
  */
 public final class ScaleProof {
 
@@ -28,28 +28,27 @@
     private static final double LOSS = 0.01;
     private static final String RATES = "0,9.1,36";
     private static final long SETTLE_MS = 5_000;
-    private static final long CUT_MS = 8_000;
+    private static final long PARTITION_MS = 8_000;
     private static final int CHANGES = 3;
-    /** The target's rate of events a second. */
+    /** The target rate of events a second. */
     private static final String TARGET_RATE = "9.1";
-    private static final double MOST_KB = 9;
-    private static final double MOST_CPU_PCT = 4.2;
-    private static final double MOST_MB = 32;
-    private static final double MOST_EVENT_S = 7.1;
-    private static final double MOST_CHANGE_S = 3;
-    /** What is fitted over sizes and judged at the size that was left out. */
+    private static final double MAX_KB = 9;
+    private static final double MAX_CPU_PCT = 4.2;
+    private static final double MAX_MB = 32;
+    private static final double MAX_EVENT_S = 7.1;
+    private static final double MAX_CHANGE_S = 3;
+    /** Metrics that are fitted over sizes and predicted at the size left out. */
     private static final List<String> FITTED = List.of("datagrams_out", "datagrams_in", "bytes_out", "bytes_in",
             "cpu_pct", "cpu_thread_pct", "heap_kb", "resident_kb", "event_p99_s");
-    /** The prediction's error is the worst of these. */
+    /** Metrics of which the worst prediction error is reported. */
     private static final List<String> PREDICTED = List.of("datagrams_out", "bytes_out", "bytes_in", "cpu_pct");
     private static final List<String> KINDS = List.of(Figures.HOLLOW, Figures.REAL, Figures.VOTER);
 
     private ScaleProof() {}
 
     /**
-     * Properties: sizes (none: only the lines and the judgement, from the rows that are there), rates, seconds, real,
-     * seed, folder, revision (for classes that were built earlier),
-     * changes-only (measures changes of the policy again and leaves the other rows).
+     * Properties: sizes (empty: only fits and result, from the existing rows), rates, seconds, real, seed, folder,
+     * revision (for classes built earlier), changes-only (measures policy changes again and keeps the other rows).
      */
     public static void main(String[] args) throws Exception {
         List<Integer> sizes = numbers(System.getProperty("sizes", "60,180,540"));
@@ -69,7 +68,7 @@
             table.write(rows);
         }
         writeFits(table, folder.resolve("scale-fit.csv"));
-        String line = line(table);
+        String line = resultLine(table);
         System.out.println(line);
         System.exit(line.endsWith("holds=true") ? 0 : 1);
     }
@@ -82,10 +81,10 @@
         long measureMs = seconds() * 1000L;
         List<Double> rates = changesOnly ? List.of() : Arrays.stream(System.getProperty("rates", RATES)
                 .split(",")).map(Double::valueOf).toList();
-        long cutMs = changesOnly ? 0 : CUT_MS;
+        long partitionMs = changesOnly ? 0 : PARTITION_MS;
         try (Cluster cluster = new Cluster(shape, seed)) {
-            ScaleRun.Terms terms = new ScaleRun.Terms(rates, SETTLE_MS, measureMs, cutMs, CHANGES, true);
-            new ScaleRun(cluster, terms, table, probe, seed).run();
+            ScaleRun.Schedule schedule = new ScaleRun.Schedule(rates, SETTLE_MS, measureMs, partitionMs, CHANGES, true);
+            new ScaleRun(cluster, schedule, table, probe, seed).run();
         }
     }
 
@@ -120,7 +119,7 @@
         }
     }
 
-    // ---- Lines through the figures ----------------------------------------------------------------
+    // ---- Fits -------------------------------------------------------------------------------------
 
     private static void writeFits(ResultTable table, Path file) throws IOException {
         List<String> lines = new ArrayList<>();
@@ -142,27 +141,27 @@
     }
 
     private static void overSize(ResultTable table, String kind, String metric, String rate, List<String> lines) {
-        List<Integer> there = sizes(table).stream().filter(size -> size <= TARGET
+        List<Integer> measuredSizes = sizes(table).stream().filter(size -> size <= TARGET
                 && table.value(kind, size, rate, metric).isPresent()).toList();
-        if (there.size() < 2) {
+        if (measuredSizes.size() < 2) {
             return;
         }
-        LinearFit all = bySize(table, kind, metric, rate, there);
+        LinearFit all = bySize(table, kind, metric, rate, measuredSizes);
         OptionalDouble measured = table.value(kind, TARGET, rate, metric);
         LinearFit below = below(table, kind, metric, rate);
         boolean predicts = below != null && measured.isPresent();
         lines.add(String.join(",", kind, "size", rate, metric, ResultTable.number(all.intercept()),
-                ResultTable.number(all.slope()), ResultTable.number(all.mostResidual()), "" + there.size(),
+                ResultTable.number(all.slope()), ResultTable.number(all.maxResidual()), "" + measuredSizes.size(),
                 below == null ? "" : ResultTable.number(below.at(TARGET)),
                 predicts ? ResultTable.number(measured.getAsDouble()) : "",
                 predicts ? ResultTable.number(below.error(TARGET, measured.getAsDouble())) : ""));
     }
 
-    /** The line through the sizes below the target, or null if there are fewer than two. */
+    /** Returns the line through the sizes below the target, or null if there are fewer than two. */
     private static LinearFit below(ResultTable table, String kind, String metric, String rate) {
-        List<Integer> there = sizes(table).stream().filter(size -> size < TARGET
+        List<Integer> measuredSizes = sizes(table).stream().filter(size -> size < TARGET
                 && table.value(kind, size, rate, metric).isPresent()).toList();
-        return there.size() < 2 ? null : bySize(table, kind, metric, rate, there);
+        return measuredSizes.size() < 2 ? null : bySize(table, kind, metric, rate, measuredSizes);
     }
 
     private static LinearFit bySize(ResultTable table, String kind, String metric, String rate, List<Integer> sizes) {
@@ -171,15 +170,18 @@
     }
 
     private static void overRate(ResultTable table, String kind, String metric, int size, List<String> lines) {
-        List<String> there = rates(table).stream().filter(rate -> table.value(kind, size, rate, metric).isPresent())
-                .toList();
-        if (there.size() < 2) {
+        List<String> measuredRates =
+                rates(table).stream().filter(rate -> table.value(kind, size, rate, metric).isPresent())
+                        .toList();
+        if (measuredRates.size() < 2) {
             return;
         }
-        LinearFit fit = LinearFit.of(there.stream().mapToDouble(Double::parseDouble).toArray(),
-                there.stream().mapToDouble(rate -> table.value(kind, size, rate, metric).getAsDouble()).toArray());
+        LinearFit fit = LinearFit.of(measuredRates.stream().mapToDouble(Double::parseDouble).toArray(),
+                measuredRates.stream().mapToDouble(rate -> table.value(kind, size, rate, metric).getAsDouble())
+                        .toArray());
         lines.add(String.join(",", kind, "rate", "" + size, metric, ResultTable.number(fit.intercept()),
-                ResultTable.number(fit.slope()), ResultTable.number(fit.mostResidual()), "" + there.size(), "", "",
+                ResultTable.number(fit.slope()), ResultTable.number(fit.maxResidual()), "" + measuredRates.size(), "",
+                "",
                 ""));
     }
 
@@ -192,31 +194,31 @@
                 .comparingDouble(Double::parseDouble)).toList();
     }
 
-    // ---- The judgement -----------------------------------------------------------------------------
+    // ---- Result ------------------------------------------------------------------------------------
 
-    private static String line(ResultTable table) {
-        double out = most(table, "bytes_out") / 1000;
-        double in = most(table, "bytes_in") / 1000;
-        double cpu = most(table, "cpu_pct");
-        double mb = most(table, "resident_kb") / 1024;
-        double p99 = most(table, "event_p99_s");
-        double worst = most(table, "event_most_s");
+    private static String resultLine(ResultTable table) {
+        double out = worseOf(table, "bytes_out") / 1000;
+        double in = worseOf(table, "bytes_in") / 1000;
+        double cpu = worseOf(table, "cpu_pct");
+        double mb = worseOf(table, "resident_kb") / 1024;
+        double p99 = worseOf(table, "event_p99_s");
+        double worst = worseOf(table, "event_most_s");
         double change = Math.max(figure(table, "change", "0", "change_most_s"),
                 figure(table, "change", "0", "change_one_stopped_s"));
         double lost = sum(table, "lost");
         double misordered = sum(table, "misordered");
         double error = predictionError(table);
-        boolean holds = out <= MOST_KB && in <= MOST_KB && cpu <= MOST_CPU_PCT && mb <= MOST_MB
-                && worst <= MOST_EVENT_S && change <= MOST_CHANGE_S && lost == 0 && misordered == 0;
+        boolean passed = out <= MAX_KB && in <= MAX_KB && cpu <= MAX_CPU_PCT && mb <= MAX_MB
+                && worst <= MAX_EVENT_S && change <= MAX_CHANGE_S && lost == 0 && misordered == 0;
         return "prove-scale: sizes=" + sizes(table).stream().map(size -> "" + size).collect(Collectors.joining(","))
                 + " kb_out=" + text(out) + " kb_in=" + text(in) + " cpu_pct=" + text(cpu) + " mem_mb=" + text(mb)
                 + " purge_p99_s=" + text(p99) + " purge_most_s=" + text(worst) + " change_most_s=" + text(change)
                 + " lost=" + text(lost) + " misordered=" + text(misordered) + " predicted540_error=" + text(error)
-                + " holds=" + holds;
+                + " holds=" + passed;
     }
 
-    /** The worse of hollow and real directors at the target; not a number where either is missing. */
-    private static double most(ResultTable table, String metric) {
+    /** Returns the larger value of hollow and real directors at the target, or NaN if either is missing. */
+    private static double worseOf(ResultTable table, String metric) {
         return Math.max(figure(table, Figures.HOLLOW, TARGET_RATE, metric),
                 figure(table, Figures.REAL, TARGET_RATE, metric));
     }
--- a/src/test/java/clovermill/prove/scale/TickProbe.java
+++ b/src/test/java/clovermill/prove/scale/TickProbe.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A thread that wakes every 10 ms and counts how often it came late: on a machine with a core to spare it hardly ever
- * does. Figures that were taken while it was late too often are void.
+ * A thread that wakes every 10 ms and counts late wake-ups, which are rare on a machine with a spare core. Figures that
+ * were measured while too many were late are void.
  */
 final class TickProbe extends Thread {
 
     static final String NAME = "tick-probe";
     private static final long TICK_NS = 10_000_000;
-    /** A tick that comes a whole tick late. */
+    /** A tick is late if it is delayed by a full interval. */
     private static final long LATE_NS = 10_000_000;
 
     private volatile long ticks;
--- a/src/test/java/clovermill/prove/scale/TrafficFigures.java
+++ b/src/test/java/clovermill/prove/scale/TrafficFigures.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.IntPredicate;
 
-/** What the directors of a cluster sent, received and spent between two moments, by kind of director, as figures. */
+/** Adds figures of traffic and resource use between two snapshots of a cluster, by kind of director. */
 final class TrafficFigures {
 
     private final Cluster cluster;
@@ -20,10 +20,10 @@
         this.after = after;
     }
 
-    /** Adds everything. */
+    /** Adds all figures of the interval. */
     void add() {
         traffic();
-        processors();
+        cpu();
         machine();
     }
 
@@ -36,11 +36,11 @@
             traffic(Figures.REAL, isReal);
         }
         traffic(Figures.VOTER, i -> i < voters);
-        busiest();
+        busiestVoter();
         double seconds = after.secondsSince(before);
         DiscoveryEndpoint.Counts a = before.discovery();
         DiscoveryEndpoint.Counts b = after.discovery();
-        figures.add("discovery", "connections_most", cluster.discovery().mostConnections(), "connections", "");
+        figures.add("discovery", "connections_most", cluster.discovery().maxConnections(), "connections", "");
         figures.add("discovery", "bytes_out", (b.bytesOut() - a.bytesOut()) / seconds, "B/s", "all connections");
         figures.add("discovery", "bytes_in", (b.bytesIn() - a.bytesIn()) / seconds, "B/s", "all connections");
         figures.add("discovery", "cpu_pct", (after.discoveryNs() - before.discoveryNs()) / seconds / 1e7, "%",
@@ -66,7 +66,7 @@
         figures.add(kind, "channel_bytes_in", channelIn, "B/s", "payload and 40 a read or write");
     }
 
-    /** Datagrams and bytes out, datagrams and bytes in, a second and director. */
+    /** Returns datagrams out, bytes out, datagrams in and bytes in, per second and director. */
     private static double[] rates(LinkEmulator.Counts before, LinkEmulator.Counts after, IntPredicate member,
             double seconds) {
         double[] all = new double[4];
@@ -86,7 +86,7 @@
         return all;
     }
 
-    private void busiest() {
+    private void busiestVoter() {
         double[] most = new double[4];
         for (int i = 0; i < Cluster.VOTERS; i++) {
             int voter = i;
@@ -101,7 +101,7 @@
         figures.add(Figures.VOTER, "accord_bytes_in_most", most[3], "B/s", "the busiest voter");
     }
 
-    private void processors() {
+    private void cpu() {
         double percent = 100 / (after.secondsSince(before) * 1e9);
         double each = percent / cluster.hollowCount();
         double process = (after.hollowProcessNs() - before.hollowProcessNs()) * each;
@@ -129,13 +129,14 @@
     private void machine() {
         double seconds = after.secondsSince(before);
         double late = 100.0 * (after.lateTicks() - before.lateTicks()) / Math.max(1, after.ticks() - before.ticks());
-        figures.addAlways("machine", "late_ticks_pct", late, "%", figures.overload() == null ? "" : "overloaded: "
-                + figures.overload());
-        figures.addAlways("machine", "cpu_idle_pct", 100 * after.cores().idleSince(before.cores()), "%",
+        figures.addUnconditionally("machine", "late_ticks_pct", late, "%",
+                figures.overload() == null ? "" : "overloaded: "
+                        + figures.overload());
+        figures.addUnconditionally("machine", "cpu_idle_pct", 100 * after.cores().idleSince(before.cores()), "%",
                 "all cores");
-        figures.addAlways("link", "dropped_datagrams", after.droppedDatagrams() - before.droppedDatagrams(),
+        figures.addUnconditionally("link", "dropped_datagrams", after.droppedDatagrams() - before.droppedDatagrams(),
                 "datagrams", "at full receive buffers of the machine");
-        figures.addAlways("link", "faults", after.linkFaults() - before.linkFaults(), "datagrams", "");
+        figures.addUnconditionally("link", "faults", after.linkFaults() - before.linkFaults(), "datagrams", "");
         double all = 0;
         for (long each : after.fleet().datagramsOut()) {
             all += each;
@@ -143,26 +144,26 @@
         for (long each : before.fleet().datagramsOut()) {
             all -= each;
         }
-        figures.addAlways("link", "fleet_datagrams", all / seconds, "1/s", "all links");
+        figures.addUnconditionally("link", "fleet_datagrams", all / seconds, "1/s", "all links");
     }
 
-    /** Adds what directors hold now, with so many events so far; collects the heaps of hollow processes. */
+    /** Adds the current memory use of directors after {@code events} events; collects the heaps of hollow processes. */
     static void memory(Cluster cluster, Figures figures, int events) throws IOException {
         double resident = 0;
         double heap = 0;
-        for (HollowHandle each : cluster.hollow()) {
+        for (HollowProcessHandle each : cluster.hollow()) {
             HollowFigures now = each.figures(true);
             resident += now.residentKb() - now.residentBeforeKb();
             heap += now.heapKb() - now.heapBeforeKb();
         }
-        String so = "; with " + events + " events so far";
+        String suffix = "; with " + events + " events so far";
         figures.add(Figures.HOLLOW, "resident_kb", resident / cluster.hollowCount(), "KB",
-                "over the process without" + so);
+                "over the process without" + suffix);
         figures.add(Figures.HOLLOW, "heap_kb", heap / cluster.hollowCount(), "KB",
-                "collected; over the process without" + so);
+                "collected; over the process without" + suffix);
         if (!cluster.realIdle().isEmpty() && !cluster.twinsIdle().isEmpty()) {
             figures.add(Figures.REAL, "resident_kb", resident(cluster.realIdle()) - resident(cluster.twinsIdle()), "KB",
-                    "process with the parts less one without; idle" + so);
+                    "process with the parts less one without; idle" + suffix);
             figures.add(Figures.REAL, "resident_off_kb", resident(cluster.twinsIdle()), "KB",
                     "process without the parts");
         }
