--- a/src/test/java/clovermill/director/operations/OperatorActionsTest.java
+++ b/src/test/java/clovermill/director/operations/OperatorActionsTest.java
@@ -91,7 +91,7 @@
         assertThat(call("/caches/enable", "s-1")).isEqualTo(503);
         assertThat(registry.isDisabled("s-1")).isTrue();
         assertThat(disabledAfterRestart()).containsExactly("s-1");
-        Files.delete(inTheWay);
+        Files.delete(blockingFolder);
         assertThat(call("/caches/enable", "s-1")).isEqualTo(200);
         assertThat(registry.isDisabled("s-1")).isFalse();
         assertThat(disabledAfterRestart()).isEmpty();
