--- a/src/test/java/clovermill/prove/faults/StandInCaches.java
+++ b/src/test/java/clovermill/prove/faults/FakeCaches.java
@@ -22,21 +22,21 @@
 import java.util.concurrent.ExecutionException;
 
 /**
- * Caches that keep copies with the time at which each was made, a parent and an origin, and a command channel for each
- * start of a director; the caches hold what comes to them against the rules. One thread plays all of them.
+ * Fake caches that store copies with their creation times, a parent, an origin, and a command channel for each start
+ * of a director. The caches check the requests they receive against the rules. All of them run on one thread.
  */
-final class StandInCaches implements AutoCloseable {
+final class FakeCaches implements AutoCloseable {
 
     private static final ByteBuffer BODY = ByteBuffer.wrap(new byte[200]).asReadOnlyBuffer();
-    private static final long ANSWER_US = 8_000;
-    /** How long a copy is fresh by the settings, where a request names no age. */
+    private static final long RESPONSE_DELAY_US = 8_000;
+    /** Freshness lifetime of a copy by the settings, for requests without a maximum age. */
     private static final long FRESH_US = 20_000_000;
-    /** Caches drop what is purged within purge-done-us of the settings, 6 s; the longest that a director may trust. */
+    /** Just under the setting purge-done-us, 6 s: directors may rely on purged copies being removed by then. */
     private static final long PURGE_DONE_US = 5_900_000;
     private static final int GROUPS = 256;
     private static final int WEIGHT = 6;
 
-    /** A cache, parent or origin and its copies by object, each with the time at which the origin gave it out. */
+    /** A cache, parent or origin and its copies: by object, the time at which the origin served it. */
     private final class Member {
         private final String id;
         private final String kind;
@@ -61,10 +61,10 @@
                     + startedMs + "}";
         }
 
-        /** When the copy was made that will do for a request, or null. */
+        /** Returns the creation time of a copy that is young enough for a request, or null. */
         Long copy(long object, long oldestUs, long nowUs) {
-            Long made = copies.get(object);
-            return made != null && nowUs - made <= oldestUs ? made : null;
+            Long copiedUs = copies.get(object);
+            return copiedUs != null && nowUs - copiedUs <= oldestUs ? copiedUs : null;
         }
     }
 
@@ -72,18 +72,18 @@
     private final Deadlines deadlines = new Deadlines();
     private final EventLoop loop = new EventLoop(clock, deadlines);
     private final Map<String, Member> members = new TreeMap<>();
-    private final List<StandInChannel> channels = new ArrayList<>();
-    private final RuleJudge judge;
+    private final List<FakeChannel> channels = new ArrayList<>();
+    private final RuleChecker checker;
 
-    /** So many warm caches that bear so many calls a second each. */
-    StandInCaches(int caches, double callsPerSecond) throws IOException {
-        judge = new RuleJudge(callsPerSecond);
+    /** Starts warm caches with a capacity of so many calls a second each. */
+    FakeCaches(int caches, double callsPerSecond) throws IOException {
+        checker = new RuleChecker(callsPerSecond);
         for (int i = 1; i <= caches; i++) {
             members.put("s-" + i, new Member("s-" + i, "std", 0));
         }
         members.put("p-1", new Member("p-1", "parent", 0));
         members.put("o-1", new Member("o-1", "origin", 0));
-        Thread thread = new Thread(this::run, "stand-in-caches");
+        Thread thread = new Thread(this::run, "fake-caches");
         thread.setDaemon(true);
         thread.start();
     }
@@ -96,12 +96,12 @@
         }
     }
 
-    /** Does something on the thread of the stand-ins and waits for it. */
-    private <T> T ask(Callable<T> what) throws InterruptedException, ExecutionException {
+    /** Runs a task on the event loop's thread and waits for its result. */
+    private <T> T callOnLoop(Callable<T> task) throws InterruptedException, ExecutionException {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.post(() -> {
             try {
-                result.complete(what.call());
+                result.complete(task.call());
             } catch (Exception failure) {
                 result.completeExceptionally(failure);
             }
@@ -109,10 +109,10 @@
         return result.get();
     }
 
-    /** A channel for a director that starts now: its address, and the events that the director knows at its start. */
+    /** Opens a channel for a director that starts now; returns its address and the director's initial events. */
     Map.Entry<String, String> channel() throws Exception {
-        return ask(() -> {
-            StandInChannel channel = new StandInChannel(loop, deadlines, clock);
+        return callOnLoop(() -> {
+            FakeChannel channel = new FakeChannel(loop, deadlines, clock);
             channels.add(channel);
             String all = String.join(",", members.values().stream().map(Member::entry).toList());
             return Map.entry(channel.address(), "{\"cursor\":1,\"cmds\":[{\"cursor\":1,\"nodes\":"
@@ -120,67 +120,67 @@
         });
     }
 
-    /** Purges an object and a group: directors are told now, and the caches have done it by the end of their time. */
+    /** Purges an object and a group: directors are notified now, caches remove the copies after PURGE_DONE_US. */
     void purge(long object, int group) throws Exception {
-        ask(() -> {
+        callOnLoop(() -> {
             long nowUs = clock.micros();
             deadlines.add(nowUs + PURGE_DONE_US, () -> members.values().forEach(member -> member.copies
                     .entrySet().removeIf(copy -> copy.getValue() < nowUs
                             && (copy.getKey() == object || group(copy.getKey()) == group))));
-            judge.purged(object, 0, clock.micros());
-            tell("\"drop\":{\"id\":\"" + String.format("%016x", object) + "\",\"when\":" + clock.unixMillis() + "}");
-            judge.purged(null, group, clock.micros());
-            tell("\"drop\":{\"family\":" + group + ",\"when\":" + clock.unixMillis() + "}");
+            checker.purged(object, 0, clock.micros());
+            publish("\"drop\":{\"id\":\"" + String.format("%016x", object) + "\",\"when\":" + clock.unixMillis() + "}");
+            checker.purged(null, group, clock.micros());
+            publish("\"drop\":{\"family\":" + group + ",\"when\":" + clock.unixMillis() + "}");
             return null;
         });
     }
 
-    /** A new cache starts, cold and empty. */
+    /** Starts a new cache, cold and empty. */
     void join(String id) throws Exception {
-        ask(() -> {
+        callOnLoop(() -> {
             Member member = new Member(id, "std", clock.unixMillis());
             members.put(id, member);
-            judge.started(id, clock.micros());
-            tellOf(member);
+            checker.cacheStarted(id, clock.micros());
+            publishMember(member);
             return null;
         });
     }
 
-    /** A cache drains. */
+    /** Drains a cache. */
     void drain(String id) throws Exception {
-        ask(() -> {
+        callOnLoop(() -> {
             Member member = members.get(id);
             member.draining = true;
-            judge.draining(id, clock.micros());
-            tellOf(member);
+            checker.drainStarted(id, clock.micros());
+            publishMember(member);
             return null;
         });
     }
 
-    /** A director has acknowledged that a cache is out, which no channel tells; it holds until it is put back. */
-    void acknowledgedOut(String id) throws Exception {
-        ask(() -> {
-            judge.draining(id, clock.micros());
+    /** Records that a director acknowledged disabling a cache, which the command channel does not announce. */
+    void disableAcknowledged(String id) throws Exception {
+        callOnLoop(() -> {
+            checker.drainStarted(id, clock.micros());
             return null;
         });
     }
 
-    /** What the caches have found. */
+    /** Returns the violations that the caches counted. */
     Verdict verdict() throws Exception {
-        return ask(judge::verdict);
+        return callOnLoop(checker::verdict);
     }
 
-    /** The first of it in words. */
-    List<String> notes() throws Exception {
-        return ask(judge::notes);
+    /** Returns messages that describe the first violations. */
+    List<String> findings() throws Exception {
+        return callOnLoop(checker::findings);
     }
 
-    private void tellOf(Member member) {
-        tell("\"nodes\":{\"version\":2,\"full\":false,\"servers\":[" + member.entry() + "]}");
+    private void publishMember(Member member) {
+        publish("\"nodes\":{\"version\":2,\"full\":false,\"servers\":[" + member.entry() + "]}");
     }
 
-    private void tell(String event) {
-        channels.forEach(channel -> channel.tell(event));
+    private void publish(String event) {
+        channels.forEach(channel -> channel.publish(event));
     }
 
     /** One connection of a director to a cache. */
@@ -196,48 +196,49 @@
         @Override
         protected void want(String id, String fields) {
             long nowUs = clock.micros();
-            judge.request(member.id, nowUs);
+            checker.requestReceived(member.id, nowUs);
             String source = field(fields, "src");
             if (source != null && !source.equals(member.id)) {
-                judge.fillFrom(source, nowUs);
+                checker.fillRequested(source, nowUs);
             }
             open.add(id);
             String token = field(fields, "token");
             if (token != null) {
-                judge.ran(token, nowUs);
-                answer(id, "MISS_ORIGIN", nowUs);
+                checker.effectExecuted(token, nowUs);
+                respond(id, "MISS_ORIGIN", nowUs);
             } else {
-                look(id, fields, source, nowUs);
+                serveRead(id, fields, source, nowUs);
             }
         }
 
-        private void look(String id, String fields, String source, long nowUs) {
+        private void serveRead(String id, String fields, String source, long nowUs) {
             String age = field(fields, "maxage");
             long oldestUs = age == null || age.equals("0") ? FRESH_US : Long.parseLong(age) * 1000;
             long object = Long.parseUnsignedLong(field(fields, "obj"), 16);
-            Long made = member.copy(object, oldestUs, nowUs);
-            String note = "HIT";
-            if (made == null && source != null) {
-                made = fetch(members.get(source), object, oldestUs, nowUs);
-                note = "MISS";
+            Long copiedUs = member.copy(object, oldestUs, nowUs);
+            String result = "HIT";
+            if (copiedUs == null && source != null) {
+                copiedUs = fetch(members.get(source), object, oldestUs, nowUs);
+                result = "MISS";
             }
-            if (made == null) {
-                later(id, id + " LACK res=" + (source == null ? "NO_FILL" : "UP_MISS") + " 0\r\n\r\n", false);
+            if (copiedUs == null) {
+                respondLater(id, id + " LACK res=" + (source == null ? "NO_FILL" : "UP_MISS") + " 0\r\n\r\n", false);
                 return;
             }
-            member.copies.put(object, made);
-            judge.answered(object, group(object), nowUs, made);
-            answer(id, note, made);
+            member.copies.put(object, copiedUs);
+            checker.responseServed(object, group(object), nowUs, copiedUs);
+            respond(id, result, copiedUs);
         }
 
-        private void answer(String id, String note, long madeUs) {
-            long madeMs = clock.unixMillis() - (clock.micros() - madeUs) / 1000;
-            later(id, id + " DONE etag=t,made=" + madeMs + ",res=" + note + ",ttfb=0 " + BODY.remaining() + "\r\n",
+        private void respond(String id, String result, long copiedUs) {
+            long copiedMs = clock.unixMillis() - (clock.micros() - copiedUs) / 1000;
+            respondLater(id,
+                    id + " DONE etag=t,made=" + copiedMs + ",res=" + result + ",ttfb=0 " + BODY.remaining() + "\r\n",
                     true);
         }
 
-        private void later(String id, String head, boolean body) {
-            deadlines.add(clock.micros() + ANSWER_US, () -> {
+        private void respondLater(String id, String head, boolean body) {
+            deadlines.add(clock.micros() + RESPONSE_DELAY_US, () -> {
                 if (!open.remove(id)) {
                     return;
                 }
@@ -263,16 +264,16 @@
         }
     }
 
-    /** The group of an object, as {@link clovermill.prove.Load} gives it: from the last twelve digits of the key. */
+    /** Returns the group of an object as {@link clovermill.prove.Load} assigns it: from the key's last 12 digits. */
     private static int group(long object) {
         return (int) ((object & 0xffff_ffff_ffffL) % GROUPS);
     }
 
-    /** What a source gives for a fill: a cache only what it holds, parent and origin always. Null for nothing. */
+    /** Returns the creation time of a source's copy: a cache serves stored copies only (else null), others always. */
     private Long fetch(Member source, long object, long oldestUs, long nowUs) {
-        Long made = source == null ? null : source.copy(object, oldestUs, nowUs);
-        if (made != null || source == null || source.kind.equals("std")) {
-            return made;
+        Long copiedUs = source == null ? null : source.copy(object, oldestUs, nowUs);
+        if (copiedUs != null || source == null || source.kind.equals("std")) {
+            return copiedUs;
         }
         source.copies.put(object, nowUs);
         return nowUs;
--- a/src/test/java/clovermill/prove/faults/StandInChannel.java
+++ b/src/test/java/clovermill/prove/faults/FakeChannel.java
@@ -13,10 +13,10 @@
 import java.util.List;
 
 /**
- * The command channel of one start of a director: HTTP long polls for numbered events, of which the director knows the
- * first one at its start. Used on the loop's thread.
+ * A fake command channel for one start of a director: HTTP long polls for numbered events, the first of which the
+ * director has from its configuration. Used on the event loop's thread.
  */
-final class StandInChannel {
+final class FakeChannel {
 
     private final Deadlines deadlines;
     private final Clock clock;
@@ -24,7 +24,7 @@
     private final List<String> events = new ArrayList<>();
     private Runnable waiting;
 
-    StandInChannel(EventLoop loop, Deadlines deadlines, Clock clock) throws IOException {
+    FakeChannel(EventLoop loop, Deadlines deadlines, Clock clock) throws IOException {
         this.deadlines = deadlines;
         this.clock = clock;
         this.listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, () -> {},
@@ -35,8 +35,8 @@
         return "127.0.0.1:" + listener.port();
     }
 
-    /** Tells an event, which is given without its number and without braces. */
-    void tell(String event) {
+    /** Publishes an event, which is passed without its number and without braces. */
+    void publish(String event) {
         events.add("{\"cursor\":" + (events.size() + 2) + "," + event + "}");
         if (waiting != null) {
             waiting.run();
@@ -57,24 +57,24 @@
         protected void poll(String path) {
             int resume = Integer.parseInt(path.replaceAll(".*resume=([0-9]+).*", "$1"));
             long blockMs = Long.parseLong(path.replaceAll(".*block=", ""));
-            Runnable answer = () -> answer(resume);
+            Runnable respond = () -> respond(resume);
             if (events.size() > resume - 1) {
-                answer.run();
+                respond.run();
                 return;
             }
-            waiting = answer;
+            waiting = respond;
             deadlines.add(clock.micros() + blockMs * 1000, () -> {
-                if (waiting == answer) {
-                    answer.run();
+                if (waiting == respond) {
+                    respond.run();
                 }
             });
         }
 
-        private void answer(int resume) {
+        private void respond(int resume) {
             waiting = null;
-            int told = events.size();
-            String later = String.join(",", events.subList(Math.min(told, resume - 1), told));
-            String text = "{\"cursor\":" + (told + 1) + ",\"cmds\":[" + later + "]}";
+            int published = events.size();
+            String laterEvents = String.join(",", events.subList(Math.min(published, resume - 1), published));
+            String text = "{\"cursor\":" + (published + 1) + ",\"cmds\":[" + laterEvents + "]}";
             say("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
         }
     }
--- a/src/test/java/clovermill/prove/faults/FaultControl.java
+++ b/src/test/java/clovermill/prove/faults/FaultControl.java
@@ -8,10 +8,13 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** The mapped file that a test and the library in its process share ({@code struct control}): switches and counters. */
+/**
+ * The memory-mapped file with switches and counters that a test shares with the library in the process under test
+ * ({@code struct control}).
+ */
 final class FaultControl {
 
-    /** Errors of files, as Linux numbers them. */
+    /** Errno values of Linux for file errors. */
     static final int ENOSPC = 28;
     static final int EIO = 5;
 
@@ -27,7 +30,7 @@
     final Path file;
     private final MappedByteBuffer shared;
 
-    /** A new file, in which no clock is stepped and no file fails. */
+    /** Creates the file, with no clock offset and no file errors. */
     FaultControl(Path file) throws IOException {
         this.file = file.toAbsolutePath();
         Files.write(file, new byte[BYTES]);
@@ -37,27 +40,27 @@
         shared.order(ByteOrder.nativeOrder());
     }
 
-    /** The process's wall clock is so far ahead of the true time from now on (negative: behind). */
-    void clockOffsetMs(long offset) {
-        shared.putLong(CLOCK_OFFSET_MS, offset);
+    /** Sets how far the process's wall clock is ahead of the true time (negative: behind). */
+    void setClockOffsetMs(long offsetMs) {
+        shared.putLong(CLOCK_OFFSET_MS, offsetMs);
     }
 
-    /** Whether calls on sockets fail by the rules of the start; they do at first. */
-    void socketCallsFail(boolean fail) {
-        shared.putLong(CALLS_OFF, fail ? 0 : 1);
+    /** Switches the socket faults that were configured at the start on or off; they are on at first. */
+    void enableSocketFaults(boolean enabled) {
+        shared.putLong(CALLS_OFF, enabled ? 0 : 1);
     }
 
-    /** The error with which files below the folder fail from now on, or 0. */
-    void diskError(int error) {
-        shared.putLong(DISK_ERROR, error);
+    /** Sets the errno with which files below the folder fail, or 0 for none. */
+    void setDiskError(int errno) {
+        shared.putLong(DISK_ERROR, errno);
     }
 
-    /** How often the process has read its wall clock, which shows that the library is loaded. */
+    /** Returns how often the process has read its wall clock; above 0 the library is loaded. */
     long clockReads() {
         return shared.getLong(CLOCK_READS);
     }
 
-    /** All that the process has met: calls that failed or were cut short, and steps of its wall clock. */
+    /** Returns the number of injected faults: calls that failed or were cut short, and wall clock steps. */
     long faults() {
         return shared.getLong(SOCKET_FAULTS) + shared.getLong(DISK_FAULTS) + shared.getLong(CLOCK_STEPS);
     }
--- a/src/test/java/clovermill/prove/faults/FaultLibraryTest.java
+++ b/src/test/java/clovermill/prove/faults/FaultLibraryTest.java
@@ -23,16 +23,16 @@
     Path folder;
 
     @Test
-    void withoutACompilerTheBuildFailsAndNamesThePackage() {
+    void buildWithoutCompilerFailsWithPackageName() {
         assertThatThrownBy(() -> FaultLibrary.build(folder, "no-such-compiler")).isInstanceOf(IOException.class)
                 .hasMessage(FaultLibrary.NO_COMPILER).hasMessageContaining("gcc");
     }
 
     @Test
-    void theWallClockOfAProcessIsSteppedAndItsFilesFailWhereTheyAreToldTo() throws Exception {
+    void stepsWallClockAndFailsFilesBelowConfiguredFolder() throws Exception {
         Path library = FaultLibrary.build(folder);
         FaultControl control = new FaultControl(folder.resolve("control"));
-        control.clockOffsetMs(HOUR_SECONDS * 1000);
+        control.setClockOffsetMs(HOUR_SECONDS * 1000);
         long before = System.currentTimeMillis() / 1000;
         long seen = Long.parseLong(run(library, control, "date +%s").trim());
         assertThat(seen - before).isBetween(HOUR_SECONDS, HOUR_SECONDS + 60);
@@ -40,38 +40,38 @@
 
         Path below = Files.createDirectory(folder.resolve("below"));
         assertThat(run(library, control, "echo text > " + below + "/first && echo made")).contains("made");
-        control.diskError(FaultControl.ENOSPC);
-        long met = control.faults();
+        control.setDiskError(FaultControl.ENOSPC);
+        long faultsBefore = control.faults();
         assertThat(run(library, control, "echo text > " + below + "/second || echo failed")).contains("failed");
         assertThat(run(library, control, "echo text > " + folder + "/third && echo made")).contains("made");
-        assertThat(control.faults()).isGreaterThan(met);
+        assertThat(control.faults()).isGreaterThan(faultsBefore);
         assertThat(below.resolve("second")).doesNotExist();
     }
 
-    /** What a shell says on its standard output. */
+    /** Runs a shell command with the library and returns its standard output. */
     private String run(Path library, FaultControl control, String command) throws IOException, InterruptedException {
         ProcessBuilder builder = new ProcessBuilder("sh", "-c", command);
         builder.environment().put("LD_PRELOAD", library.toString());
         builder.environment().put("FAULT_CONTROL", control.file.toString());
         builder.environment().put("FAULT_FOLDER", folder.resolve("below").toString());
         Process process = builder.redirectError(ProcessBuilder.Redirect.DISCARD).start();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         process.waitFor();
-        return said;
+        return output;
     }
 
     @Test
-    void aHundredSeedsPlayEveryScenarioAndEveryRowOfErrors() {
+    void hundredSeedsCoverEveryScenarioAndEveryErrnoRule() {
         List<Integer> seeds = IntStream.range(0, 100).boxed().toList();
-        Set<Scenario> played = new HashSet<>(seeds.stream().map(Scenario::of).toList());
-        assertThat(played).containsExactlyInAnyOrderElementsOf(
+        Set<Scenario> covered = new HashSet<>(seeds.stream().map(Scenario::forSeed).toList());
+        assertThat(covered).containsExactlyInAnyOrderElementsOf(
                 Arrays.stream(Scenario.values()).filter(each -> each != Scenario.UNDISTURBED).toList());
-        Set<String> rows = new HashSet<>();
-        seeds.stream().filter(seed -> Scenario.of(seed) == Scenario.ERRORS)
-                .forEach(seed -> rows.addAll(Arrays.asList(Scenario.ERRORS.calls(seed).split(","))));
+        Set<String> rules = new HashSet<>();
+        seeds.stream().filter(seed -> Scenario.forSeed(seed) == Scenario.ERRORS)
+                .forEach(seed -> rules.addAll(Arrays.asList(Scenario.ERRORS.calls(seed).split(","))));
         Set<String> all = new HashSet<>();
-        IntStream.range(0, ErrorRows.pairs())
-                .forEach(each -> all.addAll(Arrays.asList(ErrorRows.pair(each).split(","))));
-        assertThat(rows).isEqualTo(all).hasSize(56);
+        IntStream.range(0, ErrnoRules.pairCount())
+                .forEach(each -> all.addAll(Arrays.asList(ErrnoRules.rulePair(each).split(","))));
+        assertThat(rules).isEqualTo(all).hasSize(56);
     }
 }
--- a/src/test/java/clovermill/prove/faults/Scenario.java
+++ b/src/test/java/clovermill/prove/faults/Scenario.java
@@ -1,25 +1,25 @@
 package clovermill.prove.faults;
 
-/** What is played: which calls fail, and how the wall clock and the disk behave while a director serves. */
+/** A fault scenario: which calls fail, and how the wall clock and the disk behave while a director serves. */
 enum Scenario {
 
-    /** The wall clock an hour ahead, then an hour behind the true time, with events before, between and after. */
+    /** Wall clock an hour ahead, then an hour behind the true time, with events before, between and after. */
     CLOCK_FORWARD_THEN_BACK,
-    /** The same the other way round. */
+    /** Wall clock an hour behind, then an hour ahead of the true time, with the same events. */
     CLOCK_BACK_THEN_FORWARD,
-    /** Steps of some seconds, either way. */
+    /** Wall clock steps of a few seconds, forward and back. */
     CLOCK_BY_SECONDS,
-    /** Five in 1,000 calls on sockets fail, reads, writes and waits with EINTR and short transfers among them. */
+    /** Five in 1,000 socket calls fail; reads, writes and waits include EINTR and short transfers. */
     CALLS_FAIL_OR_ARE_INTERRUPTED,
-    /** Five in 1,000 calls on sockets fail, none by EINTR. */
+    /** Five in 1,000 socket calls fail, none with EINTR. */
     CALLS_FAIL,
-    /** One in ten calls on sockets fails, at several starts. */
+    /** One in ten socket calls fails, over several starts. */
     STARTS,
-    /** Files fail by ENOSPC or EIO while an operator takes a cache out; the director is killed and started again. */
+    /** Files fail with ENOSPC or EIO while an operator disables a cache; the director is killed and restarted. */
     DISK,
-    /** Two rows of {@link ErrorRows}. */
+    /** Two rules of {@link ErrnoRules}. */
     ERRORS,
-    /** No fault at all, by which the judges themselves are tested; no seed stands for it. */
+    /** No faults, to check the checkers themselves; not selected by any seed. */
     UNDISTURBED;
 
     private static final int ERROR_SEEDS_IN_TEN = 3;
@@ -28,13 +28,13 @@
     private static final String DIAL_ERRORS = "EADDRNOTAVAIL|ENETUNREACH|ENOBUFS|ETIMEDOUT|EHOSTUNREACH";
     private static final String BREAKS = "ETIMEDOUT|EHOSTUNREACH|ECONNRESET";
 
-    /** Of ten seeds in turn, seven play the other scenarios once each and three play rows of errors. */
-    static Scenario of(int seed) {
+    /** Returns the scenario of a seed: of ten consecutive seeds three run {@link #ERRORS}, seven the others once. */
+    static Scenario forSeed(int seed) {
         int place = Math.floorMod(seed, 10);
         return place < FIRST_ERROR_SEED ? values()[place] : ERRORS;
     }
 
-    /** The rules by which calls on sockets fail, in the library's words; empty for none. */
+    /** Returns the socket fault rules in the library's syntax; empty for none. */
     String calls(int seed) {
         return switch (this) {
             case CALLS_FAIL_OR_ARE_INTERRUPTED -> calls("0.005", "|EINTR") + ",epoll_wait=EINTR@0.005,read=EINTR|SHORT|"
@@ -43,7 +43,7 @@
                     + "@0.005";
             case STARTS -> "accept=ENFILE|EMFILE|ENOBUFS@0.1,connect=ENOBUFS@0.1,socket=ENFILE|EMFILE|ENOBUFS@0.1,"
                     + "epoll_create=ENFILE|EMFILE@0.1,eventfd=ENFILE|EMFILE@0.1";
-            case ERRORS -> ErrorRows.pair(Math.floorDiv(seed, 10) * ERROR_SEEDS_IN_TEN + Math.floorMod(seed, 10)
+            case ERRORS -> ErrnoRules.rulePair(Math.floorDiv(seed, 10) * ERROR_SEEDS_IN_TEN + Math.floorMod(seed, 10)
                     - FIRST_ERROR_SEED);
             default -> "";
         };
@@ -54,7 +54,7 @@
                 + ",socket=ENFILE|EMFILE|ENOBUFS@" + rate;
     }
 
-    /** How far the wall clock is ahead after its first and its second step, in milliseconds; null: no steps. */
+    /** Returns how far the wall clock is ahead after its first and second step, in milliseconds; null for no steps. */
     long[] clockOffsetsMs(int seed) {
         long seconds = 2_000 + 1_000L * Math.floorMod(seed, 9);
         return switch (this) {
@@ -65,7 +65,7 @@
         };
     }
 
-    /** How often a director is started. */
+    /** Returns how often a director is started. */
     int starts() {
         return this == STARTS ? 3 : 1;
     }
--- a/src/test/java/clovermill/prove/faults/Verdict.java
+++ b/src/test/java/clovermill/prove/faults/Verdict.java
@@ -1,14 +1,14 @@
 package clovermill.prove.faults;
 
 /**
- * What was seen from outside.
+ * The faults and rule violations of one or more runs, as observed outside the directors.
  *
- * @param faults calls that failed and steps of the wall clock that the directors met
- * @param lost requests without a final answer in time, and directors that did not start or ended by themselves
- * @param duplicate effects that took place twice, and second answers
- * @param stale answers from a copy older than a purge, to requests that came later than the window after it
- * @param drained requests, and fills named, that came to a draining cache beyond the grace
- * @param overloaded caches that were sent more than the bound on slow start while they were cold
+ * @param faults failed calls and wall clock steps in the directors
+ * @param lost requests without a final response in time, and directors that did not start or exited unexpectedly
+ * @param duplicate effects executed twice, and duplicate responses
+ * @param stale responses from a copy older than a purge, to requests received after the purge's notice window
+ * @param drained requests to, and fills from, a draining cache after the grace period
+ * @param overloaded cold caches that received more requests than the bound on slow start
  */
 record Verdict(long faults, long lost, long duplicate, long stale, long drained, long overloaded) {
 
@@ -19,7 +19,7 @@
                 drained + other.drained, overloaded + other.overloaded);
     }
 
-    /** Whether faults were met and no rule was broken. */
+    /** Returns true if faults occurred and no rule was broken. */
     boolean holds() {
         return faults > 0 && lost + duplicate + stale + drained + overloaded == 0;
     }
--- a/src/test/java/clovermill/prove/faults/package-info.java
+++ b/src/test/java/clovermill/prove/faults/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The proof that a director keeps the rules while its wall clock is stepped and its system calls fail: a library of
- * our own ({@code src/test/c/fault_injection.c}) is loaded into real {@code serve} processes, and stand-in caches and
- * clients judge from outside what they see.
+ * Proof that a director keeps the rules while its wall clock is stepped and its system calls fail: the fault injection
+ * library ({@code src/test/c/fault_injection.c}) is loaded into real {@code serve} processes, and fake caches and
+ * clients check their behavior from outside.
  */
 package clovermill.prove.faults;
