--- a/src/test/java/clovermill/prove/AccordSimProof.java
+++ b/src/test/java/clovermill/prove/AccordSimProof.java
@@ -6,13 +6,12 @@
 import java.util.List;
 import java.util.stream.LongStream;
 
-/** The long proof of the one policy in the emulator ({@code make prove-accord-sim}): many seeds of faults,
-        and large fleets. */
+/** Long proof of the policy store in the emulator ({@code make prove-accord-sim}): many fault seeds, large fleets. */
 public final class AccordSimProof {
 
     private AccordSimProof() {}
 
-    /** Property: seeds. */
+    /** System property: seeds. */
     public static void main(String[] args) {
         int seeds = Integer.getInteger("seeds", 1000);
         Case faults = new Case(10, 5, 150, 3, 2, 0.01);
--- a/src/test/java/clovermill/prove/CacheFleet.java
+++ b/src/test/java/clovermill/prove/CacheFleet.java
@@ -30,9 +30,9 @@
 import java.util.function.Consumer;
 
 /**
- * Stand-in caches on sockets, each at an address of its own and as busy as the emulator's model says, and a command
- * channel for each director; faults are put in while they run. One thread plays all of them; what is asked from
- * others is done there.
+ * Fake caches on sockets, each with its own address and a load that follows the emulator's model, and a command channel
+ * for each director. Faults can be injected while they run. All of them run on one thread, on which calls from other
+ * threads are executed.
  */
 public final class CacheFleet implements AutoCloseable {
 
@@ -40,27 +40,27 @@
     private static final long STEP_US = 5_000;
     private static final long SECOND_US = 1_000_000;
     private static final long REPORT_US = 400_000;
-    private static final double ORDER_WORK_US = 10_000;
-    /** Drain grace of the settings, and what sockets are given more by the protocol. */
+    private static final double ORDER_TRANSFER_US = 10_000;
+    /** Drain grace period of the settings, and the protocol's allowance for sockets. */
     private static final long GRACE_US = 300_000;
 
     /** A cache and its address. */
-    private static final class Box {
+    private static final class FakeCache {
         private final EmulatedCache model;
         private final Listener listener;
         private final long startedMs;
-        private long drainToldUs = Long.MAX_VALUE;
-        private double busiest;
-        private long lastUs;
+        private long drainAnnouncedUs = Long.MAX_VALUE;
+        private double maxLoad;
+        private long lastRequestUs;
 
-        Box(EmulatedCache model, Listener listener, long startedMs) {
+        FakeCache(EmulatedCache model, Listener listener, long startedMs) {
             this.model = model;
             this.listener = listener;
             this.startedMs = startedMs;
         }
     }
 
-    /** The command channel of one director, from one start on. */
+    /** The command channel of one start of a director. */
     private static final class Channel {
         private Listener listener;
         private final List<String> events = new ArrayList<>();
@@ -70,39 +70,39 @@
     private final Clock clock = Clock.system();
     private final Deadlines deadlines = new Deadlines();
     private final EventLoop loop = new EventLoop(clock, deadlines);
-    private final Map<String, Box> boxes = new TreeMap<>();
+    private final Map<String, FakeCache> caches = new TreeMap<>();
     private final List<Channel> channels = new ArrayList<>();
     private final SlowStartRule rule;
-    private final double workUs;
+    private final double transferUs;
     private final ByteBuffer body = ByteBuffer.wrap("x".repeat(BODY).getBytes(StandardCharsets.ISO_8859_1));
     private final Set<String> orders = new HashSet<>();
-    /** Requests by when they first came, whichever cache they came to. */
+    /** Ids of requests that any cache has received. */
     private final Set<String> ids = new HashSet<>();
-    private final Deque<Long> lately = new ArrayDeque<>();
-    private int mostLately;
-    /** Reads that are out at any cache, by request, and the most there were. */
+    private final Deque<Long> recentArrivals = new ArrayDeque<>();
+    private int maxPerSecond;
+    /** Open attempts at all caches by request id, for reads. */
     private final Map<String, Integer> reads = new HashMap<>();
-    private int mostReads;
-    private final List<Double> spreads = new ArrayList<>();
-    private boolean frozen;
-    private boolean mute;
-    private int hub;
+    private int maxReads;
+    private final List<Double> maxOverMeanLoads = new ArrayList<>();
+    private boolean reportsFrozen;
+    private boolean reportsMuted;
+    private int hubPort;
     private long lastSecondUs;
     private long lastReportUs;
-    private int ordersTwice;
-    private int drainsBroken;
-    private int overruns;
-    private int idle;
-
-    /** So many caches of a room, whose parts take a time to send. */
-    public CacheFleet(int caches, double room, double workUs, SlowStartRule rule) throws IOException {
-        this.workUs = workUs;
+    private int duplicateOrders;
+    private int drainViolations;
+    private int slowStartViolations;
+    private int idleSeconds;
+
+    /** Starts caches of a capacity, with a transfer time for each part. */
+    public CacheFleet(int count, double capacity, double transferUs, SlowStartRule rule) throws IOException {
+        this.transferUs = transferUs;
         this.rule = rule;
-        for (int i = 1; i <= caches; i++) {
-            add("s-" + i, room, 0);
+        for (int i = 1; i <= count; i++) {
+            add("s-" + i, capacity, 0);
         }
-        hub = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, () -> {},
-                CacheFleet::unasked).port();
+        hubPort = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, () -> {},
+                CacheFleet::rejectHubConnection).port();
         lastSecondUs = clock.micros();
         step();
         Thread thread = new Thread(() -> {
@@ -116,12 +116,12 @@
         thread.start();
     }
 
-    /** Does something on the fleet's thread and waits for it. */
-    <T> T ask(Callable<T> what) throws InterruptedException, ExecutionException {
+    /** Runs a task on the fleet's thread and waits for its result. */
+    <T> T callOnLoop(Callable<T> task) throws InterruptedException, ExecutionException {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.post(() -> {
             try {
-                result.complete(what.call());
+                result.complete(task.call());
             } catch (Exception failure) {
                 result.completeExceptionally(failure);
             }
@@ -129,68 +129,69 @@
         return result.get();
     }
 
-    // ---- What tests do to it ----------------------------------------------------------------------
+    // ---- Controls for tests -----------------------------------------------------------------------
 
-    /** A command channel for a director that starts now; its address and the list that the director starts with. */
+    /** Opens a command channel for a director that starts now; returns its address and the initial endpoint list. */
     public Map.Entry<String, String> channel() throws Exception {
-        return ask(() -> {
+        return callOnLoop(() -> {
             Channel channel = new Channel();
             channel.listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, () -> {},
-                    connection -> new Poll(connection, channel));
+                    connection -> new ChannelPeer(connection, channel));
             channels.add(channel);
             StringBuilder all = new StringBuilder();
-            boxes.forEach(
-                    (id, box) -> all.append(entry(id, box, box.model.draining ? "draining" : "ready")).append(','));
-            all.append(other("p-1", "parent")).append(',').append(other("o-1", "origin"));
+            caches.forEach(
+                    (id, cache) -> all.append(entry(id, cache, cache.model.draining ? "draining" : "ready"))
+                            .append(','));
+            all.append(hubEntry("p-1", "parent")).append(',').append(hubEntry("o-1", "origin"));
             return Map.entry("127.0.0.1:" + channel.listener.port(), "{\"cursor\":1,\"cmds\":[{\"cursor\":1,\"nodes\":"
                     + "{\"version\":1,\"full\":true,\"servers\":[" + all + "]}}]}");
         });
     }
 
-    void slow(String id, double factor) throws Exception {
-        ask(() -> boxes.get(id).model.pace = factor);
+    void setPace(String id, double factor) throws Exception {
+        callOnLoop(() -> caches.get(id).model.pace = factor);
     }
 
-    /** Reports stay as they are, and all that were made meanwhile are seen at once later. */
-    void freeze(boolean on) throws Exception {
-        ask(() -> frozen = on);
+    /** Freezes or unfreezes the load reports; those made meanwhile become visible at once afterwards. */
+    void freezeReports(boolean enabled) throws Exception {
+        callOnLoop(() -> reportsFrozen = enabled);
     }
 
-    /** Answers bring no reports. */
-    void mute(boolean on) throws Exception {
-        ask(() -> mute = on);
+    /** Omits load reports from responses. */
+    void muteReports(boolean enabled) throws Exception {
+        callOnLoop(() -> reportsMuted = enabled);
     }
 
-    void join(String id, double room) throws Exception {
-        ask(() -> {
-            add(id, room, clock.micros());
-            tell(entry(id, boxes.get(id), "ready"));
+    void join(String id, double capacity) throws Exception {
+        callOnLoop(() -> {
+            add(id, capacity, clock.micros());
+            publish(entry(id, caches.get(id), "ready"));
             return null;
         });
     }
 
-    void leave(String id) throws Exception {
-        ask(() -> {
-            Box box = boxes.get(id);
-            box.model.draining = true;
-            box.drainToldUs = clock.micros();
-            tell(entry(id, box, "draining"));
+    void drain(String id) throws Exception {
+        callOnLoop(() -> {
+            FakeCache cache = caches.get(id);
+            cache.model.draining = true;
+            cache.drainAnnouncedUs = clock.micros();
+            publish(entry(id, cache, "draining"));
             return null;
         });
     }
 
-    /** When the last request came to a cache, on the fleet's clock. */
-    long lastUs(String id) throws Exception {
-        return ask(() -> boxes.get(id).lastUs);
+    /** Returns when a cache received its last request, on the fleet's clock. */
+    long lastRequestUs(String id) throws Exception {
+        return callOnLoop(() -> caches.get(id).lastRequestUs);
     }
 
-    /** The most requests that came within one second since this was last asked. */
-    int mostInASecond() throws Exception {
-        return ask(() -> {
-            int most = mostLately;
-            mostLately = 0;
-            lately.clear();
-            return most;
+    /** Returns the maximum number of requests received within one second since the last call, and resets it. */
+    int takeMaxPerSecond() throws Exception {
+        return callOnLoop(() -> {
+            int max = maxPerSecond;
+            maxPerSecond = 0;
+            recentArrivals.clear();
+            return max;
         });
     }
 
@@ -198,155 +199,157 @@
         return clock.micros();
     }
 
-    /** Figures so far; seconds counted are forgotten. */
+    /** Returns the figures so far by name. */
     Map<String, Double> figures() throws Exception {
-        return ask(() -> {
+        return callOnLoop(() -> {
             Map<String, Double> all = new TreeMap<>();
-            all.put("max_over_mean", spreads.stream().mapToDouble(d -> d).average().orElse(1));
-            all.put("idle_s", (double) idle);
-            all.put("most_reads", (double) mostReads);
-            all.put("overruns", (double) overruns);
-            all.put("drains_broken", (double) drainsBroken);
-            all.put("orders_twice", (double) ordersTwice);
-            boxes.forEach((id, box) -> all.put("busiest_" + id, box.busiest));
+            all.put("max_over_mean", maxOverMeanLoads.stream().mapToDouble(d -> d).average().orElse(1));
+            all.put("idle_s", (double) idleSeconds);
+            all.put("most_reads", (double) maxReads);
+            all.put("overruns", (double) slowStartViolations);
+            all.put("drains_broken", (double) drainViolations);
+            all.put("orders_twice", (double) duplicateOrders);
+            caches.forEach((id, cache) -> all.put("busiest_" + id, cache.maxLoad));
             return all;
         });
     }
 
     // ---- Caches -----------------------------------------------------------------------------------
 
-    private void add(String id, double room, long startedUs) throws IOException {
-        EmulatedCache model = new EmulatedCache(id, room, room, startedUs, 0, 4000, rule);
+    private void add(String id, double capacity, long startedUs) throws IOException {
+        EmulatedCache model = new EmulatedCache(id, capacity, capacity, startedUs, 0, 4000, rule);
         Listener listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1000,
-                () -> {}, connection -> new Peer(connection, boxes.get(id)));
-        boxes.put(id, new Box(model, listener, startedUs == 0 ? 0 : clock.unixMillis()));
+                () -> {}, connection -> new CachePeer(connection, caches.get(id)));
+        caches.put(id, new FakeCache(model, listener, startedUs == 0 ? 0 : clock.unixMillis()));
     }
 
-    private static String entry(String id, Box box, String state) {
-        return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + box.listener.port() + "\",\"zone\":\"edge\",\"kind\":"
-                + "\"std\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":" + (int) box.model.declaredCapacity
-                + ",\"started_ms\":" + box.startedMs + "}";
+    private static String entry(String id, FakeCache cache, String state) {
+        return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + cache.listener.port() + "\",\"zone\":\"edge\",\"kind\":"
+                + "\"std\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":" + (int) cache.model.declaredCapacity
+                + ",\"started_ms\":" + cache.startedMs + "}";
     }
 
-    private String other(String id, String kind) {
-        return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + hub + "\",\"zone\":\"north\",\"kind\":\"" + kind
+    private String hubEntry(String id, String kind) {
+        return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + hubPort + "\",\"zone\":\"north\",\"kind\":\"" + kind
                 + "\",\"cell\":9,\"state\":\"ready\",\"weight\":20,\"started_ms\":0}";
     }
 
-    private static Connection.Handler unasked(Connection connection) {
-        throw new IllegalStateException("a director may not ask a hub itself");
+    private static Connection.Handler rejectHubConnection(Connection connection) {
+        throw new IllegalStateException("a director may not send requests to a hub itself");
     }
 
     private void step() {
         long now = clock.micros();
         deadlines.add(now + STEP_US, this::step);
-        boolean second = now - lastSecondUs >= SECOND_US;
-        boolean report = now - lastReportUs >= REPORT_US;
+        boolean secondElapsed = now - lastSecondUs >= SECOND_US;
+        boolean reportDue = now - lastReportUs >= REPORT_US;
         List<Double> loads = new ArrayList<>();
-        for (Box box : boxes.values()) {
-            box.model.step(now, STEP_US, 2).forEach(transfer -> transfer.done.run());
-            if (report) {
-                box.model.report(now, REPORT_US / 4, 0, 0.2);
+        for (FakeCache cache : caches.values()) {
+            cache.model.step(now, STEP_US, 2).forEach(transfer -> transfer.done.run());
+            if (reportDue) {
+                cache.model.report(now, REPORT_US / 4, 0, 0.2);
             }
-            if (second) {
-                double load = box.model.load(now, now - lastSecondUs);
-                box.busiest = Math.max(box.busiest, load);
-                if (!box.model.draining && !box.model.cold(now)) {
+            if (secondElapsed) {
+                double load = cache.model.load(now, now - lastSecondUs);
+                cache.maxLoad = Math.max(cache.maxLoad, load);
+                if (!cache.model.draining && !cache.model.cold(now)) {
                     loads.add(load);
                 }
             }
         }
-        lastReportUs = report ? now : lastReportUs;
-        if (second) {
+        lastReportUs = reportDue ? now : lastReportUs;
+        if (secondElapsed) {
             lastSecondUs = now;
             double mean = loads.stream().mapToDouble(d -> d).average().orElse(0);
             if (mean >= 0.1) {
-                spreads.add(loads.stream().mapToDouble(d -> d).max().orElse(0) / mean);
-                idle += (int) loads.stream().filter(load -> load == 0).count();
+                maxOverMeanLoads.add(loads.stream().mapToDouble(d -> d).max().orElse(0) / mean);
+                idleSeconds += (int) loads.stream().filter(load -> load == 0).count();
             }
         }
     }
 
-    /** Hears of every request that comes to a cache, in the order in which they come, on the stand-ins' thread. */
-    volatile Consumer<String> heard = fields -> {};
+    /** Receives the fields of every request to a cache, in order of arrival, on the fleet's thread. */
+    volatile Consumer<String> requestListener = fields -> {};
 
-    private final class Peer extends LinePeer {
-        private final Box box;
+    private final class CachePeer extends LineProtocolPeer {
+        private final FakeCache cache;
         private final Map<String, Transfer> open = new HashMap<>();
 
-        Peer(Connection connection, Box box) {
+        CachePeer(Connection connection, FakeCache cache) {
             super(connection);
-            this.box = box;
+            this.cache = cache;
         }
 
         @Override
-        protected void want(String id, String fields) {
+        protected void requestReceived(String id, String fields) {
             long now = clock.micros();
             String token = field(fields, "token");
-            heard.accept(fields);
-            boolean fills = field(fields, "src") != null && !field(fields, "src").equals(box.model.id);
-            double work = token == null ? workUs : ORDER_WORK_US;
-            box.lastUs = now;
+            requestListener.accept(fields);
+            boolean filling = field(fields, "src") != null && !field(fields, "src").equals(cache.model.id);
+            double work = token == null ? transferUs : ORDER_TRANSFER_US;
+            cache.lastRequestUs = now;
             if (ids.add(id)) {
-                lately.add(now);
-                while (lately.peek() <= now - SECOND_US) {
-                    lately.poll();
+                recentArrivals.add(now);
+                while (recentArrivals.peek() <= now - SECOND_US) {
+                    recentArrivals.poll();
                 }
-                mostLately = Math.max(mostLately, lately.size());
+                maxPerSecond = Math.max(maxPerSecond, recentArrivals.size());
             }
-            drainsBroken += now > box.drainToldUs + GRACE_US && box.model.draining ? 1 : 0;
-            overruns += box.model.overloadedWhileCold(now, work) ? 1 : 0;
-            if (box.model.full()) {
-                say(id + " WAIT - 0\r\n\r\n");
+            drainViolations += now > cache.drainAnnouncedUs + GRACE_US && cache.model.draining ? 1 : 0;
+            slowStartViolations += cache.model.overloadedWhileCold(now, work) ? 1 : 0;
+            if (cache.model.full()) {
+                sendText(id + " WAIT - 0\r\n\r\n");
                 return;
             }
-            boolean hit = token == null && box.model.lookUp(Long.parseUnsignedLong(field(fields, "obj"), 16), fills);
-            if (token == null && !hit && !fills) {
-                say(id + " LACK - 0\r\n\r\n");
+            boolean hit =
+                    token == null && cache.model.lookUp(Long.parseUnsignedLong(field(fields, "obj"), 16), filling);
+            if (token == null && !hit && !filling) {
+                sendText(id + " LACK - 0\r\n\r\n");
                 return;
             }
-            ordersTwice += token == null || orders.add(token) ? 0 : 1;
-            Transfer transfer = new Transfer(() -> done(id, hit), !hit, work, hit ? 0 : 10_000);
+            duplicateOrders += token == null || orders.add(token) ? 0 : 1;
+            Transfer transfer = new Transfer(() -> complete(id, hit), !hit, work, hit ? 0 : 10_000);
             open.put(id, transfer);
             if (token == null) {
                 reads.merge(id, 1, Integer::sum);
-                mostReads = Math.max(mostReads, reads.size());
+                maxReads = Math.max(maxReads, reads.size());
             }
-            box.model.open.add(transfer);
+            cache.model.open.add(transfer);
         }
 
-        private void done(String id, boolean hit) {
+        private void complete(String id, boolean hit) {
             open.remove(id);
             reads.computeIfPresent(id, (key, count) -> count > 1 ? count - 1 : null);
-            LoadReport load = mute ? null : box.model.visibleReport(clock.micros(), frozen);
+            LoadReport load = reportsMuted ? null : cache.model.visibleReport(clock.micros(), reportsFrozen);
             String gauges = load == null ? "" : String.format(Locale.ROOT,
                     ",gauges=concurrent:%.3f;load_share:%.3f;x1:%.3f", load.concurrency(), load.utilization(),
                     load.linkUtilization());
-            say(id + " DONE etag=t,made=" + clock.unixMillis() + ",res=" + (hit ? "HIT" : "MISS") + gauges + " " + BODY
+            sendText(id + " DONE etag=t,made=" + clock.unixMillis() + ",res=" + (hit ? "HIT" : "MISS") + gauges + " "
+                    + BODY
                     + "\r\n");
             connection.send(body.duplicate());
-            say("\r\n");
+            sendText("\r\n");
         }
 
         @Override
-        protected void neverMind(String id) {
-            box.model.open.remove(open.remove(id));
+        protected void requestCancelled(String id) {
+            cache.model.open.remove(open.remove(id));
             reads.computeIfPresent(id, (key, count) -> count > 1 ? count - 1 : null);
         }
 
         @Override
-        protected void poll(String path) {}
+        protected void pollReceived(String path) {}
 
         @Override
         public void closed(IOException cause) {
-            box.model.open.removeAll(open.values());
+            cache.model.open.removeAll(open.values());
             open.keySet().forEach(id -> reads.computeIfPresent(id, (key, count) -> count > 1 ? count - 1 : null));
         }
     }
 
     // ---- Command channel --------------------------------------------------------------------------
 
-    private void tell(String server) {
+    private void publish(String server) {
         for (Channel channel : channels) {
             int cursor = channel.events.size() + 2;
             channel.events.add("{\"cursor\":" + cursor + ",\"nodes\":{\"version\":" + cursor + ",\"full\":false,"
@@ -357,19 +360,19 @@
         }
     }
 
-    private final class Poll extends LinePeer {
+    private final class ChannelPeer extends LineProtocolPeer {
         private final Channel channel;
 
-        Poll(Connection connection, Channel channel) {
+        ChannelPeer(Connection connection, Channel channel) {
             super(connection);
             this.channel = channel;
         }
 
         @Override
-        protected void want(String id, String fields) {}
+        protected void requestReceived(String id, String fields) {}
 
         @Override
-        protected void poll(String path) {
+        protected void pollReceived(String path) {
             int resume = Integer.parseInt(path.replaceAll(".*resume=([0-9]+).*", "$1"));
             long block = Long.parseLong(path.replaceAll(".*block=", ""));
             Runnable answer = () -> {
@@ -378,7 +381,7 @@
                         channel.events.size());
                 String text = "{\"cursor\":" + (channel.events.size() + 1) + ",\"cmds\":[" + String.join(",", later)
                         + "]}";
-                say("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
+                sendText("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
             };
             if (channel.events.size() > resume - 1) {
                 answer.run();
--- a/src/test/java/clovermill/prove/EventLogSimProof.java
+++ b/src/test/java/clovermill/prove/EventLogSimProof.java
@@ -11,8 +11,8 @@
 import java.util.stream.LongStream;
 
 /**
- * The proof of the event log in the emulator ({@code make prove-event-log-sim}): seeds of faults, then what a director
- * and a replica spend at several sizes, counted at 9.1 events a second with 28 bytes of headers a datagram.
+ * Proof of the event log in the emulator ({@code make prove-event-log-sim}): fault seeds, then the traffic of a
+ * director and a replica at several fleet sizes, at 9.1 events a second with 28 bytes of headers per datagram.
  */
 public final class EventLogSimProof {
 
@@ -22,7 +22,7 @@
 
     private EventLogSimProof() {}
 
-    /** Properties: seeds, and sizes with commas between. */
+    /** System properties: seeds, and sizes separated by commas. */
     public static void main(String[] args) {
         int seeds = Integer.getInteger("seeds", 1000);
         Scenario faults = new Scenario(new FleetSize(8, 2500, 150, 0.01, 40_000), 100, 9.1, 2);
--- a/src/test/java/clovermill/prove/LedgerProof.java
+++ b/src/test/java/clovermill/prove/LedgerProof.java
@@ -30,17 +30,17 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The long proof of the ledger ({@code make prove-ledger}): three directors under load are killed again and again,
- * at named points and at random, as are their exporters, while the receiver fails in every way it can. At the end
- * all that was billed is compared with what the clients got. Then what the ledger costs, on against off.
+ * Long proof of the usage ledger ({@code make prove-ledger}): three directors under load and their exporters are killed
+ * repeatedly, at named crash points and at random times, while the receiver fails in every possible way. At the end
+ * the billed bytes are compared with the bytes that clients received. Then the cost of the ledger is measured.
  */
 public final class LedgerProof {
 
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-    private static final List<String> DIRECTOR_POINTS = List.of("ledger.append", "ledger.opened:2",
+    private static final List<String> DIRECTOR_CRASH_POINTS = List.of("ledger.append", "ledger.opened:2",
             "ledger.before-open:2", "ledger.closed:2", "segment.before-write", "segment.after-write",
             "segment.after-sync:9", "store.replace.before-rename:1", "store.replace.after-rename:1");
-    private static final List<String> EXPORT_POINTS = List.of("export.before-write", "store.replace.before-sync",
+    private static final List<String> EXPORT_CRASH_POINTS = List.of("export.before-write", "store.replace.before-sync",
             "store.replace.before-rename", "store.replace.after-rename", "export.after-rename", "export.before-send",
             "export.acknowledged", "export.before-commit", "export.after-commit", "books.before-commit",
             "books.after-commit", "rebuild.before-rename", "rebuild.after-rename");
@@ -54,7 +54,7 @@
         this.kills = kills;
     }
 
-    /** Arguments: kills, seconds of a window of the cost, records of the log. */
+    /** System properties: kills, window (seconds of a cost measurement), records (of the log benchmark). */
     public static void main(String[] args) throws Exception {
         int kills = Integer.getInteger("kills", 210);
         int windowS = Integer.getInteger("window", 8);
@@ -69,19 +69,19 @@
         }
     }
 
-    /** Stores batches by instance, epoch and number; fails now and then, before or after it has stored. */
+    /** Stores batches by instance, epoch and number; fails at times, before or after storing a batch. */
     private static final class Receiver implements AutoCloseable {
         final Map<String, String> stored = new TreeMap<>();
         final Random random = new Random(7);
         final HttpServer server;
-        int lost;
+        int lostAcknowledgements;
         int replayed;
         int conflicts;
-        volatile boolean calm;
+        volatile boolean reliable;
 
         Receiver() throws IOException {
             server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
-            server.createContext("/bills", this::take);
+            server.createContext("/bills", this::receive);
             server.setExecutor(Executors.newCachedThreadPool(task -> {
                 Thread thread = new Thread(task, "receiver");
                 thread.setDaemon(true);
@@ -94,12 +94,12 @@
             return "http://127.0.0.1:" + server.getAddress().getPort() + "/bills";
         }
 
-        private synchronized void take(HttpExchange exchange) throws IOException {
+        private synchronized void receive(HttpExchange exchange) throws IOException {
             String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
             String name = exchange.getRequestURI().getPath();
-            // Down for a while now and then, in which it answers 503; an hour is 3 s here.
-            boolean down = !calm && System.currentTimeMillis() / 1000 % 20 < 3;
-            int dice = calm ? 100 : random.nextInt(100);
+            // Unavailable for 3 s of every 20 s, responding with 503: emulates an outage of an hour.
+            boolean down = !reliable && System.currentTimeMillis() / 1000 % 20 < 3;
+            int dice = reliable ? 100 : random.nextInt(100);
             if (down || dice < 10) {
                 exchange.sendResponseHeaders(down ? 503 : 500, -1);
                 exchange.close();
@@ -110,8 +110,8 @@
             boolean conflict = known != null && !known.equals(body);
             conflicts += conflict ? 1 : 0;
             if (dice < 20) {
-                lost++;
-                exchange.close(); // stored, and nobody hears of it
+                lostAcknowledgements++;
+                exchange.close(); // stored, but the acknowledgement is lost
                 return;
             }
             exchange.sendResponseHeaders(conflict ? 409 : known != null ? 200 : 201, -1);
@@ -130,7 +130,7 @@
         }
     }
 
-    /** One director with its files. */
+    /** A director and its files. */
     private final class Instance {
         final String name;
         final Path folder;
@@ -138,13 +138,13 @@
         final Path settings;
         final int port = freePort();
 
-        Instance(String name, StandIns members, String ledger) throws IOException {
+        Instance(String name, FakeUpstreams upstreams, String ledger) throws IOException {
             this.name = name;
             folder = root.resolve(name);
             config = root.resolve(name + ".json");
             settings = root.resolve(name + "-settings.json");
             String text = Files.readString(Path.of("src/test/resources/director.json"))
-                    .replaceAll("\\$\\{[^}]*}", members.address())
+                    .replaceAll("\\$\\{[^}]*}", upstreams.address())
                     .replace("\"name\":\"n1\"", "\"name\":\"" + name + "\"")
                     .replace("\"sockets\":64", "\"sockets\":512");
             Files.writeString(config, text);
@@ -153,14 +153,14 @@
                     + "}");
         }
 
-        Process start(String crash, boolean own) throws IOException {
+        Process start(String crash, boolean withSettings) throws IOException {
             List<String> command = new ArrayList<>(List.of(JAVA, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
                     "-Xms32m", "-Xmx88m", "-XX:MaxDirectMemorySize=8m", "-cp", System.getProperty("java.class.path")));
             if (crash != null) {
                 command.add("-Dclovermill.crash=" + crash);
             }
             command.addAll(List.of("clovermill.cli.Main", "serve"));
-            if (own) {
+            if (withSettings) {
                 command.addAll(List.of("--settings", settings.toString()));
             }
             ProcessBuilder builder = new ProcessBuilder(command);
@@ -170,14 +170,14 @@
                     root.resolve(name + ".out").toFile())).start();
         }
 
-        Process ledger(String crash, String... words) throws IOException {
+        Process runLedgerCommand(String crash, String... arguments) throws IOException {
             List<String> command = new ArrayList<>(List.of(JAVA, "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp",
                     System.getProperty("java.class.path")));
             if (crash != null) {
                 command.add("-Dclovermill.crash=" + crash);
             }
             command.addAll(List.of("clovermill.cli.Main", "ledger"));
-            command.addAll(List.of(words));
+            command.addAll(List.of(arguments));
             return new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(
                     ProcessBuilder.Redirect.appendTo(root.resolve(name + ".commands").toFile())).start();
         }
@@ -186,12 +186,12 @@
     private void run(int windowS, int records) throws Exception {
         Map<String, Object> figures = new TreeMap<>();
         String parts = System.getProperty("parts", "kill,log,cost");
-        boolean holds = !parts.contains("kill") || killAndBill(figures);
+        boolean holds = !parts.contains("kill") || killAndReconcile(figures);
         if (parts.contains("log")) {
-            holds &= log(records, figures);
+            holds &= benchmarkLog(records, figures);
         }
         if (parts.contains("cost")) {
-            holds &= cost(windowS, figures);
+            holds &= measureCost(windowS, figures);
         }
         StringBuilder line = new StringBuilder("prove-ledger:");
         figures.forEach((name, value) -> line.append(' ').append(name).append('=').append(value));
@@ -199,7 +199,7 @@
         System.exit(holds ? 0 : 1);
     }
 
-    private boolean log(int records, Map<String, Object> figures) throws IOException {
+    private boolean benchmarkLog(int records, Map<String, Object> figures) throws IOException {
         LedgerBench.Result log = LedgerBench.run(new LedgerFolder(root.resolve("bench")), records);
         figures.put("append_per_s", Math.round(log.appendPerS()));
         figures.put("recover_s", String.format(Locale.ROOT, "%.1f", log.startS()));
@@ -208,19 +208,19 @@
         return log.appendPerS() >= 300_000 && log.startS() < 10 * records / 1e7;
     }
 
-    private boolean killAndBill(Map<String, Object> figures) throws Exception {
-        try (StandIns members = new StandIns(); Receiver receiver = new Receiver()) {
+    private boolean killAndReconcile(Map<String, Object> figures) throws Exception {
+        try (FakeUpstreams upstreams = new FakeUpstreams(); Receiver receiver = new Receiver()) {
             List<Instance> instances = new ArrayList<>();
-            List<Load> loads = new ArrayList<>();
+            List<LoadGenerator> loads = new ArrayList<>();
             List<Thread> threads = new ArrayList<>();
             Path out = Files.createDirectories(root.resolve("out"));
             for (int i = 0; i < 3; i++) {
-                Instance instance = new Instance("n" + (i + 1), members, "\"period_s\":2,\"lateness_s\":1,"
+                Instance instance = new Instance("n" + (i + 1), upstreams, "\"period_s\":2,\"lateness_s\":1,"
                         + "\"segment_mb\":1,\"tenants\":[{\"tenant\":\"north\",\"groups\":[0,99]},"
                         + "{\"tenant\":\"south\",\"groups\":[100,199]}],\"export\":{\"folder\":\"" + out
                         + "\",\"receiver\":\"" + receiver.url() + "\",\"attempts\":2,\"timeout_ms\":2000}");
                 instances.add(instance);
-                Load load = new Load(instance.port, 400, i);
+                LoadGenerator load = new LoadGenerator(instance.port, 400, i);
                 loads.add(load);
                 int seed = i;
                 threads.add(new Thread(() -> killDirector(instance, load, new Random(seed), kills / 3)));
@@ -240,67 +240,73 @@
             for (Thread thread : exporters) {
                 thread.join();
             }
-            receiver.calm = true;
+            receiver.reliable = true;
             Thread.sleep(4000);
-            boolean done = true;
+            boolean commandsSucceeded = true;
             for (Instance instance : instances) {
-                done &= instance.ledger(null, "close", "--settings", instance.settings.toString()).waitFor() == 0;
-                done &= instance.ledger(null, "export", "--settings", instance.settings.toString()).waitFor() == 0;
-                done &= instance.ledger(null, "verify", "--settings", instance.settings.toString()).waitFor() == 0;
-                done &= instance.ledger(null, "rebuild", "--settings", instance.settings.toString()).waitFor() == 0;
+                commandsSucceeded &= instance
+                        .runLedgerCommand(null, "close", "--settings", instance.settings.toString()).waitFor() == 0;
+                commandsSucceeded &= instance
+                        .runLedgerCommand(null, "export", "--settings", instance.settings.toString()).waitFor() == 0;
+                commandsSucceeded &= instance
+                        .runLedgerCommand(null, "verify", "--settings", instance.settings.toString()).waitFor() == 0;
+                commandsSucceeded &= instance
+                        .runLedgerCommand(null, "rebuild", "--settings", instance.settings.toString()).waitFor() == 0;
             }
-            boolean agrees = instances.get(0).ledger(null, "reconcile", "--billed", out.toString(),
+            boolean reconciled = instances.get(0).runLedgerCommand(null, "reconcile", "--billed", out.toString(),
                     instances.get(0).folder.toString(), instances.get(1).folder.toString(),
                     instances.get(2).folder.toString()).waitFor() == 0;
-            return judge(figures, receiver, loads, members, done, agrees);
+            return evaluate(figures, receiver, loads, upstreams, commandsSucceeded, reconciled);
         }
     }
 
-    private boolean judge(Map<String, Object> figures, Receiver receiver, List<Load> loads, StandIns members,
-            boolean done, boolean agrees) throws IOException {
+    private boolean evaluate(Map<String, Object> figures, Receiver receiver, List<LoadGenerator> loads,
+            FakeUpstreams upstreams,
+            boolean commandsSucceeded, boolean reconciled) throws IOException {
         long billed = 0;
-        int twice = 0;
+        int duplicates = 0;
         Set<String> totals = new HashSet<>();
         for (Map.Entry<String, String> batch : receiver.stored.entrySet()) {
             String instance = batch.getKey().split("/")[2];
             for (BatchText.Row row : BatchText.read(new StringReader(batch.getValue()))) {
                 billed += row.totals().get(Totals.Sum.BYTES);
-                twice += row.kind().equals("total") && !totals.add(instance + row.key()) ? 1 : 0;
+                duplicates += row.kind().equals("total") && !totals.add(instance + row.key()) ? 1 : 0;
             }
         }
         int missing = 0;
         try (Stream<Path> files = Files.list(root.resolve("out"))) {
             for (Path file : files.filter(each -> each.toString().endsWith(".csv")).toList()) {
                 String[] name = file.getFileName().toString().split("-e|-b|\\.");
-                String at = "/bills/" + name[0] + "/" + name[1] + "/" + name[2];
-                missing += Files.readString(file).equals(receiver.stored.get(at)) ? 0 : 1;
+                String batchPath = "/bills/" + name[0] + "/" + name[1] + "/" + name[2];
+                missing += Files.readString(file).equals(receiver.stored.get(batchPath)) ? 0 : 1;
             }
         }
         long received = loads.stream().mapToLong(load -> load.bodyBytes).sum();
-        double signed = (billed - received) / (double) received;
-        double error = Math.abs(signed);
-        long ordersTwice = members.orders.values().stream().filter(ran -> ran.get() > 1).count();
+        double signedError = (billed - received) / (double) received;
+        double absoluteError = Math.abs(signedError);
+        long duplicateOrders = upstreams.orders.values().stream().filter(ran -> ran.get() > 1).count();
         figures.put("kills", killed.get());
         figures.put("export_kills", exportKilled.get());
         figures.put("batches", receiver.stored.size());
-        figures.put("acks_lost", receiver.lost);
+        figures.put("acks_lost", receiver.lostAcknowledgements);
         figures.put("replayed", receiver.replayed);
         figures.put("conflicts", receiver.conflicts);
-        figures.put("twice", twice);
+        figures.put("twice", duplicates);
         figures.put("missing", missing);
         figures.put("mb_received", received >> 20);
-        figures.put("error", String.format(Locale.ROOT, "%.6f", signed));
-        figures.put("commands_ok", done);
-        figures.put("reconciled", agrees);
-        figures.put("orders_twice", ordersTwice);
-        if (!done || !agrees) {
-            dump();
+        figures.put("error", String.format(Locale.ROOT, "%.6f", signedError));
+        figures.put("commands_ok", commandsSucceeded);
+        figures.put("reconciled", reconciled);
+        figures.put("orders_twice", duplicateOrders);
+        if (!commandsSucceeded || !reconciled) {
+            printCommandOutput();
         }
-        return done && agrees && twice == 0 && missing == 0 && receiver.conflicts == 0 && error <= 0.001
+        return commandsSucceeded && reconciled && duplicates == 0 && missing == 0 && receiver.conflicts == 0
+                && absoluteError <= 0.001
                 && killed.get() + exportKilled.get() >= kills;
     }
 
-    private void dump() throws IOException {
+    private void printCommandOutput() throws IOException {
         try (Stream<Path> files = Files.list(root)) {
             for (Path file : files.filter(each -> each.toString().endsWith(".commands")).toList()) {
                 System.out.println(file);
@@ -310,10 +316,10 @@
         }
     }
 
-    private void killDirector(Instance instance, Load load, Random random, int times) {
+    private void killDirector(Instance instance, LoadGenerator load, Random random, int times) {
         try {
             for (int i = 0; i < times; i++) {
-                String point = DIRECTOR_POINTS.get(i / 3 % DIRECTOR_POINTS.size());
+                String point = DIRECTOR_CRASH_POINTS.get(i / 3 % DIRECTOR_CRASH_POINTS.size());
                 String crash = i % 3 != 0 || !Boolean.parseBoolean(System.getProperty("points", "true")) ? null
                         : point.contains(":") ? point : point + ":" + (200 + random.nextInt(800));
                 Process process = instance.start(crash, true);
@@ -335,9 +341,9 @@
     private void killExporter(Instance instance, Random random) {
         try {
             for (int i = 0; !Thread.interrupted(); i++) {
-                String crash = i % 3 == 2 ? null : EXPORT_POINTS.get(random.nextInt(EXPORT_POINTS.size()));
+                String crash = i % 3 == 2 ? null : EXPORT_CRASH_POINTS.get(random.nextInt(EXPORT_CRASH_POINTS.size()));
                 boolean rebuild = crash != null && crash.startsWith("rebuild");
-                Process process = instance.ledger(crash, rebuild ? "rebuild" : "export", "--settings",
+                Process process = instance.runLedgerCommand(crash, rebuild ? "rebuild" : "export", "--settings",
                         instance.settings.toString());
                 boolean ended = process.waitFor(i % 3 == 2 ? 300 + random.nextInt(1000) : 8000, TimeUnit.MILLISECONDS);
                 process.destroyForcibly();
@@ -345,19 +351,19 @@
                 Thread.sleep(500);
             }
         } catch (InterruptedException stopped) {
-            // the end of the proof
+            // the proof is over
         } catch (IOException failure) {
             throw new IllegalStateException(failure);
         }
     }
 
-    /** The ledger on against off, in turn: processor time for each request, and the 99th percentile. */
-    private boolean cost(int windowS, Map<String, Object> figures) throws Exception {
-        try (StandIns members = new StandIns()) {
-            Instance on = new Instance("on", members, "\"tenants\":[{\"tenant\":\"north\",\"groups\":[0,99]}]");
-            Instance off = new Instance("off", members, null);
-            // A second one without, to tell what two runs of the same thing differ by.
-            Instance again = new Instance("again", members, null);
+    /** Compares directors with and without a ledger: CPU time per request, and latency at the 99th percentile. */
+    private boolean measureCost(int windowS, Map<String, Object> figures) throws Exception {
+        try (FakeUpstreams upstreams = new FakeUpstreams()) {
+            Instance on = new Instance("on", upstreams, "\"tenants\":[{\"tenant\":\"north\",\"groups\":[0,99]}]");
+            Instance off = new Instance("off", upstreams, null);
+            // A second director without a ledger, to measure the noise between equal configurations.
+            Instance again = new Instance("again", upstreams, null);
             Instance[] all = {on, off, again};
             List<Process> directors = new ArrayList<>();
             List<List<Double>> cpuUs = new ArrayList<>();
@@ -369,18 +375,18 @@
             }
             Thread.sleep(3000);
             for (int round = -2; round < 20; round++) {
-                // All at once, each with the same load: what else the machine does then meets them alike.
-                List<Load> loads = new ArrayList<>();
+                // All run concurrently with the same load, so that other activity on the machine affects them equally.
+                List<LoadGenerator> loads = new ArrayList<>();
                 List<Long> fromMs = new ArrayList<>();
                 for (int i = 0; i < all.length; i++) {
                     fromMs.add(cpuMs(directors.get(i)));
-                    loads.add(new Load(all[i].port, 1000, round));
+                    loads.add(new LoadGenerator(all[i].port, 1000, round));
                 }
                 Thread.sleep(windowS * 1000L);
                 for (int i = 0; i < all.length; i++) {
                     loads.get(i).close();
                     if (round >= 0) {
-                        cpuUs.get(i).add((cpuMs(directors.get(i)) - fromMs.get(i)) * 1000.0 / loads.get(i).answered);
+                        cpuUs.get(i).add((cpuMs(directors.get(i)) - fromMs.get(i)) * 1000.0 / loads.get(i).responses);
                         latency.get(i).add(loads.get(i).latencyUs);
                     }
                 }
@@ -400,7 +406,7 @@
         }
     }
 
-    /** The median of the ratios window by window; it and their quartiles go into the figures. */
+    /** Returns the median of the ratios by window; records it and the quartiles in the figures. */
     private static double ratio(String name, List<Double> a, List<Double> b, Map<String, Object> figures) {
         List<Double> ratios = new ArrayList<>();
         for (int i = 0; i < a.size(); i++) {
--- a/src/test/java/clovermill/prove/LimitsProofTest.java
+++ b/src/test/java/clovermill/prove/LimitsProofTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Real processes that share a limit and a replicated map over links which drop, delay, spoil and cut. */
+/** Short form of the proof: processes share a limit and a replicated map over links with faults. */
 class LimitsProofTest {
 
     @Test
-    void processesKeepOneLimitAndAllEntriesThroughFaults() throws Exception {
-        assertThat(LimitsProof.processesShortly()).contains("proc_lost=0").endsWith("holds=true");
+    void processesKeepLimitAndReplicatedEntriesDuringFaults() throws Exception {
+        assertThat(LimitsProof.runProcessesShort()).contains("proc_lost=0").endsWith("holds=true");
     }
 }
--- a/src/test/java/clovermill/prove/Load.java
+++ b/src/test/java/clovermill/prove/LoadGenerator.java
@@ -20,12 +20,12 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients of one director: so many requests a second whatever it answers, over a few connections that are dialled
- * again when they break, or when the director says that it leaves; the old one is closed once all is answered.
- * Counts every byte of a body that arrives, also of answers that break off, and times each answer from the moment at
- * which its request was due (so that waiting in a queue counts).
+ * Clients of one director: an open-loop load of so many requests a second over a few connections. A connection is
+ * reopened when it is lost or when the director announces its shutdown; the old one is closed once all its requests
+ * have a response. Counts every received byte of a body, also of truncated responses, and measures latency from the
+ * time at which a request was scheduled, so that it includes the time in a queue.
  */
-public final class Load {
+public final class LoadGenerator {
 
     private static final int CONNECTIONS = 8;
     private static final long TICK_US = 2_000;
@@ -34,50 +34,54 @@
     private final Deadlines deadlines = new Deadlines();
     private final EventLoop loop;
     private final int port;
-    private final double perUs;
+    private final double requestsPerUs;
     private final int kb;
-    private final int power;
-    /** The first digits of every key, from which stand-ins take a size; null where they follow from the object. */
+    private final int popularityExponent;
+    /** The first digits of every key, which set the body size; null if they depend on the object. */
     private final String keyPrefix;
     private final Random random;
     private final List<Client> clients = new ArrayList<>();
     private final Thread thread;
     private final long startUs = clock.micros();
-    private long due;
+    private long scheduled;
     private boolean draining;
     /** Read after {@link #close} only. */
     public final Histogram latencyUs = new Histogram(60_000_000L, 3);
     public volatile long bodyBytes;
-    public volatile long asked;
-    public volatile long answered;
-    /** Requests whose connection ended without an answer, answers to nothing that was open, dials that failed. */
+    public volatile long requests;
+    public volatile long responses;
+    /** Requests whose connection closed without a response. */
     public volatile long lost;
-    public volatile long twice;
-    volatile long unreached;
+    /** Responses to streams that had no open request. */
+    public volatile long duplicates;
+    /** Connections that could not be opened. */
+    volatile long connectFailures;
     public volatile long served;
 
-    Load(int port, int perSecond, long seed) throws IOException {
-        this(port, perSecond, seed, 4, 1);
+    LoadGenerator(int port, int requestsPerSecond, long seed) throws IOException {
+        this(port, requestsPerSecond, seed, 4, 1);
     }
 
-    /** Parts of so many KB; a power above 1 makes some objects more popular than others. */
-    public Load(int port, int perSecond, long seed, int kb, int power) throws IOException {
-        this(port, perSecond, seed, kb, power, null);
+    /** Starts a load with parts of {@code kb} KB; an exponent above 1 makes some objects more popular. */
+    public LoadGenerator(int port, int requestsPerSecond, long seed, int kb, int popularityExponent)
+            throws IOException {
+        this(port, requestsPerSecond, seed, kb, popularityExponent, null);
     }
 
-    /** Objects whose keys all begin with the same four hex digits, and so have the same size at {@link StandIns}. */
-    public Load(int port, int perSecond, long seed, int kb, int power, String keyPrefix) throws IOException {
+    /** Starts a load whose keys share a prefix of four hex digits, and so one body size at {@link FakeUpstreams}. */
+    public LoadGenerator(int port, int requestsPerSecond, long seed, int kb, int popularityExponent, String keyPrefix)
+            throws IOException {
         this.port = port;
         this.keyPrefix = keyPrefix;
         this.kb = kb;
-        this.power = power;
-        this.perUs = perSecond / 1e6;
+        this.popularityExponent = popularityExponent;
+        this.requestsPerUs = requestsPerSecond / 1e6;
         this.random = new Random(seed);
         loop = new EventLoop(clock, deadlines);
         for (int i = 0; i < CONNECTIONS; i++) {
             Client client = new Client();
             clients.add(client);
-            client.dial();
+            client.connect();
         }
         tick();
         thread = new Thread(() -> {
@@ -93,29 +97,29 @@
 
     private void tick() {
         long nowUs = clock.micros();
-        for (long until = (long) ((nowUs - startUs) * perUs); !draining && due < until; due++) {
-            clients.get((int) (due % CONNECTIONS)).ask(startUs + (long) (due / perUs));
+        for (long target = (long) ((nowUs - startUs) * requestsPerUs); !draining && scheduled < target; scheduled++) {
+            clients.get((int) (scheduled % CONNECTIONS)).sendRequest(startUs + (long) (scheduled / requestsPerUs));
         }
         deadlines.add(nowUs + TICK_US, this::tick);
     }
 
-    /** Asks on its present connection. */
+    /** Sends requests on its current connection. */
     private final class Client {
-        private Link present;
+        private Link current;
 
-        void dial() {
-            present = new Link(this);
+        void connect() {
+            current = new Link(this);
             try {
-                present.connection = loop.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                        c -> present);
+                current.connection = loop.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                        c -> current);
             } catch (IOException failure) {
-                unreached++;
-                deadlines.add(clock.micros() + 20_000, this::dial);
+                connectFailures++;
+                deadlines.add(clock.micros() + 20_000, this::connect);
             }
         }
 
-        void ask(long dueUs) {
-            present.ask(dueUs);
+        void sendRequest(long dueUs) {
+            current.sendRequest(dueUs);
         }
     }
 
@@ -123,11 +127,11 @@
         private final Client client;
         private final Map<Integer, Long> open = new HashMap<>();
         private Connection connection;
-        private boolean up;
-        private boolean told;
+        private boolean connected;
+        private boolean leaving;
         private int stream;
-        private byte[] kept = {};
-        private long partial;
+        private byte[] buffered = {};
+        private long partialBodyBytes;
 
         Link(Client client) {
             this.client = client;
@@ -135,28 +139,28 @@
 
         @Override
         public void connected() {
-            up = true;
+            connected = true;
         }
 
-        void ask(long dueUs) {
-            if (!up || open.size() >= 30) {
+        void sendRequest(long dueUs) {
+            if (!connected || open.size() >= 30) {
                 return;
             }
-            boolean order = random.nextInt(30) == 0;
-            int object = (int) (5000 * Math.pow(random.nextDouble(), power));
+            boolean hasEffect = random.nextInt(30) == 0;
+            int object = (int) (5000 * Math.pow(random.nextDouble(), popularityExponent));
             String key = (keyPrefix != null ? keyPrefix : String.format("%04x", (object * 7919) % 20_000))
                     + String.format("%012x", object);
             Map<String, String> fields = new HashMap<>();
-            fields.put("class", order ? "order" : "page");
+            fields.put("class", hasEffect ? "order" : "page");
             fields.put("id", String.format("%016x", random.nextLong()));
             fields.put("wait", "3000");
             fields.put("key", key);
             fields.put("bucket", "" + object % 256);
             fields.put("kb", "" + kb);
-            if (order) {
+            if (hasEffect) {
                 fields.put("once", String.format("%016x", random.nextLong()));
             }
-            asked++;
+            requests++;
             open.put(++stream, dueUs);
             ByteBuffer frame = ByteBuffer.allocate(1024).order(ByteOrder.LITTLE_ENDIAN).position(4);
             frame.put((byte) 0).putInt(stream).put((byte) fields.size());
@@ -169,24 +173,24 @@
 
         @Override
         public void received(ByteBuffer data) {
-            byte[] all = Arrays.copyOf(kept, kept.length + data.remaining());
-            data.get(all, kept.length, data.remaining());
+            byte[] all = Arrays.copyOf(buffered, buffered.length + data.remaining());
+            data.get(all, buffered.length, data.remaining());
             ByteBuffer in = ByteBuffer.wrap(all).order(ByteOrder.LITTLE_ENDIAN);
             while (in.remaining() >= 4 && in.remaining() >= 4 + in.getInt(in.position())) {
                 ByteBuffer frame = in.slice(in.position() + 4, in.getInt(in.position())).order(ByteOrder.LITTLE_ENDIAN);
                 in.position(in.position() + 4 + frame.remaining());
-                frame(frame);
-                partial = 0;
+                frameReceived(frame);
+                partialBodyBytes = 0;
             }
-            kept = Arrays.copyOfRange(all, in.position(), all.length);
-            ByteBuffer rest = ByteBuffer.wrap(kept).order(ByteOrder.LITTLE_ENDIAN);
-            long now = rest.remaining() < 9 ? 0 : body(rest.position(4));
-            bodyBytes += now - partial;
-            partial = now;
+            buffered = Arrays.copyOfRange(all, in.position(), all.length);
+            ByteBuffer rest = ByteBuffer.wrap(buffered).order(ByteOrder.LITTLE_ENDIAN);
+            long bodySoFar = rest.remaining() < 9 ? 0 : bodyBytes(rest.position(4));
+            bodyBytes += bodySoFar - partialBodyBytes;
+            partialBodyBytes = bodySoFar;
         }
 
-        /** The bytes of the body in a frame's payload, as far as it has arrived. */
-        private static long body(ByteBuffer frame) {
+        /** Returns the number of body bytes received so far in a frame's payload. */
+        private static long bodyBytes(ByteBuffer frame) {
             try {
                 if (frame.get() != 1) {
                     return 0;
@@ -200,35 +204,35 @@
                     frame.position(frame.position() + value);
                 }
                 return frame.remaining();
-            } catch (BufferUnderflowException | IllegalArgumentException early) {
+            } catch (BufferUnderflowException | IllegalArgumentException incomplete) {
                 return 0;
             }
         }
 
-        private void frame(ByteBuffer frame) {
+        private void frameReceived(ByteBuffer frame) {
             byte type = frame.get(0);
-            if (type == 9 && !told) {
-                told = true;
-                client.dial();
+            if (type == 9 && !leaving) {
+                leaving = true;
+                client.connect();
             }
             if (type == 1) {
-                answer(frame);
+                responseReceived(frame);
             }
-            if (told && open.isEmpty()) {
+            if (leaving && open.isEmpty()) {
                 connection.close();
             }
         }
 
-        private void answer(ByteBuffer frame) {
+        private void responseReceived(ByteBuffer frame) {
             Long dueUs = open.remove(frame.getInt(1));
             if (dueUs != null) {
-                answered++;
+                responses++;
                 served += frame.get(5) == 79 ? 1 : 0;
                 latencyUs.recordValue(Math.max(1, Math.min(60_000_000L, clock.micros() - dueUs)));
             } else {
-                twice++;
+                duplicates++;
             }
-            bodyBytes += body(frame) - partial;
+            bodyBytes += bodyBytes(frame) - partialBodyBytes;
         }
 
         @Override
@@ -239,22 +243,22 @@
         @Override
         public void closed(IOException cause) {
             lost += open.size();
-            unreached += up ? 0 : 1;
-            if (!told) {
-                deadlines.add(clock.micros() + 20_000, client::dial);
+            connectFailures += connected ? 0 : 1;
+            if (!leaving) {
+                deadlines.add(clock.micros() + 20_000, client::connect);
             }
         }
     }
 
-    /** Asks for nothing more; returns once all is answered or so much time has passed. */
-    public void drain(long mostMs) throws InterruptedException {
+    /** Stops sending requests; returns when all have a response or the time-out has expired. */
+    public void drain(long timeoutMs) throws InterruptedException {
         loop.post(() -> draining = true);
-        for (long i = 0; i < mostMs && asked > answered + lost; i += 10) {
+        for (long i = 0; i < timeoutMs && requests > responses + lost; i += 10) {
             Thread.sleep(10);
         }
     }
 
-    /** Ends the load; what was counted stands still then. */
+    /** Stops the load; the counters do not change afterwards. */
     public void close() throws InterruptedException {
         loop.post(loop::stop);
         thread.join();
--- a/src/test/java/clovermill/prove/Relay.java
+++ b/src/test/java/clovermill/prove/Relay.java
@@ -12,34 +12,34 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The links between directors: one socket for each pair and way, which may drop, delay, repeat, spoil or cut. */
+/** The links between directors: a socket for each ordered pair, which may drop, delay, repeat, corrupt or cut. */
 final class Relay implements AutoCloseable {
 
     private final Deadlines deadlines = new Deadlines();
     private final Clock clock = Clock.system();
     private final EventLoop loop = new EventLoop(clock, deadlines);
     private final SplittableRandom random = new SplittableRandom(5);
-    private final List<InetSocketAddress> real;
+    private final List<InetSocketAddress> directors;
     private final Datagrams[][] links;
-    private volatile double loss;
+    private volatile double lossRate;
     private volatile long delayUs;
-    private volatile boolean spoils;
-    /** Directors below this number hear nobody from there up; 0 cuts nothing. */
-    private volatile int cut;
-    /** A director that hears the others and is not heard, or -1. */
-    private volatile int mute = -1;
-    private ByteBuffer earlier;
+    private volatile boolean corrupting;
+    /** Partition: directors below this number cannot reach those from it on, and vice versa; 0 for none. */
+    private volatile int cutBelow;
+    /** A director whose datagrams are all dropped, while it still receives; -1 for none. */
+    private volatile int mutedDirector = -1;
+    private ByteBuffer previous;
 
-    /** Links to directors that listen at such ports. */
+    /** Creates links to directors that listen on the given ports. */
     Relay(List<Integer> ports) throws IOException {
-        real = ports.stream().map(port -> new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).toList();
+        directors = ports.stream().map(port -> new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).toList();
         links = new Datagrams[ports.size()][ports.size()];
         for (int i = 0; i < ports.size(); i++) {
             for (int j = 0; j < ports.size(); j++) {
                 int from = i;
                 int to = j;
                 links[i][j] = loop.datagrams(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        datagram -> pass(from, to, datagram));
+                        datagram -> forward(from, to, datagram));
             }
         }
         Thread thread = new Thread(() -> {
@@ -53,53 +53,54 @@
         thread.start();
     }
 
-    /** The addresses as one director is to have them: its own, and of others the links to them. */
+    /** Returns the addresses for one director's configuration: its own, and the links to the others. */
     List<String> addresses(int self) {
         List<String> all = new ArrayList<>();
-        for (int i = 0; i < real.size(); i++) {
-            all.add("127.0.0.1:" + (i == self ? real.get(i).getPort() : links[self][i].port()));
+        for (int i = 0; i < directors.size(); i++) {
+            all.add("127.0.0.1:" + (i == self ? directors.get(i).getPort() : links[self][i].port()));
         }
         return all;
     }
 
-    void faults(double dropped, long delayMs, int cutBelow, boolean spoiling) {
-        loss = dropped;
+    void setFaults(double dropRate, long delayMs, int cutDirectors, boolean corrupt) {
+        lossRate = dropRate;
         delayUs = delayMs * 1000;
-        cut = cutBelow;
-        spoils = spoiling;
+        cutBelow = cutDirectors;
+        corrupting = corrupt;
     }
 
-    /** Nobody hears this director from now on; -1: all do. */
+    /** Drops all datagrams from this director; -1 for none. */
     void mute(int director) {
-        mute = director;
+        mutedDirector = director;
     }
 
-    private void pass(int from, int to, ByteBuffer datagram) {
-        if (from == mute || random.nextDouble() < loss || cut > 0 && from < cut != to < cut) {
+    private void forward(int from, int to, ByteBuffer datagram) {
+        if (from == mutedDirector || random.nextDouble() < lossRate
+                || cutBelow > 0 && from < cutBelow != to < cutBelow) {
             return;
         }
         ByteBuffer copy = ByteBuffer.allocate(datagram.remaining()).put(datagram).flip();
-        if (spoils) {
-            // One changed in a byte, one cut short, one of somebody else's and one of before, beside the right one.
-            ByteBuffer spoilt = ByteBuffer.wrap(copy.array().clone());
-            spoilt.put(random.nextInt(spoilt.limit()), (byte) random.nextInt(256));
-            out(to, spoilt);
-            out(to, copy.duplicate().limit(random.nextInt(copy.limit())));
-            out((to + 1) % real.size(), copy.duplicate());
-            if (earlier != null) {
-                out(to, earlier.duplicate());
+        if (corrupting) {
+            // Besides the original: a changed byte, a truncated, a misdelivered and a replayed datagram.
+            ByteBuffer corrupted = ByteBuffer.wrap(copy.array().clone());
+            corrupted.put(random.nextInt(corrupted.limit()), (byte) random.nextInt(256));
+            deliver(to, corrupted);
+            deliver(to, copy.duplicate().limit(random.nextInt(copy.limit())));
+            deliver((to + 1) % directors.size(), copy.duplicate());
+            if (previous != null) {
+                deliver(to, previous.duplicate());
             }
-            earlier = copy.duplicate();
+            previous = copy.duplicate();
         }
         if (delayUs > 0) {
-            deadlines.add(clock.micros() + random.nextLong(delayUs), () -> out(to, copy));
+            deadlines.add(clock.micros() + random.nextLong(delayUs), () -> deliver(to, copy));
         } else {
-            out(to, copy);
+            deliver(to, copy);
         }
     }
 
-    private void out(int to, ByteBuffer datagram) {
-        links[to][to].send(datagram, real.get(to));
+    private void deliver(int to, ByteBuffer datagram) {
+        links[to][to].send(datagram, directors.get(to));
     }
 
     @Override
--- a/src/test/java/clovermill/prove/SpreadProof.java
+++ b/src/test/java/clovermill/prove/SpreadProof.java
@@ -15,49 +15,49 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The long proof of even load ({@code make prove-spread}): the emulator at 10, 100 and 1,000 directors through every
- * hard case, each twice, beside the module without reports; then real processes with faults put between them.
+ * Long proof of even load ({@code make prove-spread}): the emulator with 10, 100 and 1,000 directors in every difficult
+ * case, each run twice and compared with the module without load reports; then real processes with injected faults.
  */
 public final class SpreadProof {
 
     private final Map<String, Object> figures = new LinkedHashMap<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> failures = new ArrayList<>();
 
     private final Path root = Files.createTempDirectory("prove-spread");
 
     private SpreadProof() throws IOException {}
 
-    /** Property: seed. */
+    /** System property: seed. */
     public static void main(String[] args) throws Exception {
         SpreadProof proof = new SpreadProof();
-        proof.emulate(List.of(10, 100, 1000), 60, Long.getLong("seed", 7));
-        proof.processes(4, 40, 4_000);
+        proof.runEmulator(List.of(10, 100, 1000), 60, Long.getLong("seed", 7));
+        proof.runProcesses(4, 40, 4_000);
         System.out.println(proof.line());
-        System.exit(proof.broken.isEmpty() ? 0 : 1);
+        System.exit(proof.failures.isEmpty() ? 0 : 1);
     }
 
-    /** Processes alone, for the tests; the line of figures. */
-    static String processesShortly() throws Exception {
+    /** Runs a short form with processes only, for the tests; returns the result line. */
+    static String runProcessesShort() throws Exception {
         SpreadProof proof = new SpreadProof();
-        proof.processes(3, 50, 1_500);
+        proof.runProcesses(3, 50, 1_500);
         return proof.line();
     }
 
     private String line() {
         StringBuilder line = new StringBuilder("prove-spread:");
         figures.forEach((name, value) -> line.append(' ').append(name).append('=').append(value));
-        return line.append(" broken=").append(broken).append(" holds=").append(broken.isEmpty()).toString();
+        return line.append(" broken=").append(failures).append(" holds=").append(failures.isEmpty()).toString();
     }
 
-    private void hold(String what, boolean holds) {
-        if (!holds) {
-            broken.add(what);
+    private void check(String what, boolean passes) {
+        if (!passes) {
+            failures.add(what);
         }
     }
 
     // ---- Emulator ---------------------------------------------------------------------------------
 
-    /** The hard cases by name, for so many directors. */
+    /** Returns the difficult cases by name, for a number of directors. */
     static Map<String, Plan> cases(int directors, int seconds) {
         Plan plain = new Plan(directors, 20, Math.max(1, 1000.0 / directors), 0.75, 1, seconds, seconds / 4, 4000, 0.9,
                 600, 150, 0.5, "module", new Plan.Reports(500, 150, 0.1, 0.05), List.of());
@@ -73,115 +73,116 @@
         return cases;
     }
 
-    private void emulate(List<Integer> sizes, int seconds, long seed) throws Plan.InvalidPlanException {
+    private void runEmulator(List<Integer> sizes, int seconds, long seed) throws Plan.InvalidPlanException {
         int overruns = 0;
-        int idle = 0;
-        boolean same = true;
+        int idleSeconds = 0;
+        boolean reproducible = true;
         for (int directors : sizes) {
             for (Map.Entry<String, Plan> each : cases(directors, seconds).entrySet()) {
                 FleetMetrics module = Emulation.play(each.getValue(), seed);
-                FleetMetrics guess = Emulation.play(each.getValue().choosing("guess"), seed);
-                same &= module.figures().equals(Emulation.play(each.getValue(), seed).figures());
+                FleetMetrics withoutReports = Emulation.play(each.getValue().choosing("guess"), seed);
+                reproducible &= module.figures().equals(Emulation.play(each.getValue(), seed).figures());
                 overruns += module.overruns();
-                idle += module.idleSeconds();
+                idleSeconds += module.idleSeconds();
                 String name = each.getKey() + "_" + directors;
                 System.out.println(name + " module " + module.figures());
-                System.out.println(name + " guess  " + guess.figures());
-                hold(name + " serves less than without reports", module.inTimeShare() >= guess.inTimeShare() - 0.005);
-                hold(name + " is less even than without reports",
-                        module.maxOverMean() <= 1.1 * guess.maxOverMean());
+                System.out.println(name + " guess  " + withoutReports.figures());
+                check(name + " serves fewer in time than without reports",
+                        module.inTimeShare() >= withoutReports.inTimeShare() - 0.005);
+                check(name + " is less even than without reports",
+                        module.maxOverMean() <= 1.1 * withoutReports.maxOverMean());
                 if (each.getKey().equals("plain")) {
                     figures.put("max_over_mean_" + directors, Math.round(100 * module.maxOverMean()) / 100.0);
-                    figures.put("guess_" + directors, Math.round(100 * guess.maxOverMean()) / 100.0);
+                    figures.put("guess_" + directors, Math.round(100 * withoutReports.maxOverMean()) / 100.0);
                     figures.put("in_time_" + directors, Math.round(1000 * module.inTimeShare()) / 1000.0);
                 }
             }
         }
         figures.put("directors", sizes.toString().replaceAll("[^0-9,]", ""));
-        figures.put("idle_s", idle);
+        figures.put("idle_s", idleSeconds);
         figures.put("overruns", overruns);
-        figures.put("same", same);
-        hold("idle caches", idle == 0);
-        hold("cold caches pushed over", overruns == 0);
-        hold("one seed, one run", same);
+        figures.put("same", reproducible);
+        check("idle caches", idleSeconds == 0);
+        check("cold caches overloaded", overruns == 0);
+        check("runs with the same seed differ", reproducible);
     }
 
     // ---- Processes --------------------------------------------------------------------------------
 
-    private void processes(int directors, int perSecond, long phaseMs) throws Exception {
+    private void runProcesses(int directors, int perSecond, long phaseMs) throws Exception {
         List<DirectorProcess> all = new ArrayList<>();
-        List<Load> ended = new ArrayList<>();
-        try (CacheFleet fleet = new CacheFleet(5, 6, DirectorProcess.WORK_US, DirectorProcess.COLD)) {
+        List<LoadGenerator> ended = new ArrayList<>();
+        try (CacheFleet fleet = new CacheFleet(5, 6, DirectorProcess.TRANSFER_US, DirectorProcess.SLOW_START)) {
             for (int i = 0; i < directors; i++) {
                 all.add(DirectorProcess.start(root, fleet, i, directors, null));
             }
             for (DirectorProcess each : all) {
-                each.ready();
-                // The first carries three times the others' load; no two ask under the same ids.
+                each.awaitReady();
+                // The first director has three times the load of the others; the seeds, and so request ids, differ.
                 int number = all.indexOf(each);
-                each.load = new Load(each.port, number == 0 ? 3 * perSecond : perSecond, 7 + number,
+                each.load = new LoadGenerator(each.port, number == 0 ? 3 * perSecond : perSecond, 7 + number,
                         DirectorProcess.KB, 3);
             }
             Thread.sleep(2 * phaseMs);
-            fleet.freeze(true);
+            fleet.freezeReports(true);
             Thread.sleep(phaseMs);
-            fleet.freeze(false);
-            fleet.slow("s-2", 0.4);
+            fleet.freezeReports(false);
+            fleet.setPace("s-2", 0.4);
             Thread.sleep(phaseMs);
-            fleet.slow("s-2", 1);
-            fleet.mute(true);
+            fleet.setPace("s-2", 1);
+            fleet.muteReports(true);
             fleet.join("s-9", 6);
             DirectorProcess killed = all.get(directors - 1);
             killed.process.destroyForcibly().waitFor();
             killed.load.close();
             ended.add(killed.load);
             Thread.sleep(phaseMs);
-            fleet.mute(false);
+            fleet.muteReports(false);
             DirectorProcess next = DirectorProcess.start(root, fleet, directors - 1, directors, null);
             all.set(directors - 1, next);
-            next.ready();
-            next.load = new Load(next.port, perSecond, 7 + directors, DirectorProcess.KB, 3);
-            fleet.leave("s-1");
+            next.awaitReady();
+            next.load = new LoadGenerator(next.port, perSecond, 7 + directors, DirectorProcess.KB, 3);
+            fleet.drain("s-1");
             Thread.sleep(2 * phaseMs);
-            judge(all, ended, fleet);
+            evaluate(all, ended, fleet);
         } finally {
-            DirectorProcess.end(all, root);
+            DirectorProcess.stopAll(all, root);
         }
     }
 
-    private void judge(List<DirectorProcess> all, List<Load> killed, CacheFleet fleet) throws Exception {
-        long asked = 0;
+    private void evaluate(List<DirectorProcess> all, List<LoadGenerator> killed, CacheFleet fleet) throws Exception {
+        long requests = 0;
         long served = 0;
         long lost = 0;
-        long twice = 0;
-        int badEnds = 0;
+        long duplicates = 0;
+        int abnormalExits = 0;
         for (DirectorProcess each : all) {
             each.load.drain(7_000);
             each.process.destroy();
-            badEnds += each.process.waitFor(10, TimeUnit.SECONDS) && each.process.exitValue() == 0 ? 0 : 1;
+            abnormalExits += each.process.waitFor(10, TimeUnit.SECONDS) && each.process.exitValue() == 0 ? 0 : 1;
             each.load.close();
-            asked += each.load.asked;
+            requests += each.load.requests;
             served += each.load.served;
-            lost += each.load.asked - each.load.answered;
-            twice += each.load.twice;
+            lost += each.load.requests - each.load.responses;
+            duplicates += each.load.duplicates;
         }
-        for (Load load : killed) {
-            twice += load.twice;
+        for (LoadGenerator load : killed) {
+            duplicates += load.duplicates;
         }
-        Map<String, Double> seen = new TreeMap<>(fleet.figures());
+        Map<String, Double> caches = new TreeMap<>(fleet.figures());
         figures.put("processes", all.size());
-        figures.put("asked", asked);
-        figures.put("served", Math.round(1000.0 * served / asked) / 1000.0);
+        figures.put("asked", requests);
+        figures.put("served", Math.round(1000.0 * served / requests) / 1000.0);
         figures.put("lost", lost);
-        figures.put("twice", twice);
-        seen.forEach((name, value) -> figures.put("proc_" + name, Math.round(100 * value) / 100.0));
-        hold("requests lost", lost == 0 && twice == 0);
-        hold("a director ended badly", badEnds == 0);
-        hold("too few served", served >= 0.97 * asked);
-        hold("a drain was not kept", seen.get("drains_broken") == 0);
-        hold("an order ran twice", seen.get("orders_twice") == 0);
-        hold("a cold cache was pushed over", seen.get("overruns") == 0);
-        hold("the cache that joined was not used", seen.get("busiest_s-9") > 0);
-        hold("a process's cache was idle", seen.get("idle_s") == 0);
+        figures.put("twice", duplicates);
+        caches.forEach((name, value) -> figures.put("proc_" + name, Math.round(100 * value) / 100.0));
+        check("requests lost", lost == 0 && duplicates == 0);
+        check("a director exited abnormally", abnormalExits == 0);
+        check("too few requests served", served >= 0.97 * requests);
+        check("a draining cache received requests", caches.get("drains_broken") == 0);
+        check("an order was executed twice", caches.get("orders_twice") == 0);
+        check("a cold cache was overloaded", caches.get("overruns") == 0);
+        check("the cache that joined was not used", caches.get("busiest_s-9") > 0);
+        check("a cache was idle", caches.get("idle_s") == 0);
     }
 }
--- a/src/test/java/clovermill/prove/SpreadProofTest.java
+++ b/src/test/java/clovermill/prove/SpreadProofTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Real processes of the program, each with its own clients, while caches slow, join and leave and reports fail. */
+/** Short form of the proof: processes with clients while caches slow down, join and drain and load reports fail. */
 class SpreadProofTest {
 
     @Test
-    void processesSpreadTheirLoadThroughFaultsAndKeepTheRules() throws Exception {
-        assertThat(SpreadProof.processesShortly()).contains("processes=3", "lost=0").endsWith("holds=true");
+    void processesSpreadLoadDuringFaultsWithoutBreakingRules() throws Exception {
+        assertThat(SpreadProof.runProcessesShort()).contains("processes=3", "lost=0").endsWith("holds=true");
     }
 }
--- a/src/test/java/clovermill/prove/UpgradeProofTest.java
+++ b/src/test/java/clovermill/prove/UpgradeProofTest.java
@@ -7,12 +7,12 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The short form of the proof: a process is killed before it is ready, the next ones take over. */
+/** Short form of the proof: a process is killed before it is ready, later ones complete the handover. */
 class UpgradeProofTest {
 
     @Test
-    void noRequestIsLostWhileProcessesTakeOver() throws Exception {
+    void losesNoRequestDuringHandover() throws Exception {
         assumeTrue(Files.isExecutable(Path.of("/usr/bin/perl")), "perl holds the socket");
-        assertThat(UpgradeProof.shortly(3, 60)).contains("upgrades=3", "kills=1").endsWith("holds=true");
+        assertThat(UpgradeProof.runShort(3, 60)).contains("upgrades=3", "kills=1").endsWith("holds=true");
     }
 }
--- a/src/test/java/clovermill/prove/capacity/CacheCountProof.java
+++ b/src/test/java/clovermill/prove/capacity/CacheCountProof.java
@@ -1,7 +1,7 @@
 package clovermill.prove.capacity;
 
 import clovermill.prove.DirectorProcess;
-import clovermill.prove.Load;
+import clovermill.prove.LoadGenerator;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -101,17 +101,17 @@
             Path file = DirectorProcess.configuration(root, fleet.channel(), 0, DIRECTORS);
             DirectorProcess director = DirectorProcess.deployed(root, 0, file);
             started.add(director);
-            director.ready();
+            director.awaitReady();
             return day(fleet, director, caches, seed);
         } finally {
-            DirectorProcess.end(started, root);
+            DirectorProcess.stopAll(started, root);
         }
     }
 
     private Map<Metric, Double> day(CountedCaches fleet, DirectorProcess director, int caches, long seed)
             throws Exception {
         long pid = director.process.pid();
-        Load load = new Load(director.port, REQUESTS_PER_SECOND, seed, KB, POPULARITY);
+        LoadGenerator load = new LoadGenerator(director.port, REQUESTS_PER_SECOND, seed, KB, POPULARITY);
         int descriptors = mostDescriptors(pid, WARM_MS);
         double cpuBefore = cpuSeconds(pid);
         long listBefore = fleet.listBytes();
@@ -129,8 +129,8 @@
         day.put(Metric.LIST, (fleet.listBytes() - listBefore) / KIB);
         load.drain(DRAIN_MS);
         load.close();
-        lost += load.asked - load.answered;
-        day.put(Metric.SERVED, (double) load.served / load.asked);
+        lost += load.requests - load.responses;
+        day.put(Metric.SERVED, (double) load.served / load.requests);
         day.put(Metric.LATENCY_P99, load.latencyUs.getValueAtPercentile(99) / 1000.0);
         return day;
     }
--- a/src/test/java/clovermill/prove/capacity/CountedCaches.java
+++ b/src/test/java/clovermill/prove/capacity/CountedCaches.java
@@ -1,6 +1,6 @@
 package clovermill.prove.capacity;
 
-import clovermill.prove.LinePeer;
+import clovermill.prove.LineProtocolPeer;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Connection;
 import clovermill.runtime.net.Deadlines;
@@ -158,7 +158,7 @@
     }
 
     /** One connection of the director to a cache, the parent or the origin. */
-    private final class CachePeer extends LinePeer {
+    private final class CachePeer extends LineProtocolPeer {
         private final Member member;
         private final Set<String> open = new HashSet<>();
 
@@ -169,9 +169,9 @@
         }
 
         @Override
-        protected void want(String id, String fields) {
+        protected void requestReceived(String id, String fields) {
             if (member.open >= member.room) {
-                say(id + " WAIT - 0\r\n\r\n");
+                sendText(id + " WAIT - 0\r\n\r\n");
                 return;
             }
             String object = field(fields, "obj");
@@ -179,7 +179,7 @@
             boolean hit = !order && !member.copies.add(object);
             if (!hit && !order && field(fields, "src") == null && member.kind.equals("std")) {
                 member.copies.remove(object);
-                say(id + " LACK res=NO_FILL 0\r\n\r\n");
+                sendText(id + " LACK res=NO_FILL 0\r\n\r\n");
                 return;
             }
             open.add(id);
@@ -192,20 +192,20 @@
                 return;
             }
             member.open--;
-            say(id + " DONE etag=t,made=" + clock.unixMillis() + ",res="
+            sendText(id + " DONE etag=t,made=" + clock.unixMillis() + ",res="
                     + (order ? "MISS_ORIGIN" : hit ? "HIT" : "MISS")
                     + ",ttfb=0 " + body.remaining() + "\r\n");
             connection.send(body.duplicate());
-            say("\r\n");
+            sendText("\r\n");
         }
 
         @Override
-        protected void neverMind(String id) {
+        protected void requestCancelled(String id) {
             member.open -= open.remove(id) ? 1 : 0;
         }
 
         @Override
-        protected void poll(String path) {}
+        protected void pollReceived(String path) {}
 
         @Override
         public void closed(IOException cause) {
@@ -215,17 +215,17 @@
     }
 
     /** The director's watch: long polls for numbered events. */
-    private final class Watch extends LinePeer {
+    private final class Watch extends LineProtocolPeer {
 
         Watch(Connection connection) {
             super(connection);
         }
 
         @Override
-        protected void want(String id, String fields) {}
+        protected void requestReceived(String id, String fields) {}
 
         @Override
-        protected void poll(String path) {
+        protected void pollReceived(String path) {
             int resume = Integer.parseInt(path.replaceAll(".*resume=([0-9]+).*", "$1"));
             long blockMs = Long.parseLong(path.replaceAll(".*block=", ""));
             Runnable answer = () -> answer(resume);
@@ -248,7 +248,7 @@
             String text = "{\"cursor\":" + (told + 1) + ",\"cmds\":[" + later + "]}";
             String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text;
             listBytes += answer.length();
-            say(answer);
+            sendText(answer);
         }
     }
 
--- a/src/test/java/clovermill/prove/capacity/RequestPathProof.java
+++ b/src/test/java/clovermill/prove/capacity/RequestPathProof.java
@@ -1,8 +1,8 @@
 package clovermill.prove.capacity;
 
 import clovermill.prove.DirectorProcess;
-import clovermill.prove.Load;
-import clovermill.prove.StandIns;
+import clovermill.prove.FakeUpstreams;
+import clovermill.prove.LoadGenerator;
 import clovermill.prove.capacity.LineFit.Point;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -74,12 +74,12 @@
     /** Properties: window (milliseconds), seconds (for all windows). */
     public static void main(String[] arguments) throws Exception {
         RequestPathProof proof = new RequestPathProof();
-        try (StandIns members = new StandIns(RequestPathProof::bytes)) {
+        try (FakeUpstreams members = new FakeUpstreams(RequestPathProof::bytes)) {
             proof.directors.put(FEW, proof.start(0, members, LOCAL_CACHES));
             proof.directors.put(MANY, proof.start(1, members, ALL_CACHES));
             proof.play();
         } finally {
-            DirectorProcess.end(List.copyOf(proof.directors.values()), proof.root);
+            DirectorProcess.stopAll(List.copyOf(proof.directors.values()), proof.root);
         }
         boolean holds = proof.report();
         System.exit(holds ? 0 : 1);
@@ -97,7 +97,7 @@
     // ---- Directors --------------------------------------------------------------------------------
 
     /** Starts a director by the deploy file's line; so many of all caches are in its location. */
-    private DirectorProcess start(int number, StandIns members, int local) throws Exception {
+    private DirectorProcess start(int number, FakeUpstreams members, int local) throws Exception {
         Path file = DirectorProcess.configuration(root, Map.entry(members.address(), known(members, local)), number, 1);
         ObjectMapper mapper = new ObjectMapper();
         ObjectNode config = (ObjectNode) mapper.readTree(Files.readString(file));
@@ -106,7 +106,7 @@
         return DirectorProcess.deployed(root, number, file);
     }
 
-    private static String known(StandIns members, int local) {
+    private static String known(FakeUpstreams members, int local) {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < ALL_CACHES; i++) {
             all.append(entry(members, "s-" + i, i < local ? "edge" : "north", "std", 6)).append(',');
@@ -117,7 +117,7 @@
                 + "]}}]}";
     }
 
-    private static String entry(StandIns members, String id, String zone, String kind, int weight) {
+    private static String entry(FakeUpstreams members, String id, String zone, String kind, int weight) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + members.address() + "\",\"zone\":\"" + zone + "\",\"kind\":\""
                 + kind + "\",\"cell\":1,\"state\":\"ready\",\"weight\":" + weight + ",\"started_ms\":0}";
     }
@@ -126,10 +126,11 @@
 
     private void play() throws Exception {
         for (DirectorProcess director : directors.values()) {
-            director.ready();
+            director.awaitReady();
         }
         for (Map.Entry<String, DirectorProcess> each : directors.entrySet()) {
-            Load warm = new Load(each.getValue().port, RATES.get(3), ++seed, 1, 1, prefix(SMALLEST_BYTES));
+            LoadGenerator warm =
+                    new LoadGenerator(each.getValue().port, RATES.get(3), ++seed, 1, 1, prefix(SMALLEST_BYTES));
             Thread.sleep(WARM_MS);
             warm.drain(2_000);
             warm.close();
@@ -152,19 +153,19 @@
     private Window window(Setting setting) throws Exception {
         DirectorProcess director = directors.get(setting.kind.equals(MANY) ? MANY : FEW);
         long pid = director.process.pid();
-        Load load = setting.perSecond == 0 ? null : new Load(director.port, setting.perSecond, ++seed,
+        LoadGenerator load = setting.perSecond == 0 ? null : new LoadGenerator(director.port, setting.perSecond, ++seed,
                 Math.max(1, setting.bytes / 1000), 1, prefix(setting.bytes));
         Thread.sleep(SETTLE_MS);
         MachineUsage machine = MachineUsage.now();
         ProcessUsage before = ProcessUsage.of(pid);
-        long answered = load == null ? 0 : load.answered;
+        long answered = load == null ? 0 : load.responses;
         long bytes = load == null ? 0 : load.bodyBytes;
         long fromNs = System.nanoTime();
         double lateMs = TickWatch.latestMs(WINDOW_MS);
         double spentS = (System.nanoTime() - fromNs) / NS;
         ProcessUsage used = ProcessUsage.of(pid).since(before);
         MachineUsage after = MachineUsage.now();
-        answered = load == null ? 0 : load.answered - answered;
+        answered = load == null ? 0 : load.responses - answered;
         bytes = load == null ? 0 : load.bodyBytes - bytes;
         long resident = ProcessUsage.kilobytes(pid, "VmRSS");
         double p99 = 0;
@@ -178,7 +179,7 @@
         double stolen = after.stolenShare(machine);
         double perSecond = answered / spentS;
         String fault = perSecond < LEAST_ANSWERED * setting.perSecond ? "not answered in time"
-                : load != null && load.served < LEAST_ANSWERED * load.answered ? "refused"
+                : load != null && load.served < LEAST_ANSWERED * load.responses ? "refused"
                 : idle < LEAST_IDLE ? "machine busy"
                 : stolen > MOST_STOLEN ? "cores taken by the host"
                 : lateMs > MOST_LATE_MS ? "timers came late" : null;
--- a/src/test/java/clovermill/prove/faults/FakeCaches.java
+++ b/src/test/java/clovermill/prove/faults/FakeCaches.java
@@ -5,7 +5,7 @@
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
 import clovermill.runtime.net.Listener;
-import clovermill.prove.LinePeer;
+import clovermill.prove.LineProtocolPeer;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -184,7 +184,7 @@
     }
 
     /** One connection of a director to a cache. */
-    private final class CachePeer extends LinePeer {
+    private final class CachePeer extends LineProtocolPeer {
         private final Member member;
         private final Set<String> open = new HashSet<>();
 
@@ -194,7 +194,7 @@
         }
 
         @Override
-        protected void want(String id, String fields) {
+        protected void requestReceived(String id, String fields) {
             long nowUs = clock.micros();
             checker.requestReceived(member.id, nowUs);
             String source = field(fields, "src");
@@ -242,21 +242,21 @@
                 if (!open.remove(id)) {
                     return;
                 }
-                say(head);
+                sendText(head);
                 if (body) {
                     connection.send(BODY.duplicate());
-                    say("\r\n");
+                    sendText("\r\n");
                 }
             });
         }
 
         @Override
-        protected void neverMind(String id) {
+        protected void requestCancelled(String id) {
             open.remove(id);
         }
 
         @Override
-        protected void poll(String path) {}
+        protected void pollReceived(String path) {}
 
         @Override
         public void closed(IOException cause) {
@@ -264,7 +264,7 @@
         }
     }
 
-    /** Returns the group of an object as {@link clovermill.prove.Load} assigns it: from the key's last 12 digits. */
+    /** Returns the group of an object by the last digits of its key, like {@link clovermill.prove.LoadGenerator}. */
     private static int group(long object) {
         return (int) ((object & 0xffff_ffff_ffffL) % GROUPS);
     }
--- a/src/test/java/clovermill/prove/faults/FakeChannel.java
+++ b/src/test/java/clovermill/prove/faults/FakeChannel.java
@@ -5,7 +5,7 @@
 import clovermill.runtime.net.Deadlines;
 import clovermill.runtime.net.EventLoop;
 import clovermill.runtime.net.Listener;
-import clovermill.prove.LinePeer;
+import clovermill.prove.LineProtocolPeer;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -44,17 +44,17 @@
     }
 
     /** One connection of the director. */
-    private final class Peer extends LinePeer {
+    private final class Peer extends LineProtocolPeer {
 
         Peer(Connection connection) {
             super(connection);
         }
 
         @Override
-        protected void want(String id, String fields) {}
+        protected void requestReceived(String id, String fields) {}
 
         @Override
-        protected void poll(String path) {
+        protected void pollReceived(String path) {
             int resume = Integer.parseInt(path.replaceAll(".*resume=([0-9]+).*", "$1"));
             long blockMs = Long.parseLong(path.replaceAll(".*block=", ""));
             Runnable respond = () -> respond(resume);
@@ -75,7 +75,7 @@
             int published = events.size();
             String laterEvents = String.join(",", events.subList(Math.min(published, resume - 1), published));
             String text = "{\"cursor\":" + (published + 1) + ",\"cmds\":[" + laterEvents + "]}";
-            say("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
+            sendText("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
         }
     }
 }
--- a/src/test/java/clovermill/prove/faults/SeedRun.java
+++ b/src/test/java/clovermill/prove/faults/SeedRun.java
@@ -1,6 +1,6 @@
 package clovermill.prove.faults;
 
-import clovermill.prove.Load;
+import clovermill.prove.LoadGenerator;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,7 +20,7 @@
     private static final int KB = 4;
     /** Exponent of popularity: some objects are requested often, so that caches have copies of purged objects. */
     private static final int POPULARITY = 4;
-    /** The client's deadline in {@link Load} and the slack for sockets and a busy machine. */
+    /** The client's deadline in {@link LoadGenerator} and the slack for sockets and a busy machine. */
     private static final long MAX_RESPONSE_US = 3_000_000 + RuleChecker.SLACK_US;
     private static final long HISTOGRAM_MAX_US = 60_000_000;
     private static final long DRAIN_MS = 4_000;
@@ -89,7 +89,7 @@
             if (!awaitReady(director)) {
                 return;
             }
-            List<Load> loads = new ArrayList<>();
+            List<LoadGenerator> loads = new ArrayList<>();
             loads.add(load(director));
             if (scenario == Scenario.DISK) {
                 director = killAfterDisable(caches, director, loads, number);
@@ -118,8 +118,8 @@
     }
 
     /** Starts clients whose request ids and tokens are unique. */
-    private Load load(FaultyDirector director) throws IOException {
-        return new Load(director.port, REQUESTS_PER_SECOND, random.nextLong(), KB, POPULARITY);
+    private LoadGenerator load(FaultyDirector director) throws IOException {
+        return new LoadGenerator(director.port, REQUESTS_PER_SECOND, random.nextLong(), KB, POPULARITY);
     }
 
     private boolean awaitReady(FaultyDirector director) throws Exception {
@@ -137,7 +137,7 @@
     }
 
     /** Purges, starts and drains before, between and after the two clock steps, each at a random time. */
-    private void runEvents(FakeCaches caches, FaultyDirector director, List<Load> loads) throws Exception {
+    private void runEvents(FakeCaches caches, FaultyDirector director, List<LoadGenerator> loads) throws Exception {
         long[] offsets = scenario.clockOffsetsMs(seed);
         Thread.sleep(1_200);
         for (int group = 0; group < 3; group++) {
@@ -158,7 +158,8 @@
     }
 
     /** Disables a cache while files fail; an acknowledged change must survive a kill. */
-    private FaultyDirector killAfterDisable(FakeCaches caches, FaultyDirector first, List<Load> loads, int number)
+    private FaultyDirector killAfterDisable(FakeCaches caches, FaultyDirector first, List<LoadGenerator> loads,
+            int number)
             throws Exception {
         Thread.sleep(500);
         control.setDiskError(random.nextBoolean() ? FaultControl.ENOSPC : FaultControl.EIO);
@@ -184,21 +185,21 @@
     }
 
     /** Ends the loads and adds up the outcomes of their requests. */
-    private void finish(List<Load> loads) throws InterruptedException {
-        for (Load load : loads) {
+    private void finish(List<LoadGenerator> loads) throws InterruptedException {
+        for (LoadGenerator load : loads) {
             load.drain(DRAIN_MS);
         }
-        for (Load load : loads) {
+        for (LoadGenerator load : loads) {
             load.close();
             long late = load.latencyUs.getCountBetweenValues(MAX_RESPONSE_US, HISTOGRAM_MAX_US);
-            long unanswered = Math.max(0, load.asked - load.answered - load.lost);
+            long unanswered = Math.max(0, load.requests - load.responses - load.lost);
             if (load.lost + unanswered + late > 0) {
                 findings.add("lost: " + load.lost + " on a closed connection, " + unanswered + " never answered, "
                         + late + " late");
             }
             lost += load.lost + unanswered + late;
-            duplicate += load.twice;
-            requests += load.asked;
+            duplicate += load.duplicates;
+            requests += load.requests;
             served += load.served;
         }
     }
--- a/src/test/java/clovermill/prove/scale/Cluster.java
+++ b/src/test/java/clovermill/prove/scale/Cluster.java
@@ -2,7 +2,7 @@
 
 import clovermill.prove.CacheFleet;
 import clovermill.prove.DirectorProcess;
-import clovermill.prove.Load;
+import clovermill.prove.LoadGenerator;
 import clovermill.prove.scale.Topology.Part;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -80,8 +80,8 @@
             rules = new LinkRules(shape.loss(), shape.delayShare());
             links = kept(new LinkEmulator(topology, rules, LINK_THREADS));
             discovery = kept(new DiscoveryEndpoint());
-            CacheFleet caches = kept(new CacheFleet(CACHES, CACHE_ROOM, DirectorProcess.WORK_US / 4,
-                    DirectorProcess.COLD));
+            CacheFleet caches = kept(new CacheFleet(CACHES, CACHE_ROOM, DirectorProcess.TRANSFER_US / 4,
+                    DirectorProcess.SLOW_START));
             channel = Map.entry(discovery.address(), caches.channel().getValue());
             Files.writeString(root.resolve("key"), KEY);
             startReal();
@@ -115,7 +115,7 @@
             (i < shape.real() ? real : i < shape.real() + shape.twins() ? twinsIdle : twinsLoaded).add(started);
         }
         for (DirectorProcess each : processes) {
-            each.ready();
+            each.awaitReady();
         }
     }
 
@@ -150,7 +150,7 @@
     }
 
     private void load(DirectorProcess director, long seed) throws IOException {
-        parts.add(new Load(director.port, REQUESTS_A_SECOND, seed, REQUEST_KB, 1)::close);
+        parts.add(new LoadGenerator(director.port, REQUESTS_A_SECOND, seed, REQUEST_KB, 1)::close);
     }
 
     private Path settings(int self) throws IOException {
@@ -230,7 +230,7 @@
 
     /** The version of the policy in force at a real director, or -1 while there is none or a change is under way. */
     long version(DirectorProcess director) throws IOException {
-        String answer = director.say("GET /policy HTTP/1.1\r\n\r\n");
+        String answer = director.callAdmin("GET /policy HTTP/1.1\r\n\r\n");
         if (!answer.startsWith("HTTP/1.1 200")) {
             return -1;
         }
--- a/src/test/java/clovermill/prove/scale/DiscoveryEndpoint.java
+++ b/src/test/java/clovermill/prove/scale/DiscoveryEndpoint.java
@@ -1,6 +1,6 @@
 package clovermill.prove.scale;
 
-import clovermill.prove.LinePeer;
+import clovermill.prove.LineProtocolPeer;
 import clovermill.runtime.net.Clock;
 import clovermill.runtime.net.Connection;
 import clovermill.runtime.net.Deadlines;
@@ -76,7 +76,7 @@
         loop.post(loop::stop);
     }
 
-    private final class Poll extends LinePeer {
+    private final class Poll extends LineProtocolPeer {
 
         Poll(Connection connection) {
             super(connection);
@@ -92,17 +92,17 @@
         }
 
         @Override
-        protected void want(String id, String fields) {}
+        protected void requestReceived(String id, String fields) {}
 
         @Override
-        protected void poll(String path) {
+        protected void pollReceived(String path) {
             long blockMs = Long.parseLong(path.replaceAll(".*block=", ""));
             String body = "{\"cursor\":" + path.replaceAll(".*resume=([0-9]+).*", "$1") + ",\"cmds\":[]}";
             String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
             deadlines.add(clock.micros() + blockMs * 1000, () -> {
                 segmentsOut.incrementAndGet();
                 bytesOut.addAndGet(answer.length() + HEADERS);
-                say(answer);
+                sendText(answer);
             });
         }
 
