--- a/src/test/java/clovermill/director/LedgerScenarioTest.java
+++ b/src/test/java/clovermill/director/LedgerScenarioTest.java
@@ -34,7 +34,7 @@
 
     private List<Entry> play(LedgerSettings settings, String... lines) throws Exception {
         try (Scenario scenario = new Scenario(0, settings)) {
-            scenario.play(List.of(lines));
+            scenario.run(List.of(lines));
         }
         List<Entry> entries = new ArrayList<>();
         new LogReader(new LedgerFolder(folder)).read(LogReader.Position.START, (header, entry) -> entries.add(entry));
--- a/src/test/java/clovermill/director/Scenario.java
+++ b/src/test/java/clovermill/director/Scenario.java
@@ -29,52 +29,52 @@
 import java.util.stream.Stream;
 
 /**
- * Plays a scenario against a complete director on loopback sockets and a clock that only {@code wait} moves.
+ * Runs a scenario script against a complete director on loopback sockets, with a clock that only {@code wait} advances.
  *
  * <pre>
- * send c1 request 1 class=page ... | body     a frame from the client connection c1, which is opened if need be;
+ * send c1 request 1 class=page ... | body     a frame from the client connection c1, which is opened if necessary;
  *                                             also give-up N, ready N, hex BYTES
- * send s-1 ID DONE etag=t | bytes             an answer of a member on its newest connection; raw TEXT as it is
- * send channel {...}                          an answer of the command channel; raw TEXT as it is
+ * send s-1 ID DONE etag=t | bytes             a response of a member on its newest connection; raw TEXT: unchanged
+ * send channel {...}                          a response of the command channel; raw TEXT: unchanged
  * send director TERM                          also HUP channel=ADDRESS, HUP TEXT, HUP alone (an empty
  *                                             file), HUP edit OLD -> NEW ;; OLD -> NEW:
  *                                             a new configuration; FILE with
- *                                             the same: without a signal; FILE - removes it; DEAF: no SIGHUP comes
- * send op PUT /path BODY                      an operator's call at admin; names start with op, and those that end
- *                                             in -previous call the earlier process
- * expect op 200 | text                        its answer
- * send director BESIDE TEXT                   another process of it is there, with that in its file; ALONE: no more
- * start director MS                           one more process beside the present one, which serves after so long;
+ *                                             the same: without a signal; FILE - removes it; DEAF: SIGHUP is ignored
+ * send op PUT /path BODY                      an operator's call to the admin service; names start with op, those that
+ *                                             end in -previous call the earlier process
+ * expect op 200 | text                        its response
+ * send director BESIDE TEXT                   another process of it exists, with that text in its file; ALONE: removed
+ * start director MS                           starts another process next to the current one, ready after so long;
  *                                             "director" is the earlier one from then on, until it has stopped
  * expect c1 served 1 etag=t | bytes           also refused, failed, leaving, ready, unready; nothing; closed,
- *                                             whatever came before
+ *                                             ignoring what was received before
  * expect s-1 want ID name=value !name         also never_mind ID, closed, nothing
- * expect channel resume=1                     at whatever party is polled; expect director stopped
+ * expect channel resume=1                     a poll of the command channel; expect director stopped
  * expect director marked ready                in the folder that the processes share; starts: it accepts no connections
  * close c1                                    in both directions; with half: only sending; with reset: by a reset
- * close s-1 listener                          accepts no connections, they are refused; with deaf: they never come up
- * close c1 deaf                               reads nothing from now on, until: open c1
+ * close s-1 listener                          connections are refused; with deaf: they are never established
+ * close c1 deaf                               stops reading, until: open c1
  * wait 400                                    milliseconds
- * step -3600000                               the wall clock by so many milliseconds; ${now} stays the true time
- * times 3 STEP                                the step with # standing for 10, 11 and 12
- * together STEP ;; STEP                       sends and closes that the director finds in one turn, in that order
+ * step -3600000                               steps the wall clock by milliseconds; ${now} stays the true time
+ * times 3 STEP                                repeats the step with # replaced by 10, 11 and 12
+ * together STEP ;; STEP                       sends and closes that the director processes in one turn, in that order
  * </pre>
  */
 final class Scenario implements AutoCloseable {
 
-    private static final List<String> CODES = List.of("O served", "B refused", "E failed");
-    private static final int TURNS = 400;
+    private static final List<String> RESPONSE_TYPES = List.of("O served", "B refused", "E failed");
+    private static final int MAX_TURNS = 400;
 
     private final ManualClock clock = new ManualClock(1_700_000_000_000_000L);
-    private final Map<String, Party> parties = new LinkedHashMap<>();
+    private final Map<String, Peer> peers = new LinkedHashMap<>();
     private final List<SocketChannel> fillers = new ArrayList<>();
     private final Path folder;
-    private final ServerSocketChannel passed;
+    private final ServerSocketChannel passedSocket;
     private Assembly director;
     private Assembly previous;
-    private boolean held;
+    private boolean batching;
 
-    /** One connection of a party, and what has arrived on it. */
+    /** A connection of a peer and the data received on it. */
     private static final class Link {
         final SocketChannel channel;
         byte[] read = {};
@@ -100,27 +100,27 @@
             }
         }
 
-        byte[] take(int count) {
-            byte[] taken = Arrays.copyOf(read, count);
+        byte[] consume(int count) {
+            byte[] consumed = Arrays.copyOf(read, count);
             read = Arrays.copyOfRange(read, count, read.length);
-            return taken;
+            return consumed;
         }
     }
 
-    /** A client with its one connection, or a party that listens, and the link that was spoken on last. */
-    private static final class Party {
+    /** A client with its one connection, or a listening peer; {@code link} is the connection used last. */
+    private static final class Peer {
         boolean operator;
         ServerSocketChannel listener;
         String address;
         boolean deaf;
         Link link;
         final List<Link> links = new ArrayList<>();
-        final Map<String, Link> asked = new HashMap<>();
+        final Map<String, Link> requestLinks = new HashMap<>();
 
-        /** Reads what has arrived; a newer connection stands in for one that has ended. */
+        /** Reads received data; replaces a link that has ended by a newer connection. */
         void poll() throws IOException {
             if (listener == null && deaf) {
-                return; // a client that reads nothing any more
+                return; // a client that has stopped reading
             }
             boolean accepts = listener != null && !deaf && listener.isOpen();
             for (SocketChannel newer; accepts && (newer = listener.accept()) != null;) {
@@ -146,44 +146,45 @@
         this(settleUs, ledger, false);
     }
 
-    /** With a ledger, unless that is null; {@code upgrades} on a platform that holds the clients' listening socket. */
+    /** Starts a director; {@code ledger} may be null; with {@code upgrades} it is passed its listening socket. */
     Scenario(long settleUs, LedgerSettings ledger, boolean upgrades) throws Exception {
         for (String name : List.of("s-1", "s-2", "p-1", "o-1", "channel")) {
-            Party party = new Party();
-            party.listener = ServerSocketChannel.open();
-            party.listener.configureBlocking(false);
-            party.listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
-            party.address = "127.0.0.1:" + party.listener.socket().getLocalPort();
-            parties.put(name, party);
+            Peer peer = new Peer();
+            peer.listener = ServerSocketChannel.open();
+            peer.listener.configureBlocking(false);
+            peer.listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
+            peer.address = "127.0.0.1:" + peer.listener.socket().getLocalPort();
+            peers.put(name, peer);
         }
         folder = Files.createTempDirectory("scenario");
-        Files.writeString(file(), configuration());
-        passed = upgrades ? ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-                : null;
-        director = started(settleUs, ledger);
+        Files.writeString(configurationFile(), configuration());
+        passedSocket =
+                upgrades ? ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                        : null;
+        director = startDirector(settleUs, ledger);
     }
 
-    private Assembly started(long settleUs, LedgerSettings ledger) throws Exception {
+    private Assembly startDirector(long settleUs, LedgerSettings ledger) throws Exception {
         Config config = Config.read(configuration(), null);
-        Platform platform = new Platform(Optional.ofNullable(passed), Optional.ofNullable(config.admin()),
-                passed == null ? Optional.empty() : Optional.of(folder.resolve("shared")));
+        Platform platform = new Platform(Optional.ofNullable(passedSocket), Optional.ofNullable(config.admin()),
+                passedSocket == null ? Optional.empty() : Optional.of(folder.resolve("shared")));
         SubsystemSettings subsystems = new SubsystemSettings(Optional.ofNullable(ledger), Optional.empty(),
                 Optional.empty());
-        Assembly assembly = new Assembly(config, file(), clock, settleUs, subsystems, platform,
+        Assembly assembly = new Assembly(config, configurationFile(), clock, settleUs, subsystems, platform,
                 new StartupRetry(clock));
         assembly.open();
         return assembly;
     }
 
     private String configuration() throws IOException {
-        return filled(Files.readString(Path.of("src/test/resources/director.json")));
+        return expandPlaceholders(Files.readString(Path.of("src/test/resources/director.json")));
     }
 
-    private Path file() {
+    private Path configurationFile() {
         return folder.resolve("config.json");
     }
 
-    private void signal(String what) throws IOException {
+    private void controlDirector(String what) throws IOException {
         String[] parts = what.split(" ", 2);
         switch (parts[0]) {
             case "TERM" -> (previous != null ? previous : director).shutDown();
@@ -193,11 +194,11 @@
             default -> {
                 String text = parts.length > 1 ? parts[1] : "";
                 if (text.equals("-")) {
-                    Files.delete(file());
+                    Files.delete(configurationFile());
                 } else {
-                    Files.writeString(file(), text.startsWith("channel=") ? configuration().replaceAll(
+                    Files.writeString(configurationFile(), text.startsWith("channel=") ? configuration().replaceAll(
                             "\"channel\":\"[^\"]*\"", "\"channel\":\"" + text.substring(8) + "\"")
-                            : text.startsWith("edit ") ? edited(text.substring(5)) : text);
+                            : text.startsWith("edit ") ? editConfiguration(text.substring(5)) : text);
                 }
                 if (parts[0].equals("HUP")) {
                     director.reloader().reload();
@@ -206,8 +207,8 @@
         }
     }
 
-    /** The configuration with some texts replaced: {@code OLD -> NEW ;; OLD -> NEW}. */
-    private String edited(String edits) throws IOException {
+    /** Returns the configuration with texts replaced: {@code OLD -> NEW ;; OLD -> NEW}. */
+    private String editConfiguration(String edits) throws IOException {
         String text = configuration();
         for (String edit : edits.split(" ;; ")) {
             String[] change = edit.split(" -> ", 2);
@@ -219,21 +220,21 @@
         return text;
     }
 
-    /** Puts in addresses, and the present time for {@code ${now}}. */
-    private String filled(String text) {
+    /** Replaces the placeholders of addresses, and {@code ${now}} by the current time. */
+    private String expandPlaceholders(String text) {
         String result = text.replace("${now}", Long.toString(clock.trueMs()));
-        for (Map.Entry<String, Party> party : parties.entrySet()) {
-            if (party.getValue().listener != null) {
-                result = result.replace("${" + party.getKey() + "}", party.getValue().address);
+        for (Map.Entry<String, Peer> peer : peers.entrySet()) {
+            if (peer.getValue().listener != null) {
+                result = result.replace("${" + peer.getKey() + "}", peer.getValue().address);
             }
         }
         return result;
     }
 
-    /** Plays all lines; a failure names the line. */
-    void play(List<String> lines) throws Exception {
+    /** Runs all lines; a failure reports the line. */
+    void run(List<String> lines) throws Exception {
         for (int i = 0; i < lines.size(); i++) {
-            String line = filled(lines.get(i).strip());
+            String line = expandPlaceholders(lines.get(i).strip());
             if (!line.isEmpty() && !line.startsWith("#")) {
                 try {
                     step(line.split(" ", 2)[0], line.split(" ", 2)[1]);
@@ -254,11 +255,11 @@
                 }
             }
             case "together" -> {
-                held = true;
+                batching = true;
                 for (String each : rest.split(" ;; ")) {
                     step(each.split(" ", 2)[0], each.split(" ", 2)[1]);
                 }
-                held = false;
+                batching = false;
                 turn(1);
             }
             case "wait" -> {
@@ -272,57 +273,58 @@
             case "expect" -> expect(parts[0], parts[1]);
             case "start" -> {
                 previous = director;
-                director = started(Long.parseLong(rest.split(" ")[1]) * 1000, null);
+                director = startDirector(Long.parseLong(rest.split(" ")[1]) * 1000, null);
             }
-            case "open" -> party(rest).deaf = false;
+            case "open" -> peer(rest).deaf = false;
             case "close" -> close(parts[0], parts.length > 1 ? parts[1] : "");
             default -> throw new IllegalArgumentException("unknown verb");
         }
     }
 
-    private void turn(long mostMs) throws IOException {
-        if (held) {
+    private void turn(long maxWaitMs) throws IOException {
+        if (batching) {
             return;
         }
         if (previous != null) {
             previous.loop().turn(0);
         }
-        director.loop().turn(mostMs);
-        for (Party party : parties.values()) {
-            party.poll();
+        director.loop().turn(maxWaitMs);
+        for (Peer peer : peers.values()) {
+            peer.poll();
         }
     }
 
-    private Party party(String name) throws IOException {
-        Party party = parties.get(name);
-        if (party == null) {
-            party = new Party();
+    private Peer peer(String name) throws IOException {
+        Peer peer = peers.get(name);
+        if (peer == null) {
+            peer = new Peer();
             SocketChannel channel = SocketChannel.open();
             channel.setOption(StandardSocketOptions.SO_RCVBUF, 1 << 16);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true); // else a second request may come 40 ms later
-            party.operator = name.startsWith("op");
-            channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), party.operator
+            peer.operator = name.startsWith("op");
+            channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), peer.operator
                     ? (name.endsWith("-previous") ? previous : director).adminPort()
-                    : passed != null ? passed.socket().getLocalPort() : director.port()));
-            party.links.add(new Link(channel));
-            parties.put(name, party);
+                    : passedSocket != null ? passedSocket.socket().getLocalPort() : director.port()));
+            peer.links.add(new Link(channel));
+            peers.put(name, peer);
         }
-        party.poll();
-        return party;
+        peer.poll();
+        return peer;
     }
 
     private void send(String who, String what) throws IOException {
         if (who.equals("director")) {
-            signal(what);
+            controlDirector(what);
             return;
         }
-        Party party = party(who);
+        Peer peer = peer(who);
         ByteBuffer bytes = ByteBuffer.wrap(what.startsWith("raw ") ? unescaped(what.substring(4))
-                : party.operator ? call(what)
-                : who.equals("channel") ? response(what) : party.listener != null ? answer(what) : frame(what));
-        party.link = party.asked.getOrDefault(what.split(" ")[0], party.link);
-        for (int i = 0; i < TURNS && bytes.hasRemaining(); i++) {
-            party.link.channel.write(bytes);
+                : peer.operator ? adminCall(what)
+                : who.equals("channel") ? channelResponse(what) : peer.listener != null ? memberResponse(what)
+                : frame(what));
+        peer.link = peer.requestLinks.getOrDefault(what.split(" ")[0], peer.link);
+        for (int i = 0; i < MAX_TURNS && bytes.hasRemaining(); i++) {
+            peer.link.channel.write(bytes);
             turn(0);
         }
         turn(1);
@@ -332,25 +334,25 @@
         return text.replace("\\r", "\r").replace("\\n", "\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static byte[] call(String what) {
+    private static byte[] adminCall(String what) {
         String[] words = what.split(" ", 3);
         String body = words.length < 3 ? "" : words[2];
         return (words[0] + " " + words[1] + " HTTP/1.1\r\nHost: here\r\n" + (body.isEmpty() ? ""
                 : "Content-Length: " + body.length() + "\r\n") + "\r\n" + body).getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static byte[] response(String body) {
+    private static byte[] channelResponse(String body) {
         return ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** The text behind the bar; so many times x for *N. */
+    /** Returns the text after the bar, or N times x for {@code *N}. */
     private static String body(String[] parts) {
         String text = parts.length > 1 ? parts[1].stripTrailing() : "";
         return text.startsWith("*") ? "x".repeat(Integer.parseInt(text.substring(1))) : text;
     }
 
-    private static byte[] answer(String what) {
+    private static byte[] memberResponse(String what) {
         String[] parts = (what + " ").split(" \\| ?", 2);
         String body = body(parts);
         return (parts[0].strip() + " " + body.length() + "\r\n" + body + "\r\n").getBytes(StandardCharsets.US_ASCII);
@@ -388,46 +390,47 @@
             previous = null;
             return;
         }
-        Party party = party(who);
+        Peer peer = peer(who);
         String got = null;
-        boolean silence = what.equals("nothing");
-        boolean closing = what.equals("closed");
-        for (int i = 0; i < (silence ? 20 : TURNS) && (got == null || !silence && !matches(what, got)); i++) {
-            got = closing ? null : party.operator ? httpResponse(party.link)
-                    : party.listener == null ? clientFrame(party.link)
-                    : asked(party, what);
-            if (got == null && party.ended() && (party.listener == null || closing)
-                    || got != null && party.listener == null) {
+        boolean expectNothing = what.equals("nothing");
+        boolean expectClosed = what.equals("closed");
+        for (int i = 0; i < (expectNothing ? 20 : MAX_TURNS)
+                && (got == null || !expectNothing && !matches(what, got)); i++) {
+            got = expectClosed ? null : peer.operator ? httpResponse(peer.link)
+                    : peer.listener == null ? clientFrame(peer.link)
+                    : nextRequest(peer, what);
+            if (got == null && peer.ended() && (peer.listener == null || expectClosed)
+                    || got != null && peer.listener == null) {
                 break;
             }
-            turn(silence ? 0 : 1);
-            party.poll();
+            turn(expectNothing ? 0 : 1);
+            peer.poll();
         }
-        got = got == null && party.ended() ? "closed" : got == null ? "nothing" : got;
+        got = got == null && peer.ended() ? "closed" : got == null ? "nothing" : got;
         if (!matches(what, got)) {
             throw new AssertionError("but got: " + got);
         }
     }
 
-    /** The words expected must stand at the start or among the fields, those with ! must not; the bodies agree. */
+    /** Checks that all expected words are among the received words, those with ! are not, and the bodies are equal. */
     private static boolean matches(String expected, String got) {
-        String[] want = expected.split(" \\| ?", 2);
-        String[] have = got.split(" \\| ", 2);
-        List<String> there = List.of(have[0].split("[ ,?&]"));
-        return Arrays.stream(want[0].split(" ")).allMatch(word -> word.startsWith("!")
-                ? there.stream().noneMatch(field -> field.startsWith(word.substring(1) + "=")) : there.contains(word))
-                && (want.length < 2 || have.length > 1 && body(want).equals(have[1]));
+        String[] wanted = expected.split(" \\| ?", 2);
+        String[] actual = got.split(" \\| ", 2);
+        List<String> fields = List.of(actual[0].split("[ ,?&]"));
+        return Arrays.stream(wanted[0].split(" ")).allMatch(word -> word.startsWith("!")
+                ? fields.stream().noneMatch(field -> field.startsWith(word.substring(1) + "=")) : fields.contains(word))
+                && (wanted.length < 2 || actual.length > 1 && body(wanted).equals(actual[1]));
     }
 
-    /** What a listening party is asked next, on the connection on which it is what was expected, if there is one. */
-    private static String asked(Party party, String expected) {
+    /** Returns the next request to a listening peer, preferably on a connection on which it matches the expectation. */
+    private static String nextRequest(Peer peer, String expected) {
         String first = null;
-        for (Link link : party.links.stream().filter(each -> !each.ended || each == party.link).toList()) {
+        for (Link link : peer.links.stream().filter(each -> !each.ended || each == peer.link).toList()) {
             byte[] before = link.read;
-            String next = before.length > 0 && before[0] == 'G' ? poll(link) : want(link);
+            String next = before.length > 0 && before[0] == 'G' ? httpRequest(link) : upstreamRequest(link);
             if (next != null && matches(expected, next)) {
-                party.link = link;
-                party.asked.put(next.split(" ")[1], link);
+                peer.link = link;
+                peer.requestLinks.put(next.split(" ")[1], link);
                 return next;
             }
             link.read = before;
@@ -436,13 +439,13 @@
         return first;
     }
 
-    /** The next request of HTTP, whose headers are passed over. */
-    private static String poll(Link link) {
+    /** Returns the request line of the next HTTP request and skips its headers. */
+    private static String httpRequest(Link link) {
         int end = new String(link.read, StandardCharsets.US_ASCII).indexOf("\r\n\r\n");
-        return end < 0 ? null : new String(link.take(end + 4), StandardCharsets.US_ASCII).split("\r\n")[0];
+        return end < 0 ? null : new String(link.consume(end + 4), StandardCharsets.US_ASCII).split("\r\n")[0];
     }
 
-    private static String want(Link link) {
+    private static String upstreamRequest(Link link) {
         String text = new String(link.read, StandardCharsets.ISO_8859_1);
         int end = text.indexOf("\r\n");
         if (end < 0) {
@@ -453,20 +456,20 @@
         if (link.read.length < end + 4 + length) {
             return null;
         }
-        String taken = new String(link.take(end + 4 + length), StandardCharsets.ISO_8859_1);
-        return taken.substring(0, end) + (length > 0 ? " | " + taken.substring(end + 2, end + 2 + length) : "");
+        String consumed = new String(link.consume(end + 4 + length), StandardCharsets.ISO_8859_1);
+        return consumed.substring(0, end) + (length > 0 ? " | " + consumed.substring(end + 2, end + 2 + length) : "");
     }
 
-    /** An answer of HTTP: its status, and its body behind a bar. */
+    /** Returns an HTTP response: its status, and its body after a bar. */
     private static String httpResponse(Link link) {
         String text = new String(link.read, StandardCharsets.US_ASCII);
         int end = text.indexOf("\r\n\r\n");
         if (end < 0 || !link.ended && !text.contains(" 100 ")) {
             return null;
         }
-        String answer = new String(link.take(text.contains(" 100 ") ? end + 4 : link.read.length),
+        String response = new String(link.consume(text.contains(" 100 ") ? end + 4 : link.read.length),
                 StandardCharsets.US_ASCII);
-        return answer.split(" ")[1] + " | " + answer.substring(end + 4).strip();
+        return response.split(" ")[1] + " | " + response.substring(end + 4).strip();
     }
 
     private static String clientFrame(Link link) {
@@ -474,7 +477,8 @@
         if (bytes.remaining() < 4 || bytes.remaining() < 4 + bytes.getInt(0)) {
             return null;
         }
-        ByteBuffer frame = ByteBuffer.wrap(link.take(4 + bytes.getInt(0))).order(ByteOrder.LITTLE_ENDIAN).position(4);
+        ByteBuffer frame =
+                ByteBuffer.wrap(link.consume(4 + bytes.getInt(0))).order(ByteOrder.LITTLE_ENDIAN).position(4);
         int type = frame.get();
         long stream = frame.getInt();
         if (type == 9) {
@@ -487,10 +491,10 @@
             fields.put(name, text(frame, frame.getShort()));
         }
         String word = type == 7 ? code == 'O' ? "ready" : "unready"
-                : CODES.stream().filter(c -> c.charAt(0) == code).findFirst().orElseThrow().substring(2);
-        List<String> said = new ArrayList<>(List.of(word, "" + stream));
-        fields.forEach((name, value) -> said.add(name + "=" + value));
-        return String.join(" ", said) + " | " + text(frame, frame.remaining());
+                : RESPONSE_TYPES.stream().filter(c -> c.charAt(0) == code).findFirst().orElseThrow().substring(2);
+        List<String> words = new ArrayList<>(List.of(word, "" + stream));
+        fields.forEach((name, value) -> words.add(name + "=" + value));
+        return String.join(" ", words) + " | " + text(frame, frame.remaining());
     }
 
     private static String text(ByteBuffer buffer, int length) {
@@ -500,28 +504,28 @@
     }
 
     private void close(String who, String how) throws IOException {
-        Party party = party(who);
+        Peer peer = peer(who);
         switch (how) {
-            case "half" -> party.link.channel.shutdownOutput();
-            case "listener" -> party.listener.close();
+            case "half" -> peer.link.channel.shutdownOutput();
+            case "listener" -> peer.listener.close();
             case "deaf" -> {
-                party.deaf = true;
-                if (party.listener == null) {
+                peer.deaf = true;
+                if (peer.listener == null) {
                     return;
                 }
-                // A full backlog: the kernel drops what else would connect, as if nobody were there.
+                // With a full backlog the kernel drops further connection attempts, like a vanished machine.
                 for (int i = 0; i < 4; i++) {
                     SocketChannel filler = SocketChannel.open();
                     fillers.add(filler);
                     filler.configureBlocking(false);
-                    filler.connect(party.listener.getLocalAddress());
+                    filler.connect(peer.listener.getLocalAddress());
                 }
             }
             case "reset" -> {
-                party.link.channel.setOption(StandardSocketOptions.SO_LINGER, 0);
-                party.link.channel.close();
+                peer.link.channel.setOption(StandardSocketOptions.SO_LINGER, 0);
+                peer.link.channel.close();
             }
-            default -> party.link.channel.close();
+            default -> peer.link.channel.close();
         }
         turn(1);
     }
@@ -529,8 +533,8 @@
     @Override
     public void close() throws IOException {
         director.close();
-        if (passed != null) {
-            passed.close();
+        if (passedSocket != null) {
+            passedSocket.close();
         }
         try (Stream<Path> paths = Files.walk(folder)) {
             for (Path each : paths.sorted(Comparator.reverseOrder()).toList()) {
@@ -540,11 +544,11 @@
         for (SocketChannel filler : fillers) {
             filler.close();
         }
-        for (Party party : parties.values()) {
-            if (party.listener != null) {
-                party.listener.close();
+        for (Peer peer : peers.values()) {
+            if (peer.listener != null) {
+                peer.listener.close();
             }
-            for (Link link : party.links) {
+            for (Link link : peer.links) {
                 link.channel.close();
             }
         }
--- a/src/test/java/clovermill/director/ScenarioTest.java
+++ b/src/test/java/clovermill/director/ScenarioTest.java
@@ -17,7 +17,7 @@
     @Test
     void aDirectorSettlesBeforeItSaysThatItIsReady() throws Exception {
         try (Scenario scenario = new Scenario(1_000_000)) {
-            scenario.play(List.of("wait 990", "send c1 ready 1", "expect c1 unready 1", "wait 10", "send c1 ready 2",
+            scenario.run(List.of("wait 990", "send c1 ready 1", "expect c1 unready 1", "wait 10", "send c1 ready 2",
                     "expect c1 ready 2"));
         }
     }
@@ -42,7 +42,7 @@
         }
         lines.addAll(List.of("wait 10", "expect c1 closed", "wait 100", "expect director stopped"));
         try (Scenario scenario = new Scenario(0)) {
-            scenario.play(lines);
+            scenario.run(lines);
         }
     }
 
@@ -55,7 +55,7 @@
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/scenarios"))) {
             return files.sorted().map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> {
                 try (Scenario scenario = new Scenario(0, null, file.getFileName().toString().startsWith("upgrade"))) {
-                    scenario.play(Files.readAllLines(file));
+                    scenario.run(Files.readAllLines(file));
                 }
             })).toList();
         }
