--- a/src/test/java/clovermill/prove/capacity/RequestPathProof.java
+++ b/src/test/java/clovermill/prove/capacity/RequestPathProof.java
@@ -1,8 +1,8 @@
 package clovermill.prove.capacity;
 
 import clovermill.prove.DirectorProcess;
-import clovermill.prove.Load;
-import clovermill.prove.StandIns;
+import clovermill.prove.FakeUpstreams;
+import clovermill.prove.LoadGenerator;
 import clovermill.prove.capacity.LineFit.Point;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -75,12 +75,12 @@
     /** Properties: window (milliseconds), seconds (total for all windows). */
     public static void main(String[] arguments) throws Exception {
         RequestPathProof proof = new RequestPathProof();
-        try (StandIns members = new StandIns(RequestPathProof::partBytes)) {
+        try (FakeUpstreams members = new FakeUpstreams(RequestPathProof::partBytes)) {
             proof.directors.put(FEW_LOCAL, proof.start(0, members, LOCAL_CACHES));
             proof.directors.put(ALL_LOCAL, proof.start(1, members, ALL_CACHES));
             proof.runAllLoads();
         } finally {
-            DirectorProcess.end(List.copyOf(proof.directors.values()), proof.root);
+            DirectorProcess.stopAll(List.copyOf(proof.directors.values()), proof.root);
         }
         boolean passed = proof.report();
         System.exit(passed ? 0 : 1);
@@ -98,7 +98,7 @@
     // ---- Directors --------------------------------------------------------------------------------
 
     /** Starts a director with the deploy file's line; {@code local} of all caches are in its location. */
-    private DirectorProcess start(int number, StandIns members, int local) throws Exception {
+    private DirectorProcess start(int number, FakeUpstreams members, int local) throws Exception {
         Path file = DirectorProcess.configuration(root, Map.entry(members.address(), memberList(members, local)),
                 number, 1);
         ObjectMapper mapper = new ObjectMapper();
@@ -108,7 +108,7 @@
         return DirectorProcess.deployed(root, number, file);
     }
 
-    private static String memberList(StandIns members, int local) {
+    private static String memberList(FakeUpstreams members, int local) {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < ALL_CACHES; i++) {
             all.append(entry(members, "s-" + i, i < local ? "edge" : "north", "std", 6)).append(',');
@@ -119,7 +119,7 @@
                 + "]}}]}";
     }
 
-    private static String entry(StandIns members, String id, String zone, String kind, int weight) {
+    private static String entry(FakeUpstreams members, String id, String zone, String kind, int weight) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + members.address() + "\",\"zone\":\"" + zone + "\",\"kind\":\""
                 + kind + "\",\"cell\":1,\"state\":\"ready\",\"weight\":" + weight + ",\"started_ms\":0}";
     }
@@ -128,10 +128,11 @@
 
     private void runAllLoads() throws Exception {
         for (DirectorProcess director : directors.values()) {
-            director.ready();
+            director.awaitReady();
         }
         for (Map.Entry<String, DirectorProcess> each : directors.entrySet()) {
-            Load warmup = new Load(each.getValue().port, RATES.get(3), ++seed, 1, 1, prefix(MIN_BYTES));
+            LoadGenerator warmup =
+                    new LoadGenerator(each.getValue().port, RATES.get(3), ++seed, 1, 1, prefix(MIN_BYTES));
             Thread.sleep(WARMUP_MS);
             warmup.drain(2_000);
             warmup.close();
@@ -154,19 +155,19 @@
     private Window measureWindow(LoadSetting setting) throws Exception {
         DirectorProcess director = directors.get(setting.kind.equals(ALL_LOCAL) ? ALL_LOCAL : FEW_LOCAL);
         long pid = director.process.pid();
-        Load load = setting.perSecond == 0 ? null : new Load(director.port, setting.perSecond, ++seed,
+        LoadGenerator load = setting.perSecond == 0 ? null : new LoadGenerator(director.port, setting.perSecond, ++seed,
                 Math.max(1, setting.bytes / 1000), 1, prefix(setting.bytes));
         Thread.sleep(SETTLE_MS);
         MachineUsage machine = MachineUsage.now();
         ProcessUsage before = ProcessUsage.of(pid);
-        long answered = load == null ? 0 : load.answered;
+        long answered = load == null ? 0 : load.responses;
         long bytes = load == null ? 0 : load.bodyBytes;
         long fromNs = System.nanoTime();
         double lateMs = TimerLateness.maxLatenessMs(WINDOW_MS);
         double spentS = (System.nanoTime() - fromNs) / NS;
         ProcessUsage used = ProcessUsage.of(pid).since(before);
         MachineUsage after = MachineUsage.now();
-        answered = load == null ? 0 : load.answered - answered;
+        answered = load == null ? 0 : load.responses - answered;
         bytes = load == null ? 0 : load.bodyBytes - bytes;
         long resident = ProcessUsage.kilobytes(pid, "VmRSS");
         double p99 = 0;
@@ -180,7 +181,7 @@
         double stolen = after.stolenShare(machine);
         double perSecond = answered / spentS;
         String voidReason = perSecond < MIN_ANSWERED * setting.perSecond ? "not answered in time"
-                : load != null && load.served < MIN_ANSWERED * load.answered ? "refused"
+                : load != null && load.served < MIN_ANSWERED * load.responses ? "refused"
                 : idle < MIN_IDLE ? "machine busy"
                 : stolen > MAX_STOLEN ? "cores taken by the host"
                 : lateMs > MAX_LATE_MS ? "timers came late" : null;
